--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -21,28 +21,49 @@
         // An answer goes out two batches before the client gives up.
         let margin = 2 * settings.time("tick")?;
         let policy = settings.policy(seed, margin, false)?;
-        Ok(Instance { hand: Hand::new(policy), reports: settings.reports(), timers: 0, armed: None })
+        Ok(Instance {
+            hand: Hand::new(policy),
+            reports: settings.reports(),
+            timers: 0,
+            armed: None,
+        })
     }
 
-    pub fn view(&mut self, now: Time, parts: &mut Parts, tables: &BTreeMap<u64, Vec<Listed>>) -> Read<()> {
+    pub fn view(
+        &mut self,
+        now: Time,
+        parts: &mut Parts,
+        tables: &BTreeMap<u64, Vec<Listed>>,
+    ) -> Read<()> {
         let kind = parts.word("kind")?;
         let _rev: Option<u64> = parts.maybe("rev")?;
         let table: Option<u64> = parts.maybe("table")?;
         let entries = || {
             let number = table.ok_or_else(|| Malformed::new("table", "absent"))?;
-            tables.get(&number).ok_or_else(|| Malformed::new("table", format!("no list {number}")))
+            tables
+                .get(&number)
+                .ok_or_else(|| Malformed::new("table", format!("no list {number}")))
         };
         match kind {
             "patch" => self.hand.list(now, entries()?, false),
             "whole" | "stale_copy" => self.hand.list(now, entries()?, true),
             "broken" => self.hand.list_failed(now),
-            other => return Err(Malformed::new("kind", format!("unknown kind of news '{other}'"))),
+            other => {
+                return Err(Malformed::new(
+                    "kind",
+                    format!("unknown kind of news '{other}'"),
+                ));
+            }
         }
         Ok(())
     }
 
     pub fn knock(&mut self, now: Time, parts: &mut Parts, out: &mut String) -> Read<()> {
-        let mut flow = Flow { id: parts.get("ref")?, taken: now, ..Flow::default() };
+        let mut flow = Flow {
+            id: parts.get("ref")?,
+            taken: now,
+            ..Flow::default()
+        };
         flow.service_type = parts.get("category")?;
         flow.customer = parts.maybe("client-group")?.unwrap_or(0);
         let _item: Option<String> = parts.maybe("item")?;
@@ -57,7 +78,10 @@
     }
 
     pub fn taken_over(&mut self, parts: &mut Parts) -> Read<()> {
-        let mut flow = Flow { id: parts.get("ref")?, ..Flow::default() };
+        let mut flow = Flow {
+            id: parts.get("ref")?,
+            ..Flow::default()
+        };
         flow.group = parts.maybe("team-id")?;
         parts.flag("came-back")?;
         let _item: Option<String> = parts.maybe("item")?;
@@ -104,7 +128,9 @@
         if closed {
             self.hand.settle(flow);
         }
-        self.acts(out, |hand, acts| hand.ended(now, (flow, number), rs, (end, never_ran), report, acts));
+        self.acts(out, |hand, acts| {
+            hand.ended(now, (flow, number), rs, (end, never_ran), report, acts)
+        });
         self.give_back(flow);
         Ok(())
     }
@@ -146,13 +172,16 @@
 
     /// Sets the timer where the module wants to be asked sooner than it is set.
     pub fn arm(&mut self, now: Time, out: &mut String) {
-        let Some(wait) = self.hand.wait(now) else { return };
+        let Some(wait) = self.hand.wait(now) else {
+            return;
+        };
         // Never in the batch that is being answered, and no longer than the wire takes.
         let wait = wait.clamp(1_000_000, 3_600_000_000_000);
         if self.armed.is_none_or(|at| now + wait < at) {
             self.timers += 1;
             self.armed = Some(now + wait);
-            writeln!(out, "TIMER {} {}", self.timers, wire::micros(wait)).expect("a string takes all");
+            writeln!(out, "TIMER {} {}", self.timers, wire::micros(wait))
+                .expect("a string takes all");
         }
     }
 
@@ -162,12 +191,18 @@
         ask(&mut self.hand, &mut acts);
         for act in acts {
             let write = match act {
-                Act::Connect { flow, rs, limit, .. } => {
+                Act::Connect {
+                    flow, rs, limit, ..
+                } => {
                     writeln!(out, "SUBMIT_TO {flow} {rs} {}", wire::micros(limit))
                 }
                 Act::Reject { flow, come_back } => {
                     self.give_back(flow);
-                    writeln!(out, "DECLINE {flow} {}", wire::micros(come_back.unwrap_or(0)))
+                    writeln!(
+                        out,
+                        "DECLINE {flow} {}",
+                        wire::micros(come_back.unwrap_or(0))
+                    )
                 }
                 Act::Abort { flow } => {
                     self.give_back(flow);
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -33,7 +33,11 @@
     }
 
     fn expect(&mut self, what: &str) -> Read<()> {
-        if self.next()? { Ok(()) } else { Err(Malformed::new(what, "input ends inside a batch")) }
+        if self.next()? {
+            Ok(())
+        } else {
+            Err(Malformed::new(what, "input ends inside a batch"))
+        }
     }
 }
 
@@ -77,7 +81,9 @@
                     self.tables.insert(table, entries);
                 }
                 event => {
-                    let name = name.as_deref().ok_or_else(|| Malformed::new("balancer", "no ON before"))?;
+                    let name = name
+                        .as_deref()
+                        .ok_or_else(|| Malformed::new("balancer", "no ON before"))?;
                     self.event(now, name, event, &mut parts, &mut out)?;
                     parts.end()?;
                 }
@@ -86,15 +92,24 @@
         }
     }
 
-    fn event(&mut self, now: Time, name: &str, event: &str, parts: &mut Parts, out: &mut String) -> Read<()> {
+    fn event(
+        &mut self,
+        now: Time,
+        name: &str,
+        event: &str,
+        parts: &mut Parts,
+        out: &mut String,
+    ) -> Read<()> {
         if event == "CREATE" {
             let seed: u64 = parts.get("prng")?;
             let settings = Settings::parse(parts.text("conf")?)?;
-            self.instances.insert(name.to_string(), Instance::new(seed, &settings)?);
+            self.instances
+                .insert(name.to_string(), Instance::new(seed, &settings)?);
             return Ok(());
         }
         let known = self.instances.get_mut(name);
-        let instance = known.ok_or_else(|| Malformed::new("balancer", format!("'{name}' isn't running")))?;
+        let instance =
+            known.ok_or_else(|| Malformed::new("balancer", format!("'{name}' isn't running")))?;
         match event {
             "TEARDOWN" => drop(self.instances.remove(name)),
             "VIEW" => instance.view(now, parts, &self.tables)?,
@@ -136,20 +151,31 @@
         let mut parts = Parts::new(&line);
         match parts.word("event")? {
             "BEGIN_BATCH" => {}
-            other => return Err(Malformed::new("event", format!("'{other}' outside a batch"))),
+            other => {
+                return Err(Malformed::new(
+                    "event",
+                    format!("'{other}' outside a batch"),
+                ));
+            }
         }
         let now = parts.time("clock")?;
         parts.end()?;
         lines.line = line;
         let reply = host.batch(now, lines)?;
-        let sent = stdout.write_all(reply.as_bytes()).and_then(|()| stdout.flush());
+        let sent = stdout
+            .write_all(reply.as_bytes())
+            .and_then(|()| stdout.flush());
         sent.map_err(|e| Malformed::new("reply", format!("can't be written: {e}")))?;
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
-    let mut lines = Lines { input: io::stdin().lock(), line: String::new(), number: 0 };
+    let mut lines = Lines {
+        input: io::stdin().lock(),
+        line: String::new(),
+        number: 0,
+    };
     match serve(&mut lines) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -25,7 +25,11 @@
             None => (rest, None),
         };
         self.rest = rest;
-        if word.is_empty() { Err(Malformed::new(field, "empty")) } else { Ok(word) }
+        if word.is_empty() {
+            Err(Malformed::new(field, "empty"))
+        } else {
+            Ok(word)
+        }
     }
 
     /// `None` where the value is absent.
@@ -34,18 +38,24 @@
         if word == "-" {
             return Ok(None);
         }
-        word.parse().map(Some).map_err(|_| Malformed::new(field, format!("can't read '{word}'")))
+        word.parse()
+            .map(Some)
+            .map_err(|_| Malformed::new(field, format!("can't read '{word}'")))
     }
 
     pub fn get<T: FromStr>(&mut self, field: &str) -> Read<T> {
-        self.maybe(field)?.ok_or_else(|| Malformed::new(field, "absent"))
+        self.maybe(field)?
+            .ok_or_else(|| Malformed::new(field, "absent"))
     }
 
     pub fn flag(&mut self, field: &str) -> Read<bool> {
         match self.word(field)? {
             "1" => Ok(true),
             "0" | "-" => Ok(false),
-            other => Err(Malformed::new(field, format!("'{other}' is neither 0 nor 1"))),
+            other => Err(Malformed::new(
+                field,
+                format!("'{other}' is neither 0 nor 1"),
+            )),
         }
     }
 
@@ -56,13 +66,18 @@
     }
 
     pub fn text(&mut self, field: &str) -> Read<&'a str> {
-        self.rest.take().ok_or_else(|| Malformed::new(field, "missing"))
+        self.rest
+            .take()
+            .ok_or_else(|| Malformed::new(field, "missing"))
     }
 
     pub fn end(self) -> Read<()> {
         match self.rest {
             None => Ok(()),
-            Some(rest) => Err(Malformed::new("end of line", format!("unexpected '{rest}'"))),
+            Some(rest) => Err(Malformed::new(
+                "end of line",
+                format!("unexpected '{rest}'"),
+            )),
         }
     }
 }
@@ -79,7 +94,11 @@
     }
     let whole = text.is_ascii() && text.len().is_multiple_of(2);
     let pairs = (0..text.len() / 2).map(|i| u8::from_str_radix(&text[2 * i..2 * i + 2], 16).ok());
-    if whole { pairs.collect::<Option<_>>().ok_or_else(malformed) } else { Err(malformed()) }
+    if whole {
+        pairs.collect::<Option<_>>().ok_or_else(malformed)
+    } else {
+        Err(malformed())
+    }
 }
 
 pub fn micros(time: Time) -> Time {
@@ -97,7 +116,12 @@
         "cut" => (End::Cut, false),
         "undone" => (End::CalledOff, false),
         "stale_send" => (End::NotSent, true),
-        other => return Err(Malformed::new("reason", format!("unknown outcome '{other}'"))),
+        other => {
+            return Err(Malformed::new(
+                "reason",
+                format!("unknown outcome '{other}'"),
+            ));
+        }
     })
 }
 
@@ -105,7 +129,10 @@
     let mut parts = Parts::new(line);
     let word = parts.word("entry")?;
     if word != "M" {
-        return Err(Malformed::new("entry", format!("'{word}' is no list entry")));
+        return Err(Malformed::new(
+            "entry",
+            format!("'{word}' is no list entry"),
+        ));
     }
     let rs = parts.get("server")?;
     let hall = parts.maybe("locality")?.unwrap_or(0);
@@ -115,15 +142,32 @@
         "active" => State::Ready,
         "leaving" => State::Draining,
         "left" => State::Gone,
-        other => return Err(Malformed::new("availability", format!("unknown state '{other}'"))),
+        other => {
+            return Err(Malformed::new(
+                "availability",
+                format!("unknown state '{other}'"),
+            ));
+        }
     };
     let weight = parts.maybe("heft")?.unwrap_or(1.0);
     let started = parts.time("up-since")?;
     parts.end()?;
-    Ok(Listed { rs, hall, machine, cell, state, weight, started })
+    Ok(Listed {
+        rs,
+        hall,
+        machine,
+        cell,
+        state,
+        weight,
+        started,
+    })
 }
 
 /// A load report's pairs, set apart by commas; `-` where there is none.
 pub fn report(word: &str, reports: &Reports) -> Read<Report> {
-    if word == "-" { Ok(Report::default()) } else { reports.read(word, ':') }
+    if word == "-" {
+        Ok(Report::default())
+    } else {
+        reports.read(word, ':')
+    }
 }
--- a/crates/adapter/tests/exchange.rs
+++ b/crates/adapter/tests/exchange.rs
@@ -17,7 +17,11 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may end before it has read all of a malformed script.
-    let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("a pipe")
+        .write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -39,28 +43,48 @@
            KNOCK 8 0 0 k 3000 - - 0 0 0\nLAPSED 99\nMEMO 1 00\nPONG 300 51 pass x0:1.3,busy:0.9\nEND\n\
            BEGIN_BATCH 1010000\nON balancer-0\nTEARDOWN\nEND\nBEGIN_BATCH 1012000\nEND\n";
     let output = run(&script);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let text = String::from_utf8(output.stdout).expect("text");
     let replies: Vec<&str> = text.split_inclusive("NEXT\n").collect();
     assert_eq!(replies.len(), 7, "{text}");
     assert!(replies[0].starts_with("AS balancer-0\nTIMER 1 "), "{text}");
     // The draining server gets nothing, the limit ends before the client gives up.
-    assert!(replies[1].starts_with("AS balancer-0\nSUBMIT_TO 7 51 1796000\n"), "{text}");
-    assert!(replies[2].starts_with("AS balancer-0\nSUBMIT_TO 7 51 "), "{text}");
+    assert!(
+        replies[1].starts_with("AS balancer-0\nSUBMIT_TO 7 51 1796000\n"),
+        "{text}"
+    );
+    assert!(
+        replies[2].starts_with("AS balancer-0\nSUBMIT_TO 7 51 "),
+        "{text}"
+    );
     assert_eq!(replies[3], "NEXT\n");
     // Too little time is left: answered at once, with a time to come back.
-    assert!(replies[4].contains("DECLINE 8 ") && !replies[4].contains("DECLINE 8 0\n"), "{text}");
+    assert!(
+        replies[4].contains("DECLINE 8 ") && !replies[4].contains("DECLINE 8 0\n"),
+        "{text}"
+    );
     assert_eq!(replies[5..], ["NEXT\n", "NEXT\n"]);
 }
 
 #[test]
 fn a_report_that_comes_with_an_outcome_counts() {
-    let knocks: String =
-        (1..9).map(|i| format!("KNOCK {i} 0 0 k 1800000 - - 0 0 0\nFLOWING {i} 0 51 900\n")).collect();
-    for (report, moves) in [("x0:2.5,busy:0.9", true), ("x0:0.3,busy:0.9", false), ("-", false)] {
+    let knocks: String = (1..9)
+        .map(|i| format!("KNOCK {i} 0 0 k 1800000 - - 0 0 0\nFLOWING {i} 0 51 900\n"))
+        .collect();
+    for (report, moves) in [
+        ("x0:2.5,busy:0.9", true),
+        ("x0:0.3,busy:0.9", false),
+        ("-", false),
+    ] {
         let script = create("balancer-0", CONF)
             + &format!("BEGIN_BATCH 1002000\nON balancer-0\n{knocks}END\n")
-            + &format!("BEGIN_BATCH 1004000\nON balancer-0\nRESULT 1 0 51 pass 90 1 {report}\nEND\n");
+            + &format!(
+                "BEGIN_BATCH 1004000\nON balancer-0\nRESULT 1 0 51 pass 90 1 {report}\nEND\n"
+            );
         let text = String::from_utf8(run(&script).stdout).expect("text");
         assert_eq!(text.contains("GO_AWAY"), moves, "{report}: {text}");
     }
@@ -69,7 +93,9 @@
 #[test]
 fn the_same_events_give_the_same_actions_in_company_and_alone() {
     let knocks = |name: &str| {
-        let knocks: String = (0..30).map(|i| format!("KNOCK {i} 0 0 k 1800000 - - 0 0 0\n")).collect();
+        let knocks: String = (0..30)
+            .map(|i| format!("KNOCK {i} 0 0 k 1800000 - - 0 0 0\n"))
+            .collect();
         format!("BEGIN_BATCH 1002000\nON {name}\n{knocks}END\n")
     };
     let of = |name: &str| create(name, CONF) + &knocks(name);
@@ -84,16 +110,48 @@
     for (script, line, field) in [
         ("KNOCK 1\n".to_string(), 1, "event"),
         ("BEGIN_BATCH soon\nEND\n".into(), 1, "clock"),
-        ("BEGIN_BATCH 1\nON balancer-0\nKNOCK 1 0\nEND\n".into(), 3, "balancer"),
+        (
+            "BEGIN_BATCH 1\nON balancer-0\nKNOCK 1 0\nEND\n".into(),
+            3,
+            "balancer",
+        ),
         ("BEGIN_BATCH 1\n".into(), 2, "END"),
         (create("balancer-0", "[]"), 6, "conf"),
-        (create("balancer-0", &CONF.replace("\"tick\":2000,", "")), 6, "tick"),
-        (create("balancer-0", &CONF.replace("free", "maybe")), 6, "repeat"),
-        (created.clone() + "BEGIN_BATCH 2\nON balancer-0\nWHISPER 1\nEND\n", 12, "event"),
-        (created.clone() + "BEGIN_BATCH 2\nON balancer-0\nKNOCK 1 0 0 k x - - 0 0 0\nEND\n", 12, "ttl"),
-        (created.clone() + "BEGIN_BATCH 2\nON balancer-0\nRESULT 1 0 5 odd 1 0 -\nEND\n", 12, "reason"),
-        (created.clone() + "BEGIN_BATCH 2\nON balancer-0\nPONG 1 5 pass x0=3\nEND\n", 12, "report"),
-        (created + "BEGIN_BATCH 2\nTABLE 0 1\nM 1 0 0 0 asleep 1 -\nEND\n", 12, "availability"),
+        (
+            create("balancer-0", &CONF.replace("\"tick\":2000,", "")),
+            6,
+            "tick",
+        ),
+        (
+            create("balancer-0", &CONF.replace("free", "maybe")),
+            6,
+            "repeat",
+        ),
+        (
+            created.clone() + "BEGIN_BATCH 2\nON balancer-0\nWHISPER 1\nEND\n",
+            12,
+            "event",
+        ),
+        (
+            created.clone() + "BEGIN_BATCH 2\nON balancer-0\nKNOCK 1 0 0 k x - - 0 0 0\nEND\n",
+            12,
+            "ttl",
+        ),
+        (
+            created.clone() + "BEGIN_BATCH 2\nON balancer-0\nRESULT 1 0 5 odd 1 0 -\nEND\n",
+            12,
+            "reason",
+        ),
+        (
+            created.clone() + "BEGIN_BATCH 2\nON balancer-0\nPONG 1 5 pass x0=3\nEND\n",
+            12,
+            "report",
+        ),
+        (
+            created + "BEGIN_BATCH 2\nTABLE 0 1\nM 1 0 0 0 asleep 1 -\nEND\n",
+            12,
+            "availability",
+        ),
     ] {
         let output = run(&script);
         let message = String::from_utf8_lossy(&output.stderr);
@@ -105,6 +163,13 @@
 
 #[test]
 fn settings_without_the_number_of_balancers_will_do() {
-    let output = run(&create("balancer-0", &CONF.replace("\"replicas-of-me\":1,", "")));
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let output = run(&create(
+        "balancer-0",
+        &CONF.replace("\"replicas-of-me\":1,", ""),
+    ));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
 }
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -28,7 +28,15 @@
 
 /// All keys that a configuration may have, and those under `limits`. `cores` is told and needs no acting on: all work is
 /// one worker's.
-const KEYS: [&str; 7] = ["name", "listen", "discovery", "seed", "limits", "known", "settings"];
+const KEYS: [&str; 7] = [
+    "name",
+    "listen",
+    "discovery",
+    "seed",
+    "limits",
+    "known",
+    "settings",
+];
 const LIMITS: [&str; 3] = ["cores", "memory_mb", "sockets"];
 
 pub struct Config {
@@ -55,7 +63,12 @@
         let how = self.settings.maybe("report/how").and_then(Value::as_str);
         let stats = how != Some("silent");
         let (reports, dial_limit, asked) = (self.settings.reports(), self.dial_limit, self.asked);
-        Term { reports, stats, dial_limit, asked }
+        Term {
+            reports,
+            stats,
+            dial_limit,
+            asked,
+        }
     }
 
     /// Says in the log which keys nothing reads.
@@ -75,7 +88,11 @@
             ("limits.sockets", self.sockets != new.sockets),
             ("limits.memory_mb", self.memory != new.memory),
         ];
-        changed.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
+        changed
+            .into_iter()
+            .filter(|(_, changed)| *changed)
+            .map(|(key, _)| key)
+            .collect()
     }
 }
 
@@ -88,7 +105,10 @@
 
 impl Faulty {
     fn new(key: &str, why: impl fmt::Display) -> Self {
-        Faulty { key: key.into(), why: why.to_string() }
+        Faulty {
+            key: key.into(),
+            why: why.to_string(),
+        }
     }
 }
 
@@ -105,13 +125,21 @@
 
 /// The same at the start, where one that can't be read at this moment is read a moment later.
 pub fn load_at_start(file: Option<&Path>) -> Result<Config, Faulty> {
-    load_by(file, |file| retry::until_it_passes(|| fs::read_to_string(file)))
+    load_by(file, |file| {
+        retry::until_it_passes(|| fs::read_to_string(file))
+    })
 }
 
-fn load_by(file: Option<&Path>, read: impl Fn(&Path) -> io::Result<String>) -> Result<Config, Faulty> {
-    let named = file.map(PathBuf::from).or_else(|| env::var_os("LB_CONFIG").map(PathBuf::from));
+fn load_by(
+    file: Option<&Path>,
+    read: impl Fn(&Path) -> io::Result<String>,
+) -> Result<Config, Faulty> {
+    let named = file
+        .map(PathBuf::from)
+        .or_else(|| env::var_os("LB_CONFIG").map(PathBuf::from));
     let file = named.ok_or_else(|| Faulty::new("LB_CONFIG", "not set, and no file was named"))?;
-    let text = read(&file).map_err(|e| Faulty::new("LB_CONFIG", format!("{}: {e}", file.display())))?;
+    let text =
+        read(&file).map_err(|e| Faulty::new("LB_CONFIG", format!("{}: {e}", file.display())))?;
     parse(&text, |name| env::var(name).ok())
 }
 
@@ -122,33 +150,50 @@
 
 /// The same at the start, where one that can't be read at this moment is read a moment later.
 pub fn operator_at_start(file: Option<&Path>) -> Result<Operator, String> {
-    operator_by(file, |file| retry::until_it_passes(|| fs::read_to_string(file)))
+    operator_by(file, |file| {
+        retry::until_it_passes(|| fs::read_to_string(file))
+    })
 }
 
-fn operator_by(file: Option<&Path>, read: impl Fn(&Path) -> io::Result<String>) -> Result<Operator, String> {
-    let Some(file) = file else { return Ok(Operator::default()) };
+fn operator_by(
+    file: Option<&Path>,
+    read: impl Fn(&Path) -> io::Result<String>,
+) -> Result<Operator, String> {
+    let Some(file) = file else {
+        return Ok(Operator::default());
+    };
     let text = read(file).map_err(|e| format!("operator's file {}: {e}", file.display()))?;
     operator::parse(&text).map_err(|e| e.to_string())
 }
 
 /// The door as the operator's file has it, its customers' names turned into keys of this run.
 pub fn door(keys: &operator::Door, seed: u64, longest: Time) -> DoorConfig {
-    keys.config(longest, |name| Some(nettlemux_door::key(seed, name.as_bytes())))
+    keys.config(longest, |name| {
+        Some(nettlemux_door::key(seed, name.as_bytes()))
+    })
 }
 
 /// Checks a configuration; what it doesn't tell is taken from the environment, else a default.
 pub fn parse(text: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Faulty> {
-    let mut value: Value =
-        serde_json::from_str(text).map_err(|e| Faulty::new("(whole file)", format!("no JSON: {e}")))?;
+    let mut value: Value = serde_json::from_str(text)
+        .map_err(|e| Faulty::new("(whole file)", format!("no JSON: {e}")))?;
     // What is `null` is missing.
-    let keys = value.as_object_mut().ok_or_else(|| Faulty::new("(whole file)", "no object"))?;
+    let keys = value
+        .as_object_mut()
+        .ok_or_else(|| Faulty::new("(whole file)", "no object"))?;
     keys.retain(|_, value| !value.is_null());
     // Told, for a slip of the pen that costs a limit, but no fault: the platform writes this file and may say more in it
     // than we know. Guards against a fleet that doesn't start since one key is new. `settings` are the platform's too.
     let check = |value: Option<&Value>, known: &[&str], path: &str| -> Vec<Faulty> {
-        let names = value.and_then(Value::as_object).into_iter().flatten().map(|(name, _)| name.as_str());
+        let names = value
+            .and_then(Value::as_object)
+            .into_iter()
+            .flatten()
+            .map(|(name, _)| name.as_str());
         let unknown = nettlemux_settings::unknown(names, known);
-        unknown.map(|(key, why)| Faulty::new(&format!("{path}{key}"), why)).collect()
+        unknown
+            .map(|(key, why)| Faulty::new(&format!("{path}{key}"), why))
+            .collect()
     };
     let mut unknown = check(Some(&value), &KEYS, "");
     unknown.extend(check(value.get("limits"), &LIMITS, "limits."));
@@ -164,26 +209,48 @@
             .map_err(|_| Faulty::new(key, format!("'{text}' is no address with a port")))
     };
     let seed = told("seed", "LB_SEED")?.unwrap_or_else(|| "0".into());
-    let seed = u64::from_str_radix(&seed, 16)
-        .map_err(|_| Faulty::new("seed", format!("'{seed}' is no hexadecimal number of 64 bits")))?;
+    let seed = u64::from_str_radix(&seed, 16).map_err(|_| {
+        Faulty::new(
+            "seed",
+            format!("'{seed}' is no hexadecimal number of 64 bits"),
+        )
+    })?;
     let limit = |key: &str, default: u64, least: u64| {
-        let told = value.get("limits").and_then(|limits| limits.get(key)).filter(|told| !told.is_null());
+        let told = value
+            .get("limits")
+            .and_then(|limits| limits.get(key))
+            .filter(|told| !told.is_null());
         let faulty = |why: String| Faulty::new(&format!("limits.{key}"), why);
-        let told = told.map(|told| told.as_u64().ok_or_else(|| faulty(format!("{told} is no count"))));
+        let told = told.map(|told| {
+            told.as_u64()
+                .ok_or_else(|| faulty(format!("{told} is no count")))
+        });
         let told = told.transpose()?.unwrap_or(default);
-        if told < least { Err(faulty(format!("{told} is under {least}"))) } else { Ok(told as usize) }
+        if told < least {
+            Err(faulty(format!("{told} is under {least}")))
+        } else {
+            Ok(told as usize)
+        }
     };
     let sockets = limit("sockets", SOCKETS, FEWEST_SOCKETS)?;
     let memory = limit("memory_mb", MEMORY_MB, LEAST_MEMORY_MB)?.saturating_mul(1 << 20);
-    let known =
-        value.get("known").map(discovery::update_of).transpose().map_err(|why| Faulty::new("known", why))?;
+    let known = value
+        .get("known")
+        .map(discovery::update_of)
+        .transpose()
+        .map_err(|why| Faulty::new("known", why))?;
     let settings = value.get("settings").ok_or_else(|| {
-        let others = unknown.iter().map(|other| format!("; '{}': {}", other.key, other.why));
+        let others = unknown
+            .iter()
+            .map(|other| format!("; '{}': {}", other.key, other.why));
         Faulty::new("settings", format!("missing{}", others.collect::<String>()))
     })?;
     let faulty = |e: nettlemux_settings::Malformed| {
-        let key =
-            if e.field == "settings" { e.field } else { format!("settings.{}", e.field.replace('/', ".")) };
+        let key = if e.field == "settings" {
+            e.field
+        } else {
+            format!("settings.{}", e.field.replace('/', "."))
+        };
         Faulty { key, why: e.why }
     };
     let settings = Settings::within(settings).map_err(faulty)?;
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -22,8 +22,10 @@
 
 /// Starts the log; what waits is written when the guard is dropped.
 pub fn start(level: Level, format: Format) -> WorkerGuard {
-    let (writer, guard) =
-        NonBlockingBuilder::default().buffered_lines_limit(LINES).lossy(true).finish(std::io::stderr());
+    let (writer, guard) = NonBlockingBuilder::default()
+        .buffered_lines_limit(LINES)
+        .lossy(true)
+        .finish(std::io::stderr());
     let counts = Mutex::new(Counts::default());
     let since = Instant::now();
     let out = writer.clone();
@@ -35,16 +37,22 @@
         let (allowed, left_out) = counts.count(metadata.callsite(), since.elapsed().as_secs());
         if left_out > 0 {
             let (target, line) = (metadata.target(), metadata.line().unwrap_or(0));
-            let _ = out.clone().write_all(left_out_line(format, target, line, left_out).as_bytes());
+            let _ = out
+                .clone()
+                .write_all(left_out_line(format, target, line, left_out).as_bytes());
         }
         allowed
     };
     let filter = dynamic_filter_fn(move |metadata: &Metadata, _: &_| allowed(metadata));
-    let lines = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(move || writer.clone());
+    let lines = tracing_subscriber::fmt::layer()
+        .with_ansi(false)
+        .with_writer(move || writer.clone());
     let registry = tracing_subscriber::registry().with(LevelFilter::from_level(level));
     match format {
         Format::Text => registry.with(lines.with_filter(filter)).init(),
-        Format::Json => registry.with(lines.json().flatten_event(true).with_filter(filter)).init(),
+        Format::Json => registry
+            .with(lines.json().flatten_event(true).with_filter(filter))
+            .init(),
     }
     guard
 }
@@ -55,8 +63,7 @@
     match format {
         Format::Text => format!("{target}:{line}: {left_out} more {message}\n"),
         Format::Json => {
-            let object =
-                serde_json::json!({"message": message, "target": target, "line": line, "left_out": left_out});
+            let object = serde_json::json!({"message": message, "target": target, "line": line, "left_out": left_out});
             format!("{object}\n")
         }
     }
@@ -89,7 +96,9 @@
     fn a_flood_of_lines_is_cut_and_counted() {
         let mut counts = Counts::default();
         let place = tracing::callsite::Identifier(&PLACE);
-        let out = (0..500).filter(|_| counts.count(place.clone(), 7).0).count();
+        let out = (0..500)
+            .filter(|_| counts.count(place.clone(), 7).0)
+            .count();
         assert_eq!(out as u64, A_SECOND);
         assert_eq!(counts.count(place.clone(), 8), (true, 500 - A_SECOND));
         assert_eq!(counts.count(place, 9), (true, 0));
@@ -99,7 +108,10 @@
     fn a_line_for_those_left_out_is_an_object_where_all_are() {
         let line = left_out_line(Format::Json, "a \"b\"", 7, 480);
         let read: serde_json::Value = serde_json::from_str(line.trim_end()).unwrap();
-        assert_eq!((&read["left_out"], line.matches('\n').count()), (&serde_json::json!(480), 1));
+        assert_eq!(
+            (&read["left_out"], line.matches('\n').count()),
+            (&serde_json::json!(480), 1)
+        );
         assert_eq!(
             left_out_line(Format::Text, "a", 7, 480),
             "a:7: 480 more lines like the next were left out\n"
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -44,8 +44,16 @@
 const STACK: usize = 0x2000;
 #[derive(Clone)]
 enum Command {
-    Serve { config: Option<PathBuf>, operator: Option<PathBuf>, log: Option<Level>, format: Option<Format> },
-    Check { config: Option<PathBuf>, operator: Option<PathBuf> },
+    Serve {
+        config: Option<PathBuf>,
+        operator: Option<PathBuf>,
+        log: Option<Level>,
+        format: Option<Format>,
+    },
+    Check {
+        config: Option<PathBuf>,
+        operator: Option<PathBuf>,
+    },
     Schema,
     Version,
 }
@@ -53,13 +61,24 @@
 fn command() -> bpaf::OptionParser<Command> {
     fn config() -> impl Parser<Option<PathBuf>> {
         let help = "the configuration, as JSON; without it, the file that LB_CONFIG names";
-        long("config").help(help).argument::<PathBuf>("FILE").optional()
+        long("config")
+            .help(help)
+            .argument::<PathBuf>("FILE")
+            .optional()
     }
     fn operator() -> impl Parser<Option<PathBuf>> {
-        long("operator").help("the operator's file, as TOML").argument::<PathBuf>("FILE").optional()
+        long("operator")
+            .help("the operator's file, as TOML")
+            .argument::<PathBuf>("FILE")
+            .optional()
     }
-    let log = long("log").help("error, warn, info, debug or trace").argument::<Level>("LEVEL").optional();
-    let format = long("log-format").help("text, or json: one object a line").argument::<String>("FORMAT");
+    let log = long("log")
+        .help("error, warn, info, debug or trace")
+        .argument::<Level>("LEVEL")
+        .optional();
+    let format = long("log-format")
+        .help("text, or json: one object a line")
+        .argument::<String>("FORMAT");
     let format = format
         .parse(|word| match word.as_str() {
             "text" => Ok(Format::Text),
@@ -68,41 +87,61 @@
         })
         .optional();
     let (config_, operator_) = (config(), operator());
-    let serve = construct!(Command::Serve { config(config_), operator(operator_), log, format }).to_options();
-    let serve = serve.descr("Run the balancer until SIGTERM").command("serve");
+    let serve = construct!(Command::Serve { config(config_), operator(operator_), log, format })
+        .to_options();
+    let serve = serve
+        .descr("Run the balancer until SIGTERM")
+        .command("serve");
     let (config, operator) = (config(), operator());
     let check = construct!(Command::Check { config, operator }).to_options();
-    let check = check.descr("Check a configuration and say what is wrong with it").command("check");
-    let schema = pure(Command::Schema).to_options().descr("Print the JSON schema of the operator's file");
+    let check = check
+        .descr("Check a configuration and say what is wrong with it")
+        .command("check");
+    let schema = pure(Command::Schema)
+        .to_options()
+        .descr("Print the JSON schema of the operator's file");
     let schema = schema.command("schema");
-    let version = pure(Command::Version).to_options().descr("Print the version").command("version");
-    construct!([serve, check, schema, version]).to_options().descr("A balancer for long-lived connections")
+    let version = pure(Command::Version)
+        .to_options()
+        .descr("Print the version")
+        .command("version");
+    construct!([serve, check, schema, version])
+        .to_options()
+        .descr("A balancer for long-lived connections")
 }
 
 fn main() -> ExitCode {
     // Before all else: a SIGHUP that nobody handles ends the process.
     let signals = signals::catch();
     let done = match command().run() {
-        Command::Serve { config: file, operator: operator_file, log, format } => {
-            config::load_at_start(file.as_deref()).map_err(|e| e.to_string()).and_then(|config| {
+        Command::Serve {
+            config: file,
+            operator: operator_file,
+            log,
+            format,
+        } => config::load_at_start(file.as_deref())
+            .map_err(|e| e.to_string())
+            .and_then(|config| {
                 let operator = config::operator_at_start(operator_file.as_deref())?;
                 let level = log.unwrap_or(level(operator.log.level));
                 let _guard = log::start(level, format.unwrap_or(operator.log.format));
                 config.warn_of_unknown();
                 let signals = signals.map_err(|e| format!("can't listen for signals: {e}"))?;
                 serve(config, file, operator, operator_file, signals)
-            })
-        }
-        Command::Check { config, operator } => {
-            config::load(config.as_deref()).map_err(|e| e.to_string()).and_then(|config| {
+            }),
+        Command::Check { config, operator } => config::load(config.as_deref())
+            .map_err(|e| e.to_string())
+            .and_then(|config| {
                 config::operator(operator.as_deref())?;
                 for unknown in &config.unknown {
                     println!("{unknown}");
                 }
-                println!("{}: listens at {}, asks {}: good", config.name, config.listen, config.discovery);
+                println!(
+                    "{}: listens at {}, asks {}: good",
+                    config.name, config.listen, config.discovery
+                );
                 Ok(())
-            })
-        }
+            }),
         Command::Schema => {
             // A reader that has seen enough is no fault.
             let _ = writeln!(std::io::stdout(), "{:#}", operator::schema());
@@ -142,7 +181,10 @@
     // One core is all there is: one worker, free to run where the system puts it.
     let shares = Shares::new(config.sockets, config.memory);
     let runtime = may::config();
-    runtime.set_workers(1).set_stack_size(STACK).set_worker_pin(false);
+    runtime
+        .set_workers(1)
+        .set_stack_size(STACK)
+        .set_worker_pin(false);
     // Guards against a client that is accepted and lost since its coroutine's stack can't be mapped at that moment.
     runtime.set_pool_capacity(shares.coroutines());
     let settings = &config.settings.clone().with_words(operator.peers.is_some());
@@ -165,7 +207,10 @@
         // New with each start: nobody can aim at another's place.
         let seed = config.seed ^ RandomState::new().hash_one(config.seed);
         let longest = settings.come_back().map_err(faulty)?;
-        let door = Door::new(config::door(keys, seed, longest.unwrap_or(SEC).max(100 * MS)), seed);
+        let door = Door::new(
+            config::door(keys, seed, longest.unwrap_or(SEC).max(100 * MS)),
+            seed,
+        );
         known.by = Some((keys.by, seed));
         hand = hand.with_door(door, longest.is_some());
         info!(by = ?keys.by, waiting = keys.waiting, "a door with fair queues");
@@ -189,7 +234,8 @@
         desk.send(Ask::StoredList(entries));
     }
     // The first that needs the coroutines' runtime.
-    let listener = catch_unwind(|| take_in::listen(config.listen)).map_err(|_| restart::begin_anew())?;
+    let listener =
+        catch_unwind(|| take_in::listen(config.listen)).map_err(|_| restart::begin_anew())?;
     let listener = listener.map_err(|e| format!("can't listen at {}: {e}", config.listen))?;
     let (flows, waiting) = (core.shares.flows.limit(), core.shares.waiting.limit());
     info!(name = config.name, listen = %config.listen, sockets = config.sockets, flows, waiting, "serving");
@@ -206,7 +252,12 @@
     };
     signals::untold(&config.settings, peers.is_some());
     let lobby = core.shares.waiting.clone();
-    let given = Given { seed: config.seed, margin: MARGIN, answer_deadline, lobby };
+    let given = Given {
+        seed: config.seed,
+        margin: MARGIN,
+        answer_deadline,
+        lobby,
+    };
     let whole_desk = Desk::new(hand, asks, halls, machines, prober, words, given);
     let running = may::go!(move || whole_desk.run());
     let agent = Agent::new(config.discovery);
@@ -224,9 +275,19 @@
     };
     signals::listen(signals, reload, desk.clone(), agent.clone())
         .map_err(|e| format!("can't listen for signals: {e}"))?;
-    let context = discovery::Context { agent, terms, seed, descriptors, buffers };
+    let context = discovery::Context {
+        agent,
+        terms,
+        seed,
+        descriptors,
+        buffers,
+    };
     let told = desk.clone();
-    may::go!(move || parts::keep_up("discovery", &told, || discovery::watch(version, &context, &told)));
+    may::go!(
+        move || parts::keep_up("discovery", &told, || discovery::watch(
+            version, &context, &told
+        ))
+    );
     may::go!(move || parts::keep_up("the listener", &desk, || take_in::accept(&front, &listener)));
     let ended = running.join().unwrap_or(Err("the desk"));
     ended.map(|()| info!("ended")).map_err(|part| {
--- a/crates/balancer/src/restart.rs
+++ b/crates/balancer/src/restart.rs
@@ -16,16 +16,26 @@
 
 /// Runs the program from its beginning, in this process; returns why where it can't.
 pub fn begin_anew() -> String {
-    let count = env::var(COUNT).ok().and_then(|count| count.parse().ok()).unwrap_or(0_u32);
+    let count = env::var(COUNT)
+        .ok()
+        .and_then(|count| count.parse().ok())
+        .unwrap_or(0_u32);
     if count >= RESTARTS_MAX {
         return "the system has no means for the runtime".into();
     }
     thread::sleep(INTERVAL);
     let program = match env::current_exe() {
         Ok(program) => program,
-        Err(error) => return format!("the runtime didn't start, and the program isn't found: {error}"),
+        Err(error) => {
+            return format!("the runtime didn't start, and the program isn't found: {error}");
+        }
     };
     let mut again = Command::new(program);
-    again.args(env::args_os().skip(1)).env(COUNT, (count + 1).to_string());
-    format!("the runtime didn't start, and the program can't begin anew: {}", again.exec())
+    again
+        .args(env::args_os().skip(1))
+        .env(COUNT, (count + 1).to_string());
+    format!(
+        "the runtime didn't start, and the program can't begin anew: {}",
+        again.exec()
+    )
 }
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -61,31 +61,36 @@
     desk: Sender<Ask>,
     agent: Arc<Agent>,
 ) -> io::Result<()> {
-    thread::Builder::new().name("signals".into()).stack_size(STACK).spawn(move || {
-        let mut tries_left = 0;
-        loop {
-            for signal in next(&mut signals, tries_left > 0) {
-                match signal {
-                    SIGHUP => tries_left = RELOAD_TRIES,
-                    _ => desk.send(Ask::Terminate),
+    thread::Builder::new()
+        .name("signals".into())
+        .stack_size(STACK)
+        .spawn(move || {
+            let mut tries_left = 0;
+            loop {
+                for signal in next(&mut signals, tries_left > 0) {
+                    match signal {
+                        SIGHUP => tries_left = RELOAD_TRIES,
+                        _ => desk.send(Ask::Terminate),
+                    }
                 }
-            }
-            if tries_left > 0 {
-                tries_left -= 1;
-                // Guards against a balancer that no longer hears SIGTERM since a reload has panicked.
-                let reloaded = catch_unwind(AssertUnwindSafe(|| reload.again(&agent, &desk)));
-                match reloaded {
-                    Ok(Ok(())) => tries_left = 0,
-                    Ok(Err(why)) if tries_left > 0 => debug!(%why, tries_left, "not reloaded yet"),
-                    Ok(Err(why)) => error!(%why, "not reloaded: nothing changes"),
-                    Err(_) => {
-                        error!("a reload panicked");
-                        tries_left = 0;
+                if tries_left > 0 {
+                    tries_left -= 1;
+                    // Guards against a balancer that no longer hears SIGTERM since a reload has panicked.
+                    let reloaded = catch_unwind(AssertUnwindSafe(|| reload.again(&agent, &desk)));
+                    match reloaded {
+                        Ok(Ok(())) => tries_left = 0,
+                        Ok(Err(why)) if tries_left > 0 => {
+                            debug!(%why, tries_left, "not reloaded yet")
+                        }
+                        Ok(Err(why)) => error!(%why, "not reloaded: nothing changes"),
+                        Err(_) => {
+                            error!("a reload panicked");
+                            tries_left = 0;
+                        }
                     }
                 }
             }
-        }
-    })?;
+        })?;
     Ok(())
 }
 
@@ -101,7 +106,10 @@
 /// Says so where settings expect words that have no way to go: groups are then held in more places.
 pub fn untold(settings: &Settings, peers: bool) {
     if settings.may_tell().unwrap_or(false) && !peers {
-        warn!(key = "peers", "the settings let balancers tell one another, and no address is known");
+        warn!(
+            key = "peers",
+            "the settings let balancers tell one another, and no address is known"
+        );
     }
 }
 
@@ -117,14 +125,18 @@
         new.warn_of_unknown();
         if new.settings != self.in_file {
             // Before the front names what is new: the desk reads its mail in order.
-            desk.send(Ask::Change(Box::new(merged.clone().with_words(self.peers.is_some()))));
+            desk.send(Ask::Change(Box::new(
+                merged.clone().with_words(self.peers.is_some()),
+            )));
             self.terms.change(new.term());
             self.front.change(known);
             info!("other settings from now on");
             (self.in_file, self.config.settings) = (new.settings.clone(), merged);
         }
         match (&operator.peers, &self.peers) {
-            (Some(keys), Some((listen, peers))) if keys.listen == *listen => peers.change(keys.to.clone()),
+            (Some(keys), Some((listen, peers))) if keys.listen == *listen => {
+                peers.change(keys.to.clone())
+            }
             (None, None) => {}
             _ => warn!(key = "peers", "a change of this key needs a restart"),
         }
--- a/crates/balancer/tests/common/dials.rs
+++ b/crates/balancer/tests/common/dials.rs
@@ -5,7 +5,8 @@
 use std::net::SocketAddrV4;
 
 use libc::{
-    AF_INET, AF_NETLINK, IPPROTO_TCP, NLM_F_DUMP, NLM_F_REQUEST, SOCK_CLOEXEC, SOCK_RAW, c_int, c_void,
+    AF_INET, AF_NETLINK, IPPROTO_TCP, NLM_F_DUMP, NLM_F_REQUEST, SOCK_CLOEXEC, SOCK_RAW, c_int,
+    c_void,
 };
 
 const NETLINK_SOCK_DIAG: c_int = 4;
@@ -53,13 +54,24 @@
     // SAFETY: the kernel reads a whole request and writes within the buffer; the descriptor is closed here and nowhere else.
     unsafe {
         let netlink = libc::socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
-        assert!(netlink >= 0, "no sock_diag: {}", std::io::Error::last_os_error());
-        let sent = libc::send(netlink, (&raw const request).cast::<c_void>(), size_of::<Request>(), 0);
+        assert!(
+            netlink >= 0,
+            "no sock_diag: {}",
+            std::io::Error::last_os_error()
+        );
+        let sent = libc::send(
+            netlink,
+            (&raw const request).cast::<c_void>(),
+            size_of::<Request>(),
+            0,
+        );
         assert_eq!(sent, size_of::<Request>() as isize);
         let mut found = false;
         loop {
             let count = libc::recv(netlink, answer.as_mut_ptr().cast(), answer.len(), 0);
-            let Ok(count) = usize::try_from(count) else { break };
+            let Ok(count) = usize::try_from(count) else {
+                break;
+            };
             let (matches, last) = read(&answer[..count], address);
             found |= matches;
             if last {
@@ -84,7 +96,9 @@
             let port = u16::from_be_bytes(messages[PEER_PORT..PEER_PORT + 2].try_into().unwrap());
             found |= port == address.port() && peer == address.ip().octets();
         }
-        messages = messages.get(length.next_multiple_of(4)..).unwrap_or_default();
+        messages = messages
+            .get(length.next_multiple_of(4)..)
+            .unwrap_or_default();
     }
     (found, false)
 }
--- a/crates/balancer/tests/common/faults.rs
+++ b/crates/balancer/tests/common/faults.rs
@@ -28,7 +28,8 @@
     pub fn none() -> Self {
         static NUMBER: AtomicU64 = AtomicU64::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let plan = std::env::temp_dir().join(format!("nettlemux-faults-{}-{number}", std::process::id()));
+        let plan =
+            std::env::temp_dir().join(format!("nettlemux-faults-{}-{number}", std::process::id()));
         std::fs::write(&plan, "").unwrap();
         Faults { plan }
     }
@@ -46,7 +47,9 @@
     }
 
     pub fn load_into(&self, command: &mut Command) {
-        command.env("LD_PRELOAD", library()).env("NETTLEMUX_FAULTS", &self.plan);
+        command
+            .env("LD_PRELOAD", library())
+            .env("NETTLEMUX_FAULTS", &self.plan);
     }
 }
 
@@ -61,8 +64,22 @@
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
         let mut build = Command::new(env!("CARGO"));
-        build.args(["build", "--quiet", "--locked", "--package", "nettlemux", "--example", "faults"]);
-        assert!(build.current_dir(env!("CARGO_MANIFEST_DIR")).status().unwrap().success());
+        build.args([
+            "build",
+            "--quiet",
+            "--locked",
+            "--package",
+            "nettlemux",
+            "--example",
+            "faults",
+        ]);
+        assert!(
+            build
+                .current_dir(env!("CARGO_MANIFEST_DIR"))
+                .status()
+                .unwrap()
+                .success()
+        );
         let test = std::env::current_exe().unwrap();
         let target = test.parent().and_then(|deps| deps.parent()).unwrap();
         let library = target.join("examples/libfaults.so");
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -28,8 +28,9 @@
 pub fn changed(config: &str, changes: &[(&str, Value)]) -> String {
     let mut value: Value = serde_json::from_str(config).unwrap();
     for (path, new) in changes {
-        let (inside, key) =
-            path.rsplit_once('/').map_or((String::new(), *path), |(a, b)| (format!("/{a}"), b));
+        let (inside, key) = path
+            .rsplit_once('/')
+            .map_or((String::new(), *path), |(a, b)| (format!("/{a}"), b));
         match value["settings"].pointer_mut(&inside).unwrap() {
             Value::Array(list) => list[key.parse::<usize>().unwrap()] = new.clone(),
             parent if new.is_null() => drop(parent.as_object_mut().unwrap().remove(key)),
@@ -53,7 +54,11 @@
 
 fn serve(file: &Path, arguments: &[&str], faults: Option<&Faults>) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
-    command.args(["serve", "--log", "debug", "--config"]).arg(file).args(arguments).stderr(Stdio::null());
+    command
+        .args(["serve", "--log", "debug", "--config"])
+        .arg(file)
+        .args(arguments)
+        .stderr(Stdio::null());
     if let Some(faults) = faults {
         faults.load_into(&mut command);
     }
@@ -79,19 +84,34 @@
     }
 
     /// Started, and perhaps not ready yet.
-    pub fn start(servers: usize, change: impl Fn(String) -> String, faults: Option<Faults>) -> Self {
+    pub fn start(
+        servers: usize,
+        change: impl Fn(String) -> String,
+        faults: Option<Faults>,
+    ) -> Self {
         let agent = Agent::start("127.0.0.1:0").unwrap();
-        let toys: Vec<Arc<Toy>> = (0..servers).map(|_| Toy::start("127.0.0.1:0").unwrap()).collect();
+        let toys: Vec<Arc<Toy>> = (0..servers)
+            .map(|_| Toy::start("127.0.0.1:0").unwrap())
+            .collect();
         for (i, toy) in toys.iter().enumerate() {
             agent.tell(&format!("s-{i}"), toy.address, "Ready");
         }
         let at = own_address();
         let config = EXAMPLE.replace("127.0.0.1:7000", &at.to_string());
         let config = change(config.replace("127.0.0.1:7100", &agent.address.to_string()));
-        let file = std::env::temp_dir().join(format!("nettlemux-{}-{}.json", std::process::id(), at.ip()));
+        let file =
+            std::env::temp_dir().join(format!("nettlemux-{}-{}.json", std::process::id(), at.ip()));
         std::fs::write(&file, &config).unwrap();
         let child = serve(&file, &[], faults.as_ref());
-        Stand { child, at, agent, toys, file, config, faults }
+        Stand {
+            child,
+            at,
+            agent,
+            toys,
+            file,
+            config,
+            faults,
+        }
     }
 
     /// Waits until it answers and has had its list.
@@ -130,13 +150,22 @@
 
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([signal, &pid])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// One that has ended by itself hears nothing any more.
     pub fn signal_if_alive(&self, signal: &str) {
         let pid = self.child.id().to_string();
-        let _ = Command::new("kill").args([signal, &pid]).stderr(Stdio::null()).status();
+        let _ = Command::new("kill")
+            .args([signal, &pid])
+            .stderr(Stdio::null())
+            .status();
     }
 
     pub fn terminate(&self) {
@@ -166,7 +195,9 @@
     static STANDS: AtomicU64 = AtomicU64::new(0);
     let number = STANDS.fetch_add(1, Ordering::Relaxed);
     let run = 2 + std::process::id() % 250;
-    format!("127.{run}.{}.{}:7000", 1 + number / 250, 1 + number % 250).parse().unwrap()
+    format!("127.{run}.{}.{}:7000", 1 + number / 250, 1 + number % 250)
+        .parse()
+        .unwrap()
 }
 
 pub struct Client {
@@ -182,7 +213,9 @@
     /// None where nobody listens.
     pub fn try_new(at: SocketAddr, text: &[u8]) -> Option<Self> {
         let mut stream = TcpStream::connect(at).ok()?;
-        stream.set_read_timeout(Some(Duration::from_secs(9))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(9)))
+            .unwrap();
         stream.write_all(text).ok()?;
         let lines = BufReader::new(stream.try_clone().unwrap());
         Some(Client { stream, lines })
@@ -239,16 +272,24 @@
 impl Late {
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        Late { listener, address, _first: TcpStream::connect(address).unwrap() }
+        Late {
+            listener,
+            address,
+            _first: TcpStream::connect(address).unwrap(),
+        }
     }
 
     /// Whether anybody's connection to it has begun and is not up.
     pub fn dialled(&self) -> bool {
-        let SocketAddr::V4(address) = self.address else { unreachable!() };
+        let SocketAddr::V4(address) = self.address else {
+            unreachable!()
+        };
         dials::any_to(address)
     }
 
@@ -262,7 +303,9 @@
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
-                    stream.set_read_timeout(Some(Duration::from_secs(2))).unwrap();
+                    stream
+                        .set_read_timeout(Some(Duration::from_secs(2)))
+                        .unwrap();
                     let _ = BufReader::new(stream).read_line(&mut seen);
                     return seen;
                 }
--- a/crates/balancer/tests/crossings.rs
+++ b/crates/balancer/tests/crossings.rs
@@ -33,7 +33,9 @@
     stand.agent.tell("s-late", late.address, "Ready");
     stand.agent.tell("s-0", stand.toys[0].address, "Gone");
     // Its own word in the list comes with the other's end.
-    soon("the new list", || stand.client("c=chat,d=60").line() != "UP 1");
+    soon("the new list", || {
+        stand.client("c=chat,d=60").line() != "UP 1"
+    });
     stand
 }
 
@@ -50,7 +52,11 @@
                     soon("nobody dialling", || !late.dialled());
                     let mut client = stand.client("c=chat,d=4500");
                     soon("a connection begun", || late.dialled());
-                    let linger = |time| socket2::SockRef::from(&client.stream).set_linger(time).unwrap();
+                    let linger = |time| {
+                        socket2::SockRef::from(&client.stream)
+                            .set_linger(time)
+                            .unwrap()
+                    };
                     match leave {
                         "half" => client.stream.shutdown(Shutdown::Write).unwrap(),
                         "reset" => linger(Some(Duration::ZERO)),
@@ -66,7 +72,11 @@
                     }
                     drop(client);
                     thread::sleep(Duration::from_millis(300));
-                    assert_eq!(late.let_in(), "", "{leave}, {may_cancel}: sent on for nobody");
+                    assert_eq!(
+                        late.let_in(),
+                        "",
+                        "{leave}, {may_cancel}: sent on for nobody"
+                    );
                 });
             }
         }
@@ -78,10 +88,15 @@
     let stand = Stand::with(1, |config| {
         changed(
             &config,
-            &[("service-types/0/setup-target", json!(4_000_000)), ("limits/probes", json!(false))],
+            &[
+                ("service-types/0/setup-target", json!(4_000_000)),
+                ("limits/probes", json!(false)),
+            ],
         )
     });
-    stand.agent.tell("s-0", stand.toys[0].address, "Terminating");
+    stand
+        .agent
+        .tell("s-0", stand.toys[0].address, "Terminating");
     soon("no server", || stand.client("c=chat,d=60").line() != "UP 1");
     stand
 }
@@ -94,7 +109,9 @@
     let since = Instant::now();
     // Taken in before, so that the line and the end are one event.
     let mut clients: Vec<Client> = (0..5).map(|_| Client::new(stand.at, b"PING\r\n")).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.line(), "PONG"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.line(), "PONG"));
     stand.at_one_go(|| {
         for (i, client) in clients.iter_mut().enumerate() {
             client.send(&format!("OPEN e{i} k c=chat,d=4500\r\n"));
@@ -104,11 +121,18 @@
     for client in &mut clients {
         assert_eq!((client.line(), client.line()), ("ERR".into(), "end".into()));
     }
-    assert!(since.elapsed() < Duration::from_millis(1500), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(1500),
+        "{:?}",
+        since.elapsed()
+    );
     stand.agent.tell("s-0", stand.toys[0].address, "Ready");
     soon("the server", || stand.client("c=chat,d=900").says("UP 1"));
     let seen = stand.toys[0].seen();
-    assert!(seen.iter().all(|line| !line.starts_with("OPEN e")), "{seen:?}");
+    assert!(
+        seen.iter().all(|line| !line.starts_with("OPEN e")),
+        "{seen:?}"
+    );
 }
 
 /// A repeat that is placed in time, to a server whose connection comes up only once the first server's memory of the flow
@@ -130,12 +154,19 @@
     });
     stand.toys[0].set(Mood::Silent);
     let mut client = stand.client("c=order,d=4000");
-    soon("the first connect", || stand.toys[0].seen().last().is_some_and(|line| line.contains("c=order")));
+    soon("the first connect", || {
+        stand.toys[0]
+            .seen()
+            .last()
+            .is_some_and(|line| line.contains("c=order"))
+    });
     let first = Instant::now();
     // Others are served meanwhile: time-outs would be taken for a jam, in which nothing is sent again.
     stand.toys[0].set(Mood::Up);
     stand.agent.tell("s-late", late.address, "Ready");
-    stand.agent.tell("s-0", stand.toys[0].address, "Terminating");
+    stand
+        .agent
+        .tell("s-0", stand.toys[0].address, "Terminating");
     soon("the new list", || {
         let _asked = stand.client("c=chat,d=60");
         (0..5).any(|_| {
@@ -145,7 +176,10 @@
     });
     soon("nobody dialling", || !late.dialled());
     let set_up_in = first.elapsed();
-    assert!(set_up_in < CUT_AFTER, "the machine took {set_up_in:?} to set this up");
+    assert!(
+        set_up_in < CUT_AFTER,
+        "the machine took {set_up_in:?} to set this up"
+    );
     thread::sleep(CUT_AFTER - set_up_in);
     // Cut off: it may have run there.
     stand.toys[0].say("", true);
@@ -160,7 +194,12 @@
 #[test]
 fn clients_that_come_after_sigterm_are_answered_however_short_timeouts_are() {
     thread::scope(|scope| {
-        for (longest, mood) in [(100, Mood::Up), (100, Mood::Silent), (250, Mood::Silent), (700, Mood::Up)] {
+        for (longest, mood) in [
+            (100, Mood::Up),
+            (100, Mood::Silent),
+            (250, Mood::Silent),
+            (700, Mood::Up),
+        ] {
             scope.spawn(move || {
                 let mut stand = Stand::new(1);
                 let limit = json!(longest * 1000);
@@ -170,7 +209,9 @@
                 ]);
                 // Nobody is served yet, so that nothing keeps the balancer from its end.
                 stand.toys[0].set(Mood::Err);
-                soon("a list", || stand.client(&format!("c=order,d={longest}")).says("ERR"));
+                soon("a list", || {
+                    stand.client(&format!("c=order,d={longest}")).says("ERR")
+                });
                 stand.toys[0].set(mood);
                 let since = Instant::now();
                 stand.terminate();
@@ -181,7 +222,8 @@
                 half.send(&format!("d={}\r\n", longest.min(90)));
                 for client in [&mut late, &mut half] {
                     let answer = client.line();
-                    let answered = answer == "UP 1" || answer == "ERR" || answer.starts_with("BUSY");
+                    let answered =
+                        answer == "UP 1" || answer == "ERR" || answer.starts_with("BUSY");
                     assert!(answered, "{longest} {mood:?}: {answer}");
                     if answer == "UP 1" {
                         assert_eq!(client.line(), "MOVE", "{longest} {mood:?}");
@@ -198,7 +240,11 @@
                 let status = stand.child.wait().unwrap();
                 // SIGKILL comes so long after SIGTERM.
                 let kill = Duration::from_millis(longest + 700);
-                assert!(status.success() && since.elapsed() < kill, "{status} {:?}", since.elapsed());
+                assert!(
+                    status.success() && since.elapsed() < kill,
+                    "{status} {:?}",
+                    since.elapsed()
+                );
             });
         }
     });
@@ -210,12 +256,22 @@
 fn who_waits_for_a_hung_server_is_answered_before_the_end() {
     let mut stand = Stand::new(1);
     let limit = json!(400_000);
-    stand.restarted(&[("service-types/0/hard-limit", limit.clone()), ("service-types/1/hard-limit", limit)]);
+    stand.restarted(&[
+        ("service-types/0/hard-limit", limit.clone()),
+        ("service-types/1/hard-limit", limit),
+    ]);
     soon("a list", || stand.client("c=chat,d=400").says("UP 1"));
     stand.toys[0].set(Mood::Silent);
-    let mut clients: Vec<Client> =
-        ["c=chat,at=s-0", "c=chat,at=s-none"].into_iter().map(|values| stand.client(values)).collect();
-    soon("the connect", || stand.toys[0].seen().last().is_some_and(|line| line.contains("at=s-0")));
+    let mut clients: Vec<Client> = ["c=chat,at=s-0", "c=chat,at=s-none"]
+        .into_iter()
+        .map(|values| stand.client(values))
+        .collect();
+    soon("the connect", || {
+        stand.toys[0]
+            .seen()
+            .last()
+            .is_some_and(|line| line.contains("at=s-0"))
+    });
     stand.terminate();
     for client in &mut clients {
         assert_eq!((client.line(), client.line()), ("ERR".into(), "end".into()));
@@ -226,7 +282,10 @@
 /// A server whose second answer to a probe comes some milliseconds after the first, and says that it is hot.
 fn answers_twice() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, asked) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
+    let (address, asked) = (
+        listener.local_addr().unwrap(),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let count = asked.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -293,13 +352,20 @@
 }
 
 /// A server that says this to each first line, and whether its caller has ended by then or ends within a second.
-fn says(text: &'static str, end: bool, when: impl Fn() + Send + 'static) -> (SocketAddr, Receiver<bool>) {
+fn says(
+    text: &'static str,
+    end: bool,
+    when: impl Fn() + Send + 'static,
+) -> (SocketAddr, Receiver<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, (ended, told)) = (listener.local_addr().unwrap(), channel());
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
-            if lines.next().is_none_or(|line| line.is_ok_and(|line| !line.starts_with("OPEN"))) {
+            if lines
+                .next()
+                .is_none_or(|line| line.is_ok_and(|line| !line.starts_with("OPEN")))
+            {
                 continue;
             }
             when();
@@ -307,8 +373,14 @@
             if end {
                 let _ = stream.shutdown(Shutdown::Write);
             }
-            stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
-            let _ = ended.send(lines.next().is_none_or(|line| line.is_err_and(|e| e.kind() != WouldBlock)));
+            stream
+                .set_read_timeout(Some(Duration::from_secs(1)))
+                .unwrap();
+            let _ = ended.send(
+                lines
+                    .next()
+                    .is_none_or(|line| line.is_err_and(|e| e.kind() != WouldBlock)),
+            );
         }
     });
     (address, told)
@@ -316,7 +388,9 @@
 
 /// A balancer that knows this server alone, without probes.
 fn with_one(address: SocketAddr) -> Stand {
-    let stand = Stand::with(1, |config| changed(&config, &[("limits/probes", json!(false))]));
+    let stand = Stand::with(1, |config| {
+        changed(&config, &[("limits/probes", json!(false))])
+    });
     // In this order: who is served by the second is so once the first is gone.
     stand.agent.tell("s-0", stand.toys[0].address, "Gone");
     stand.agent.tell("s-1", address, "Ready");
@@ -334,7 +408,10 @@
     for (text, end) in [
         ("UP 1\r\nBYE\r\n", true),
         ("UP 1\r\nMOVE\r\n", true),
-        ("UP 1\r\nLOAD 7\r\nok x\r\nBYE inflight=1,util=0.2\r\n", true),
+        (
+            "UP 1\r\nLOAD 7\r\nok x\r\nBYE inflight=1,util=0.2\r\n",
+            true,
+        ),
         ("UP 1\r\n", true),
         ("UP 1\r\nLOAD 7\r\nok x\r\n", false),
     ] {
@@ -354,17 +431,28 @@
 #[test]
 fn up_that_comes_with_the_clients_leave_is_given_back() {
     for _ in 0..5 {
-        let stand = Stand::with(1, |config| changed(&config, &[("limits/may-cancel", json!(false))]));
+        let stand = Stand::with(1, |config| {
+            changed(&config, &[("limits/may-cancel", json!(false))])
+        });
         stand.toys[0].set(Mood::Silent);
         let client = stand.client("c=chat,d=3000");
-        soon("the connect", || stand.toys[0].seen().last().is_some_and(|line| line.contains("d=2")));
+        soon("the connect", || {
+            stand.toys[0]
+                .seen()
+                .last()
+                .is_some_and(|line| line.contains("d=2"))
+        });
         let (open, before) = (stand.toys[0].ended(), Instant::now());
         stand.at_one_go(|| {
             drop(client);
             stand.toys[0].say("UP 1\r\n", false);
         });
         soon("the end at the server", || stand.toys[0].ended() > open);
-        assert!(before.elapsed() < Duration::from_millis(1500), "{:?}", before.elapsed());
+        assert!(
+            before.elapsed() < Duration::from_millis(1500),
+            "{:?}",
+            before.elapsed()
+        );
     }
 }
 
@@ -375,7 +463,12 @@
         let stand = Stand::new(1);
         stand.toys[0].set(Mood::Silent);
         let mut client = stand.client("c=order,d=900");
-        soon("the connect", || stand.toys[0].seen().last().is_some_and(|line| line.contains("c=order")));
+        soon("the connect", || {
+            stand.toys[0]
+                .seen()
+                .last()
+                .is_some_and(|line| line.contains("c=order"))
+        });
         stand.at_one_go(|| {
             stand.toys[0].say("UP 1\r\n", false);
             thread::sleep(Duration::from_millis(950));
@@ -399,18 +492,29 @@
     // It has heard of the newest version, and of none after it. Guards against a new count that ends at the very number
     // that it was last told, which nothing shows.
     let newest = stand.agent.version();
-    let asked_newest = || stand.agent.calls().last().is_some_and(|call| call.from == Some(newest));
+    let asked_newest = || {
+        stand
+            .agent
+            .calls()
+            .last()
+            .is_some_and(|call| call.from == Some(newest))
+    };
     soon("call from the newest version", asked_newest);
     stand.agent.hush(true);
     let heard = stand.agent.calls().len();
-    soon("call into the silence", || stand.agent.calls().len() > heard && asked_newest());
+    soon("call into the silence", || {
+        stand.agent.calls().len() > heard && asked_newest()
+    });
     // A drain under a number that is past, told by the new count alone.
-    stand.agent.tell("s-1", stand.toys[1].address, "Terminating");
+    stand
+        .agent
+        .tell("s-1", stand.toys[1].address, "Terminating");
     stand.agent.count_anew();
     stand.agent.hush(false);
     soon("the drain", || {
         let before = stand.toys[1].seen().len();
-        (0..6).all(|_| stand.client("c=chat,d=900").says("UP 1")) && stand.toys[1].seen().len() == before
+        (0..6).all(|_| stand.client("c=chat,d=900").says("UP 1"))
+            && stand.toys[1].seen().len() == before
     });
 }
 
@@ -419,15 +523,27 @@
 fn nobody_is_moved_while_moved_clients_come_straight_back() {
     let mut stand = Stand::new(1);
     let limit = json!(200_000);
-    stand.restarted(&[("service-types/0/hard-limit", limit.clone()), ("service-types/1/hard-limit", limit)]);
+    stand.restarted(&[
+        ("service-types/0/hard-limit", limit.clone()),
+        ("service-types/1/hard-limit", limit),
+    ]);
     soon("a list", || stand.client("c=chat,d=200").says("UP 1"));
     let mut clients: Vec<Client> = (0..6).map(|_| stand.client("c=chat,d=200")).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.line(), "UP 1"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.line(), "UP 1"));
     let since = Instant::now();
     stand.terminate();
     for client in &mut clients {
-        assert_eq!((client.line(), client.line()), ("MOVE".into(), "end".into()));
-        assert!(since.elapsed() >= Duration::from_millis(400), "{:?}", since.elapsed());
+        assert_eq!(
+            (client.line(), client.line()),
+            ("MOVE".into(), "end".into())
+        );
+        assert!(
+            since.elapsed() >= Duration::from_millis(400),
+            "{:?}",
+            since.elapsed()
+        );
     }
     assert!(stand.child.wait().unwrap().success() && since.elapsed() < Duration::from_millis(900));
 }
@@ -437,18 +553,30 @@
 fn a_line_that_comes_as_its_client_is_sent_away_does_not_reset_the_answer() {
     let stand = Stand::new(1);
     let mut resting = TcpStream::connect(stand.at).unwrap();
-    resting.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
+    resting
+        .set_read_timeout(Some(Duration::from_secs(4)))
+        .unwrap();
     // Its answer has come, and isn't read yet.
     assert!(resting.peek(&mut [0; 8]).unwrap() > 0);
-    resting.write_all(b"OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=900\r\n").unwrap();
+    resting
+        .write_all(b"OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=900\r\n")
+        .unwrap();
     // A reset would have come by now, and this would meet it.
     thread::sleep(Duration::from_millis(100));
     resting.write_all(b"hello\r\n").expect("no reset");
     resting.shutdown(Shutdown::Write).expect("no reset");
     let mut answer = String::new();
-    BufReader::new(resting).read_to_string(&mut answer).expect("no reset");
+    BufReader::new(resting)
+        .read_to_string(&mut answer)
+        .expect("no reset");
     assert_eq!(answer, "BUSY\r\n", "one answer, and nothing after it");
-    assert!(!stand.toys[0].seen().iter().any(|line| line.contains("9b1f03aa5c7e2d41")), "never sent on");
+    assert!(
+        !stand.toys[0]
+            .seen()
+            .iter()
+            .any(|line| line.contains("9b1f03aa5c7e2d41")),
+        "never sent on"
+    );
 }
 
 /// A server that has stopped in the middle of a line is no reason to cut its client off without a word: what has come of the
@@ -471,12 +599,20 @@
                 });
                 let mut stand = with_one(address);
                 let mut client = stand.client("c=chat,d=900");
-                assert_eq!((client.line(), client.line()), ("UP 1".into(), "ok one".into()), "{why}");
+                assert_eq!(
+                    (client.line(), client.line()),
+                    ("UP 1".into(), "ok one".into()),
+                    "{why}"
+                );
                 match why {
                     "the end" => stand.terminate(),
                     _ => client.send("hello\r\n"),
                 }
-                assert_eq!((client.line(), client.line()), ("MOVE".into(), "end".into()), "{why}");
+                assert_eq!(
+                    (client.line(), client.line()),
+                    ("MOVE".into(), "end".into()),
+                    "{why}"
+                );
                 drop(client);
                 if why == "the end" {
                     assert!(stand.child.wait().unwrap().success());
@@ -502,7 +638,10 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut line = String::new();
-            if BufReader::new(&stream).read_line(&mut line).is_ok_and(|_| line.contains("c=order")) {
+            if BufReader::new(&stream)
+                .read_line(&mut line)
+                .is_ok_and(|_| line.contains("c=order"))
+            {
                 for piece in &pieces {
                     (&stream).write_all(piece.as_bytes()).unwrap();
                     thread::sleep(Duration::from_millis(100));
@@ -517,7 +656,12 @@
     assert_eq!(client.line(), "UP 1");
     let mut rest = String::new();
     client.lines.read_to_string(&mut rest).unwrap();
-    assert!(rest == expected, "{} bytes: {:?}", rest.len(), &rest[..rest.len().min(40)]);
+    assert!(
+        rest == expected,
+        "{} bytes: {:?}",
+        rest.len(),
+        &rest[..rest.len().min(40)]
+    );
 }
 
 /// Whoever says more before it is served is told so, however much it has sent: what is unread must not reset the connection
@@ -530,6 +674,10 @@
         thread::sleep(Duration::from_millis(150));
         client.send(&"x".repeat(size));
         thread::sleep(Duration::from_millis(100));
-        assert_eq!((client.line(), client.line()), ("ERR".into(), "end".into()), "{size}");
+        assert_eq!(
+            (client.line(), client.line()),
+            ("ERR".into(), "end".into()),
+            "{size}"
+        );
     }
 }
--- a/crates/balancer/tests/deadlines.rs
+++ b/crates/balancer/tests/deadlines.rs
@@ -17,7 +17,9 @@
 /// drop it without a word, refuse it, or end the connection.
 #[test]
 fn requests_with_hardly_any_time_left_get_their_one_answer() {
-    let stand = Stand::with(2, |config| changed(&config, &[("limits/probes", json!(false))]));
+    let stand = Stand::with(2, |config| {
+        changed(&config, &[("limits/probes", json!(false))])
+    });
     for mood in [Mood::Silent, Mood::Up, Mood::Busy, Mood::Err, Mood::Cut] {
         stand.toys.iter().for_each(|toy| toy.set(mood));
         for class in ["chat", "order"] {
@@ -54,8 +56,12 @@
     });
     assert!(stand.config.contains("\"sockets\":256"));
     stand.agent.hush(true);
-    let idle: Vec<TcpStream> = (0..IDLE).filter_map(|_| TcpStream::connect(stand.at).ok()).collect();
-    stand.agent.tell("s-1", stand.toys[1].address, "Terminating");
+    let idle: Vec<TcpStream> = (0..IDLE)
+        .filter_map(|_| TcpStream::connect(stand.at).ok())
+        .collect();
+    stand
+        .agent
+        .tell("s-1", stand.toys[1].address, "Terminating");
     let until = Instant::now() + Duration::from_secs(4);
     let asks = |client: Option<Client>| {
         let answer = client.map(|mut client| client.line());
@@ -64,7 +70,10 @@
     let ask = || {
         static IDS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let id = IDS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        Client::try_new(stand.at, format!("OPEN crowd{id:x} k c=chat,d=900\r\n").as_bytes())
+        Client::try_new(
+            stand.at,
+            format!("OPEN crowd{id:x} k c=chat,d=900\r\n").as_bytes(),
+        )
     };
     while Instant::now() < until {
         assert!(asks(ask()), "a client that asks in the crowd is answered");
--- a/crates/balancer/tests/deploy.rs
+++ b/crates/balancer/tests/deploy.rs
@@ -6,8 +6,11 @@
 /// between balancers, and a program that is not linked dynamically against the C library.
 #[test]
 fn the_balancer_starts_as_one_dynamically_linked_process() {
-    let text =
-        fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml")).unwrap();
+    let text = fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../deploy/balancer.toml"
+    ))
+    .unwrap();
     let file: toml::Table = text.parse().unwrap();
     let run = file["run"].as_str().unwrap();
     assert_eq!(
@@ -17,11 +20,21 @@
     );
 
     let program = fs::read(env!("CARGO_BIN_EXE_nettlemux")).unwrap();
-    let number =
-        |at: usize, bytes: usize| program[at..at + bytes].iter().rev().fold(0, |n, b| n << 8 | *b as usize);
+    let number = |at: usize, bytes: usize| {
+        program[at..at + bytes]
+            .iter()
+            .rev()
+            .fold(0, |n, b| n << 8 | *b as usize)
+    };
     // ELF with 64 bits: where the program headers are, how long each is and how many; the third kind names the loader.
     assert_eq!(program[..5], *b"\x7fELF\x02");
     let (headers, size, count) = (number(0x20, 8), number(0x36, 2), number(0x38, 2));
-    assert!((0..count).any(|n| number(headers + n * size, 4) == 3), "no loader is named");
-    assert!(program.windows(10).any(|name| name == b"libc.so.6\0"), "no C library is named");
+    assert!(
+        (0..count).any(|n| number(headers + n * size, 4) == 3),
+        "no loader is named"
+    );
+    assert!(
+        program.windows(10).any(|name| name == b"libc.so.6\0"),
+        "no C library is named"
+    );
 }
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -25,18 +25,28 @@
     static PLAYS: AtomicU64 = AtomicU64::new(1);
     let seed = format!("{:016x}", PLAYS.fetch_add(1, Ordering::Relaxed));
     let stand = Stand::with(1, |config| {
-        changed(&config.replace("8c1f30d27a5be964", &seed), &[("discovery", json!("ask"))])
+        changed(
+            &config.replace("8c1f30d27a5be964", &seed),
+            &[("discovery", json!("ask"))],
+        )
     });
     stand.agent.set(down);
     let before = stand.agent.calls().len();
-    soon("second call that fails", || stand.agent.calls().len() >= before + 2);
+    soon("second call that fails", || {
+        stand.agent.calls().len() >= before + 2
+    });
     let second = stand.agent.calls()[before + 1];
     thread::sleep(after.saturating_sub(second.at.elapsed()));
     let returned = Instant::now();
-    stand.agent.tell("s-0", stand.toys[0].address, "Terminating");
+    stand
+        .agent
+        .tell("s-0", stand.toys[0].address, "Terminating");
     stand.agent.set(Service::Up(QUEUE));
-    let answered =
-        || stand.agent.calls()[before..].iter().find_map(|call| call.answered.filter(|at| *at > returned));
+    let answered = || {
+        stand.agent.calls()[before..]
+            .iter()
+            .find_map(|call| call.answered.filter(|at| *at > returned))
+    };
     // Waited for longer than is allowed, so that the time is told where it is too long.
     while answered().is_none() && returned.elapsed() < 3 * TOLD_AFTER {
         thread::sleep(Duration::from_millis(20));
@@ -49,13 +59,19 @@
 fn news_is_answered_within_its_time_after_discovery_returns() {
     let late = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for down in [Service::TurnsAway(KEPT), Service::Silent, Service::Cuts(KEPT)] {
+        for down in [
+            Service::TurnsAway(KEPT),
+            Service::Silent,
+            Service::Cuts(KEPT),
+        ] {
             for ms in [200, 1200, 1700, 2300, 3000, 4000] {
                 let late = &late;
                 scope.spawn(move || {
                     let took = time_until_answered(down, Duration::from_millis(ms));
                     if took >= TOLD_AFTER {
-                        late.lock().unwrap().push(format!("{down:?}, returned after {ms} ms: {took:?}"));
+                        late.lock()
+                            .unwrap()
+                            .push(format!("{down:?}, returned after {ms} ms: {took:?}"));
                     }
                 });
             }
@@ -72,18 +88,29 @@
     let stand = Stand::new(2);
     let newest = stand.agent.version();
     soon("call from the newest version", || {
-        stand.agent.calls().last().is_some_and(|call| call.from == Some(newest))
+        stand
+            .agent
+            .calls()
+            .last()
+            .is_some_and(|call| call.from == Some(newest))
     });
     stand.agent.set(Service::Cuts(Duration::ZERO));
     let before = stand.agent.calls().len();
     soon("call that is cut", || stand.agent.calls().len() > before);
-    stand.agent.tell("s-1", stand.toys[1].address, "Terminating");
+    stand
+        .agent
+        .tell("s-1", stand.toys[1].address, "Terminating");
     stand.agent.count_anew();
-    assert_eq!(stand.agent.version(), newest, "the number alone shows nothing");
+    assert_eq!(
+        stand.agent.version(),
+        newest,
+        "the number alone shows nothing"
+    );
     stand.agent.set(Service::Up(Duration::ZERO));
     soon("the drain", || {
         let before = stand.toys[1].seen().len();
-        (0..6).all(|_| stand.client("c=chat,d=900").says("UP 1")) && stand.toys[1].seen().len() == before
+        (0..6).all(|_| stand.client("c=chat,d=900").says("UP 1"))
+            && stand.toys[1].seen().len() == before
     });
 }
 
@@ -100,11 +127,17 @@
         // Woken by the news, so that the next call comes at once.
         stand.agent.tell("s-0", stand.toys[0].address, "Ready");
         soon("call that is answered", || {
-            stand.agent.calls()[before..].iter().any(|call| call.answered.is_some())
+            stand.agent.calls()[before..]
+                .iter()
+                .any(|call| call.answered.is_some())
         });
         stand.agent.tell("s-0", stand.toys[0].address, "Ready");
     }
-    let whole =
-        stand.agent.calls().iter().filter(|call| call.from.is_none() && call.answered.is_some()).count();
+    let whole = stand
+        .agent
+        .calls()
+        .iter()
+        .filter(|call| call.from.is_none() && call.answered.is_some())
+        .count();
     assert_eq!(whole, 2, "the first list, and one for all the resets");
 }
--- a/crates/balancer/tests/lab.rs
+++ b/crates/balancer/tests/lab.rs
@@ -7,7 +7,8 @@
 use nettlemux_world::scenario::Scenario;
 
 fn scenario(change: &str) -> Scenario {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scenarios/self-check-sockets.toml");
+    let path =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scenarios/self-check-sockets.toml");
     let text = std::fs::read_to_string(&path).unwrap();
     let head = text.split("[[faults]]").next().unwrap();
     let table: toml::Table = (head.to_string() + change).parse().unwrap();
@@ -15,7 +16,10 @@
 }
 
 fn play(scenario: &Scenario, program: PathBuf, args: &[&str]) -> Result<Outcome, String> {
-    let program = Program { path: program, args: args.iter().map(|arg| arg.to_string()).collect() };
+    let program = Program {
+        path: program,
+        args: args.iter().map(|arg| arg.to_string()).collect(),
+    };
     run(scenario, scenario.seed, &program, None, None)
 }
 
@@ -23,7 +27,12 @@
 fn sound(faults: &str) -> Outcome {
     let scenario = scenario(faults);
     for _ in 0..3 {
-        let outcome = play(&scenario, env!("CARGO_BIN_EXE_nettlemux").into(), &["serve"]).unwrap();
+        let outcome = play(
+            &scenario,
+            env!("CARGO_BIN_EXE_nettlemux").into(),
+            &["serve"],
+        )
+        .unwrap();
         assert_eq!(outcome.died, Vec::<String>::new());
         if outcome.void.is_none() {
             assert!(outcome.verdict.kept(), "{:?}", outcome.verdict);
@@ -43,7 +52,11 @@
         "[[faults]]\nwhat = \"balancers-die\"\nat = 2\nfor = 1\nwho = [0]\n\
          [[faults]]\nwhat = \"crash\"\nat = 4\nfor = 1\nshare = 0.5\n",
     );
-    assert!(outcome.figures.get("lost_per_established") > 0.0, "{:?}", outcome.figures);
+    assert!(
+        outcome.figures.get("lost_per_established") > 0.0,
+        "{:?}",
+        outcome.figures
+    );
 }
 
 /// Guards against work sent to servers that drain, and clients cut off by balancers that are asked to end.
@@ -53,7 +66,11 @@
         "[[faults]]\nwhat = \"shrink\"\nat = 1\nfor = 2\nshare = 0.3\namount = 2\nleaving = \"bit-by-bit\"\n\
          [[faults]]\nwhat = \"restart-in-turn\"\nat = 2\nfor = 5\nwho = [1]\namount = 0.5\n",
     );
-    assert!(outcome.figures.get("moves_per_established") > 0.0, "{:?}", outcome.figures);
+    assert!(
+        outcome.figures.get("moves_per_established") > 0.0,
+        "{:?}",
+        outcome.figures
+    );
 }
 
 #[test]
@@ -62,9 +79,16 @@
     scenario.seconds = 3.0;
     // One that reads its configuration and ends: told by the log's last lines, before the run begins.
     let program: PathBuf = env!("CARGO_BIN_EXE_nettlemux").into();
-    let told = play(&scenario, program, &["frobnicate"]).map(|_| ()).unwrap_err();
-    assert!(told.contains("balancer 0 isn't ready") && told.contains("frobnicate"), "{told}");
-    let nowhere = play(&scenario, "/nowhere/nettlemux".into(), &[]).map(|_| ()).unwrap_err();
+    let told = play(&scenario, program, &["frobnicate"])
+        .map(|_| ())
+        .unwrap_err();
+    assert!(
+        told.contains("balancer 0 isn't ready") && told.contains("frobnicate"),
+        "{told}"
+    );
+    let nowhere = play(&scenario, "/nowhere/nettlemux".into(), &[])
+        .map(|_| ())
+        .unwrap_err();
     assert!(nowhere.contains("no such program"), "{nowhere}");
 }
 
@@ -74,14 +98,24 @@
     let mut scenario = scenario("");
     scenario.seconds = 4.0;
     // `timeout` ends the balancer also where the shell is ended before it.
-    let balancer = format!("timeout -s KILL 2 {} serve", env!("CARGO_BIN_EXE_nettlemux"));
+    let balancer = format!(
+        "timeout -s KILL 2 {} serve",
+        env!("CARGO_BIN_EXE_nettlemux")
+    );
     let script = format!("{balancer}; echo last words >&2; exit 3");
     let outcome = play(&scenario, "/bin/sh".into(), &["-c", &script]).unwrap();
     assert!(!outcome.died.is_empty(), "{:?}", outcome.verdict);
     assert!(
-        outcome.died.iter().all(|told| told.contains("died") && told.contains("last words")),
+        outcome
+            .died
+            .iter()
+            .all(|told| told.contains("died") && told.contains("last words")),
         "{:?}",
         outcome.died
     );
-    assert!(outcome.verdict.kept(), "what it held is not its to answer any more: {:?}", outcome.verdict);
+    assert!(
+        outcome.verdict.kept(),
+        "what it held is not its to answer any more: {:?}",
+        outcome.verdict
+    );
 }
--- a/crates/balancer/tests/leave.rs
+++ b/crates/balancer/tests/leave.rs
@@ -43,12 +43,18 @@
 impl Recorder {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let recorder = Recorder { address: listener.local_addr().unwrap(), attempts: Arc::default() };
+        let recorder = Recorder {
+            address: listener.local_addr().unwrap(),
+            attempts: Arc::default(),
+        };
         let attempts = recorder.attempts.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let place = attempts.lock().unwrap().len();
-                attempts.lock().unwrap().push(Attempt { at: Instant::now(), line: None });
+                attempts.lock().unwrap().push(Attempt {
+                    at: Instant::now(),
+                    line: None,
+                });
                 let attempts = attempts.clone();
                 thread::spawn(move || {
                     let mut lines = BufReader::new(&stream).lines().map_while(Result::ok);
@@ -101,7 +107,9 @@
 fn leave(mut client: Client, how: Leave) -> Option<Client> {
     match how {
         Leave::End => {}
-        Leave::Reset => SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap(),
+        Leave::Reset => SockRef::from(&client.stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap(),
         Leave::EndAfterMore => client.send("hello\r\n"),
         Leave::Half => {
             client.stream.shutdown(Shutdown::Write).unwrap();
@@ -127,7 +135,10 @@
             &[
                 ("limits/may-cancel", json!(may_cancel)),
                 ("limits/probes", json!(false)),
-                ("limits/dial-timeout", json!(DIAL_TIMEOUT.as_micros() as u64)),
+                (
+                    "limits/dial-timeout",
+                    json!(DIAL_TIMEOUT.as_micros() as u64),
+                ),
                 ("service-types/0/setup-target", json!(4_000_000)),
             ],
         )
@@ -137,7 +148,9 @@
 
 /// From now on nobody is placed.
 fn no_server(stand: &Stand) {
-    stand.agent.tell("s-0", stand.toys[0].address, "Terminating");
+    stand
+        .agent
+        .tell("s-0", stand.toys[0].address, "Terminating");
     soon("no server", || stand.client("c=chat,d=60").line() != "UP 1");
 }
 
@@ -148,14 +161,19 @@
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         format!("OPEN {name}{id} k{i} c=chat,d=4500,g={name}{i}\r\n")
     };
-    (0..count).map(|i| Client::new(stand.at, open(i).as_bytes())).collect()
+    (0..count)
+        .map(|i| Client::new(stand.at, open(i).as_bytes()))
+        .collect()
 }
 
 /// Those that have no answer yet, of which there have to be some.
 fn waiting(clients: Vec<Client>) -> Vec<Client> {
     let waits = |client: &Client| {
         client.stream.set_nonblocking(true).unwrap();
-        let nothing = client.stream.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
+        let nothing = client
+            .stream
+            .peek(&mut [0])
+            .is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
         client.stream.set_nonblocking(false).unwrap();
         nothing
     };
@@ -166,11 +184,16 @@
 
 /// The balancer still places whoever stays, and on the recorder.
 fn still_serves(stand: &Stand, recorder: &Recorder) {
-    soon("the recorder", || clients(stand, "staying", 1).remove(0).says("UP 1"));
+    soon("the recorder", || {
+        clients(stand, "staying", 1).remove(0).says("UP 1")
+    });
     let seen = recorder.attempts.lock().unwrap();
-    assert!(
-        seen.iter().any(|attempt| attempt.line.as_ref().is_some_and(|(_, line)| line.contains("staying")))
-    );
+    assert!(seen.iter().any(|attempt| {
+        attempt
+            .line
+            .as_ref()
+            .is_some_and(|(_, line)| line.contains("staying"))
+    }));
 }
 
 /// Held since no server is ready, and at the queue before the module, until one is.
@@ -214,12 +237,16 @@
                     .filter_map(|mut c| c.says("UP 1").then_some(c))
                     .collect();
                 no_server(&stand);
-                let (leaving, staying) = (clients(&stand, "leaving", 10), clients(&stand, "staying", 10));
+                let (leaving, staying) = (
+                    clients(&stand, "leaving", 10),
+                    clients(&stand, "staying", 10),
+                );
                 thread::sleep(Duration::from_millis(300));
                 let (leaving, mut staying) = (waiting(leaving), waiting(staying));
                 let ready = || stand.agent.tell("s-new", recorder.address, "Ready");
                 let _half = stand.at_one_go(|| {
-                    busy.iter_mut().for_each(|client| client.send(&"a line of theirs\r\n".repeat(100)));
+                    busy.iter_mut()
+                        .for_each(|client| client.send(&"a line of theirs\r\n".repeat(100)));
                     if ready_first {
                         ready();
                         thread::sleep(TRIGGER);
@@ -260,7 +287,8 @@
     stand.at_one_go(|| {
         stand.agent.tell("s-new", recorder.address, "Ready");
         thread::sleep(Duration::from_millis(50));
-        busy.iter_mut().for_each(|client| client.send(&"a line of theirs\r\n".repeat(4000)));
+        busy.iter_mut()
+            .for_each(|client| client.send(&"a line of theirs\r\n".repeat(4000)));
     });
     thread::sleep(Duration::from_millis(5));
     let _half = leave_all(leaving);
@@ -268,7 +296,10 @@
     thread::sleep(WATCHED);
     for attempt in recorder.attempts.lock().unwrap().iter() {
         let late = attempt.at.saturating_duration_since(left);
-        assert!(late <= AFTER_LEAVE + SLACK, "{attempt:?}: {late:?} after their leave");
+        assert!(
+            late <= AFTER_LEAVE + SLACK,
+            "{attempt:?}: {late:?} after their leave"
+        );
     }
 }
 
@@ -283,11 +314,18 @@
                         let (stand, recorder) = stand(may_cancel);
                         stand.toys[0].set(Mood::Silent);
                         let leaving = clients(&stand, "leaving", 8);
-                        let out = || stand.toys[0].seen().iter().any(|line| line.contains("leaving"));
+                        let out = || {
+                            stand.toys[0]
+                                .seen()
+                                .iter()
+                                .any(|line| line.contains("leaving"))
+                        };
                         soon("a line at the first server", out);
                         thread::sleep(Duration::from_millis(100));
                         stand.agent.tell("s-new", recorder.address, "Ready");
-                        stand.agent.tell("s-0", stand.toys[0].address, "Terminating");
+                        stand
+                            .agent
+                            .tell("s-0", stand.toys[0].address, "Terminating");
                         thread::sleep(TRIGGER);
                         // Those that were held meanwhile may have come to it.
                         let before = recorder.attempts.lock().unwrap().len();
@@ -297,10 +335,18 @@
                             stand.toys[0].say(answer, true);
                             half
                         };
-                        let _half = if stopped { stand.at_one_go(goes) } else { goes() };
+                        let _half = if stopped {
+                            stand.at_one_go(goes)
+                        } else {
+                            goes()
+                        };
                         thread::sleep(WATCHED);
                         let after = recorder.attempts.lock().unwrap().clone();
-                        assert_eq!(after.len(), before, "{may_cancel} {stopped} {answer}: {after:?}");
+                        assert_eq!(
+                            after.len(),
+                            before,
+                            "{may_cancel} {stopped} {answer}: {after:?}"
+                        );
                         stand.toys[0].set(Mood::Up);
                         still_serves(&stand, &recorder);
                     });
@@ -321,7 +367,9 @@
                     let (stand, recorder) = stand(false);
                     stand.agent.tell("s-late", late.address, "Ready");
                     stand.agent.tell("s-0", stand.toys[0].address, "Gone");
-                    soon("the new list", || stand.client("c=chat,d=60").line() != "UP 1");
+                    soon("the new list", || {
+                        stand.client("c=chat,d=60").line() != "UP 1"
+                    });
                     soon("nobody dialling", || !late.dialled());
                     let leaving = clients(&stand, "leaving", 1).remove(0);
                     soon("a connection begun", || late.dialled());
@@ -331,7 +379,11 @@
                         thread::sleep(DIAL_TIMEOUT + TRIGGER);
                         half
                     };
-                    let _half = if stopped { stand.at_one_go(goes) } else { goes() };
+                    let _half = if stopped {
+                        stand.at_one_go(goes)
+                    } else {
+                        goes()
+                    };
                     thread::sleep(WATCHED);
                     recorder.had_only("staying", &format!("{stopped} {how:?}"));
                     assert_eq!(late.let_in(), "", "{stopped} {how:?}: a line");
@@ -353,7 +405,10 @@
         !recorder.attempts.lock().unwrap().is_empty()
     });
     let until = Instant::now() + Duration::from_secs(3);
-    let (left, own) = (Mutex::new(std::collections::BTreeMap::new()), Mutex::new(Vec::new()));
+    let (left, own) = (
+        Mutex::new(std::collections::BTreeMap::new()),
+        Mutex::new(Vec::new()),
+    );
     thread::scope(|scope| {
         for number in 0..4 {
             let (stand, left) = (&stand, &left);
@@ -373,11 +428,15 @@
             while Instant::now() < until {
                 let mut stream = TcpStream::connect(recorder.address).unwrap();
                 let since = Instant::now();
-                stream.write_all(format!("OWN {}\r\n", open.len()).as_bytes()).unwrap();
+                stream
+                    .write_all(format!("OWN {}\r\n", open.len()).as_bytes())
+                    .unwrap();
                 open.push((since, stream));
                 thread::sleep(Duration::from_millis(5));
             }
-            own.lock().unwrap().extend(open.into_iter().map(|(since, _)| since));
+            own.lock()
+                .unwrap()
+                .extend(open.into_iter().map(|(since, _)| since));
         });
     });
     thread::sleep(WATCHED);
@@ -385,14 +444,21 @@
     let own_lateness = recorder.own_lateness(&own);
     let mut matched = 0;
     for attempt in recorder.attempts.lock().unwrap().iter() {
-        let Some((at, line)) = &attempt.line else { continue };
-        let gone = left.iter().find(|(name, _)| line.contains(&format!("OPEN {name}")));
+        let Some((at, line)) = &attempt.line else {
+            continue;
+        };
+        let gone = left
+            .iter()
+            .find(|(name, _)| line.contains(&format!("OPEN {name}")));
         let Some((_, gone)) = gone else { continue };
         matched += 1;
         let late = attempt.at.max(*at).saturating_duration_since(*gone);
         // Twice, as the latest of those may not have been met.
         let allowed = AFTER_LEAVE + SLACK + 2 * own_lateness;
-        assert!(late <= allowed, "{line}: {late:?} after its client had gone, {allowed:?} allowed");
+        assert!(
+            late <= allowed,
+            "{line}: {late:?} after its client had gone, {allowed:?} allowed"
+        );
     }
     assert!(matched > 0, "some were sent on before they left");
 }
--- a/crates/balancer/tests/preload/faults.rs
+++ b/crates/balancer/tests/preload/faults.rs
@@ -51,9 +51,21 @@
             "step" => Action::Step(value.parse().ok()?),
             _ => return None,
         };
-        let mut number = |default| words.next().map_or(default, |word| word.parse().unwrap_or(default));
+        let mut number = |default| {
+            words
+                .next()
+                .map_or(default, |word| word.parse().unwrap_or(default))
+        };
         let (after, every, times) = (number(0), number(1), number(u64::MAX));
-        Some(Fault { call, action, after, every, times, seen: 0, hit: 0 })
+        Some(Fault {
+            call,
+            action,
+            after,
+            every,
+            times,
+            seen: 0,
+            hit: 0,
+        })
     }
 
     /// Whether this call is hit.
@@ -74,7 +86,10 @@
     faults: Vec<Fault>,
 }
 
-static PLAN: Mutex<Plan> = Mutex::new(Plan { stamp: None, faults: Vec::new() });
+static PLAN: Mutex<Plan> = Mutex::new(Plan {
+    stamp: None,
+    faults: Vec::new(),
+});
 
 /// The plan's file, ended by a zero.
 fn path() -> Option<&'static [u8]> {
@@ -91,7 +106,12 @@
     let mut text = vec![0_u8; PLAN_MAX];
     // SAFETY: the path ends in a zero, and the buffer is as long as is said.
     let length = unsafe {
-        let file = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDONLY);
+        let file = libc::syscall(
+            libc::SYS_openat,
+            libc::AT_FDCWD,
+            path.as_ptr(),
+            libc::O_RDONLY,
+        );
         if file < 0 {
             return None;
         }
@@ -108,7 +128,14 @@
     // SAFETY: the path ends in a zero, and the call fills in the status where it returns 0.
     unsafe {
         let (path, flags) = (path.as_ptr(), 0);
-        if libc::syscall(libc::SYS_newfstatat, libc::AT_FDCWD, path, status.as_mut_ptr(), flags) != 0 {
+        if libc::syscall(
+            libc::SYS_newfstatat,
+            libc::AT_FDCWD,
+            path,
+            status.as_mut_ptr(),
+            flags,
+        ) != 0
+        {
             return None;
         }
         let status = status.assume_init();
@@ -153,7 +180,14 @@
     // SAFETY: both point to what the call fills in.
     let result = unsafe {
         let (level, option) = (libc::SOL_SOCKET, libc::SO_DOMAIN);
-        libc::syscall(libc::SYS_getsockopt, socket, level, option, &raw mut domain, &raw mut length)
+        libc::syscall(
+            libc::SYS_getsockopt,
+            socket,
+            level,
+            option,
+            &raw mut domain,
+            &raw mut length,
+        )
     };
     result == 0 && domain == libc::AF_INET
 }
@@ -218,9 +252,16 @@
 /// # Safety
 /// As the C library's function of that name.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(socket: c_int, into: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn recv(
+    socket: c_int,
+    into: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     type Real = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
-    let Some(length) = transfer("recv", socket, length) else { return -1 };
+    let Some(length) = transfer("recv", socket, length) else {
+        return -1;
+    };
     // SAFETY: the function of that name has this type, and its caller keeps its terms.
     unsafe { transmute::<*mut c_void, Real>(next(c"recv"))(socket, into, length, flags) }
 }
@@ -228,9 +269,16 @@
 /// # Safety
 /// As the C library's function of that name.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(socket: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(
+    socket: c_int,
+    from: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     type Real = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
-    let Some(length) = transfer("send", socket, length) else { return -1 };
+    let Some(length) = transfer("send", socket, length) else {
+        return -1;
+    };
     // SAFETY: the function of that name has this type, and its caller keeps its terms.
     unsafe { transmute::<*mut c_void, Real>(next(c"send"))(socket, from, length, flags) }
 }
--- a/crates/balancer/tests/shutdown.rs
+++ b/crates/balancer/tests/shutdown.rs
@@ -14,15 +14,28 @@
 /// A configuration whose longest deadline is this.
 fn with_deadline(config: &str, ms: u64) -> String {
     let limit = json!(ms * 1000);
-    changed(config, &[("service-types/0/hard-limit", limit.clone()), ("service-types/1/hard-limit", limit)])
+    changed(
+        config,
+        &[
+            ("service-types/0/hard-limit", limit.clone()),
+            ("service-types/1/hard-limit", limit),
+        ],
+    )
 }
 
 /// A balancer with this longest deadline.
 fn stand(deadline_ms: u64) -> Stand {
     let mut stand = Stand::new(1);
     let limit = json!(deadline_ms * 1000);
-    stand.restarted(&[("service-types/0/hard-limit", limit.clone()), ("service-types/1/hard-limit", limit)]);
-    soon("a list", || stand.client(&format!("c=chat,d={deadline_ms}")).says("UP 1"));
+    stand.restarted(&[
+        ("service-types/0/hard-limit", limit.clone()),
+        ("service-types/1/hard-limit", limit),
+    ]);
+    soon("a list", || {
+        stand
+            .client(&format!("c=chat,d={deadline_ms}"))
+            .says("UP 1")
+    });
     stand
 }
 
@@ -32,19 +45,30 @@
 fn a_reload_does_not_put_off_the_end() {
     std::thread::scope(|scope| {
         // The longest deadline before and after, in ms; whether the reload comes before SIGTERM or after it.
-        for (before, after, reload_first) in
-            [(400, 3000, false), (3000, 400, false), (400, 3000, true), (700, 700, false)]
-        {
+        for (before, after, reload_first) in [
+            (400, 3000, false),
+            (3000, 400, false),
+            (400, 3000, true),
+            (700, 700, false),
+        ] {
             scope.spawn(move || {
                 let mut stand = stand(before);
                 let mut client = stand.client("c=chat,d=400");
                 assert_eq!(client.line(), "UP 1");
                 std::fs::write(&stand.file, with_deadline(&stand.config, after)).unwrap();
                 let since = Instant::now();
-                let signals = if reload_first { ["-HUP", "-TERM"] } else { ["-TERM", "-HUP"] };
+                let signals = if reload_first {
+                    ["-HUP", "-TERM"]
+                } else {
+                    ["-TERM", "-HUP"]
+                };
                 signals.iter().for_each(|signal| stand.signal(signal));
                 stand.signal("-TERM");
-                assert_eq!((client.line(), client.line()), ("MOVE".into(), "end".into()), "{before} {after}");
+                assert_eq!(
+                    (client.line(), client.line()),
+                    ("MOVE".into(), "end".into()),
+                    "{before} {after}"
+                );
                 drop(client);
                 let status = stand.child.wait().unwrap();
                 let kill = Duration::from_millis(before.min(after)) + KILL_AFTER_DEADLINE;
@@ -67,7 +91,12 @@
     std::thread::sleep(Duration::from_millis(4500));
     stand.toys[0].set(common::toy::Mood::Silent);
     let mut client = stand.client("c=order,d=1400");
-    soon("the attempt", || stand.toys[0].seen().last().is_some_and(|line| line.contains("c=order")));
+    soon("the attempt", || {
+        stand.toys[0]
+            .seen()
+            .last()
+            .is_some_and(|line| line.contains("c=order"))
+    });
     stand.terminate();
     std::thread::sleep(Duration::from_millis(900));
     stand.toys[0].set(common::toy::Mood::Up);
--- a/crates/balancer/tests/soak.rs
+++ b/crates/balancer/tests/soak.rs
@@ -63,7 +63,10 @@
 impl Plan {
     fn new(seed: u64) -> Self {
         let mut draws = Draws(seed.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let deadlines = [draws.one_of(&[200, 500, 1000, 3000]), draws.one_of(&[300, 800, 3000])];
+        let deadlines = [
+            draws.one_of(&[200, 500, 1000, 3000]),
+            draws.one_of(&[300, 800, 3000]),
+        ];
         let mut signals = Vec::new();
         for _ in 0..draws.below(3) {
             signals.push(("-HUP", draws.below(40)));
@@ -100,7 +103,13 @@
 
 fn with_deadline(config: &str, ms: u64) -> String {
     let limit = json!(ms * 1000);
-    changed(config, &[("service-types/0/hard-limit", limit.clone()), ("service-types/1/hard-limit", limit)])
+    changed(
+        config,
+        &[
+            ("service-types/0/hard-limit", limit.clone()),
+            ("service-types/1/hard-limit", limit),
+        ],
+    )
 }
 
 /// An open connection, used until its end: what it saw that it must not see.
@@ -128,7 +137,11 @@
     let since = Instant::now();
     let number = since.elapsed().as_nanos();
     let mut client = Client::try_new(stand.at, b"")?;
-    let id = format!("{:x}{:x}", client.stream.local_addr().unwrap().port(), number + u128::from(plan.seed));
+    let id = format!(
+        "{:x}{:x}",
+        client.stream.local_addr().unwrap().port(),
+        number + u128::from(plan.seed)
+    );
     client.send(&format!("OPEN {id} k c=order,d={deadline}\r\n"));
     let answer = client.line();
     let took = since.elapsed();
@@ -146,14 +159,23 @@
 fn play(seed: u64) -> Vec<String> {
     let plan = &Plan::new(seed);
     let config = |config: String| {
-        config.replace("\"sockets\": 1024", if plan.crowd { "\"sockets\": 256" } else { "\"sockets\": 1024" })
+        config.replace(
+            "\"sockets\": 1024",
+            if plan.crowd {
+                "\"sockets\": 256"
+            } else {
+                "\"sockets\": 1024"
+            },
+        )
     };
     let mut stand = Stand::start(3, config, Some(Faults::none()));
     stand.serves();
     let config = stand.config.clone();
     stand.restarted_as(&with_deadline(&config, plan.deadlines[0]));
     let wait = plan.deadlines[0];
-    soon("a list", || stand.client(&format!("c=chat,d={wait}")).says("UP 1"));
+    soon("a list", || {
+        stand.client(&format!("c=chat,d={wait}")).says("UP 1")
+    });
     let mut open = Vec::new();
     while open.len() < OPEN {
         let mut client = stand.client(&format!("c=chat,d={wait}"));
@@ -166,11 +188,20 @@
     let mut broken = Vec::new();
     let kill = Duration::from_millis(plan.shortest_deadline()) + KILL_AFTER_DEADLINE;
     let terminated = thread::scope(|scope| {
-        let users: Vec<_> = open.into_iter().map(|client| scope.spawn(|| use_until_moved(client))).collect();
+        let users: Vec<_> = open
+            .into_iter()
+            .map(|client| scope.spawn(|| use_until_moved(client)))
+            .collect();
         thread::sleep(2 * LINE_INTERVAL);
         let crowd = if plan.crowd { CROWD } else { 0 };
-        let silent: Vec<_> = (0..crowd).filter_map(|_| TcpStream::connect(stand.at).ok()).collect();
-        stand.toys.iter().take(plan.hanging).for_each(|toy| toy.set(Mood::Silent));
+        let silent: Vec<_> = (0..crowd)
+            .filter_map(|_| TcpStream::connect(stand.at).ok())
+            .collect();
+        stand
+            .toys
+            .iter()
+            .take(plan.hanging)
+            .for_each(|toy| toy.set(Mood::Silent));
         let mut terminated = None;
         for (signal, pause) in &plan.signals {
             thread::sleep(Duration::from_millis(*pause));
@@ -195,21 +226,37 @@
     let status = stand.child.wait().unwrap();
     let took = terminated.elapsed();
     if !status.success() || took >= kill {
-        broken.push(format!("{status} after {took:?}, where SIGKILL comes at {kill:?}"));
+        broken.push(format!(
+            "{status} after {took:?}, where SIGKILL comes at {kill:?}"
+        ));
     }
-    println!("seed {seed}: {} {plan:?} {broken:?}", if broken.is_empty() { "kept" } else { "BROKEN" });
+    println!(
+        "seed {seed}: {} {plan:?} {broken:?}",
+        if broken.is_empty() { "kept" } else { "BROKEN" }
+    );
     broken
 }
 
 #[test]
 fn nothing_is_lost_on_the_way_to_the_end() {
-    let asked = std::env::var("SOAK_SEEDS").ok().map(|count| count.parse().expect("a number of seeds"));
+    let asked = std::env::var("SOAK_SEEDS")
+        .ok()
+        .map(|count| count.parse().expect("a number of seeds"));
     let seeds: u64 = asked.unwrap_or(SEEDS);
     let broken: Vec<String> = thread::scope(|scope| {
-        let lane =
-            |first| move || (first..seeds).step_by(AT_ONCE as usize).flat_map(play).collect::<Vec<_>>();
+        let lane = |first| {
+            move || {
+                (first..seeds)
+                    .step_by(AT_ONCE as usize)
+                    .flat_map(play)
+                    .collect::<Vec<_>>()
+            }
+        };
         let lanes: Vec<_> = (0..AT_ONCE).map(|first| scope.spawn(lane(first))).collect();
-        lanes.into_iter().flat_map(|lane| lane.join().unwrap()).collect()
+        lanes
+            .into_iter()
+            .flat_map(|lane| lane.join().unwrap())
+            .collect()
     });
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/crates/balancer/tests/sockets.rs
+++ b/crates/balancer/tests/sockets.rs
@@ -23,10 +23,15 @@
     assert_eq!(client.line(), "UP 1");
     client.send("first\r\nsec");
     client.send("ond\r\n");
-    assert_eq!((client.line(), client.line()), ("ok first".into(), "ok second".into()));
+    assert_eq!(
+        (client.line(), client.line()),
+        ("ok first".into(), "ok second".into())
+    );
     // The line goes on unchanged but for the time that we wait.
     let seen = stand.toys[0].seen().pop().unwrap();
-    let wait = seen.strip_prefix("OPEN 1 k c=chat,d=").and_then(|rest| rest.strip_suffix(",x=7"));
+    let wait = seen
+        .strip_prefix("OPEN 1 k c=chat,d=")
+        .and_then(|rest| rest.strip_suffix(",x=7"));
     let wait: u64 = wait.expect(&seen).parse().unwrap();
     assert!((700..900).contains(&wait), "{seen}");
     let mut client = stand.client("c=chat,d=900");
@@ -34,7 +39,10 @@
     // Half-closed by the client: what the server still has to say comes back.
     client.send("last\r\n");
     client.stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!((client.line(), client.line()), ("ok last".into(), "end".into()));
+    assert_eq!(
+        (client.line(), client.line()),
+        ("ok last".into(), "end".into())
+    );
     // Ended by the server: within a second, and its last line is not lost.
     let mut client = stand.client("c=chat,d=900");
     assert_eq!(client.line(), "UP 1");
@@ -63,10 +71,17 @@
         let mut client = stand.client(&format!("c={class},d=700"));
         let answer = client.line();
         assert!(answer.starts_with(expected), "{class} {mood:?}: {answer}");
-        assert!(since.elapsed() < Duration::from_millis(750), "{class} {mood:?}: late");
+        assert!(
+            since.elapsed() < Duration::from_millis(750),
+            "{class} {mood:?}: late"
+        );
         assert_eq!(client.line(), "end", "one answer, nothing after it");
         let after: usize = stand.toys.iter().map(|toy| toy.seen().len()).sum();
-        assert!(connects.contains(&(after - before)), "{class} {mood:?}: {} connects", after - before);
+        assert!(
+            connects.contains(&(after - before)),
+            "{class} {mood:?}: {} connects",
+            after - before
+        );
         stand.toys.iter().for_each(|toy| toy.set(Mood::Up));
         // Rest after a failure is the module's; the next case starts once it has passed.
         soon("recovery", || stand.client("c=chat,d=1000").says("UP 1"));
@@ -77,7 +92,10 @@
 fn a_server_that_refuses_is_passed_over_at_once() {
     let stand = Stand::new(1);
     // Nobody listens there any more.
-    let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let dead = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     stand.agent.tell("s-dead", dead, "Ready");
     thread::sleep(Duration::from_millis(200));
     for _ in 0..8 {
@@ -90,7 +108,12 @@
 #[test]
 fn what_is_no_first_line_is_answered_and_ended() {
     let stand = Stand::new(1);
-    let overlong = [b"OPEN 1 k c=chat,d=900,x=".as_slice(), &[b'x'; 5000], b"\r\n"].concat();
+    let overlong = [
+        b"OPEN 1 k c=chat,d=900,x=".as_slice(),
+        &[b'x'; 5000],
+        b"\r\n",
+    ]
+    .concat();
     let mut served = Client::new(stand.at, b"OPEN aa k c=chat,d=900\r\n");
     assert_eq!(served.line(), "UP 1");
     for bad in [
@@ -115,10 +138,20 @@
         );
     }
     // None of them has come to a server, and the one that is served hasn't noticed.
-    assert_eq!(stand.toys[0].seen().iter().filter(|line| !line.contains(" 7f3a ")).count(), 1);
+    assert_eq!(
+        stand.toys[0]
+            .seen()
+            .iter()
+            .filter(|line| !line.contains(" 7f3a "))
+            .count(),
+        1
+    );
     served.echoes("still there");
     let mut flood = Client::new(stand.at, &b"PING\r\n".repeat(300));
-    assert!((0..20).map(|_| flood.line()).any(|line| line == "ERR"), "hundreds of commands at once");
+    assert!(
+        (0..20).map(|_| flood.line()).any(|line| line == "ERR"),
+        "hundreds of commands at once"
+    );
     let mut front = Client::new(stand.at, b"PING\r\nPI");
     assert_eq!(front.line(), "PONG");
     front.send("NG\r\n");
@@ -129,13 +162,19 @@
 #[test]
 fn the_list_is_followed_and_a_silent_agent_asked_again() {
     let stand = Stand::new(2);
-    stand.agent.tell("s-0", stand.toys[0].address, "Terminating");
+    stand
+        .agent
+        .tell("s-0", stand.toys[0].address, "Terminating");
     thread::sleep(Duration::from_millis(200));
     let before = stand.toys[0].seen().len();
     for _ in 0..6 {
         assert_eq!(stand.client("c=chat,d=900").line(), "UP 1");
     }
-    assert_eq!(stand.toys[0].seen().len(), before, "nothing new to a draining server");
+    assert_eq!(
+        stand.toys[0].seen().len(),
+        before,
+        "nothing new to a draining server"
+    );
     // Guards against a watch that waits for good on an agent that has stopped talking.
     stand.agent.hush(true);
     thread::sleep(Duration::from_millis(1200));
@@ -169,7 +208,9 @@
 fn a_hot_server_sheds_clients_between_two_lines() {
     let stand = Stand::new(1);
     let mut clients: Vec<Client> = (0..6).map(|_| stand.client("c=chat,d=900")).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.line(), "UP 1"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.line(), "UP 1"));
     // Guards against `MOVE` inside a line: this server is in the middle of one as it turns hot.
     stand.toys[0].say("half a ", false);
     stand.toys[0].set_load(2.0);
@@ -178,19 +219,29 @@
     let mut moved = 0;
     for client in &mut clients {
         assert_eq!(client.line(), "half a line");
-        client.stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+        client
+            .stream
+            .set_read_timeout(Some(Duration::from_millis(200)))
+            .unwrap();
         moved += usize::from(client.line() == "MOVE");
     }
-    assert!((1..6).contains(&moved), "{moved} moved of 6, at twice what the server can do");
+    assert!(
+        (1..6).contains(&moved),
+        "{moved} moved of 6, at twice what the server can do"
+    );
 }
 
 #[test]
 fn clients_are_told_before_their_server_goes() {
     let stand = Stand::new(2);
     let mut clients: Vec<Client> = (0..8).map(|_| stand.client("c=chat,d=900")).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.line(), "UP 1"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.line(), "UP 1"));
     let on_first = stand.toys[0].seen().len();
-    stand.agent.tell("s-0", stand.toys[0].address, "Terminating");
+    stand
+        .agent
+        .tell("s-0", stand.toys[0].address, "Terminating");
     // By the time in which a replacement is warm.
     thread::sleep(Duration::from_millis(8500));
     let mut moved = 0;
@@ -199,7 +250,10 @@
         moved += usize::from(client.line() == "MOVE");
     }
     // One or two of those that the first server has seen came before the eight.
-    assert!(moved > 0 && moved <= on_first && on_first <= moved + 2, "{moved} of {on_first}");
+    assert!(
+        moved > 0 && moved <= on_first && on_first <= moved + 2,
+        "{moved} of {on_first}"
+    );
 }
 
 #[test]
@@ -220,7 +274,9 @@
 /// read to their end.
 #[test]
 fn silent_and_endless_clients_keep_nobody_out() {
-    let stand = Stand::with(1, |config| config.replace("\"sockets\": 1024", "\"sockets\": 256"));
+    let stand = Stand::with(1, |config| {
+        config.replace("\"sockets\": 1024", "\"sockets\": 256")
+    });
     let since = Instant::now();
     let mut silent: Vec<Client> = (0..300).map(|_| Client::new(stand.at, b"")).collect();
     let mut half = Client::new(stand.at, b"OPEN 1 k c=ch");
@@ -229,18 +285,29 @@
             let mut client = Client::new(stand.at, b"OPEN 1 k c=chat,d=900,x=");
             let mut out = client.stream.try_clone().unwrap();
             let answer = thread::spawn(move || client.line());
-            (thread::spawn(move || out.write_all(&vec![b'1'; 60 << 20])), answer)
+            (
+                thread::spawn(move || out.write_all(&vec![b'1'; 60 << 20])),
+                answer,
+            )
         })
         .collect();
     for _ in 0..20 {
         let since = Instant::now();
         assert_eq!(stand.client("c=chat,d=900").line(), "UP 1");
-        assert!(since.elapsed() < Duration::from_millis(800), "{:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_millis(800),
+            "{:?}",
+            since.elapsed()
+        );
     }
     for client in silent.iter_mut().chain([&mut half]) {
         assert!(["BUSY", "end", "reset"].contains(&client.line().as_str()));
     }
-    assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        since.elapsed()
+    );
     for (sent, answer) in endless {
         assert_eq!(answer.join().unwrap(), "ERR");
         assert!(sent.join().unwrap().is_err(), "nobody reads 60 MB");
@@ -265,7 +332,10 @@
     hang_up(&stand, "{");
     hang_up(
         &stand,
-        &told.replace(&stand.agent.address.to_string(), &nobody.local_addr().unwrap().to_string()),
+        &told.replace(
+            &stand.agent.address.to_string(),
+            &nobody.local_addr().unwrap().to_string(),
+        ),
     );
     thread::sleep(Duration::from_millis(200));
     assert_eq!(stand.client("c=chat,d=900").line(), "UP 1");
@@ -276,11 +346,15 @@
     let since = Instant::now();
     soon("the other agent's list", || {
         let before = stand.toys[0].seen().len();
-        (0..4).all(|_| stand.client("c=chat,d=900").says("UP 1")) && stand.toys[0].seen().len() == before
+        (0..4).all(|_| stand.client("c=chat,d=900").says("UP 1"))
+            && stand.toys[0].seen().len() == before
     });
     assert!(since.elapsed() < Duration::from_secs(2));
     // A faulty one keeps what is followed now; so does the first agent's news.
-    hang_up(&stand, &moved.replace("\"sockets\": 1024", "\"sockets\": -1"));
+    hang_up(
+        &stand,
+        &moved.replace("\"sockets\": 1024", "\"sockets\": -1"),
+    );
     stand.agent.tell("s-0", stand.toys[0].address, "Ready");
     other.tell("s-1", stand.toys[1].address, "Terminating");
     other.tell("s-2", stand.toys[0].address, "Ready");
@@ -290,7 +364,10 @@
     });
     stand.terminate();
     hang_up(&stand, &moved);
-    assert!(stand.child.wait().unwrap().success(), "SIGHUP while it ends");
+    assert!(
+        stand.child.wait().unwrap().success(),
+        "SIGHUP while it ends"
+    );
 }
 
 #[test]
@@ -311,7 +388,10 @@
     stand.toys[0].set(Mood::Silent);
     let since = Instant::now();
     client.send("and now\r\n");
-    assert_eq!((client.line(), client.line()), ("MOVE".into(), "end".into()));
+    assert_eq!(
+        (client.line(), client.line()),
+        ("MOVE".into(), "end".into())
+    );
     assert!((Duration::from_secs(3)..Duration::from_secs(7)).contains(&since.elapsed()));
 }
 
@@ -328,16 +408,26 @@
     client.stream.shutdown(Shutdown::Write).unwrap();
     thread::sleep(Duration::from_millis(3500));
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", stand.child.id())).unwrap();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap()
+        .split_whitespace()
+        .collect();
     let ticks: u64 = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
-    assert!(ticks < 50, "{ticks} hundredths of a second of CPU in six seconds of nothing");
+    assert!(
+        ticks < 50,
+        "{ticks} hundredths of a second of CPU in six seconds of nothing"
+    );
 }
 
 #[test]
 fn told_to_end_it_moves_its_clients_and_answers_what_comes() {
     let mut stand = Stand::new(2);
     let mut clients: Vec<Client> = (0..10).map(|_| stand.client("c=chat,d=900")).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.line(), "UP 1"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.line(), "UP 1"));
     stand.toys[1].set(Mood::Silent);
     let since = Instant::now();
     stand.terminate();
@@ -347,12 +437,18 @@
     assert!(answer == "UP 1" || answer.starts_with("BUSY"), "{answer}");
     let mut moved = Vec::new();
     for client in &mut clients {
-        assert_eq!((client.line(), client.line()), ("MOVE".into(), "end".into()));
+        assert_eq!(
+            (client.line(), client.line()),
+            ("MOVE".into(), "end".into())
+        );
         moved.push(since.elapsed());
     }
     // Guards against moves all at once, which other balancers get all at once.
     let spread = moved[9] - moved[0];
-    assert!(spread > Duration::from_millis(300) && moved[0] > Duration::from_millis(1200), "{moved:?}");
+    assert!(
+        spread > Duration::from_millis(300) && moved[0] > Duration::from_millis(1200),
+        "{moved:?}"
+    );
     if answer == "UP 1" {
         assert_eq!(late.line(), "MOVE");
     }
@@ -366,11 +462,21 @@
 
 #[test]
 fn at_the_descriptor_limit_clients_are_told_at_once_and_probes_go_on() {
-    let stand = Stand::with(1, |config| config.replace("\"sockets\": 1024", "\"sockets\": 160"));
+    let stand = Stand::with(1, |config| {
+        config.replace("\"sockets\": 1024", "\"sockets\": 160")
+    });
     let mut clients: Vec<Client> = (0..60).map(|_| stand.client("c=chat,d=1500")).collect();
     let answers: Vec<String> = clients.iter_mut().map(Client::line).collect();
-    let count = |word: &str| answers.iter().filter(|answer| answer.starts_with(word)).count();
-    assert!(count("UP") > 5 && count("BUSY") > 5 && count("UP") + count("BUSY") == 60, "{answers:?}");
+    let count = |word: &str| {
+        answers
+            .iter()
+            .filter(|answer| answer.starts_with(word))
+            .count()
+    };
+    assert!(
+        count("UP") > 5 && count("BUSY") > 5 && count("UP") + count("BUSY") == 60,
+        "{answers:?}"
+    );
     drop(clients);
     soon("room again", || stand.client("c=chat,d=900").says("UP 1"));
 }
@@ -379,9 +485,15 @@
 /// for probes.
 #[test]
 fn more_servers_than_descriptors_for_probes_are_all_asked() {
-    let stand = Stand::with(40, |config| config.replace("\"sockets\": 1024", "\"sockets\": 256"));
-    soon("two probes of each", || stand.toys.iter().all(|toy| toy.asked() >= 2));
-    let open = std::fs::read_dir(format!("/proc/{}/fd", stand.child.id())).unwrap().count();
+    let stand = Stand::with(40, |config| {
+        config.replace("\"sockets\": 1024", "\"sockets\": 256")
+    });
+    soon("two probes of each", || {
+        stand.toys.iter().all(|toy| toy.asked() >= 2)
+    });
+    let open = std::fs::read_dir(format!("/proc/{}/fd", stand.child.id()))
+        .unwrap()
+        .count();
     assert!(open < 60, "{open} descriptors with nobody served");
     assert_eq!(stand.client("c=chat,d=900").line(), "UP 1");
 }
@@ -403,12 +515,21 @@
 #[test]
 fn a_faulty_configuration_is_named_by_its_key() {
     let check = |config: &str| {
-        let file = std::env::temp_dir().join(format!("nettlemux-check-{}.json", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("nettlemux-check-{}.json", std::process::id()));
         std::fs::write(&file, config).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
-        let output = command.args(["check", "--config"]).arg(&file).output().unwrap();
+        let output = command
+            .args(["check", "--config"])
+            .arg(&file)
+            .output()
+            .unwrap();
         let mut text = String::new();
-        output.stdout.chain(&output.stderr[..]).read_to_string(&mut text).unwrap();
+        output
+            .stdout
+            .chain(&output.stderr[..])
+            .read_to_string(&mut text)
+            .unwrap();
         (output.status.success(), text)
     };
     assert!(check(EXAMPLE).0);
@@ -419,23 +540,58 @@
         ("8c1f30d27a5be964", "xyz", "'seed'"),
         ("\"sockets\": 1024", "\"sockets\": -1", "'limits.sockets'"),
         ("\"sockets\": 1024", "\"sockets\": 3", "'limits.sockets'"),
-        ("\"memory_mb\": 192", "\"memory_mb\": 1", "'limits.memory_mb'"),
-        ("\"max-connects\": 3", "\"max-connects\": \"many\"", "'settings.limits.max-connects'"),
-        ("\"dial-timeout\": 250000", "\"dial-timeout\": \"soon\"", "'settings.limits.dial-timeout'"),
+        (
+            "\"memory_mb\": 192",
+            "\"memory_mb\": 1",
+            "'limits.memory_mb'",
+        ),
+        (
+            "\"max-connects\": 3",
+            "\"max-connects\": \"many\"",
+            "'settings.limits.max-connects'",
+        ),
+        (
+            "\"dial-timeout\": 250000",
+            "\"dial-timeout\": \"soon\"",
+            "'settings.limits.dial-timeout'",
+        ),
         ("single_shot", "sometimes", "'settings.repeat'"),
         ("\"settings\"", "\"known\": {}, \"settings\"", "'known'"),
-        ("\"settings\"", "\"setings\"", "'setings': unknown; is 'settings' meant?"),
+        (
+            "\"settings\"",
+            "\"setings\"",
+            "'setings': unknown; is 'settings' meant?",
+        ),
     ] {
         let (good, text) = check(&EXAMPLE.replacen(from, to, 1));
-        assert!(!good && text.contains(key) && !text.contains("panicked"), "{key}: {text}");
+        assert!(
+            !good && text.contains(key) && !text.contains("panicked"),
+            "{key}: {text}"
+        );
     }
     // Guards against a limit that a slip of the pen lets go of in silence, and a fleet that doesn't start since the
     // platform says more than we know.
     for (from, to, key) in [
-        ("\"limits\"", "\"limts\"", "'limts': unknown; is 'limits' meant?"),
-        ("\"sockets\"", "\"socket\"", "'limits.socket': unknown; is 'sockets' meant?"),
-        ("\"limits\"", "\"peer_listen\": \"127.0.0.1:7200\", \"limits\"", "'peer_listen': unknown"),
-        ("\"name\": \"toy\"", "\"name\": null, \"known\": null", "nettlemux: listens at"),
+        (
+            "\"limits\"",
+            "\"limts\"",
+            "'limts': unknown; is 'limits' meant?",
+        ),
+        (
+            "\"sockets\"",
+            "\"socket\"",
+            "'limits.socket': unknown; is 'sockets' meant?",
+        ),
+        (
+            "\"limits\"",
+            "\"peer_listen\": \"127.0.0.1:7200\", \"limits\"",
+            "'peer_listen': unknown",
+        ),
+        (
+            "\"name\": \"toy\"",
+            "\"name\": null, \"known\": null",
+            "nettlemux: listens at",
+        ),
     ] {
         let (good, text) = check(&EXAMPLE.replacen(from, to, 1));
         assert!(good && text.contains(key), "{key}: {text}");
@@ -446,47 +602,81 @@
 /// balancers may tell one another; and against a reload that is.
 #[test]
 fn keys_that_nothing_reads_are_no_reason_not_to_serve() {
-    let more =
-        "\"peer_listen\": \"127.0.0.1:7200\", \"more\": {\"a\": [1, null]}, \"limits\": {\"threads\": 4, ";
+    let more = "\"peer_listen\": \"127.0.0.1:7200\", \"more\": {\"a\": [1, null]}, \"limits\": {\"threads\": 4, ";
     let stand = Stand::with(1, |config| config.replacen("\"limits\": {", more, 1));
-    let (other, toy) = (Agent::start("127.0.0.1:0").unwrap(), Toy::start("127.0.0.1:0").unwrap());
+    let (other, toy) = (
+        Agent::start("127.0.0.1:0").unwrap(),
+        Toy::start("127.0.0.1:0").unwrap(),
+    );
     other.tell("s-other", toy.address, "Ready");
-    let moved = stand.config.replace(&stand.agent.address.to_string(), &other.address.to_string());
+    let moved = stand
+        .config
+        .replace(&stand.agent.address.to_string(), &other.address.to_string());
     std::fs::write(&stand.file, moved).unwrap();
     stand.signal("-HUP");
-    soon("the other agent's list", || stand.client("c=chat,d=900").says("UP 1") && !toy.seen().is_empty());
+    soon("the other agent's list", || {
+        stand.client("c=chat,d=900").says("UP 1") && !toy.seen().is_empty()
+    });
 }
 
 #[test]
 fn the_operators_file_is_read_and_the_log_comes_as_objects() {
-    let name = |kind| std::env::temp_dir().join(format!("nettlemux-operator-{}-{kind}", std::process::id()));
+    let name = |kind| {
+        std::env::temp_dir().join(format!("nettlemux-operator-{}-{kind}", std::process::id()))
+    };
     let (config, operator) = (name("config.json"), name("operator.toml"));
     let at = own_address().to_string();
     std::fs::write(&config, EXAMPLE.replace("127.0.0.1:7000", &at)).unwrap();
     let command = |word: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
-        command.arg(word).arg("--config").arg(&config).arg("--operator").arg(&operator);
+        command
+            .arg(word)
+            .arg("--config")
+            .arg(&config)
+            .arg("--operator")
+            .arg(&operator);
         command
     };
     std::fs::write(&operator, "[log]\nformt = \"json\"\n").unwrap();
     let output = command("check").output().unwrap();
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success() && text.contains("'log.formt': unknown; is 'format' meant?"), "{text}");
+    assert!(
+        !output.status.success() && text.contains("'log.formt': unknown; is 'format' meant?"),
+        "{text}"
+    );
     std::fs::write(&operator, "[log]\nformat = \"json\"\n").unwrap();
     assert!(command("check").status().unwrap().success());
     let mut child = command("serve").stderr(Stdio::piped()).spawn().unwrap();
     soon("PONG", || TcpStream::connect(&at).is_ok());
-    assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
+    assert!(
+        Command::new("kill")
+            .args(["-TERM", &child.id().to_string()])
+            .status()
+            .unwrap()
+            .success()
+    );
     assert!(child.wait().unwrap().success());
     let mut log = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-    let objects: Vec<serde_json::Value> =
-        log.lines().map(|line| serde_json::from_str(line).expect("an object a line")).collect();
+    child
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut log)
+        .unwrap();
+    let objects: Vec<serde_json::Value> = log
+        .lines()
+        .map(|line| serde_json::from_str(line).expect("an object a line"))
+        .collect();
     assert!(
-        objects.iter().any(|object| object["message"] == "serving" && object["sockets"] == 1024),
+        objects
+            .iter()
+            .any(|object| object["message"] == "serving" && object["sockets"] == 1024),
         "{log}"
     );
-    let schema = Command::new(env!("CARGO_BIN_EXE_nettlemux")).arg("schema").output().unwrap();
+    let schema = Command::new(env!("CARGO_BIN_EXE_nettlemux"))
+        .arg("schema")
+        .output()
+        .unwrap();
     let schema: serde_json::Value = serde_json::from_slice(&schema.stdout).unwrap();
     assert!(schema["properties"]["log"].is_object());
     let _ = (std::fs::remove_file(config), std::fs::remove_file(operator));
@@ -499,19 +689,33 @@
     // The same balancer again, with an operator's file.
     let _ = (stand.child.kill(), stand.child.wait());
     let operator = stand.file.with_extension("toml");
-    let door =
-        |open: &str| std::fs::write(&operator, format!("[door]\nby = \"client\"\nopen = {open}\n")).unwrap();
+    let door = |open: &str| {
+        std::fs::write(
+            &operator,
+            format!("[door]\nby = \"client\"\nopen = {open}\n"),
+        )
+        .unwrap()
+    };
     door("1");
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
-    command.args(["serve", "--config"]).arg(&stand.file).arg("--operator").arg(&operator);
+    command
+        .args(["serve", "--config"])
+        .arg(&stand.file)
+        .arg("--operator")
+        .arg(&operator);
     stand.child = command.stderr(Stdio::null()).spawn().unwrap();
     let own = |stand: &Stand| stand.client("c=chat,d=900,g=mine");
     soon("PONG", || TcpStream::connect(stand.at).is_ok());
-    soon("a list", || stand.client("c=chat,d=900,g=warm").says("UP 1"));
+    soon("a list", || {
+        stand.client("c=chat,d=900,g=warm").says("UP 1")
+    });
     let mut first = own(&stand);
     assert_eq!(first.line(), "UP 1");
     let told = own(&stand).line();
-    let ms: u64 = told.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok()).expect("a time to come back");
+    let ms: u64 = told
+        .strip_prefix("BUSY ")
+        .and_then(|ms| ms.parse().ok())
+        .expect("a time to come back");
     assert!((500..=2000).contains(&ms), "{told}");
     assert_eq!(stand.client("c=chat,d=900,g=other").line(), "UP 1");
     // A faulty file changes nothing; a good one counts from now on.
@@ -550,7 +754,9 @@
         stand.signal("-HUP");
     };
     let mut standing: Vec<Client> = (0..4).map(|_| stand.client("c=chat,d=900")).collect();
-    standing.iter_mut().for_each(|client| assert_eq!(client.line(), "UP 1"));
+    standing
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.line(), "UP 1"));
     assert_eq!(stand.client("c=lab,d=900").line(), "ERR", "not known yet");
     let connects = |stand: &Stand| stand.toys.iter().map(|toy| toy.seen().len()).sum::<usize>();
     for round in 0..3 {
@@ -562,9 +768,15 @@
         hang_up(&stand, &second);
         thread::sleep(Duration::from_millis(100));
         stand.toys.iter().for_each(|toy| toy.set(Mood::Up));
-        assert_eq!((waiting.line(), waiting.line()), ("ERR".into(), "end".into()), "round {round}");
+        assert_eq!(
+            (waiting.line(), waiting.line()),
+            ("ERR".into(), "end".into()),
+            "round {round}"
+        );
         assert_eq!(connects(&stand), before, "round {round}: sent twice");
-        soon("the new service type", || stand.client("c=lab,d=900").says("UP 1"));
+        soon("the new service type", || {
+            stand.client("c=lab,d=900").says("UP 1")
+        });
         // One connect only is allowed now.
         stand.toys.iter().for_each(|toy| toy.set(Mood::Busy));
         let before = connects(&stand);
@@ -581,7 +793,9 @@
             hang_up(&stand, &faulty);
         }
         thread::sleep(Duration::from_millis(100));
-        soon("the second settings", || stand.client("c=lab,d=900").says("UP 1"));
+        soon("the second settings", || {
+            stand.client("c=lab,d=900").says("UP 1")
+        });
         // The way back is the same step.
         hang_up(&stand, &first);
         soon("the first settings", || {
@@ -593,7 +807,9 @@
             busy && more
         });
         soon("recovery", || stand.client("c=order,d=1000").says("UP 1"));
-        standing.iter_mut().for_each(|client| client.echoes("still here"));
+        standing
+            .iter_mut()
+            .for_each(|client| client.echoes("still here"));
     }
     stand.terminate();
     assert!(stand.child.wait().unwrap().success());
@@ -631,10 +847,24 @@
         let name = |kind| std::env::temp_dir().join(format!("nettlemux-words-{}-{kind}", at.ip()));
         let (file, operator) = (name("config.json"), name("operator.toml"));
         std::fs::write(&file, config.to_string()).unwrap();
-        std::fs::write(&operator, format!("[peers]\nlisten = {word:?}\nto = {words:?}\n")).unwrap();
+        std::fs::write(
+            &operator,
+            format!("[peers]\nlisten = {word:?}\nto = {words:?}\n"),
+        )
+        .unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
-        command.args(["serve", "--config"]).arg(&file).arg("--operator").arg(&operator);
-        children.push(Ends(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap()));
+        command
+            .args(["serve", "--config"])
+            .arg(&file)
+            .arg("--operator")
+            .arg(&operator);
+        children.push(Ends(
+            command
+                .stdout(Stdio::null())
+                .stderr(Stdio::null())
+                .spawn()
+                .unwrap(),
+        ));
         files.extend([file, operator]);
     }
     for at in &ats {
@@ -646,7 +876,11 @@
         let mut client = Client::open(at, &format!("c=chat,d=1000,g={group}"));
         assert_eq!(client.line(), "UP 1");
         let after = toys.iter().map(|toy| toy.seen().len());
-        let rs = before.iter().zip(after).position(|(before, after)| after > *before).unwrap();
+        let rs = before
+            .iter()
+            .zip(after)
+            .position(|(before, after)| after > *before)
+            .unwrap();
         (rs, client)
     };
     // One server alone is ready as the first balancer gets the groups, so that no order agreed on beforehand can have
@@ -675,5 +909,7 @@
     let on: Vec<usize> = open.iter().map(|held| held.0).collect();
     assert_eq!(on, [5; 12], "the second goes where the first has told");
     drop(children);
-    files.iter().for_each(|file| drop(std::fs::remove_file(file)));
+    files
+        .iter()
+        .for_each(|file| drop(std::fs::remove_file(file)));
 }
--- a/crates/balancer/tests/system_calls.rs
+++ b/crates/balancer/tests/system_calls.rs
@@ -24,7 +24,9 @@
 
 /// A balancer without probes, so that its calls are those for clients, their servers and discovery.
 fn stand() -> Stand {
-    Stand::with_faults(2, |config| changed(&config, &[("limits/probes", json!(false))]))
+    Stand::with_faults(2, |config| {
+        changed(&config, &[("limits/probes", json!(false))])
+    })
 }
 
 /// Each of these clients is served, and its lines come back. They come in batches that the first window of attempts in flight
@@ -34,11 +36,19 @@
         let mut clients: Vec<Client> = (0..BATCH).map(|_| stand.client("c=chat,d=2000")).collect();
         let answers: Vec<String> = clients.iter_mut().map(Client::line).collect();
         let others: Vec<&String> = answers.iter().filter(|answer| *answer != "UP 1").collect();
-        assert!(others.is_empty(), "{what}: {} of {BATCH} not served: {others:?}", others.len());
+        assert!(
+            others.is_empty(),
+            "{what}: {} of {BATCH} not served: {others:?}",
+            others.len()
+        );
         for client in &mut clients {
             let since = Instant::now();
             client.echoes("hello");
-            assert!(since.elapsed() < HELD_BACK_MAX, "{what}: held back {:?}", since.elapsed());
+            assert!(
+                since.elapsed() < HELD_BACK_MAX,
+                "{what}: held back {:?}",
+                since.elapsed()
+            );
         }
     }
 }
@@ -69,15 +79,21 @@
 #[test]
 fn short_reads_and_writes_are_gone_on_with() {
     let stand = stand();
-    for (plan, d) in
-        [("send short 1 0 1", 2000), ("recv short 1 0 1", 2000), ("send short 3 0 2\nrecv short 2 0 3", 1500)]
-    {
+    for (plan, d) in [
+        ("send short 1 0 1", 2000),
+        ("recv short 1 0 1", 2000),
+        ("send short 3 0 2\nrecv short 2 0 3", 1500),
+    ] {
         stand.faults().set(plan);
         all_are_served(&stand, plan);
         // An answer of ours, whole.
         stand.toys.iter().for_each(|toy| toy.set(Mood::Err));
         let mut client = stand.client(&format!("c=order,d={d}"));
-        assert_eq!((client.line(), client.line()), ("ERR".into(), "end".into()), "{plan}");
+        assert_eq!(
+            (client.line(), client.line()),
+            ("ERR".into(), "end".into()),
+            "{plan}"
+        );
         stand.toys.iter().for_each(|toy| toy.set(Mood::Up));
         soon(plan, || stand.client("c=chat,d=900").says("UP 1"));
     }
@@ -116,10 +132,15 @@
     for (call, errno) in cases {
         let plan = format!("{call} fail {errno} 0 3 60");
         stand.faults().set(&plan);
-        let mut clients: Vec<Client> = (0..CLIENTS).map(|_| stand.client("c=chat,d=2000")).collect();
+        let mut clients: Vec<Client> = (0..CLIENTS)
+            .map(|_| stand.client("c=chat,d=2000"))
+            .collect();
         for client in &mut clients {
             let answer = client.line();
-            assert!(answer == "UP 1" || answer.starts_with("BUSY"), "{plan}: {answer}");
+            assert!(
+                answer == "UP 1" || answer.starts_with("BUSY"),
+                "{plan}: {answer}"
+            );
         }
         stand.faults().clear();
         soon(&plan, || stand.client("c=chat,d=900").says("UP 1"));
@@ -136,12 +157,20 @@
         while since.elapsed() < Duration::from_secs(1) {
             let mut client = stand.client("c=order,d=400");
             let answer = client.line();
-            assert!(answer.starts_with("BUSY"), "{errno}: nothing has run, so it may come again: {answer}");
+            assert!(
+                answer.starts_with("BUSY"),
+                "{errno}: nothing has run, so it may come again: {answer}"
+            );
             thread::sleep(Duration::from_millis(20));
         }
         stand.faults().clear();
-        let answers: Vec<String> = (0..10).map(|_| stand.client("c=order,d=400").line()).collect();
-        assert!(answers.iter().all(|answer| answer == "UP 1"), "{errno}: {answers:?}");
+        let answers: Vec<String> = (0..10)
+            .map(|_| stand.client("c=order,d=400").line())
+            .collect();
+        assert!(
+            answers.iter().all(|answer| answer == "UP 1"),
+            "{errno}: {answers:?}"
+        );
     }
 }
 
@@ -151,7 +180,8 @@
     let faults = Faults::none();
     faults.set(&format!("connect fail {EINTR}"));
     let stand = Stand::start(1, |config| config, Some(faults));
-    let answers = || Client::try_new(stand.at, b"PING\r\n").is_some_and(|mut client| client.says("PONG"));
+    let answers =
+        || Client::try_new(stand.at, b"PING\r\n").is_some_and(|mut client| client.says("PONG"));
     soon("PONG", answers);
     stand.faults().clear();
     stand.serves();
@@ -166,7 +196,14 @@
         let over = || stand.toys.iter().all(|toy| toy.ended() == toy.seen().len());
         soon("the end of the first client", over);
         thread::sleep(Duration::from_millis(200));
-        let wholes = || stand.agent.calls().iter().filter(|call| call.from.is_none()).count();
+        let wholes = || {
+            stand
+                .agent
+                .calls()
+                .iter()
+                .filter(|call| call.from.is_none())
+                .count()
+        };
         let before = wholes();
         // Nobody else reads: there are no clients and no probes.
         stand.faults().set(&format!("recv fail {errno} 0 1 1"));
@@ -185,13 +222,19 @@
             .iter()
             .enumerate()
             .for_each(|(i, toy)| agent.tell(&format!("s-{i}"), toy.address, "Ready"));
-        let moved = stand.config.replace(&stand.agent.address.to_string(), &agent.address.to_string());
+        let moved = stand
+            .config
+            .replace(&stand.agent.address.to_string(), &agent.address.to_string());
         match trouble {
             "open64" => stand.faults().set(&format!("open64 fail {ENFILE} 0 1 2")),
             "read" => stand.faults().set(&format!("read fail {EIO} 0 1 2")),
             _ => {}
         }
-        let begun = if trouble == "half" { &moved[..moved.len() / 2] } else { &moved };
+        let begun = if trouble == "half" {
+            &moved[..moved.len() / 2]
+        } else {
+            &moved
+        };
         std::fs::write(&stand.file, begun).unwrap();
         stand.signal("-HUP");
         thread::sleep(Duration::from_millis(400));
@@ -224,7 +267,8 @@
                 let stand = Stand::start(1, |config| config, Some(faults));
                 thread::sleep(MOMENT);
                 stand.faults().clear();
-                let ready = || Client::try_new(stand.at, b"PING\r\n").is_some_and(|mut c| c.says("PONG"));
+                let ready =
+                    || Client::try_new(stand.at, b"PING\r\n").is_some_and(|mut c| c.says("PONG"));
                 soon(&format!("start after {call}"), ready);
                 stand.serves();
             });
@@ -238,7 +282,8 @@
     let faults = Faults::none();
     faults.set("listen fail 22");
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
-    let file = std::env::temp_dir().join(format!("nettlemux-no-listener-{}.json", std::process::id()));
+    let file =
+        std::env::temp_dir().join(format!("nettlemux-no-listener-{}.json", std::process::id()));
     let config = common::EXAMPLE.replace("127.0.0.1:7000", &common::own_address().to_string());
     std::fs::write(&file, config).unwrap();
     command.args(["serve", "--config"]).arg(&file);
@@ -246,7 +291,10 @@
     let ended = command.output().unwrap();
     let _ = std::fs::remove_file(file);
     let told = String::from_utf8(ended.stderr).unwrap();
-    assert!(!ended.status.success() && told.contains("can't listen"), "{told}");
+    assert!(
+        !ended.status.success() && told.contains("can't listen"),
+        "{told}"
+    );
 }
 
 /// A coroutine's stack may not be had at this moment: whoever was accepted meanwhile is answered a little later. More clients
--- a/crates/balancer/tests/wall_clock.rs
+++ b/crates/balancer/tests/wall_clock.rs
@@ -19,7 +19,10 @@
 const STEPS: [i64; 5] = [0, 5, -5, 3600, -3600];
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
 }
 
 /// A balancer on a machine whose wall clock is so far off, among servers that are warm after so long.
@@ -68,12 +71,17 @@
                 let stand = stand(step, start_capacity, Duration::from_secs(60));
                 let fresh = Toy::start("127.0.0.1:0").unwrap();
                 clients_for(&stand, Duration::from_secs(3), &fresh);
-                stand.agent.tell_started("s-fresh", fresh.address, "Ready", unix_ms());
+                stand
+                    .agent
+                    .tell_started("s-fresh", fresh.address, "Ready", unix_ms());
                 let sent = clients_for(&stand, window, &fresh);
                 // What the settings allow it, by what a warm one gets, and the chance that the operators put down to few.
                 let allowed = start_capacity * f64::from(RATE) / WARM as f64 * window.as_secs_f64();
                 let most = allowed + 3.0 * allowed.sqrt() + 3.0;
-                assert!(sent as f64 <= most, "clock {step} s off: {sent} sent, {most:.1} at the most");
+                assert!(
+                    sent as f64 <= most,
+                    "clock {step} s off: {sent} sent, {most:.1} at the most"
+                );
             });
         }
     });
@@ -83,12 +91,17 @@
 #[test]
 fn a_server_is_warm_after_its_warm_up() {
     thread::scope(|scope| {
-        for (step, first_list) in STEPS.into_iter().flat_map(|step| [(step, false), (step, true)]) {
+        for (step, first_list) in STEPS
+            .into_iter()
+            .flat_map(|step| [(step, false), (step, true)])
+        {
             scope.spawn(move || {
                 let warm_up = Duration::from_secs(2);
                 let mut stand = stand(step, 0.01, warm_up);
                 let fresh = Toy::start("127.0.0.1:0").unwrap();
-                stand.agent.tell_started("s-fresh", fresh.address, "Ready", unix_ms());
+                stand
+                    .agent
+                    .tell_started("s-fresh", fresh.address, "Ready", unix_ms());
                 if first_list {
                     stand.restarted_with(&[]);
                     stand.serves();
@@ -97,7 +110,10 @@
                 let span = Duration::from_secs(2);
                 let sent = clients_for(&stand, span, &fresh);
                 let share = f64::from(RATE) * span.as_secs_f64() / (WARM + 1) as f64;
-                assert!(sent as f64 >= share / 2.0, "clock {step} s off, {first_list}: {sent} of {share}");
+                assert!(
+                    sent as f64 >= share / 2.0,
+                    "clock {step} s off, {first_list}: {sent} of {share}"
+                );
             });
         }
     });
@@ -116,10 +132,19 @@
         let answer = client.line();
         let took = since.elapsed().as_millis();
         // One that was sent on has all its time; one that waits, since the others were not answered, may be told before.
-        let in_time = if answer == "ERR" { (500..700).contains(&took) } else { took < 700 };
-        assert!(in_time && (answer == "ERR" || answer.starts_with("BUSY")), "{step}: {answer} {took} ms");
+        let in_time = if answer == "ERR" {
+            (500..700).contains(&took)
+        } else {
+            took < 700
+        };
+        assert!(
+            in_time && (answer == "ERR" || answer.starts_with("BUSY")),
+            "{step}: {answer} {took} ms"
+        );
         assert_eq!(client.line(), "end", "{step}");
     }
     stand.toys.iter().for_each(|toy| toy.set(Mood::Up));
-    soon("a client served", || stand.client("c=chat,d=900").says("UP 1"));
+    soon("a client served", || {
+        stand.client("c=chat,d=900").says("UP 1")
+    });
 }
--- a/crates/candidates/examples/ring.rs
+++ b/crates/candidates/examples/ring.rs
@@ -11,11 +11,18 @@
 
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    statm.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * PAGE
+    statm
+        .split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse::<usize>().ok())
+        .unwrap_or(0)
+        * PAGE
 }
 
 fn main() {
-    println!("servers  deviation/mean  most/mean  candidates() ns  near() ns  bytes a server  update ns");
+    println!(
+        "servers  deviation/mean  most/mean  candidates() ns  near() ns  bytes a server  update ns"
+    );
     for servers in [600, 6_000, 12_000, 50_000] {
         let before = resident();
         let mut candidates = Candidates::default();
@@ -30,11 +37,14 @@
         }
         let all = began.elapsed().as_nanos() as f64 / KEYS as f64;
         let began = Instant::now();
-        let found: usize = (0..KEYS).map(|key| candidates.near(key, key % ZONES, COUNT).len()).sum();
+        let found: usize = (0..KEYS)
+            .map(|key| candidates.near(key, key % ZONES, COUNT).len())
+            .sum();
         let near = began.elapsed().as_nanos() as f64 / KEYS as f64;
         assert!(found > 0);
         let mean = seen.iter().sum::<f64>() / servers as f64;
-        let deviation = seen.iter().map(|times| (times - mean).powi(2)).sum::<f64>() / servers as f64;
+        let deviation =
+            seen.iter().map(|times| (times - mean).powi(2)).sum::<f64>() / servers as f64;
         let most = seen.iter().copied().fold(0.0, f64::max);
         let began = Instant::now();
         for id in 0..servers {
--- a/crates/candidates/src/budget.rs
+++ b/crates/candidates/src/budget.rs
@@ -14,7 +14,12 @@
 impl Budget {
     /// A full budget.
     pub fn new(per_second: f64, burst: f64) -> Self {
-        Budget { per_second, burst, left: burst, as_of: 0 }
+        Budget {
+            per_second,
+            burst,
+            left: burst,
+            as_of: 0,
+        }
     }
 
     /// What may be taken now. A clock that goes back brings nothing.
--- a/crates/candidates/src/long_list.rs
+++ b/crates/candidates/src/long_list.rs
@@ -31,7 +31,12 @@
 impl Default for LongList {
     fn default() -> Self {
         let (walks, sweeps) = (Budget::new(WALKS, WALKS), Budget::new(SWEEPS, 1.0));
-        LongList { candidates: Candidates::default(), walks, sweeps, probes: ProbeQueue::default() }
+        LongList {
+            candidates: Candidates::default(),
+            walks,
+            sweeps,
+            probes: ProbeQueue::default(),
+        }
     }
 }
 
--- a/crates/candidates/src/probes.rs
+++ b/crates/candidates/src/probes.rs
@@ -36,7 +36,13 @@
     fn default() -> Self {
         let half = Budget::new(EACH_HALF, EACH_HALF);
         let (wanted, urgent) = (Vec::new(), BTreeSet::new());
-        ProbeQueue { for_flows: half, for_own: half, wanted, urgent, cursor: 0 }
+        ProbeQueue {
+            for_flows: half,
+            for_own: half,
+            wanted,
+            urgent,
+            cursor: 0,
+        }
     }
 }
 
@@ -67,7 +73,11 @@
         last_figure: impl Fn(ServerId) -> Option<u64>,
     ) -> Vec<ServerId> {
         let mut probes = std::mem::take(&mut self.wanted);
-        let urgent = self.urgent.range(..=(now, ServerId::MAX)).take(LOOKED_AT).copied();
+        let urgent = self
+            .urgent
+            .range(..=(now, ServerId::MAX))
+            .take(LOOKED_AT)
+            .copied();
         let mut entries: Vec<(u64, ServerId)> = urgent.collect();
         entries.extend(self.by_own_load(now, own, connections, &last_figure));
         for entry in entries {
--- a/crates/candidates/src/ring.rs
+++ b/crates/candidates/src/ring.rs
@@ -24,13 +24,17 @@
     /// How many points came.
     pub(crate) fn insert(&mut self, server: ServerId, weight: f64) -> usize {
         self.servers.insert(server);
-        points_of(server, weight).filter(|point| self.points.insert(*point)).count()
+        points_of(server, weight)
+            .filter(|point| self.points.insert(*point))
+            .count()
     }
 
     /// How many points went.
     pub(crate) fn remove(&mut self, server: ServerId, weight: f64) -> usize {
         self.servers.remove(&server);
-        points_of(server, weight).filter(|point| self.points.remove(point)).count()
+        points_of(server, weight)
+            .filter(|point| self.points.remove(point))
+            .count()
     }
 
     /// The sum of weights, in points: an integer, so that it doesn't depend on the order of changes.
@@ -53,12 +57,17 @@
             new
         };
         // Once all have been met, the rest of the circle is not walked.
-        circle.map(|(_, server)| *server).filter(is_new).take(self.servers.len())
+        circle
+            .map(|(_, server)| *server)
+            .filter(is_new)
+            .take(self.servers.len())
     }
 }
 
 fn points_of(server: ServerId, weight: f64) -> impl Iterator<Item = (u64, ServerId)> {
-    let count = (POINTS * usable_weight(weight)).round().clamp(1.0, MOST_POINTS) as u64;
+    let count = (POINTS * usable_weight(weight))
+        .round()
+        .clamp(1.0, MOST_POINTS) as u64;
     let base = hash(server);
     (0..count).map(move |point| (hash(base.wrapping_add(point)), server))
 }
--- a/crates/candidates/src/zones.rs
+++ b/crates/candidates/src/zones.rs
@@ -36,8 +36,12 @@
 
     /// Takes a server out, if it is known, and tells how many points of rings changed.
     pub fn remove(&mut self, server: ServerId) -> usize {
-        let Some((zone, weight)) = self.members.remove(&server) else { return 0 };
-        let Some(ring) = self.zones.get_mut(&zone) else { return 0 };
+        let Some((zone, weight)) = self.members.remove(&server) else {
+            return 0;
+        };
+        let Some(ring) = self.zones.get_mut(&zone) else {
+            return 0;
+        };
         let removed = ring.remove(server, weight);
         if ring.is_empty() {
             self.zones.remove(&zone);
@@ -67,16 +71,24 @@
 
     /// The first of [`Self::candidates`]: those in the own zone.
     pub fn near(&self, key: u64, zone: ZoneId, count: usize) -> Vec<ServerId> {
-        let near = if self.zones.len() > 1 { count - count / ONE_FAR_IN } else { count };
-        self.zones.get(&zone).map(|ring| ring.clockwise(key).take(near).collect()).unwrap_or_default()
+        let near = if self.zones.len() > 1 {
+            count - count / ONE_FAR_IN
+        } else {
+            count
+        };
+        self.zones
+            .get(&zone)
+            .map(|ring| ring.clockwise(key).take(near).collect())
+            .unwrap_or_default()
     }
 
     /// Adds servers of other zones, up to `count` in all: one of each zone in the key's order of zones, then
     /// the second of each, and so on.
     fn add_far(&self, found: &mut Vec<ServerId>, key: u64, own: ZoneId, count: usize) {
         let others = self.zones.iter().filter(|(zone, _)| **zone != own);
-        let mut ranked: Vec<(f64, &Ring)> =
-            others.map(|(zone, ring)| (distance(key, *zone, ring.weight()), ring)).collect();
+        let mut ranked: Vec<(f64, &Ring)> = others
+            .map(|(zone, ring)| (distance(key, *zone, ring.weight()), ring))
+            .collect();
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
         // A walk begins only where its first server is needed.
         let mut walks = Vec::new();
@@ -87,7 +99,12 @@
         }
         while found.len() < count {
             let before = found.len();
-            found.extend(walks.iter_mut().filter_map(Iterator::next).take(count - before));
+            found.extend(
+                walks
+                    .iter_mut()
+                    .filter_map(Iterator::next)
+                    .take(count - before),
+            );
             if found.len() == before {
                 break;
             }
--- a/crates/candidates/tests/budget.rs
+++ b/crates/candidates/tests/budget.rs
@@ -9,7 +9,9 @@
     let mut budget = Budget::new(10.0, 5.0);
     let at_once = (0..100).filter(|_| budget.take(0, 1.0)).count();
     assert_eq!(at_once, 5);
-    let in_a_minute = (1..=60_000).filter(|ms| budget.take(ms * SEC / 1_000, 1.0)).count();
+    let in_a_minute = (1..=60_000)
+        .filter(|ms| budget.take(ms * SEC / 1_000, 1.0))
+        .count();
     assert!((598..=601).contains(&in_a_minute), "{in_a_minute}");
 }
 
--- a/crates/candidates/tests/long_list.rs
+++ b/crates/candidates/tests/long_list.rs
@@ -21,7 +21,11 @@
         for key in 0..200 {
             let zone = key % ZONES;
             assert!(list.scope(key, zone, false, [].into_iter()).len() <= 12);
-            assert_eq!(list.scope(key, zone, true, [].into_iter()).len(), 16, "{servers} servers");
+            assert_eq!(
+                list.scope(key, zone, true, [].into_iter()).len(),
+                16,
+                "{servers} servers"
+            );
             // A group held on every server, with ten connections on each.
             let held: BTreeMap<ServerId, usize> = (0..servers).map(|id| (id, 10)).collect();
             let looked_at = list.scope(key, zone, true, held.iter()).len();
@@ -42,7 +46,10 @@
         assert!(scope.contains(&5_999) && scope.is_sorted());
         scope.len()
     });
-    assert!(sizes.is_sorted() && sizes[0] < sizes[3] && sizes[4] <= 49, "{sizes:?}");
+    assert!(
+        sizes.is_sorted() && sizes[0] < sizes[3] && sizes[4] <= 49,
+        "{sizes:?}"
+    );
 }
 
 #[test]
@@ -56,9 +63,13 @@
 #[test]
 fn the_whole_list_is_walked_seldom() {
     let mut list = long_list(600);
-    let walks = (0..10_000).filter(|ms| list.may_walk(ms * SEC / 1_000)).count();
+    let walks = (0..10_000)
+        .filter(|ms| list.may_walk(ms * SEC / 1_000))
+        .count();
     assert!((20..=22).contains(&walks), "{walks} in 10 s");
-    let sweeps = (0..60_000).filter(|ms| list.may_sweep(ms * SEC / 1_000)).count();
+    let sweeps = (0..60_000)
+        .filter(|ms| list.may_sweep(ms * SEC / 1_000))
+        .count();
     assert!((6..=7).contains(&sweeps), "{sweeps} in a minute");
 }
 
@@ -76,7 +87,14 @@
     let mut probed: BTreeMap<ServerId, Vec<u64>> = BTreeMap::new();
     for tick in 1..=seconds * 4 {
         let now = 100 * SEC + tick * TICK;
-        let last = |id| Some(probed.get(&id).and_then(|at| at.last().copied()).unwrap_or(0));
+        let last = |id| {
+            Some(
+                probed
+                    .get(&id)
+                    .and_then(|at| at.last().copied())
+                    .unwrap_or(0),
+            )
+        };
         for server in queue.next(now, own, |held| *held, last) {
             probed.entry(server).or_default().push(now);
         }
@@ -87,12 +105,21 @@
 #[test]
 fn largest_own_load_is_probed_most_and_nobody_is_left_out() {
     let mut queue = ProbeQueue::default();
-    let own: BTreeMap<ServerId, usize> = (0..100).map(|id| (id, if id == 42 { 100 } else { 5 })).collect();
+    let own: BTreeMap<ServerId, usize> = (0..100)
+        .map(|id| (id, if id == 42 { 100 } else { 5 }))
+        .collect();
     let probed = play(&mut queue, &own, 100);
     let total: usize = probed.values().map(Vec::len).sum();
-    assert!((490..=510).contains(&total), "half of the budget: {total} in 100 s");
+    assert!(
+        (490..=510).contains(&total),
+        "half of the budget: {total} in 100 s"
+    );
     assert_eq!(probed.len(), 100, "each is probed");
-    assert!(probed[&42].len() > 20, "{} probes of the largest", probed[&42].len());
+    assert!(
+        probed[&42].len() > 20,
+        "{} probes of the largest",
+        probed[&42].len()
+    );
 }
 
 #[test]
@@ -106,7 +133,9 @@
     // The budget allows one or two a tick: nobody else comes between them.
     assert_eq!(probed[&5_000][0], first);
     assert!(probed[&5_001][0] <= first + TICK);
-    let gaps = probed.values().flat_map(|at| at.windows(2).map(|pair| pair[1] - pair[0]));
+    let gaps = probed
+        .values()
+        .flat_map(|at| at.windows(2).map(|pair| pair[1] - pair[0]));
     assert!(gaps.min().is_none_or(|least| least >= 2 * SEC));
 }
 
@@ -115,8 +144,20 @@
     let mut queue = ProbeQueue::default();
     queue.watch(0, 1);
     let own = BTreeMap::from([(1, 5), (2, 5)]);
-    assert_eq!(queue.next(100 * SEC, &own, |held| *held, |id| (id == 2).then_some(0)), [2]);
-    assert!(queue.next(200 * SEC, &BTreeMap::<ServerId, usize>::new(), |held| *held, |_| None).is_empty());
+    assert_eq!(
+        queue.next(100 * SEC, &own, |held| *held, |id| (id == 2).then_some(0)),
+        [2]
+    );
+    assert!(
+        queue
+            .next(
+                200 * SEC,
+                &BTreeMap::<ServerId, usize>::new(),
+                |held| *held,
+                |_| None
+            )
+            .is_empty()
+    );
 }
 
 #[test]
@@ -127,7 +168,12 @@
     for tick in 0..80 {
         let now = 100 * SEC + tick * TICK;
         paid += (0..20).filter(|_| queue.pay(now, 1)).count();
-        sent.extend(queue.next(now, &own, |held| *held, |id| Some(if sent.contains(&id) { now } else { 0 })));
+        sent.extend(queue.next(
+            now,
+            &own,
+            |held| *held,
+            |id| Some(if sent.contains(&id) { now } else { 0 }),
+        ));
     }
     assert!((100..=105).contains(&paid), "{paid} in 20 s");
     assert!((100..=105).contains(&sent.len()), "{} in 20 s", sent.len());
--- a/crates/core/src/book.rs
+++ b/crates/core/src/book.rs
@@ -37,7 +37,12 @@
 
 impl Book {
     pub fn open(core: &Arc<Core>, flow: &Flow, caller: Caller, id: Id) -> Self {
-        let Flow { id: number, taken, give_up, .. } = *flow;
+        let Flow {
+            id: number,
+            taken,
+            give_up,
+            ..
+        } = *flow;
         Book {
             core: core.clone(),
             id: number,
@@ -71,18 +76,52 @@
     pub fn established(&mut self, target: &Target) {
         self.owed = false;
         let took = clock::now().saturating_sub(self.taken);
-        debug!(id = self.id, server = target.server.name, took_ms = took / MS, "established");
-        self.tell(Ask::Established { flow: self.id, took });
+        debug!(
+            id = self.id,
+            server = target.server.name,
+            took_ms = took / MS,
+            "established"
+        );
+        self.tell(Ask::Established {
+            flow: self.id,
+            took,
+        });
     }
 
-    pub fn ended(&self, target: &Target, Ended { end, never_ran, report }: Ended) {
+    pub fn ended(
+        &self,
+        target: &Target,
+        Ended {
+            end,
+            never_ran,
+            report,
+        }: Ended,
+    ) {
         let left_ms = self.give_up.saturating_sub(clock::now()) / MS;
-        info!(id = self.id, server = target.server.name, ?end, never_ran, left_ms, "connect ended");
-        self.tell(Ask::Ended { flow: self.id, rs: target.rs, number: target.number, end, never_ran, report });
+        info!(
+            id = self.id,
+            server = target.server.name,
+            ?end,
+            never_ran,
+            left_ms,
+            "connect ended"
+        );
+        self.tell(Ask::Ended {
+            flow: self.id,
+            rs: target.rs,
+            number: target.number,
+            end,
+            never_ran,
+            report,
+        });
     }
 
     pub fn reject(&mut self, come_back: Option<Time>) {
-        info!(id = self.id, come_back_ms = come_back.map(|after| after / MS), "rejected");
+        info!(
+            id = self.id,
+            come_back_ms = come_back.map(|after| after / MS),
+            "rejected"
+        );
         self.answer(wire::rejected(come_back).as_bytes());
     }
 
@@ -114,7 +153,11 @@
             return;
         }
         // A client that has closed takes nothing.
-        let written = self.caller.socket.write(self.unwritten).unwrap_or(self.unwritten.len());
+        let written = self
+            .caller
+            .socket
+            .write(self.unwritten)
+            .unwrap_or(self.unwritten.len());
         self.unwritten = &self.unwritten[written..];
         if self.unwritten.is_empty() {
             self.caller.socket.end_sending();
@@ -125,7 +168,9 @@
     /// the connection, and the answer with it.
     pub fn finish_left(&mut self) {
         let until = clock::now() + LINGER;
-        let _ = self.caller.write(std::mem::take(&mut self.unwritten), until);
+        let _ = self
+            .caller
+            .write(std::mem::take(&mut self.unwritten), until);
         self.caller.finish(until);
     }
 
@@ -174,7 +219,9 @@
         });
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        client.set_read_timeout(Some(std::time::Duration::from_secs(2))).unwrap();
+        client
+            .set_read_timeout(Some(std::time::Duration::from_secs(2)))
+            .unwrap();
         let stream = listener.accept().unwrap().0;
         stream.set_nonblocking(true).unwrap();
         let slot = descriptors.take(0).unwrap();
@@ -182,7 +229,11 @@
         // Guards against a flow that is opened under another's id, also once that has ended.
         assert!(core.ids.take("9b1f").is_none());
         let ids = core.ids.clone();
-        let flow = Flow { id: 5, give_up: Time::MAX, ..Flow::default() };
+        let flow = Flow {
+            id: 5,
+            give_up: Time::MAX,
+            ..Flow::default()
+        };
         let panicked = may::go!(move || {
             let _book = Book::open(&core, &flow, Caller::new(stream, slot), id);
             panic!("on purpose");
@@ -192,7 +243,9 @@
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
         assert_eq!(answer.as_bytes(), wire::ABORTED);
-        let told = may::go!(move || asks.next(clock::now() + 1000 * MS)).join().unwrap();
+        let told = may::go!(move || asks.next(clock::now() + 1000 * MS))
+            .join()
+            .unwrap();
         assert!(matches!(told, Some(Ask::Over { flow: 5 })));
         let until = clock::now() + 1000 * MS;
         while descriptors.open() > 0 {
--- a/crates/core/src/chain.rs
+++ b/crates/core/src/chain.rs
@@ -12,7 +12,14 @@
 
 /// One flow, from its admission on, until its connection has ended.
 pub fn serve(core: &Arc<Core>, admitted: Admitted) {
-    let Admitted { flow, who, at, caller, line, id } = admitted;
+    let Admitted {
+        flow,
+        who,
+        at,
+        caller,
+        line,
+        id,
+    } = admitted;
     let mut book = Book::open(core, &flow, caller, id);
     let asked = route::ask(core, &mut book, flow.clone(), who, at.as_deref());
     loop {
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -11,7 +11,9 @@
 pub fn now() -> Time {
     static START: OnceLock<(Instant, Time)> = OnceLock::new();
     let (instant, unix) = START.get_or_init(|| {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         (Instant::now(), unix.as_nanos() as Time)
     });
     unix + instant.elapsed().as_nanos() as Time
--- a/crates/core/src/desk.rs
+++ b/crates/core/src/desk.rs
@@ -161,7 +161,11 @@
             // Something is due soon while ending.
             let ending = self.terminated.map(|_| now + STEP);
             let descriptor = self.prober.waits().then_some(now + DESCRIPTOR);
-            let until = [self.due, ending, descriptor].into_iter().flatten().min().unwrap_or(now + SEC);
+            let until = [self.due, ending, descriptor]
+                .into_iter()
+                .flatten()
+                .min()
+                .unwrap_or(now + SEC);
             let ask = self.asks.next(until);
             if let Some(Ask::Broken(part)) = ask {
                 return Err(part);
@@ -200,7 +204,13 @@
     fn handle(&mut self, now: Time, ask: Ask) {
         match ask {
             Ask::Place { flow, who, mail } => {
-                self.clients.insert(flow.id, Client { mail, inherited: None });
+                self.clients.insert(
+                    flow.id,
+                    Client {
+                        mail,
+                        inherited: None,
+                    },
+                );
                 self.acts(now, |hand, acts| hand.take(now, flow, who, acts));
             }
             Ask::Inherit { flow, at, mail } => {
@@ -209,25 +219,46 @@
                 let order = match self.servers.get(&rs) {
                     // Nobody is waited for any more.
                     _ if self.last_answer_passed => Order::Abort,
-                    Some(server) => {
-                        Order::Connect(Target { rs, number: 0, server: server.clone(), until, by })
-                    }
+                    Some(server) => Order::Connect(Target {
+                        rs,
+                        number: 0,
+                        server: server.clone(),
+                        until,
+                        by,
+                    }),
                     None => Order::NotListed,
                 };
                 mail.send(Event::Order(order));
-                self.clients.insert(flow.id, Client { mail, inherited: Some((flow, rs)) });
+                self.clients.insert(
+                    flow.id,
+                    Client {
+                        mail,
+                        inherited: Some((flow, rs)),
+                    },
+                );
             }
             Ask::Established { flow, took } => {
-                let Some(client) = self.clients.get_mut(&flow) else { return };
+                let Some(client) = self.clients.get_mut(&flow) else {
+                    return;
+                };
                 match client.inherited.take() {
                     Some((flow, rs)) => self.hand.inherit(flow, rs),
                     None => self.acts(now, |hand, acts| hand.established(now, flow, took, acts)),
                 }
             }
-            Ask::Ended { flow, rs, number, end, never_ran, report } => {
+            Ask::Ended {
+                flow,
+                rs,
+                number,
+                end,
+                never_ran,
+                report,
+            } => {
                 let how = (end, never_ran);
                 if self.clients.contains_key(&flow) {
-                    self.acts(now, |hand, acts| hand.ended(now, (flow, number), rs, how, report, acts));
+                    self.acts(now, |hand, acts| {
+                        hand.ended(now, (flow, number), rs, how, report, acts)
+                    });
                 }
             }
             Ask::Load { flow, load } => self.hand.told_load(flow, load),
@@ -247,8 +278,18 @@
             Ask::ListFailed => self.hand.list_failed(now),
             Ask::Heard(word) => {
                 // One that our list doesn't name is none of ours.
-                if let Some(rs) = self.ids.known(&word.server).filter(|rs| self.servers.contains_key(rs)) {
-                    self.hand.heard(now, Holds { group: word.group, rs });
+                if let Some(rs) = self
+                    .ids
+                    .known(&word.server)
+                    .filter(|rs| self.servers.contains_key(rs))
+                {
+                    self.hand.heard(
+                        now,
+                        Holds {
+                            group: word.group,
+                            rs,
+                        },
+                    );
                 }
             }
             Ask::Change(settings) => self.change(*settings),
@@ -272,7 +313,9 @@
         match settings.policy(self.given.seed, self.given.margin, true) {
             Ok(policy) => {
                 self.hand.change(policy);
-                self.given.answer_deadline.reload(clock::now(), settings.longest_wait());
+                self.given
+                    .answer_deadline
+                    .reload(clock::now(), settings.longest_wait());
             }
             Err(why) => error!(%why, "settings that can't be used; the old ones hold"),
         }
@@ -307,8 +350,11 @@
                     }
                     let hall = self.halls.number(&entry.zone);
                     info!(server = entry.name, address = %entry.address, state = ?entry.state, zone = entry.zone, hall, "list: new");
-                    let server =
-                        Server { name: entry.name, address: entry.address, ready: AtomicBool::new(ready) };
+                    let server = Server {
+                        name: entry.name,
+                        address: entry.address,
+                        ready: AtomicBool::new(ready),
+                    };
                     self.servers.insert(rs, Arc::new(server));
                 }
             }
@@ -328,7 +374,8 @@
         }
         let servers = &self.servers;
         self.prober.keep(|rs| servers.contains_key(&rs));
-        self.starts.keep(servers.len(), |rs| servers.contains_key(&rs));
+        self.starts
+            .keep(servers.len(), |rs| servers.contains_key(&rs));
         self.hand.list(now, &listed, whole);
     }
 
@@ -336,7 +383,10 @@
     fn acts(&mut self, now: Time, ask: impl FnOnce(&mut Hand, &mut Vec<Act>)) {
         let mut acts = Vec::new();
         ask(&mut self.hand, &mut acts);
-        let moves = acts.iter().filter(|act| matches!(act, Act::Move { .. })).count();
+        let moves = acts
+            .iter()
+            .filter(|act| matches!(act, Act::Move { .. }))
+            .count();
         if moves > 0 {
             info!(count = moves, "moving connections off a hot server");
         }
@@ -347,13 +397,31 @@
 
     fn carry_out(&mut self, now: Time, act: Act) {
         match act {
-            Act::Connect { flow, rs, number, limit, by } => match self.servers.get(&rs) {
+            Act::Connect {
+                flow,
+                rs,
+                number,
+                limit,
+                by,
+            } => match self.servers.get(&rs) {
                 Some(server) => {
                     let (server, until, by) = (server.clone(), now + limit, now + by);
-                    self.order(flow, Order::Connect(Target { rs, number, server, until, by }));
+                    self.order(
+                        flow,
+                        Order::Connect(Target {
+                            rs,
+                            number,
+                            server,
+                            until,
+                            by,
+                        }),
+                    );
                 }
                 None => {
-                    warn!(id = flow, rs, "the module names a server without an address");
+                    warn!(
+                        id = flow,
+                        rs, "the module names a server without an address"
+                    );
                     self.hand.settle(flow);
                     self.order(flow, Order::Abort);
                 }
@@ -371,7 +439,10 @@
             Act::AskList => {}
             Act::Tell(Holds { group, rs }) => {
                 if let (Some(words), Some(server)) = (&self.words, self.servers.get(&rs)) {
-                    words.send(Word { group, server: server.name.clone() });
+                    words.send(Word {
+                        group,
+                        server: server.name.clone(),
+                    });
                 }
             }
         }
@@ -419,7 +490,10 @@
                 self.order(id, Order::TimeUp);
             }
             // The hand knows none of those that were open before the run and are not yet again.
-            let waiting = self.clients.iter().filter(|(_, client)| client.inherited.is_some());
+            let waiting = self
+                .clients
+                .iter()
+                .filter(|(_, client)| client.inherited.is_some());
             waiting.for_each(|(_, client)| client.mail.send(Event::Order(Order::TimeUp)));
         }
         let all_said = self.clients.is_empty() && self.given.lobby.open() == 0;
@@ -436,10 +510,19 @@
         let names = ["s-5be2a07c", "s-023359c9", "s-02bf5bf7", ""];
         let (mut one, mut other) = (Names::default(), Names::default());
         let numbers = names.map(|name| one.lasting(name));
-        let reversed: Vec<u64> = names.iter().rev().map(|name| other.lasting(name)).rev().collect();
+        let reversed: Vec<u64> = names
+            .iter()
+            .rev()
+            .map(|name| other.lasting(name))
+            .rev()
+            .collect();
         assert_eq!(numbers.as_slice(), reversed);
         assert_eq!(names.map(|name| one.lasting(name)), numbers);
-        assert_eq!(one.lasting("a"), 0xaf63_dc4c_8601_ec8c, "the published value");
+        assert_eq!(
+            one.lasting("a"),
+            0xaf63_dc4c_8601_ec8c,
+            "the published value"
+        );
         // Two names with one number stay two servers.
         let mut taken = Names(HashMap::from([("another".to_string(), numbers[0])]));
         assert_eq!(taken.lasting(names[0]), numbers[0] + 1);
--- a/crates/core/src/discovery.rs
+++ b/crates/core/src/discovery.rs
@@ -182,9 +182,24 @@
         let from = self.version.filter(|_| !after_restart);
         // A call that begins a watch there isn't held, so that its wait in the queue is all that it takes.
         let queued = self.begins && ask_within.is_some();
-        let hold = if queued || from.is_none() { 0 } else { WATCH_HOLD };
-        let timeout = if queued { QUEUE_TIMEOUT } else { ANSWER_TIMEOUT };
-        Request { started, from, hold, deadline: started + hold + timeout, after_restart, ask_within }
+        let hold = if queued || from.is_none() {
+            0
+        } else {
+            WATCH_HOLD
+        };
+        let timeout = if queued {
+            QUEUE_TIMEOUT
+        } else {
+            ANSWER_TIMEOUT
+        };
+        Request {
+            started,
+            from,
+            hold,
+            deadline: started + hold + timeout,
+            after_restart,
+            ask_within,
+        }
     }
 
     fn call(&mut self, location: &Location, request: &Request) -> Result<ListUpdate, CallError> {
@@ -198,7 +213,8 @@
             }
         };
         let (path, host) = (request.path(), location.address);
-        let text = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+        let text =
+            format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
         connection.write(text.as_bytes(), request.deadline)?;
         let response = http::read_response(&connection, &self.context.buffers, request.deadline)?;
         let update = list::parse(&response.body).map_err(http::invalid)?;
@@ -209,7 +225,11 @@
     }
 
     fn connect(&self, location: &Location, deadline: Time) -> Result<Caller, CallError> {
-        let slot = self.context.descriptors.take(0).ok_or(CallError::NoDescriptor)?;
+        let slot = self
+            .context
+            .descriptors
+            .take(0)
+            .ok_or(CallError::NoDescriptor)?;
         let mailbox = Mailbox::new();
         if !self.context.agent.notify(mailbox.sender(), location) {
             return Err(CallError::Moved);
@@ -219,7 +239,11 @@
 
     /// Takes over what a call has brought.
     fn updated(&mut self, update: ListUpdate, request: &Request) {
-        let ListUpdate { version, whole, entries } = update;
+        let ListUpdate {
+            version,
+            whole,
+            entries,
+        } = update;
         if self.failed > 0 {
             info!(failed = self.failed, "discovery answers again");
         }
@@ -246,7 +270,11 @@
     /// Notes a call that failed; how long to wait before the next.
     fn failed(&mut self, error: &ConnectionError, request: &Request) -> Time {
         let malformed = matches!(error, ConnectionError::Malformed(_));
-        let failure = if malformed { Failure::BadAnswer } else { Failure::NoAnswer };
+        let failure = if malformed {
+            Failure::BadAnswer
+        } else {
+            Failure::NoAnswer
+        };
         self.connection = None;
         if self.failed == 0 {
             warn!(%error, "discovery fails");
@@ -255,7 +283,12 @@
         self.restarted |= ended(error);
         let took = clock::now() - request.started;
         let pause = request.ask_within.map_or(RETRY_MIN, |ask_within| {
-            pause(took, self.failed, pause_limit(failure, took, ask_within), &mut self.rng)
+            pause(
+                took,
+                self.failed,
+                pause_limit(failure, took, ask_within),
+                &mut self.rng,
+            )
         });
         debug!(%error, path = request.path(), took_ms = took / MS, pause_ms = pause / MS, "no list");
         self.failed = self.failed.saturating_add(1);
--- a/crates/core/src/discovery/agent.rs
+++ b/crates/core/src/discovery/agent.rs
@@ -23,7 +23,13 @@
 
 impl Agent {
     pub fn new(address: SocketAddr) -> Arc<Self> {
-        Arc::new(Agent { current: Mutex::new(Location { address, moves: 0, notifier: None }) })
+        Arc::new(Agent {
+            current: Mutex::new(Location {
+                address,
+                moves: 0,
+                notifier: None,
+            }),
+        })
     }
 
     /// From now on the agent is there: a call that is held elsewhere is dropped.
--- a/crates/core/src/discovery/backoff.rs
+++ b/crates/core/src/discovery/backoff.rs
@@ -48,7 +48,11 @@
     let longest = span.min(limit).max(RETRY_MIN);
     let mut draw = || rng.generate_range(RETRY_MIN..=longest);
     // Where the span can grow no more the pause still does, by the later of two draws.
-    if failed > 0 && span > limit { draw().max(draw()) } else { draw() }
+    if failed > 0 && span > limit {
+        draw().max(draw())
+    } else {
+        draw()
+    }
 }
 
 #[cfg(test)]
--- a/crates/core/src/discovery/backoff/tests.rs
+++ b/crates/core/src/discovery/backoff/tests.rs
@@ -14,11 +14,19 @@
         (Time::MAX, u32::MAX, 10 * SEC),
     ] {
         // More draws than it takes to meet each tenth of the span by the later of two.
-        let drawn: Vec<Time> = (0..2000).map(|_| pause(took, failed, 10 * SEC, &mut rng)).collect();
+        let drawn: Vec<Time> = (0..2000)
+            .map(|_| pause(took, failed, 10 * SEC, &mut rng))
+            .collect();
         let (least, longest) = (drawn.iter().min().unwrap(), drawn.iter().max().unwrap());
-        assert!(*least >= RETRY_MIN && *longest <= most, "{took}, {failed}: {least} to {longest}");
+        assert!(
+            *least >= RETRY_MIN && *longest <= most,
+            "{took}, {failed}: {least} to {longest}"
+        );
         // Spread over the whole span, not all at its end.
-        assert!(most == RETRY_MIN || *least < most / 10 && *longest > most / 10 * 9, "{least} to {longest}");
+        assert!(
+            most == RETRY_MIN || *least < most / 10 && *longest > most / 10 * 9,
+            "{least} to {longest}"
+        );
     }
 }
 
@@ -28,14 +36,26 @@
     let mut rng = WyRand::new_seed(11);
     for failure in [Failure::NoAnswer, Failure::BadAnswer] {
         for took in [0, MS, 500 * MS, 1500 * MS, 2 * SEC, QUEUE_TIMEOUT] {
-            for (ask_within, failed) in [(5 * SEC, 0), (10 * SEC, 3), (Time::MAX, u32::MAX), (SEC, 1)] {
+            for (ask_within, failed) in
+                [(5 * SEC, 0), (10 * SEC, 3), (Time::MAX, u32::MAX), (SEC, 1)]
+            {
                 let limit = pause_limit(failure, took, ask_within);
                 assert!((RETRY_MIN..=ask_within).contains(&limit));
-                let longest = (0..500).map(|_| pause(took, failed, limit, &mut rng)).max().unwrap();
+                let longest = (0..500)
+                    .map(|_| pause(took, failed, limit, &mut rng))
+                    .max()
+                    .unwrap();
                 // Discovery may have returned as soon as the failed call was out; one that answered had returned then.
-                let since = if failure == Failure::NoAnswer { took } else { 0 };
+                let since = if failure == Failure::NoAnswer {
+                    took
+                } else {
+                    0
+                };
                 let told = since + longest + QUEUE_TIMEOUT;
-                assert!(told < TOLD_AFTER - 100 * MS, "{failure:?} {took} {failed}: {told}");
+                assert!(
+                    told < TOLD_AFTER - 100 * MS,
+                    "{failure:?} {took} {failed}: {told}"
+                );
             }
         }
     }
@@ -57,7 +77,11 @@
         }
         turned_away += 1;
         let limit = pause_limit(Failure::BadAnswer, patience, 10 * SEC);
-        calls.insert((now + patience + pause(patience, failed, limit, rng), caller, failed + 1));
+        calls.insert((
+            now + patience + pause(patience, failed, limit, rng),
+            caller,
+            failed + 1,
+        ));
     }
     (answered, turned_away)
 }
@@ -69,9 +93,15 @@
     for seed in 0..50 {
         let mut rng = WyRand::new_seed(seed);
         let (answered, _) = hundred_calls(30, &mut rng);
-        assert!(answered.len() == 100 && answered.iter().all(|at| *at < TOLD_AFTER), "seed {seed}");
+        assert!(
+            answered.len() == 100 && answered.iter().all(|at| *at < TOLD_AFTER),
+            "seed {seed}"
+        );
         let (answered, turned_away) = hundred_calls(18, &mut rng);
-        assert!(answered.len() == 100 && turned_away < 400, "seed {seed}: {turned_away} turned away");
+        assert!(
+            answered.len() == 100 && turned_away < 400,
+            "seed {seed}: {turned_away} turned away"
+        );
     }
 }
 
--- a/crates/core/src/discovery/http.rs
+++ b/crates/core/src/discovery/http.rs
@@ -59,7 +59,12 @@
     buffers: &Arc<Buffers>,
     deadline: Time,
 ) -> Result<Response, ConnectionError> {
-    let mut reader = Reader { connection, buffer: buffers.take(), held: Vec::new(), deadline };
+    let mut reader = Reader {
+        connection,
+        buffer: buffers.take(),
+        held: Vec::new(),
+        deadline,
+    };
     let head = reader.head()?;
     reader.held.drain(..head.length);
     match head.framing {
@@ -92,12 +97,18 @@
         // More than it told is the answer to nothing.
         let keep_alive = keep_alive && self.held.len() == length;
         self.held.truncate(length);
-        Ok(Response { body: self.held, keep_alive })
+        Ok(Response {
+            body: self.held,
+            keep_alive,
+        })
     }
 
     fn body_until_close(mut self) -> Result<Response, ConnectionError> {
         while self.read()? == Progress::More {}
-        Ok(Response { body: self.held, keep_alive: false })
+        Ok(Response {
+            body: self.held,
+            keep_alive: false,
+        })
     }
 
     fn chunks(mut self, keep_alive: bool) -> Result<Response, ConnectionError> {
@@ -112,7 +123,10 @@
             body.extend_from_slice(&self.held[start..end]);
             self.held.drain(..end + CHUNK_END);
             if size == 0 {
-                return Ok(Response { body, keep_alive: keep_alive && self.held.is_empty() });
+                return Ok(Response {
+                    body,
+                    keep_alive: keep_alive && self.held.is_empty(),
+                });
             }
         }
     }
@@ -120,7 +134,9 @@
     /// Where the next chunk begins and how long it is.
     fn chunk_size(&mut self) -> Result<(usize, usize), ConnectionError> {
         loop {
-            match httparse::parse_chunk_size(&self.held).map_err(|_| invalid("a chunk has no size"))? {
+            match httparse::parse_chunk_size(&self.held)
+                .map_err(|_| invalid("a chunk has no size"))?
+            {
                 // Before it is added to: guards against a size that the sum runs over at.
                 Status::Complete((_, size)) if size > RESPONSE_MAX as u64 => {
                     return Err(invalid("a chunk is too long"));
@@ -153,7 +169,11 @@
         if self.held.len() > RESPONSE_MAX {
             return Err(invalid("the answer is too long"));
         }
-        Ok(if count > 0 { Progress::More } else { Progress::End })
+        Ok(if count > 0 {
+            Progress::More
+        } else {
+            Progress::End
+        })
     }
 }
 
@@ -161,7 +181,10 @@
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, ConnectionError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut response = httparse::Response::new(&mut headers);
-    let length = match response.parse(bytes).map_err(|error| invalid(error.to_string()))? {
+    let length = match response
+        .parse(bytes)
+        .map_err(|error| invalid(error.to_string()))?
+    {
         Status::Complete(length) => length,
         Status::Partial => return Ok(None),
     };
@@ -169,12 +192,24 @@
         return Err(invalid(format!("answered {}", response.code.unwrap_or(0))));
     }
     let header = |name: &str| {
-        let found = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
-        found.map(|header| String::from_utf8_lossy(header.value).trim().to_ascii_lowercase())
+        let found = response
+            .headers
+            .iter()
+            .find(|header| header.name.eq_ignore_ascii_case(name));
+        found.map(|header| {
+            String::from_utf8_lossy(header.value)
+                .trim()
+                .to_ascii_lowercase()
+        })
     };
     let framing = framing(header("transfer-encoding"), header("content-length"))?;
-    let keep_alive = response.version == Some(1) && header("connection").as_deref() != Some("close");
-    Ok(Some(Head { length, framing, keep_alive }))
+    let keep_alive =
+        response.version == Some(1) && header("connection").as_deref() != Some("close");
+    Ok(Some(Head {
+        length,
+        framing,
+        keep_alive,
+    }))
 }
 
 fn framing(
@@ -186,7 +221,9 @@
         (Some(coding), _) => Err(invalid(format!("unknown transfer coding '{coding}'"))),
         (None, Some(length)) => {
             let length = length.parse().ok().filter(|length| *length <= RESPONSE_MAX);
-            length.map(Framing::Length).ok_or_else(|| invalid("no sane content length"))
+            length
+                .map(Framing::Length)
+                .ok_or_else(|| invalid("no sane content length"))
         }
         (None, None) => Ok(Framing::UntilClose),
     }
