--- a/crates/core/src/discovery/list.rs
+++ b/crates/core/src/discovery/list.rs
@@ -37,11 +37,28 @@
 /// # Errors
 /// Where it isn't an update at all: the reason.
 pub fn update_of(value: &Value) -> Result<ListUpdate, String> {
-    let version = value.get("generation").and_then(Value::as_u64).ok_or("'generation' is no number")?;
-    let whole = value.get("reset").and_then(Value::as_bool).ok_or("'reset' is neither true nor false")?;
-    let list = value.get("instances").and_then(Value::as_array).ok_or("'instances' is no list")?;
-    let readable = |one| entry(one).map_err(|why| warn!(why, "an entry of the list is left out")).ok();
-    Ok(ListUpdate { version, whole, entries: list.iter().filter_map(readable).collect() })
+    let version = value
+        .get("generation")
+        .and_then(Value::as_u64)
+        .ok_or("'generation' is no number")?;
+    let whole = value
+        .get("reset")
+        .and_then(Value::as_bool)
+        .ok_or("'reset' is neither true nor false")?;
+    let list = value
+        .get("instances")
+        .and_then(Value::as_array)
+        .ok_or("'instances' is no list")?;
+    let readable = |one| {
+        entry(one)
+            .map_err(|why| warn!(why, "an entry of the list is left out"))
+            .ok()
+    };
+    Ok(ListUpdate {
+        version,
+        whole,
+        entries: list.iter().filter_map(readable).collect(),
+    })
 }
 
 fn entry(value: &Value) -> Result<Entry, String> {
@@ -66,7 +83,10 @@
     if name.is_empty() {
         return Err("'instanceId' is missing".into());
     }
-    let started = value.get("startedAtMs").and_then(Value::as_u64).unwrap_or(0);
+    let started = value
+        .get("startedAtMs")
+        .and_then(Value::as_u64)
+        .unwrap_or(0);
     Ok(Entry {
         name,
         address,
--- a/crates/core/src/discovery/list/tests.rs
+++ b/crates/core/src/discovery/list/tests.rs
@@ -12,14 +12,29 @@
         {"instanceId":"s-5","hostPort":null,"lifecycle":"Terminating"},
         {"instanceId":"s-4","hostPort":"127.1.0.18:8081","lifecycle":"Asleep"}]}"#;
     let read = update_of(&serde_json::from_str(text).unwrap()).unwrap();
-    assert_eq!((read.version, read.whole, read.entries.len()), (41, true, 3));
+    assert_eq!(
+        (read.version, read.whole, read.entries.len()),
+        (41, true, 3)
+    );
     let first = &read.entries[0];
-    assert_eq!((first.name.as_str(), first.cell.as_str(), first.state), ("s-1", "3", State::Ready));
+    assert_eq!(
+        (first.name.as_str(), first.cell.as_str(), first.state),
+        ("s-1", "3", State::Ready)
+    );
     assert_eq!(first.started, 1_700_000_000_123 * MS);
-    assert_eq!((read.entries[1].name.as_str(), read.entries[1].state), ("s-3", State::Gone));
-    assert_eq!((read.entries[2].name.as_str(), read.entries[2].state), ("s-5", State::Draining));
+    assert_eq!(
+        (read.entries[1].name.as_str(), read.entries[1].state),
+        ("s-3", State::Gone)
+    );
+    assert_eq!(
+        (read.entries[2].name.as_str(), read.entries[2].state),
+        ("s-5", State::Draining)
+    );
     for bad in [r#"{}"#, r#"{"generation":1,"reset":true}"#, r#"[]"#] {
-        assert!(update_of(&serde_json::from_str(bad).unwrap()).is_err(), "{bad}");
+        assert!(
+            update_of(&serde_json::from_str(bad).unwrap()).is_err(),
+            "{bad}"
+        );
     }
 }
 
--- a/crates/core/src/mail.rs
+++ b/crates/core/src/mail.rs
@@ -45,7 +45,10 @@
 
 impl<T> Mailbox<T> {
     pub fn new() -> Self {
-        Mailbox(Arc::new(Shared { posts: SegQueue::new(), reader: OnceLock::new() }))
+        Mailbox(Arc::new(Shared {
+            posts: SegQueue::new(),
+            reader: OnceLock::new(),
+        }))
     }
 
     pub fn sender(&self) -> Sender<T> {
--- a/crates/core/src/net.rs
+++ b/crates/core/src/net.rs
@@ -145,8 +145,18 @@
         // Small lines must not wait for one another.
         let _ = stream.set_nodelay(true);
         let [closed, notified, retrying, reset] = [const { AtomicBool::new(false) }; 4];
-        let (stream, registered, slot) = (Some(Arc::new(stream)), OnceLock::new(), Mutex::new(slot));
-        let inner = Inner { stream, registered, notifier, slot, closed, notified, retrying, reset };
+        let (stream, registered, slot) =
+            (Some(Arc::new(stream)), OnceLock::new(), Mutex::new(slot));
+        let inner = Inner {
+            stream,
+            registered,
+            notifier,
+            slot,
+            closed,
+            notified,
+            retrying,
+            reset,
+        };
         let inner = Arc::new(inner);
         // Before the owner looks for the first time, so that whatever comes after that look is told.
         let _ = inner.register();
@@ -163,19 +173,33 @@
         let socket = socket2::Socket::new(Domain::for_address(to), Type::STREAM, None)?;
         uninterrupted(|| socket.set_nonblocking(true))?;
         match uninterrupted(|| socket.connect(&to.into())) {
-            Err(e) if !e.raw_os_error().is_some_and(|e| CONNECT_GOES_ON.contains(&e)) => Err(e),
+            Err(e)
+                if !e
+                    .raw_os_error()
+                    .is_some_and(|e| CONNECT_GOES_ON.contains(&e)) =>
+            {
+                Err(e)
+            }
             _ => Ok(Socket::new(socket.into(), slot, notifier)),
         }
     }
 
     /// Holds its descriptor by another right from now on.
     pub fn hold(&self, slot: Slot) {
-        *self.inner.slot.lock().unwrap_or_else(PoisonError::into_inner) = slot;
+        *self
+            .inner
+            .slot
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = slot;
     }
 
     /// The right by which it holds its descriptor.
     pub fn slot(&self) -> Slot {
-        self.inner.slot.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.inner
+            .slot
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Whether a connection that was dialled is up by now.
@@ -311,7 +335,9 @@
 
 /// Whether the system only lacks room at this moment.
 fn has_no_room(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|error| NO_ROOM_NOW.contains(&error))
+    error
+        .raw_os_error()
+        .is_some_and(|error| NO_ROOM_NOW.contains(&error))
 }
 
 /// One socket that a coroutine of its own talks over, one thing after another.
--- a/crates/core/src/parts.rs
+++ b/crates/core/src/parts.rs
@@ -47,7 +47,9 @@
                 panic!("on purpose");
             });
         });
-        let told = may::go!(move || asks.next(clock::now() + 10 * SEC)).join().unwrap();
+        let told = may::go!(move || asks.next(clock::now() + 10 * SEC))
+            .join()
+            .unwrap();
         assert!(matches!(told, Some(Ask::Broken("the listener"))));
         assert_eq!(rounds.load(Ordering::Relaxed), TRIES);
     }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -44,7 +44,11 @@
         let socket = UdpSocket::bind(listen)?;
         let own = socket.local_addr()?;
         let socket = CoIo::new(socket).map_err(|e| io::Error::other(e.to_string()))?;
-        let peers = Arc::new(Peers { socket, own, others: Mutex::new(others) });
+        let peers = Arc::new(Peers {
+            socket,
+            own,
+            others: Mutex::new(others),
+        });
         let words = Mailbox::new();
         let sender = words.sender();
         let (hears, tells) = (peers.clone(), peers.clone());
@@ -91,7 +95,9 @@
                         }
                         heard += 1;
                         if heard == HEARD {
-                            warn!("more words than are heard in a second; the rest are passed over");
+                            warn!(
+                                "more words than are heard in a second; the rest are passed over"
+                            );
                         }
                         // Guards against words of strangers.
                         let known = heard < HEARD && self.others().contains(&from);
@@ -113,16 +119,25 @@
 
 /// A word as it goes on the wire; none where its server's name is too long.
 fn write(word: &Word) -> Option<Vec<u8>> {
-    let bytes = [&[VERSION], &word.group.to_be_bytes()[..], word.server.as_bytes()].concat();
+    let bytes = [
+        &[VERSION],
+        &word.group.to_be_bytes()[..],
+        word.server.as_bytes(),
+    ]
+    .concat();
     (bytes.len() <= LONGEST).then_some(bytes)
 }
 
 /// None where this is no word of ours.
 fn read(bytes: &[u8]) -> Option<Word> {
     let (head, name) = bytes.split_first_chunk::<3>()?;
-    let server = std::str::from_utf8(name).ok().filter(|name| !name.is_empty())?;
-    (head[0] == VERSION)
-        .then(|| Word { group: u16::from_be_bytes([head[1], head[2]]), server: server.into() })
+    let server = std::str::from_utf8(name)
+        .ok()
+        .filter(|name| !name.is_empty())?;
+    (head[0] == VERSION).then(|| Word {
+        group: u16::from_be_bytes([head[1], head[2]]),
+        server: server.into(),
+    })
 }
 
 #[cfg(test)]
@@ -131,11 +146,26 @@
 
     #[test]
     fn words_are_read_as_they_are_written_and_others_passed_over() {
-        let word = Word { group: 51_966, server: "s-17".into() };
+        let word = Word {
+            group: 51_966,
+            server: "s-17".into(),
+        };
         assert_eq!(write(&word).unwrap(), b"\x01\xca\xfes-17");
         assert_eq!(read(&write(&word).unwrap()), Some(word));
-        assert_eq!(write(&Word { group: 1, server: "s".repeat(254) }), None);
-        for bad in [&b""[..], b"\x01", b"\x01\x00\x01", b"\x02\x00\x01s-1", b"\x01\x00\x01\xff"] {
+        assert_eq!(
+            write(&Word {
+                group: 1,
+                server: "s".repeat(254)
+            }),
+            None
+        );
+        for bad in [
+            &b""[..],
+            b"\x01",
+            b"\x01\x00\x01",
+            b"\x02\x00\x01s-1",
+            b"\x01\x00\x01\xff",
+        ] {
             assert_eq!(read(bad), None, "{bad:?}");
         }
     }
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -19,12 +19,17 @@
 
 impl Buffers {
     pub fn new() -> Arc<Self> {
-        Arc::new(Buffers { free: ArrayQueue::new(KEPT) })
+        Arc::new(Buffers {
+            free: ArrayQueue::new(KEPT),
+        })
     }
 
     pub fn take(self: &Arc<Self>) -> Buffer {
         let bytes = self.free.pop().unwrap_or_else(|| Box::new([0; BUFFER]));
-        Buffer { bytes: Some(bytes), home: self.clone() }
+        Buffer {
+            bytes: Some(bytes),
+            home: self.clone(),
+        }
     }
 }
 
@@ -63,14 +68,21 @@
 
 impl Descriptors {
     pub fn new(limit: usize) -> Arc<Self> {
-        Arc::new(Descriptors { limit, open: AtomicUsize::new(0) })
+        Arc::new(Descriptors {
+            limit,
+            open: AtomicUsize::new(0),
+        })
     }
 
     /// A right, given back when its last copy is dropped; none while no more than `spare` are left.
     pub fn take(self: &Arc<Self>, spare: usize) -> Option<Slot> {
         let more = |open| (open + spare < self.limit).then_some(open + 1);
-        let taken = self.open.fetch_update(Ordering::AcqRel, Ordering::Acquire, more);
-        taken.ok().map(|_| Slot { _held: Arc::new(Held { of: self.clone() }) })
+        let taken = self
+            .open
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, more);
+        taken.ok().map(|_| Slot {
+            _held: Arc::new(Held { of: self.clone() }),
+        })
     }
 
     /// Whether more than `spare` are left.
@@ -134,13 +146,18 @@
         let flows = (sockets - STANDING - others - waiting) / 2;
         let flows = flows.min(memory.saturating_sub(PROGRAM) / FLOW);
         let [waiting, flows, others] = [waiting, flows, others].map(Descriptors::new);
-        Shares { waiting, flows, others }
+        Shares {
+            waiting,
+            flows,
+            others,
+        }
     }
 
     /// Coroutines that there can be at a time, whose stacks are to be mapped at the start: one for each connection that
     /// waits, each flow and each probe, and a watcher for each of their sockets.
     pub fn coroutines(&self) -> usize {
-        let all = 2 * self.waiting.limit() + 3 * self.flows.limit() + 2 * self.others.limit() + PARTS;
+        let all =
+            2 * self.waiting.limit() + 3 * self.flows.limit() + 2 * self.others.limit() + PARTS;
         all.min(COROUTINES_MAX)
     }
 }
@@ -171,12 +188,22 @@
     fn small_limits_carry_a_third_of_flows_and_a_probe_for_each_server() {
         for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
             let shares = Shares::new(sockets, memory_mb << 20);
-            let all = shares.waiting.limit() + 2 * shares.flows.limit() + shares.others.limit() + STANDING;
+            let all = shares.waiting.limit()
+                + 2 * shares.flows.limit()
+                + shares.others.limit()
+                + STANDING;
             assert!(all <= sockets, "{sockets}: {all}");
             // Guards against fixed reserves, which at 256 left room for 72 flows.
-            assert!(shares.flows.limit() * 3 >= sockets, "{sockets}: {} flows", shares.flows.limit());
+            assert!(
+                shares.flows.limit() * 3 >= sockets,
+                "{sockets}: {} flows",
+                shares.flows.limit()
+            );
             assert!(shares.others.limit() >= 24 && shares.waiting.limit() >= 32);
         }
-        assert!(Shares::new(4096, 32 << 20).flows.limit() < 600, "memory bounds them too");
+        assert!(
+            Shares::new(4096, 32 << 20).flows.limit() < 600,
+            "memory bounds them too"
+        );
     }
 }
--- a/crates/core/src/probe.rs
+++ b/crates/core/src/probe.rs
@@ -44,12 +44,20 @@
 
 impl Prober {
     pub fn new(means: Means) -> Self {
-        Prober { means, lines: BTreeMap::new(), queue: VecDeque::new() }
+        Prober {
+            means,
+            lines: BTreeMap::new(),
+            queue: VecDeque::new(),
+        }
     }
 
     /// Asks it now, or once there is a descriptor.
     pub fn probe(&mut self, rs: Rs, server: Arc<Server>) {
-        if self.lines.get(&rs).is_some_and(|line| line.send(server.clone()).is_ok()) {
+        if self
+            .lines
+            .get(&rs)
+            .is_some_and(|line| line.send(server.clone()).is_ok())
+        {
             return;
         }
         match self.queue.iter_mut().find(|(waiting, _)| *waiting == rs) {
@@ -63,8 +71,12 @@
     /// the first would ever be asked, and against a stack for each of them: one is held only while there is a connection.
     pub fn go_on(&mut self) {
         while !self.queue.is_empty() {
-            let Some(slot) = self.means.descriptors.take(WATCH) else { return };
-            let Some((rs, server)) = self.queue.pop_front() else { return };
+            let Some(slot) = self.means.descriptors.take(WATCH) else {
+                return;
+            };
+            let Some((rs, server)) = self.queue.pop_front() else {
+                return;
+            };
             let (line, asked) = channel();
             let means = self.means.clone();
             may::go!(move || serve(rs, server, slot, &asked, &means));
@@ -85,25 +97,36 @@
 }
 
 /// Asks one server, and again when told to, for as long as its connection may stay open.
-fn serve(rs: Rs, mut server: Arc<Server>, slot: Slot, asked: &Receiver<Arc<Server>>, means: &Means) {
+fn serve(
+    rs: Rs,
+    mut server: Arc<Server>,
+    slot: Slot,
+    asked: &Receiver<Arc<Server>>,
+    means: &Means,
+) {
     let mut slot = Some(slot);
     let mut open: Option<(Arc<Server>, Caller)> = None;
     loop {
         let until = clock::now() + LONGEST;
         // A connection that was left open may have ended meanwhile: one more try over a new one.
-        let kept = open.take().filter(|(to, caller)| Arc::ptr_eq(to, &server) && caller.quiet());
+        let kept = open
+            .take()
+            .filter(|(to, caller)| Arc::ptr_eq(to, &server) && caller.quiet());
         let again = kept.is_some();
         let mut result = probe(kept.map(|k| k.1), slot.take(), &server, means, until);
         if again
-            && result.as_ref().is_err_and(|e| !matches!(e, ProbeError::Failed(ConnectionError::Deadline)))
+            && result
+                .as_ref()
+                .is_err_and(|e| !matches!(e, ProbeError::Failed(ConnectionError::Deadline)))
         {
             result = probe(None, None, &server, means, until);
         }
         match result {
             Ok((caller, passed, report)) => {
                 // Guards against more servers than descriptors: the last few are used in turn.
-                open =
-                    caller.filter(|_| means.descriptors.room(IN_TURN)).map(|caller| (server.clone(), caller));
+                open = caller
+                    .filter(|_| means.descriptors.room(IN_TURN))
+                    .map(|caller| (server.clone(), caller));
                 means.desk.send(Ask::Probed { rs, passed, report });
             }
             // Our own want must not count against the server: it is asked when it is due again.
@@ -112,11 +135,19 @@
             }
             Err(ProbeError::Failed(e)) => {
                 debug!(server = server.name, error = %e, "probe fails");
-                means.desk.send(Ask::Probed { rs, passed: false, report: Report::default() });
+                means.desk.send(Ask::Probed {
+                    rs,
+                    passed: false,
+                    report: Report::default(),
+                });
             }
         }
         // One that was asked for meanwhile isn't left out where the connection doesn't stay open.
-        let next = if open.is_some() { asked.recv().ok() } else { asked.try_recv().ok() };
+        let next = if open.is_some() {
+            asked.recv().ok()
+        } else {
+            asked.try_recv().ok()
+        };
         match next {
             Some(next) => server = next,
             None => return,
@@ -148,12 +179,21 @@
     let caller = match kept {
         Some(caller) => caller,
         None => {
-            let slot = slot.or_else(|| means.descriptors.take(WATCH)).ok_or(ProbeError::NoDescriptor)?;
+            let slot = slot
+                .or_else(|| means.descriptors.take(WATCH))
+                .ok_or(ProbeError::NoDescriptor)?;
             Caller::dial(Mailbox::new(), server.address, slot, until)?
         }
     };
     let term = means.terms.now();
-    caller.write(if term.stats { b"STATS\r\n" } else { b"PING\r\n" }, until)?;
+    caller.write(
+        if term.stats {
+            b"STATS\r\n"
+        } else {
+            b"PING\r\n"
+        },
+        until,
+    )?;
     let mut bytes = means.buffers.take();
     let mut held = 0;
     let (length, next) = caller.line(&mut bytes[..], &mut held, until)?;
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -31,7 +31,13 @@
 /// How soon an alarm that could not be acted on is looked at again.
 const AGAIN: Time = 50 * MS;
 
-pub fn relay(core: &Core, mut book: Book, target: &Target, server: Socket, (bytes, held): (Buffer, usize)) {
+pub fn relay(
+    core: &Core,
+    mut book: Book,
+    target: &Target,
+    server: Socket,
+    (bytes, held): (Buffer, usize),
+) {
     book.established(target);
     let mut down = Direction::of_lines(bytes, held);
     let mut up = Direction::default();
@@ -55,7 +61,14 @@
             );
             let never_ran = false;
             let (flow, rs, number) = (book.id, target.rs, target.number);
-            book.tell(Ask::Ended { flow, rs, number, end, never_ran, report });
+            book.tell(Ask::Ended {
+                flow,
+                rs,
+                number,
+                end,
+                never_ran,
+                report,
+            });
         }
     };
 
@@ -71,13 +84,20 @@
             load = passing.pass(bytes).or(load);
         });
         if let Some(load) = load {
-            book.tell(Ask::Load { flow: book.id, load });
+            book.tell(Ask::Load {
+                flow: book.id,
+                load,
+            });
         }
         if answered && let Some(since) = unanswered.take() {
             slowest = slowest.max(now - since);
         }
         if let Err(broken) = passed {
-            let end = if broken == Broken::Sender { End::Cut } else { End::Done };
+            let end = if broken == Broken::Sender {
+                End::Cut
+            } else {
+                End::Done
+            };
             tell_end(&book, &mut over, slowest, end, none);
             // A reset is passed on as one.
             client.reset();
@@ -139,14 +159,27 @@
             book.caller.finish(now + LINGER);
             return;
         }
-        let (silent_at, stuck_at) = (unanswered.map(|at| at + SILENCE), stuck.map(|at| at + STUCK));
+        let (silent_at, stuck_at) = (
+            unanswered.map(|at| at + SILENCE),
+            stuck.map(|at| at + STUCK),
+        );
         let move_at = book.move_by.filter(|by| *by > now);
-        let wake = [close_by, silent_at, stuck_at, move_at, Some(last_sent + VANISHED)];
+        let wake = [
+            close_by,
+            silent_at,
+            stuck_at,
+            move_at,
+            Some(last_sent + VANISHED),
+        ];
         let until = wake.into_iter().flatten().min().unwrap_or(now + SEC);
         // Guards against a coroutine that keeps the core busy while an alarm is past and can't be acted on.
         let until = if until <= now { now + AGAIN } else { until };
         // Parked, not yielded: the worker looks at sockets only once nobody is ready to run.
-        let until = if down.more || up.more { now + MS } else { until };
+        let until = if down.more || up.more {
+            now + MS
+        } else {
+            until
+        };
         // Anything else was meant for the connect.
         if let Some(Event::Order(Order::Move(by))) = book.caller.mailbox.next(until) {
             book.move_by = Some(by);
--- a/crates/core/src/relay/direction.rs
+++ b/crates/core/src/relay/direction.rs
@@ -45,8 +45,12 @@
 impl Direction {
     /// One that passes on whole lines, and begins with these bytes.
     pub fn of_lines(bytes: Buffer, held: usize) -> Self {
-        let mut direction =
-            Direction { bytes: Some(bytes), to: held, whole_lines: true, ..Direction::default() };
+        let mut direction = Direction {
+            bytes: Some(bytes),
+            to: held,
+            whole_lines: true,
+            ..Direction::default()
+        };
         direction.mark_ready();
         direction
     }
@@ -91,7 +95,9 @@
     fn write(&mut self, receiver: &Socket, seen: &mut impl FnMut(&[u8])) -> Result<bool, Broken> {
         while self.from < self.ready {
             let bytes = self.bytes.as_ref().expect("it holds what waits");
-            let count = receiver.write(&bytes[self.from..self.ready]).map_err(|_| Broken::Receiver)?;
+            let count = receiver
+                .write(&bytes[self.from..self.ready])
+                .map_err(|_| Broken::Receiver)?;
             if count == 0 {
                 self.stuck.get_or_insert_with(clock::now);
                 return Ok(false);
--- a/crates/core/src/relay/tests.rs
+++ b/crates/core/src/relay/tests.rs
@@ -27,7 +27,11 @@
         let mut passed = Vec::new();
         for _ in 0..3 {
             let mut count = 0;
-            direction.pump(&sender.socket, &receiver.socket, &buffers, |bytes| count += bytes.len()).unwrap();
+            direction
+                .pump(&sender.socket, &receiver.socket, &buffers, |bytes| {
+                    count += bytes.len()
+                })
+                .unwrap();
             let mut read = vec![0; count];
             to.read_exact(&mut read).unwrap();
             passed.push((count, direction.more));
@@ -36,5 +40,9 @@
     });
     let passed = passed.join().unwrap();
     assert!(passed[0].0 <= TURN * BUFFER && passed[0].1, "{passed:?}");
-    assert_eq!((passed.iter().map(|p| p.0).sum::<usize>(), passed[2].1), (24 * BUFFER, false), "{passed:?}");
+    assert_eq!(
+        (passed.iter().map(|p| p.0).sum::<usize>(), passed[2].1),
+        (24 * BUFFER, false),
+        "{passed:?}"
+    );
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -15,7 +15,9 @@
 
 /// Whether the same call may succeed a moment later.
 pub fn may_pass(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|error| PASSING.contains(&error))
+    error
+        .raw_os_error()
+        .is_some_and(|error| PASSING.contains(&error))
 }
 
 /// Tries a step of the start until it succeeds, or fails for good. It blocks its thread.
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -32,11 +32,23 @@
 pub fn ask(core: &Core, book: &mut Book, flow: Flow, who: Who, at: Option<&str>) -> Asked {
     let mail = book.caller.mailbox.sender();
     let ask = match at {
-        Some(at) => Ask::Inherit { flow: flow.clone(), at: at.to_string(), mail },
-        None => Ask::Place { flow: flow.clone(), who, mail },
+        Some(at) => Ask::Inherit {
+            flow: flow.clone(),
+            at: at.to_string(),
+            mail,
+        },
+        None => Ask::Place {
+            flow: flow.clone(),
+            who,
+            mail,
+        },
     };
     core.desk.send(ask);
-    Asked { flow, who, at: at.map(String::from) }
+    Asked {
+        flow,
+        who,
+        at: at.map(String::from),
+    }
 }
 
 impl Asked {
--- a/crates/core/src/send.rs
+++ b/crates/core/src/send.rs
@@ -20,7 +20,10 @@
 /// descriptor, port, memory, route or permission.
 fn concerns_server(error: &io::Error) -> bool {
     use ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, TimedOut};
-    matches!(error.kind(), ConnectionRefused | ConnectionReset | HostUnreachable | TimedOut)
+    matches!(
+        error.kind(),
+        ConnectionRefused | ConnectionReset | HostUnreachable | TimedOut
+    )
 }
 
 pub enum Sent {
@@ -41,8 +44,20 @@
 }
 
 pub fn send(core: &Core, book: &mut Book, target: &Target, line: &[u8], inherited: bool) -> Sent {
-    let never = |end| Sent::Ended(Ended { end, never_ran: true, report: Report::default() });
-    let maybe = |end| Sent::Ended(Ended { end, never_ran: false, report: Report::default() });
+    let never = |end| {
+        Sent::Ended(Ended {
+            end,
+            never_ran: true,
+            report: Report::default(),
+        })
+    };
+    let maybe = |end| {
+        Sent::Ended(Ended {
+            end,
+            never_ran: false,
+            report: Report::default(),
+        })
+    };
     let mut client = Client { book, gone: false };
     // Guards against an attempt that begins long after its client has left, where the worker has been busy since the order
     // and nothing has rung yet.
@@ -50,7 +65,11 @@
         return Sent::Left { unsent: true };
     }
     let caller = &client.book.caller;
-    let server = match Socket::dial(target.server.address, caller.socket.slot(), caller.mailbox.sender()) {
+    let server = match Socket::dial(
+        target.server.address,
+        caller.socket.slot(),
+        caller.mailbox.sender(),
+    ) {
         Ok(server) => server,
         Err(e) if concerns_server(&e) => return never(End::Unreachable),
         Err(e) => {
@@ -136,7 +155,11 @@
             return match wire::answer(&bytes[..next], &core.terms.now().reports) {
                 Answer::Up if client.gone => Sent::Left { unsent: false },
                 Answer::Up => Sent::Up(server, (bytes, held)),
-                Answer::Ended(end, never_ran, report) => Sent::Ended(Ended { end, never_ran, report }),
+                Answer::Ended(end, never_ran, report) => Sent::Ended(Ended {
+                    end,
+                    never_ran,
+                    report,
+                }),
             };
         }
         if held == bytes.len() {
@@ -183,7 +206,10 @@
 
 /// Tells the desk of a connect that ended with its client.
 pub fn called_off(book: &Book, target: &Target, unsent: bool) {
-    let (end, report) = (if unsent { End::NotSent } else { End::CalledOff }, Report::default());
+    let (end, report) = (
+        if unsent { End::NotSent } else { End::CalledOff },
+        Report::default(),
+    );
     book.tell(Ask::Ended {
         flow: book.id,
         rs: target.rs,
--- a/crates/core/src/send/tests.rs
+++ b/crates/core/src/send/tests.rs
@@ -22,15 +22,20 @@
         buffers: Buffers::new(),
         shares: Shares::new(256, 32 << 20),
         ids: Arc::default(),
-        terms: Terms::new(Term { dial_limit: SEC, ..Term::default() }),
+        terms: Terms::new(Term {
+            dial_limit: SEC,
+            ..Term::default()
+        }),
         numbers: AtomicU64::new(1),
     })
 }
 
 /// Sends a flow on whose client has done that before; whether nothing was sent, and whether the server was dialled.
 fn sent_on(leave: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
-    let (front, server) =
-        (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
+    let (front, server) = (
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+    );
     server.set_nonblocking(true).unwrap();
     let mut client = TcpStream::connect(front.local_addr().unwrap()).unwrap();
     let stream = front.accept().unwrap().0;
@@ -42,13 +47,36 @@
     let unsent = may::go!(move || {
         let asks = Mailbox::new();
         let core = core(&asks);
-        let (slot, id) = (Descriptors::new(9).take(0).unwrap(), core.ids.take("9b1f").unwrap());
-        let flow = Flow { id: 5, give_up: Time::MAX, ..Flow::default() };
+        let (slot, id) = (
+            Descriptors::new(9).take(0).unwrap(),
+            core.ids.take("9b1f").unwrap(),
+        );
+        let flow = Flow {
+            id: 5,
+            give_up: Time::MAX,
+            ..Flow::default()
+        };
         let mut book = Book::open(&core, &flow, Caller::new(stream, slot), id);
-        let server = Arc::new(Server { name: "s-0".into(), address, ready: AtomicBool::new(true) });
+        let server = Arc::new(Server {
+            name: "s-0".into(),
+            address,
+            ready: AtomicBool::new(true),
+        });
         let until = clock::now() + SEC / 5;
-        let target = Target { rs: 1, number: 0, server, until, by: until };
-        let sent = send(&core, &mut book, &target, b"OPEN 9b1f 7f3a c=chat,d=900", false);
+        let target = Target {
+            rs: 1,
+            number: 0,
+            server,
+            until,
+            by: until,
+        };
+        let sent = send(
+            &core,
+            &mut book,
+            &target,
+            b"OPEN 9b1f 7f3a c=chat,d=900",
+            false,
+        );
         if book.owed() {
             book.abort();
         }
@@ -64,12 +92,22 @@
 #[test]
 fn a_server_is_not_dialled_for_a_client_that_has_left() {
     assert_eq!(sent_on(|_| {}), (false, true), "one that stays");
-    assert_eq!(sent_on(|client| client.shutdown(Shutdown::Both).unwrap()), (true, false), "closed");
-    assert_eq!(sent_on(|client| client.shutdown(Shutdown::Write).unwrap()), (true, false), "half-closed");
+    assert_eq!(
+        sent_on(|client| client.shutdown(Shutdown::Both).unwrap()),
+        (true, false),
+        "closed"
+    );
+    assert_eq!(
+        sent_on(|client| client.shutdown(Shutdown::Write).unwrap()),
+        (true, false),
+        "half-closed"
+    );
     let more = |client: &mut TcpStream| client.write_all(b"hello\r\n").unwrap();
     assert_eq!(sent_on(more), (true, false), "goes on before it is served");
     let reset = |client: &mut TcpStream| {
-        SockRef::from(&*client).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&*client)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
         let other = TcpListener::bind("127.0.0.1:0").unwrap();
         *client = TcpStream::connect(other.local_addr().unwrap()).unwrap();
     };
--- a/crates/core/src/shared.rs
+++ b/crates/core/src/shared.rs
@@ -94,7 +94,10 @@
     /// Takes an id until the flow ends; none if it was taken before.
     pub fn take(self: &Arc<Self>, id: &str) -> Option<Id> {
         let id: Arc<str> = id.into();
-        self.known().all.insert(id.clone()).then(|| Id { ids: self.clone(), id })
+        self.known().all.insert(id.clone()).then(|| Id {
+            ids: self.clone(),
+            id,
+        })
     }
 }
 
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -23,7 +23,11 @@
 impl AnswerDeadline {
     /// By the settings' longest deadline.
     pub fn new(longest: Time) -> Self {
-        AnswerDeadline { current: longest.min(LONGEST), previous: None, fixed: None }
+        AnswerDeadline {
+            current: longest.min(LONGEST),
+            previous: None,
+            fixed: None,
+        }
     }
 
     /// Other settings hold from now on.
@@ -41,7 +45,9 @@
 
     /// How long after SIGTERM the last answer is due, were it to come now; once it has come, how long it was.
     pub fn at(&self, now: Time) -> Time {
-        let previous = self.previous.filter(|(_, reloaded)| now < reloaded + RELOAD_SETTLES);
+        let previous = self
+            .previous
+            .filter(|(_, reloaded)| now < reloaded + RELOAD_SETTLES);
         let longest = previous.map_or(self.current, |(previous, _)| previous.min(self.current));
         self.fixed.unwrap_or(longest)
     }
--- a/crates/core/src/shutdown/tests.rs
+++ b/crates/core/src/shutdown/tests.rs
@@ -15,11 +15,31 @@
         (SEC, vec![(9, Terminate)], SEC),
         (9 * SEC, vec![(9, Terminate)], LONGEST),
         (SEC, vec![(0, Reload(2 * SEC)), (last, Terminate)], SEC),
-        (SEC, vec![(0, Reload(2 * SEC)), (RELOAD_SETTLES, Terminate)], 2 * SEC),
+        (
+            SEC,
+            vec![(0, Reload(2 * SEC)), (RELOAD_SETTLES, Terminate)],
+            2 * SEC,
+        ),
         (2 * SEC, vec![(0, Reload(SEC)), (last, Terminate)], SEC),
-        (SEC, vec![(0, Terminate), (1, Reload(3 * SEC)), (2, Terminate)], SEC),
-        (3 * SEC, vec![(0, Terminate), (1, Reload(SEC)), (2, Reload(2 * SEC))], SEC),
-        (SEC, vec![(0, Reload(2 * SEC)), (1, Reload(3 * SEC)), (last, Terminate)], SEC),
+        (
+            SEC,
+            vec![(0, Terminate), (1, Reload(3 * SEC)), (2, Terminate)],
+            SEC,
+        ),
+        (
+            3 * SEC,
+            vec![(0, Terminate), (1, Reload(SEC)), (2, Reload(2 * SEC))],
+            SEC,
+        ),
+        (
+            SEC,
+            vec![
+                (0, Reload(2 * SEC)),
+                (1, Reload(3 * SEC)),
+                (last, Terminate),
+            ],
+            SEC,
+        ),
     ] {
         let mut deadline = AnswerDeadline::new(start);
         let told: Vec<Time> = steps.iter().map(|(at, _)| *at).collect();
--- a/crates/core/src/starts/tests.rs
+++ b/crates/core/src/starts/tests.rs
@@ -14,10 +14,22 @@
         // On the first list the wall clock tells, but for what lies in its future.
         assert_eq!(starts.of(NOW, 1, told), told.min(NOW));
         starts.watch();
-        assert_eq!(starts.of(NOW + SEC, 1, told), told.min(NOW), "it has not started anew");
+        assert_eq!(
+            starts.of(NOW + SEC, 1, told),
+            told.min(NOW),
+            "it has not started anew"
+        );
         assert_eq!(starts.of(NOW + SEC, 2, told), NOW + SEC);
-        assert_eq!(starts.of(NOW + 9 * SEC, 2, told), NOW + SEC, "told once more");
-        assert_eq!(starts.of(NOW + 9 * SEC, 1, told + 1), NOW + 9 * SEC, "started anew");
+        assert_eq!(
+            starts.of(NOW + 9 * SEC, 2, told),
+            NOW + SEC,
+            "told once more"
+        );
+        assert_eq!(
+            starts.of(NOW + 9 * SEC, 1, told + 1),
+            NOW + 9 * SEC,
+            "started anew"
+        );
         assert_eq!(starts.of(NOW + 9 * SEC, 3, 0), 0, "long ago");
     }
 }
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -9,8 +9,12 @@
 /// The line as it goes on: unchanged, but for how long we will wait.
 pub fn onward(line: &[u8], wait: Time) -> Vec<u8> {
     let ms = (wait / MS).max(1).to_string();
-    let values =
-        line.iter().enumerate().filter(|(_, byte)| **byte == b' ').nth(2).map_or(line.len(), |v| v.0 + 1);
+    let values = line
+        .iter()
+        .enumerate()
+        .filter(|(_, byte)| **byte == b' ')
+        .nth(2)
+        .map_or(line.len(), |v| v.0 + 1);
     let mut out = line[..values].to_vec();
     for (i, pair) in line[values..].split(|byte| *byte == b',').enumerate() {
         if i > 0 {
@@ -57,8 +61,10 @@
 /// Whether this is a load report by its form: names with values. A figure that can't be read is no fault of the answer.
 fn is_report(text: &str) -> bool {
     let is_word = |word: &str| !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_graphic());
-    text.split(',')
-        .all(|pair| pair.split_once('=').is_some_and(|(name, value)| is_word(name) && is_word(value)))
+    text.split(',').all(|pair| {
+        pair.split_once('=')
+            .is_some_and(|(name, value)| is_word(name) && is_word(value))
+    })
 }
 
 /// Reads a server's answer to a probe: whether it passed, and its report.
@@ -75,13 +81,19 @@
 
 /// Rejected, with the time to come back where there is one.
 pub fn rejected(come_back: Option<Time>) -> String {
-    come_back.map_or("BUSY\r\n".into(), |after| format!("BUSY {}\r\n", after / MS))
+    come_back.map_or("BUSY\r\n".into(), |after| {
+        format!("BUSY {}\r\n", after / MS)
+    })
 }
 
 /// The end of the first line in these bytes: how long the line is, and where the next one begins.
 pub fn line_end(bytes: &[u8]) -> Option<(usize, usize)> {
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
-    let line = if end > 0 && bytes[end - 1] == b'\r' { end - 1 } else { end };
+    let line = if end > 0 && bytes[end - 1] == b'\r' {
+        end - 1
+    } else {
+        end
+    };
     Some((line, end + 1))
 }
 
@@ -99,7 +111,12 @@
 
 impl Passing {
     pub fn new(reports: Reports) -> Self {
-        Passing { reports, line: [0; KEPT], length: 0, last: None }
+        Passing {
+            reports,
+            line: [0; KEPT],
+            length: 0,
+            last: None,
+        }
     }
 
     /// Takes the bytes that pass and returns the last load told in them.
@@ -120,7 +137,9 @@
     }
 
     fn ended(&mut self) -> Option<f64> {
-        let line = std::str::from_utf8(&self.line[..self.length.min(KEPT)]).ok()?.trim_end();
+        let line = std::str::from_utf8(&self.line[..self.length.min(KEPT)])
+            .ok()?
+            .trim_end();
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         let end = match word {
             "BYE" => Some(End::Done),
@@ -129,7 +148,11 @@
             _ => None,
         };
         self.last = end.map(|end| (end, self.reports.read(rest, '=').unwrap_or_default()));
-        if word == "LOAD" { figure(rest).filter(|load| *load >= 0.0) } else { None }
+        if word == "LOAD" {
+            figure(rest).filter(|load| *load >= 0.0)
+        } else {
+            None
+        }
     }
 
     pub fn between_lines(&self) -> bool {
--- a/crates/core/src/wire/tests.rs
+++ b/crates/core/src/wire/tests.rs
@@ -5,18 +5,27 @@
 #[test]
 fn a_line_goes_on_unchanged_but_for_the_wait() {
     for (line, onward_line) in [
-        ("OPEN a d=1 c=chat,d=2000,g=d=7", "OPEN a d=1 c=chat,d=150,g=d=7\r\n"),
+        (
+            "OPEN a d=1 c=chat,d=2000,g=d=7",
+            "OPEN a d=1 c=chat,d=150,g=d=7\r\n",
+        ),
         ("OPEN a k c=chat,again=1", "OPEN a k c=chat,again=1\r\n"),
         ("OPEN a k d=9", "OPEN a k d=150\r\n"),
     ] {
-        assert_eq!(String::from_utf8(onward(line.as_bytes(), 150 * MS + 1)).unwrap(), onward_line);
+        assert_eq!(
+            String::from_utf8(onward(line.as_bytes(), 150 * MS + 1)).unwrap(),
+            onward_line
+        );
     }
 }
 
 #[test]
 fn answers() {
     let none = Report::default();
-    let busy = Report { connections: Some(7.0), beta: Some(0.61) };
+    let busy = Report {
+        connections: Some(7.0),
+        beta: Some(0.61),
+    };
     for (line, expected) in [
         ("UP 12ab", Answer::Up),
         // Without a receipt it is no server's word; a figure that is no number is none.
@@ -25,17 +34,34 @@
         ("UP 1 2", Answer::Ended(End::Error, false, none)),
         ("UP 1\u{1}", Answer::Ended(End::Error, false, none)),
         ("UP 1\u{fffd}", Answer::Ended(End::Error, false, none)),
-        ("BUSY util=nan,inflight=-3", Answer::Ended(End::Full, true, none)),
-        ("BUSY inflight=7,queue=inf,util=0.61", Answer::Ended(End::Full, true, busy)),
-        ("BUSY inflight=7,queue=2,util=0.61", Answer::Ended(End::Full, true, busy)),
+        (
+            "BUSY util=nan,inflight=-3",
+            Answer::Ended(End::Full, true, none),
+        ),
+        (
+            "BUSY inflight=7,queue=inf,util=0.61",
+            Answer::Ended(End::Full, true, busy),
+        ),
+        (
+            "BUSY inflight=7,queue=2,util=0.61",
+            Answer::Ended(End::Full, true, busy),
+        ),
         ("BYE", Answer::Ended(End::Done, false, none)),
         ("ERR", Answer::Ended(End::Error, false, none)),
         ("MOVE", Answer::Ended(End::CalledOff, false, none)),
         ("SYNTAX", Answer::Ended(End::Error, false, none)),
     ] {
-        assert_eq!(answer(format!("{line}\r\n").as_bytes(), &Reports::default()), expected, "{line}");
+        assert_eq!(
+            answer(format!("{line}\r\n").as_bytes(), &Reports::default()),
+            expected,
+            "{line}"
+        );
         let cut = Answer::Ended(End::Error, false, none);
-        assert_eq!(answer(format!("{line}\n").as_bytes(), &Reports::default()), cut, "{line} without CR");
+        assert_eq!(
+            answer(format!("{line}\n").as_bytes(), &Reports::default()),
+            cut,
+            "{line} without CR"
+        );
     }
 }
 
@@ -48,12 +74,22 @@
         assert_eq!(loads[1].or(loads[0]), Some(9.0), "cut at {cut}");
         assert!(!passing.between_lines());
         passing.pass(b"\r\nBYE inflight=7,queue=2,util=0.61\r\n");
-        let report = Report { connections: Some(7.0), beta: Some(0.61) };
-        assert_eq!((passing.between_lines(), passing.last), (true, Some((End::Done, report))));
+        let report = Report {
+            connections: Some(7.0),
+            beta: Some(0.61),
+        };
+        assert_eq!(
+            (passing.between_lines(), passing.last),
+            (true, Some((End::Done, report)))
+        );
     }
     for bad in ["nan", "inf", "-1", "1e999", ""] {
         let line = format!("LOAD {bad}\r\n");
-        assert_eq!(Passing::new(Reports::default()).pass(line.as_bytes()), None, "{line}");
+        assert_eq!(
+            Passing::new(Reports::default()).pass(line.as_bytes()),
+            None,
+            "{line}"
+        );
     }
     assert_eq!(line_end(b"PING\r\nx"), Some((4, 6)));
     assert_eq!(line_end(b"\n"), Some((0, 1)));
@@ -75,6 +111,9 @@
         "BUSY a=1,,b=2",
     ] {
         let answer = answer(format!("{spoilt}\r\n").as_bytes(), &Reports::default());
-        assert!(matches!(answer, Answer::Ended(End::Error, false, _)), "{spoilt:?}: {answer:?}");
+        assert!(
+            matches!(answer, Answer::Ended(End::Error, false, _)),
+            "{spoilt:?}: {answer:?}"
+        );
     }
 }
--- a/crates/door/benches/door.rs
+++ b/crates/door/benches/door.rs
@@ -5,16 +5,32 @@
 use nettlemux_policy::SEC;
 
 fn ticket(flow: u64, key: u64) -> Ticket {
-    Ticket { flow, key, client: key, retry: false, target: 3600 * SEC }
+    Ticket {
+        flow,
+        key,
+        client: key,
+        retry: false,
+        target: 3600 * SEC,
+    }
 }
 
 fn door(keys: u64) -> Door {
-    let mut door = Door::new(Config { waiting: 1 << 20, ..Config::default() }, 1);
+    let mut door = Door::new(
+        Config {
+            waiting: 1 << 20,
+            ..Config::default()
+        },
+        1,
+    );
     // A pace at which none of them is late.
     (0..2_000_000).for_each(|k| door.established(k * SEC / 1_000_000));
     let mut out = Vec::new();
     (0..keys).for_each(|key| {
-        door.arrives(2 * SEC, ticket(key, nettlemux_door::key(1, &key.to_le_bytes())), &mut out)
+        door.arrives(
+            2 * SEC,
+            ticket(key, nettlemux_door::key(1, &key.to_le_bytes())),
+            &mut out,
+        )
     });
     door
 }
--- a/crates/door/src/book.rs
+++ b/crates/door/src/book.rs
@@ -20,7 +20,10 @@
     pub fn new(size: usize, seed: u64) -> Self {
         let size = size.max(1);
         Buckets {
-            rows: [vec![(f64::INFINITY, 0); size], vec![(f64::INFINITY, 0); size]],
+            rows: [
+                vec![(f64::INFINITY, 0); size],
+                vec![(f64::INFINITY, 0); size],
+            ],
             seeds: [seed, !seed],
         }
     }
@@ -31,7 +34,8 @@
             return true;
         }
         let mut left = 0.0f64;
-        let places = [0, 1].map(|row| (hash(self.seeds[row], key) % self.rows[row].len() as u64) as usize);
+        let places =
+            [0, 1].map(|row| (hash(self.seeds[row], key) % self.rows[row].len() as u64) as usize);
         for (row, place) in self.rows.iter_mut().zip(places) {
             let (tokens, at) = row[place];
             let grown = tokens + rate * now.saturating_sub(at) as f64 / SEC as f64;
@@ -73,12 +77,18 @@
 
 impl Promises {
     pub fn new(size: usize, seed: u64) -> Self {
-        Promises { places: vec![(0, 0); size.max(1)], seed: seed.rotate_left(32) }
+        Promises {
+            places: vec![(0, 0); size.max(1)],
+            seed: seed.rotate_left(32),
+        }
     }
 
     fn place(&self, client: u64) -> (usize, u32) {
         let hash = hash(self.seed, client);
-        ((hash % self.places.len() as u64) as usize, (hash >> 32) as u32)
+        (
+            (hash % self.places.len() as u64) as usize,
+            (hash >> 32) as u32,
+        )
     }
 
     pub fn give(&mut self, at: Time, client: u64) {
@@ -112,7 +122,11 @@
 impl Returns {
     pub fn new(longest: Time) -> Self {
         let slices = (longest / SLICE).max(1) as usize + 1;
-        Returns { counts: vec![0; slices], first: 0, longest }
+        Returns {
+            counts: vec![0; slices],
+            first: 0,
+            longest,
+        }
     }
 
     /// Books a return: no sooner than needed, no later than the longest, in a slice that fewest were told, at a random
@@ -125,16 +139,21 @@
             self.counts[(slice % slices) as usize] = 0;
         }
         self.first = current;
-        let last = ((now + self.longest) / SLICE).saturating_sub(1).max(current);
+        let last = ((now + self.longest) / SLICE)
+            .saturating_sub(1)
+            .max(current);
         let least = need.min(self.longest / 2);
         let from = ((now + least) / SLICE + 1).min(last);
         let count = |slice: u64| self.counts[(slice % slices) as usize];
         let fewest = (from..=last).map(count).min().unwrap_or(0);
         // The first of those with fewest: nobody waits longer than it must.
-        let slice = (from..=last).find(|slice| count(*slice) == fewest).unwrap_or(last);
+        let slice = (from..=last)
+            .find(|slice| count(*slice) == fewest)
+            .unwrap_or(last);
         self.counts[(slice % slices) as usize] += 1;
         let at = slice * SLICE + rng.generate_range(0..SLICE);
-        at.saturating_sub(now).clamp(least.max(MS), self.longest.max(MS))
+        at.saturating_sub(now)
+            .clamp(least.max(MS), self.longest.max(MS))
     }
 }
 
@@ -156,20 +175,27 @@
         }
         let full: Vec<u32> = slices.values().copied().collect();
         let mean = 5000.0 / full.len() as f64;
-        assert!(full.iter().all(|count| f64::from(*count) <= 2.0 * mean), "{mean}: {full:?}");
+        assert!(
+            full.iter().all(|count| f64::from(*count) <= 2.0 * mean),
+            "{mean}: {full:?}"
+        );
     }
 
     #[test]
     fn a_rate_is_kept_and_a_shared_place_costs_nobody_his() {
         let mut buckets = Buckets::new(64, 9);
-        let taken = (0..1000).filter(|k| buckets.take(k * 10 * MS, 5, 10.0, 5.0)).count();
+        let taken = (0..1000)
+            .filter(|k| buckets.take(k * 10 * MS, 5, 10.0, 5.0))
+            .count();
         assert!((100..=106).contains(&taken), "{taken}");
         // A hundred floods in 64 places: most of the quiet ones still get theirs.
         let mut buckets = Buckets::new(1024, 9);
         for k in 0..100 {
             (0..100u64).for_each(|flood| _ = buckets.take(k * 10 * MS, flood, 10.0, 5.0));
         }
-        let quiet = (1000..2000u64).filter(|key| buckets.take(SEC, *key, 10.0, 5.0)).count();
+        let quiet = (1000..2000u64)
+            .filter(|key| buckets.take(SEC, *key, 10.0, 5.0))
+            .count();
         assert!(quiet > 970, "{quiet} of 1000");
     }
 
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -150,9 +150,14 @@
 
     /// Takes new limits and weights. Nobody who waits is dropped; what is over a lowered limit waits its time out.
     pub fn change(&mut self, config: Config) {
-        self.queues.weigh(|key| config.weights.get(&key).copied().unwrap_or(1.0));
+        self.queues
+            .weigh(|key| config.weights.get(&key).copied().unwrap_or(1.0));
         self.budget = self.budget.min(config.saved);
-        self.config = Config { table: self.config.table, longest: self.config.longest, ..config };
+        self.config = Config {
+            table: self.config.table,
+            longest: self.config.longest,
+            ..config
+        };
     }
 
     pub fn waits(&self, flow: FlowId) -> bool {
@@ -164,7 +169,12 @@
     }
 
     fn weight(&self, key: u64) -> f64 {
-        self.config.weights.get(&key).copied().unwrap_or(1.0).max(1e-3)
+        self.config
+            .weights
+            .get(&key)
+            .copied()
+            .unwrap_or(1.0)
+            .max(1e-3)
     }
 
     /// A flow has come; whether it may go on is told by [`Door::turns`], which is to be asked next.
@@ -172,13 +182,17 @@
         let promised = self.promises.kept(now, ticket.client);
         let config = &self.config;
         let held = self.open.get(&ticket.key).copied().unwrap_or(0);
-        let full =
-            self.waiting.len() >= config.waiting || self.queues.length(ticket.key) >= config.waiting_each;
+        let full = self.waiting.len() >= config.waiting
+            || self.queues.length(ticket.key) >= config.waiting_each;
         let why = match () {
             () if self.closing => Some(Why::Closing),
             () if config.open > 0 && held >= config.open => Some(Why::Open),
             // One that comes when it was told to has paid for its turn already.
-            () if !promised && !self.buckets.take(now, ticket.key, config.rate, config.burst) => {
+            () if !promised
+                && !self
+                    .buckets
+                    .take(now, ticket.key, config.rate, config.burst) =>
+            {
                 Some(Why::Rate)
             }
             () if !promised && ticket.retry && config.retries > 0.0 && self.budget < 1.0 => {
@@ -193,12 +207,14 @@
         // Given up at once where its turn can't come in time: held it would only be late.
         let why = why.or_else(|| {
             let need = self.need(ticket.key, self.turns.slowest());
-            (self.waiting.len() > self.config.held && now + need > ticket.target).then_some(Why::Late)
+            (self.waiting.len() > self.config.held && now + need > ticket.target)
+                .then_some(Why::Late)
         });
         match why {
             Some(why) => self.send_away(now, ticket, why, out),
             None => {
-                self.queues.push(ticket.key, ticket.flow, self.weight(ticket.key), promised);
+                self.queues
+                    .push(ticket.key, ticket.flow, self.weight(ticket.key), promised);
                 self.targets.insert((ticket.target, ticket.flow));
                 self.waiting.insert(ticket.flow, ticket);
             }
@@ -213,10 +229,18 @@
 
     /// Lets in whose turn it is, and gives up what has waited past its target.
     pub fn turns(&mut self, now: Time, out: &mut Vec<Turn>) {
-        while let Some((_, flow)) = self.targets.first().copied().filter(|(at, _)| self.closing || *at <= now)
+        while let Some((_, flow)) = self
+            .targets
+            .first()
+            .copied()
+            .filter(|(at, _)| self.closing || *at <= now)
         {
             if let Some(ticket) = self.forget(flow) {
-                let why = if self.closing { Why::Closing } else { Why::Late };
+                let why = if self.closing {
+                    Why::Closing
+                } else {
+                    Why::Late
+                };
                 self.send_away(now, ticket, why, out);
             }
         }
@@ -319,7 +343,10 @@
 /// A key out of a name, the same for one name within a run and known to nobody outside.
 pub fn key(seed: u64, name: &[u8]) -> u64 {
     let mixed = |hash: u64, of: u64| WyRand::new_seed(hash ^ of).generate::<u64>();
-    name.iter().fold(mixed(seed, name.len() as u64), |hash, byte| mixed(hash, u64::from(*byte)))
+    name.iter()
+        .fold(mixed(seed, name.len() as u64), |hash, byte| {
+            mixed(hash, u64::from(*byte))
+        })
 }
 
 /// How soon a door whose queue isn't empty is to be asked again, whatever else happens.
@@ -330,13 +357,21 @@
     use super::*;
 
     fn ticket(flow: FlowId, key: u64) -> Ticket {
-        Ticket { flow, key, client: flow, retry: false, target: 99 * SEC }
+        Ticket {
+            flow,
+            key,
+            client: flow,
+            retry: false,
+            target: 99 * SEC,
+        }
     }
 
     /// The module holds all that it may, of keys that are nobody's here.
     fn hold(door: &mut Door) {
         let flows = [9001, 9002, 9003, 9004];
-        flows.iter().for_each(|flow| _ = door.inside.insert(*flow, (*flow, *flow)));
+        flows
+            .iter()
+            .for_each(|flow| _ = door.inside.insert(*flow, (*flow, *flow)));
         door.holds(&flows);
     }
 
@@ -367,7 +402,10 @@
 
     #[test]
     fn turns_go_round_the_keys_by_weight_however_many_one_sends() {
-        let config = Config { weights: BTreeMap::from([(3, 2.0)]), ..Config::default() };
+        let config = Config {
+            weights: BTreeMap::from([(3, 2.0)]),
+            ..Config::default()
+        };
         let mut door = Door::new(config, 1);
         (0..50).for_each(|flow| assert_eq!(arrive(&mut door, 0, ticket(flow, 1)), None));
         assert_eq!(arrive(&mut door, 0, ticket(100, 2)), None);
@@ -386,9 +424,22 @@
     fn nobody_enters_while_the_module_holds_and_nobody_waits_past_its_target() {
         let mut door = Door::new(Config::default(), 1);
         hold(&mut door);
-        assert_eq!(arrive(&mut door, 0, Ticket { target: SEC, ..ticket(1, 1) }), None);
+        assert_eq!(
+            arrive(
+                &mut door,
+                0,
+                Ticket {
+                    target: SEC,
+                    ..ticket(1, 1)
+                }
+            ),
+            None
+        );
         assert_eq!((next(&mut door, 0), door.due()), (vec![], Some(SEC)));
-        assert!(matches!(next(&mut door, SEC)[..], [Turn::SentAway(1, Why::Late, _)]));
+        assert!(matches!(
+            next(&mut door, SEC)[..],
+            [Turn::SentAway(1, Why::Late, _)]
+        ));
         assert_eq!((door.waiting(), door.due()), (0, None));
         door.holds(&[]);
         assert_eq!(next(&mut door, SEC), []);
@@ -404,26 +455,55 @@
 
     #[test]
     fn what_cannot_be_in_time_is_sent_away_at_once_and_told_no_less_than_it_takes() {
-        let mut door = paced(Config { waiting_each: 500, ..Config::default() }, 20);
+        let mut door = paced(
+            Config {
+                waiting_each: 500,
+                ..Config::default()
+            },
+            20,
+        );
         let now = 20 * SEC;
         hold(&mut door);
         let mut sent = Vec::new();
         for flow in 0..100 {
-            sent.extend(arrive(&mut door, now, Ticket { target: now + SEC, ..ticket(flow, 1) }));
+            sent.extend(arrive(
+                &mut door,
+                now,
+                Ticket {
+                    target: now + SEC,
+                    ..ticket(flow, 1)
+                },
+            ));
         }
         // At 20 a second some 20 can be in time.
         assert!((15..25).contains(&door.waiting()), "{}", door.waiting());
         assert!(
-            sent.iter().all(|(why, wait)| *why == Why::Late && *wait >= 700 * MS && *wait <= 2 * SEC),
+            sent.iter()
+                .all(|(why, wait)| *why == Why::Late && *wait >= 700 * MS && *wait <= 2 * SEC),
             "{sent:?}"
         );
         // Another key's turn is next to come.
-        assert_eq!(arrive(&mut door, now, Ticket { target: now + SEC, ..ticket(500, 2) }), None);
+        assert_eq!(
+            arrive(
+                &mut door,
+                now,
+                Ticket {
+                    target: now + SEC,
+                    ..ticket(500, 2)
+                }
+            ),
+            None
+        );
     }
 
     #[test]
     fn limits_hold_by_key() {
-        let config = Config { rate: 2.0, burst: 3.0, open: 5, ..Config::default() };
+        let config = Config {
+            rate: 2.0,
+            burst: 3.0,
+            open: 5,
+            ..Config::default()
+        };
         let mut door = Door::new(config, 1);
         let whys = |door: &mut Door, now, from: u64| {
             (from..from + 5)
@@ -445,11 +525,24 @@
 
     #[test]
     fn retries_are_paid_for_by_established_flows() {
-        let mut door = Door::new(Config { retries: 0.5, saved: 2.0, ..Config::default() }, 1);
-        let retry = |flow| Ticket { retry: true, ..ticket(flow, flow) };
+        let mut door = Door::new(
+            Config {
+                retries: 0.5,
+                saved: 2.0,
+                ..Config::default()
+            },
+            1,
+        );
+        let retry = |flow| Ticket {
+            retry: true,
+            ..ticket(flow, flow)
+        };
         assert_eq!(arrive(&mut door, 0, retry(1)), None);
         assert_eq!(arrive(&mut door, 0, retry(2)), None);
-        assert_eq!(arrive(&mut door, 0, retry(3)).map(|sent| sent.0), Some(Why::Retries));
+        assert_eq!(
+            arrive(&mut door, 0, retry(3)).map(|sent| sent.0),
+            Some(Why::Retries)
+        );
         assert_eq!(arrive(&mut door, 0, ticket(4, 4)), None, "a first try");
         door.established(0);
         door.established(0);
@@ -459,19 +552,47 @@
     #[test]
     fn one_that_comes_when_it_was_told_is_before_newcomers_and_one_that_comes_early_is_not() {
         for (early, first) in [(false, 2), (true, 1)] {
-            let mut door = paced(Config { waiting_each: 1, ..Config::default() }, 10);
+            let mut door = paced(
+                Config {
+                    waiting_each: 1,
+                    ..Config::default()
+                },
+                10,
+            );
             let now = 20 * SEC;
             hold(&mut door);
             assert_eq!(arrive(&mut door, now, ticket(0, 1)), None);
-            let (why, wait) = arrive(&mut door, now, Ticket { client: 77, ..ticket(9, 1) }).unwrap();
+            let (why, wait) = arrive(
+                &mut door,
+                now,
+                Ticket {
+                    client: 77,
+                    ..ticket(9, 1)
+                },
+            )
+            .unwrap();
             assert_eq!(why, Why::Full);
             door.over(0);
             let comes = if early { now + wait / 3 } else { now + wait };
             // A newcomer was there a moment before.
             assert_eq!(arrive(&mut door, comes, ticket(1, 5)), None);
-            assert_eq!(arrive(&mut door, comes, Ticket { client: 77, ..ticket(2, 6) }), None);
+            assert_eq!(
+                arrive(
+                    &mut door,
+                    comes,
+                    Ticket {
+                        client: 77,
+                        ..ticket(2, 6)
+                    }
+                ),
+                None
+            );
             door.holds(&[]);
-            assert_eq!(next(&mut door, comes), [Turn::Enters(first)], "early {early}");
+            assert_eq!(
+                next(&mut door, comes),
+                [Turn::Enters(first)],
+                "early {early}"
+            );
         }
     }
 
@@ -486,7 +607,14 @@
             let now = 20 * SEC + flow * MS / 10;
             let mut out = Vec::new();
             let target = now + 300 * MS;
-            door.arrives(now, Ticket { target, ..ticket(flow, key(1, &flow.to_le_bytes())) }, &mut out);
+            door.arrives(
+                now,
+                Ticket {
+                    target,
+                    ..ticket(flow, key(1, &flow.to_le_bytes()))
+                },
+                &mut out,
+            );
             if rng.generate_range(0..10u32) == 0 && door.waits(flow) {
                 door.over(flow);
                 hung_up += 1;
@@ -512,7 +640,10 @@
         door.turns(60 * SEC, &mut out);
         let left = out.len();
         assert_eq!(entered + sent + hung_up + left, 50_000);
-        assert!(entered > 4000 && sent > 0 && hung_up > 0, "{entered} {sent} {hung_up}");
+        assert!(
+            entered > 4000 && sent > 0 && hung_up > 0,
+            "{entered} {sent} {hung_up}"
+        );
         assert!(door.waiting.is_empty() && door.targets.is_empty() && door.queues.is_empty());
         assert!(door.inside.is_empty() && door.open.is_empty());
     }
@@ -520,7 +651,14 @@
     /// Work conserving: while anyone waits and the module holds nothing, each look lets one in; and none starves.
     #[test]
     fn a_look_lets_someone_in_while_anyone_waits_and_no_key_starves() {
-        let mut door = Door::new(Config { waiting: 5000, waiting_each: 500, ..Config::default() }, 1);
+        let mut door = Door::new(
+            Config {
+                waiting: 5000,
+                waiting_each: 500,
+                ..Config::default()
+            },
+            1,
+        );
         let mut rng = WyRand::new_seed(5);
         let mut last = [0u64; 20];
         let mut flow = 0;
@@ -528,13 +666,20 @@
             for _ in 0..rng.generate_range(0..4u32) {
                 flow += 1;
                 // Key 0 sends half of all.
-                let key = if rng.generate_range(0..2u32) == 0 { 0 } else { rng.generate_range(0..20u64) };
+                let key = if rng.generate_range(0..2u32) == 0 {
+                    0
+                } else {
+                    rng.generate_range(0..20u64)
+                };
                 let _ = arrive(&mut door, 0, ticket(flow * 32 + key, key));
             }
             let waited = door.waiting();
             match next(&mut door, 0)[..] {
                 [Turn::Enters(flow)] => last[(flow % 32) as usize] = step,
-                ref other => assert!(waited == 0 && other.is_empty(), "{other:?} with {waited} waiting"),
+                ref other => assert!(
+                    waited == 0 && other.is_empty(),
+                    "{other:?} with {waited} waiting"
+                ),
             }
         }
         // Each key has had a turn within the last few rounds.
@@ -546,11 +691,20 @@
         let mut door = Door::new(Config::default(), 1);
         (0..40).for_each(|flow| assert_eq!(arrive(&mut door, 0, ticket(flow, flow % 2)), None));
         let weights = BTreeMap::from([(1, 3.0)]);
-        door.change(Config { waiting: 10, weights, ..Config::default() });
+        door.change(Config {
+            waiting: 10,
+            weights,
+            ..Config::default()
+        });
         assert_eq!(door.waiting(), 40, "nobody is dropped");
-        assert_eq!(arrive(&mut door, 0, ticket(99, 5)).map(|sent| sent.0), Some(Why::Full));
+        assert_eq!(
+            arrive(&mut door, 0, ticket(99, 5)).map(|sent| sent.0),
+            Some(Why::Full)
+        );
         let entered = (0..16).flat_map(|_| next(&mut door, 0));
-        let odd = entered.filter(|turn| matches!(turn, Turn::Enters(flow) if flow % 2 == 1)).count();
+        let odd = entered
+            .filter(|turn| matches!(turn, Turn::Enters(flow) if flow % 2 == 1))
+            .count();
         assert!((11..=13).contains(&odd), "{odd} of 16");
     }
 }
--- a/crates/door/src/queue.rs
+++ b/crates/door/src/queue.rs
@@ -39,7 +39,11 @@
             self.weights += weight;
             // One that comes on time isn't put behind newcomers; a key that has others waiting keeps its place, so
             // that nobody gets ahead by being told to come back often.
-            if promised { self.round.push_front(key) } else { self.round.push_back(key) }
+            if promised {
+                self.round.push_front(key)
+            } else {
+                self.round.push_back(key)
+            }
         }
         match promised {
             true => queue.promised.push_back(flow),
@@ -71,7 +75,10 @@
                 }
             }
             queue.credit -= 1.0;
-            let flow = queue.promised.pop_front().or_else(|| queue.fresh.pop_front())?;
+            let flow = queue
+                .promised
+                .pop_front()
+                .or_else(|| queue.fresh.pop_front())?;
             self.length -= 1;
             if queue.length() == 0 {
                 self.drop_front();
@@ -90,13 +97,19 @@
 
     fn leave(&mut self, key: u64) {
         if let Some(queue) = self.by_key.remove(&key) {
-            self.weights = if self.by_key.is_empty() { 0.0 } else { (self.weights - queue.weight).max(0.0) };
+            self.weights = if self.by_key.is_empty() {
+                0.0
+            } else {
+                (self.weights - queue.weight).max(0.0)
+            };
         }
     }
 
     /// One waits no more. A key's queue is short by configuration, so it is walked.
     pub fn remove(&mut self, key: u64, flow: FlowId) {
-        let Some(queue) = self.by_key.get_mut(&key) else { return };
+        let Some(queue) = self.by_key.get_mut(&key) else {
+            return;
+        };
         let before = queue.length();
         queue.promised.retain(|one| *one != flow);
         queue.fresh.retain(|one| *one != flow);
--- a/crates/front-lines/src/admit.rs
+++ b/crates/front-lines/src/admit.rs
@@ -24,8 +24,13 @@
         }
         let answer = match first::first(&taken.bytes[..length]) {
             Ok(First::Open(open)) => {
-                let class = known.classes.iter().position(|class| class.name == open.class);
-                let Some(service_type) = class else { return refuse(taken, "unknown class") };
+                let class = known
+                    .classes
+                    .iter()
+                    .position(|class| class.name == open.class);
+                let Some(service_type) = class else {
+                    return refuse(taken, "unknown class");
+                };
                 let at = open.at.map(String::from);
                 let wait = match open.wait {
                     _ if at.is_some() => INHERITED,
@@ -43,7 +48,9 @@
                 if taken.held > next {
                     return refuse(taken, "more before it is served");
                 }
-                let Some(id) = core.ids.take(open.id) else { return refuse(taken, "an id that was used") };
+                let Some(id) = core.ids.take(open.id) else {
+                    return refuse(taken, "an id that was used");
+                };
                 let flow = Flow {
                     id: core.number(),
                     service_type,
@@ -55,7 +62,10 @@
                     connects: Vec::new(),
                 };
                 let Some(slot) = core.shares.flows.take(0) else {
-                    warn!(open = core.shares.flows.open(), "no descriptors left for flows");
+                    warn!(
+                        open = core.shares.flows.open(),
+                        "no descriptors left for flows"
+                    );
                     taken.refuse(rejected(None).as_bytes());
                     return None;
                 };
@@ -63,7 +73,14 @@
                 debug!(id = flow.id, line = %String::from_utf8_lossy(&taken.bytes[..length]), "taken");
                 let line = taken.bytes[..length].to_vec();
                 let who = known.who(&open, flow.service_type, flow.taken);
-                return Some(Admitted { flow, who, at, caller: taken.caller, line, id });
+                return Some(Admitted {
+                    flow,
+                    who,
+                    at,
+                    caller: taken.caller,
+                    line,
+                    id,
+                });
             }
             // We are asked only once the listener stands, and then can serve.
             Ok(First::Ping) => PONG,
--- a/crates/front-lines/src/first.rs
+++ b/crates/front-lines/src/first.rs
@@ -52,7 +52,10 @@
         _ => return Err("neither OPEN, PING nor STATS"),
     }
     let mut next = |why| parts.next().filter(|part| !part.is_empty()).ok_or(why);
-    let mut open = Open { id: next("no id")?, ..Open::default() };
+    let mut open = Open {
+        id: next("no id")?,
+        ..Open::default()
+    };
     open.key = next("no key")?;
     let values = next("no values")?;
     if parts.next().is_some() {
@@ -85,7 +88,11 @@
             _ => {}
         }
     }
-    if open.class.is_empty() { Err("no class") } else { Ok(First::Open(open)) }
+    if open.class.is_empty() {
+        Err("no class")
+    } else {
+        Ok(First::Open(open))
+    }
 }
 
 /// A service type as first lines name it, and the longest that its clients wait.
@@ -111,22 +118,30 @@
     pub fn new(settings: &Settings) -> Read<Self> {
         Ok(Known {
             by: None,
-            classes: (settings.names("service-types").into_iter().zip(settings.longest_waits()))
-                .zip(settings.service_types()?)
-                .map(|((name, longest), known)| Class {
-                    name,
-                    longest: longest.unwrap_or(LONGEST),
-                    target: known.setup_target,
-                })
-                .collect(),
+            classes: (settings
+                .names("service-types")
+                .into_iter()
+                .zip(settings.longest_waits()))
+            .zip(settings.service_types()?)
+            .map(|((name, longest), known)| Class {
+                name,
+                longest: longest.unwrap_or(LONGEST),
+                target: known.setup_target,
+            })
+            .collect(),
             customers: settings.names("accounts"),
-            groups: settings.maybe("specifics/groups").and_then(|v| v.as_bool()).unwrap_or(false),
+            groups: settings
+                .maybe("specifics/groups")
+                .and_then(|v| v.as_bool())
+                .unwrap_or(false),
         })
     }
 
     /// Who asks, as the door tells clients apart; nobody in particular where there is none.
     pub fn who(&self, open: &Open, service_type: usize, taken: Time) -> Who {
-        let Some((by, seed)) = self.by else { return Who::default() };
+        let Some((by, seed)) = self.by else {
+            return Who::default();
+        };
         // A client is its group where it tells one, else the flow's key.
         let client = nettlemux_door::key(seed, open.group.unwrap_or(open.key).as_bytes());
         let key = match by {
@@ -134,21 +149,40 @@
             By::Customer => self.key_of(open.customer.unwrap_or_default(), seed),
         };
         let target = taken + self.classes[service_type].target;
-        Who { key, client, retry: open.retry, target }
+        Who {
+            key,
+            client,
+            retry: open.retry,
+            target,
+        }
     }
 
     /// A customer's key, the same for its name and its number.
     fn key_of(&self, name: &str, seed: u64) -> u64 {
         let number = self.customer(name).unwrap_or(usize::MAX);
-        nettlemux_door::key(seed, self.customers.get(number).map_or(name, String::as_str).as_bytes())
+        nettlemux_door::key(
+            seed,
+            self.customers
+                .get(number)
+                .map_or(name, String::as_str)
+                .as_bytes(),
+        )
     }
 
     /// A customer's place among the settings', told by name or number; none for one that is unknown. Where there
     /// are no customers all are alike.
     pub fn customer(&self, name: &str) -> Option<usize> {
         let by_name = self.customers.iter().position(|known| known == name);
-        let by_number = || name.parse().ok().filter(|number| *number < self.customers.len());
-        if self.customers.is_empty() { Some(0) } else { by_name.or_else(by_number) }
+        let by_number = || {
+            name.parse()
+                .ok()
+                .filter(|number| *number < self.customers.len())
+        };
+        if self.customers.is_empty() {
+            Some(0)
+        } else {
+            by_name.or_else(by_number)
+        }
     }
 }
 
@@ -169,7 +203,13 @@
             ..Open::default()
         };
         assert_eq!(first(&line[..line.len() - 2]), Ok(First::Open(open)));
-        let at = Open { id: "1", key: "k", class: "c", at: Some("s-2"), ..Open::default() };
+        let at = Open {
+            id: "1",
+            key: "k",
+            class: "c",
+            at: Some("s-2"),
+            ..Open::default()
+        };
         assert_eq!(first(b"OPEN 1 k c=c,at=s-2"), Ok(First::Open(at)));
         assert_eq!(first(b"PING"), Ok(First::Ping));
         for bad in [
@@ -199,7 +239,11 @@
             b"OPEN 1 k c=a,d=1,h=nan",
             b"OPEN 1 k c=a,d=1,h=inf",
             b"OPEN 1 k c=a,d=1\tx",
-            format!("OPEN 1 k c=a{}", (0..40).map(|n| format!(",x{n}=1")).collect::<String>()).as_bytes(),
+            format!(
+                "OPEN 1 k c=a{}",
+                (0..40).map(|n| format!(",x{n}=1")).collect::<String>()
+            )
+            .as_bytes(),
         ] {
             assert!(first(bad).is_err(), "{bad:?}");
         }
--- a/crates/front-lines/src/take_in.rs
+++ b/crates/front-lines/src/take_in.rs
@@ -59,14 +59,27 @@
         let mut inside = self.inside();
         inside.0 += 1;
         let number = inside.0;
-        inside.1.insert(number, Seat { since: clock::now(), bell, told: false });
-        Guest { lobby: self.clone(), number }
+        inside.1.insert(
+            number,
+            Seat {
+                since: clock::now(),
+                bell,
+                told: false,
+            },
+        );
+        Guest {
+            lobby: self.clone(),
+            number,
+        }
     }
 
     /// Tells the oldest to give way, as many as come in at one go.
     fn make_room(&self, now: Time) {
         let mut inside = self.inside();
-        let old = inside.1.values_mut().filter(|seat| !seat.told && seat.since + STAY <= now);
+        let old = inside
+            .1
+            .values_mut()
+            .filter(|seat| !seat.told && seat.since + STAY <= now);
         for seat in old.take(TURN) {
             seat.told = true;
             seat.bell.send(Event::Stop);
@@ -171,22 +184,34 @@
 
 impl Front {
     pub fn new(core: Arc<Core>, known: Known) -> Arc<Self> {
-        Arc::new(Front { core, known: Mutex::new(Arc::new(known)), lobby: Arc::default() })
+        Arc::new(Front {
+            core,
+            known: Mutex::new(Arc::new(known)),
+            lobby: Arc::default(),
+        })
     }
 
     /// First lines that come from now on are read by this; how the door tells clients apart stays.
     pub fn change(&self, known: Known) {
         let mut now = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        *now = Arc::new(Known { by: now.by, ..known });
+        *now = Arc::new(Known {
+            by: now.by,
+            ..known
+        });
     }
 
     fn known(&self) -> Arc<Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.known
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// One client's connection, from its first byte to its last.
     fn serve(&self, stream: TcpStream, slot: Slot) {
-        let Some(taken) = self.first_line(stream, slot) else { return };
+        let Some(taken) = self.first_line(stream, slot) else {
+            return;
+        };
         if let Some(admitted) = admit(&self.core, &self.known(), taken) {
             chain::serve(&self.core, admitted);
         }
@@ -203,7 +228,15 @@
         let caller = Caller::new(stream, slot);
         let guest = self.lobby.enter(caller.mailbox.sender());
         let bytes = self.core.buffers.take();
-        let taken = Taken { caller, _guest: guest, bytes, held: 0, line: (0, 0), at, until: at + FIRST_LINE };
+        let taken = Taken {
+            caller,
+            _guest: guest,
+            bytes,
+            held: 0,
+            line: (0, 0),
+            at,
+            until: at + FIRST_LINE,
+        };
         taken.next_line(&self.core)
     }
 }
@@ -233,7 +266,11 @@
                 turn = 0;
                 listener.wait_io();
             }
-            Err(e) if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted
+                ) => {}
             Err(e) => {
                 // Out of descriptors or memory, in this process or the whole machine: it may pass.
                 warn!(error = %e, "can't accept");
--- a/crates/hand/src/lib.rs
+++ b/crates/hand/src/lib.rs
@@ -156,7 +156,13 @@
 
 impl<B: Brain> Hand<B> {
     pub fn new(brain: B) -> Self {
-        Hand { brain, flows: BTreeMap::new(), held: Vec::new(), door: None, tells: true }
+        Hand {
+            brain,
+            flows: BTreeMap::new(),
+            held: Vec::new(),
+            door: None,
+            tells: true,
+        }
     }
 
     /// Puts a door before the module. `tells`: clients may be told when to come back.
@@ -184,7 +190,9 @@
     /// How long until [`Hand::elapsed`] is to be called at the latest; none where nothing is due.
     pub fn wait(&self, now: Time) -> Option<Time> {
         let door = self.door.as_ref().filter(|door| door.waiting() > 0);
-        let door = door.and_then(Door::due).map(|at| at.saturating_sub(now).min(LOOK_AGAIN));
+        let door = door
+            .and_then(Door::due)
+            .map(|at| at.saturating_sub(now).min(LOOK_AGAIN));
         self.brain.wait(now).into_iter().chain(door).min()
     }
 
@@ -198,8 +206,23 @@
         };
         self.flows.insert(id, InHand { flow, owed: true });
         let mut turns = Vec::new();
-        let Who { key, client, retry, target } = who;
-        door.arrives(now, Ticket { flow: id, key, client, retry, target }, &mut turns);
+        let Who {
+            key,
+            client,
+            retry,
+            target,
+        } = who;
+        door.arrives(
+            now,
+            Ticket {
+                flow: id,
+                key,
+                client,
+                retry,
+                target,
+            },
+            &mut turns,
+        );
         self.turned(now, turns, acts);
         self.let_in(now, acts);
     }
@@ -221,14 +244,19 @@
         for turn in turns {
             match turn {
                 Turn::Enters(id) => {
-                    let Some(in_hand) = self.flows.get(&id).filter(|f| f.owed) else { continue };
+                    let Some(in_hand) = self.flows.get(&id).filter(|f| f.owed) else {
+                        continue;
+                    };
                     let place = self.brain.place(now, &in_hand.flow);
                     self.answer(now, id, place, acts);
                 }
                 // No connect was made, so coming again is safe whatever the service type.
                 Turn::SentAway(flow, _, wait) => {
                     self.settle(flow);
-                    acts.push(Act::Reject { flow, come_back: self.tells.then_some(wait) });
+                    acts.push(Act::Reject {
+                        flow,
+                        come_back: self.tells.then_some(wait),
+                    });
                 }
             }
         }
@@ -273,7 +301,15 @@
             }
             owed = in_hand.owed.then_some(&in_hand.flow);
         }
-        let todo = self.brain.after(now, Outcome::Ended { flow, rs, end, owed });
+        let todo = self.brain.after(
+            now,
+            Outcome::Ended {
+                flow,
+                rs,
+                end,
+                owed,
+            },
+        );
         if let Some(place) = todo.place {
             self.answer(now, flow, place, acts);
         }
@@ -295,7 +331,9 @@
     }
 
     pub fn probed(&mut self, now: Time, rs: Rs, passed: bool, report: Report, acts: &mut Vec<Act>) {
-        let todo = self.brain.after(now, Outcome::Probed { rs, passed, report });
+        let todo = self
+            .brain
+            .after(now, Outcome::Probed { rs, passed, report });
         self.carry_out(todo, acts);
     }
 
@@ -367,9 +405,23 @@
         }
         // Guards against a connect that was ordered just as the client left, or whose flow has panicked: nobody else says
         // that nothing comes of it, and the module would count it as in flight for good.
-        let out = in_hand.and_then(|in_hand| in_hand.flow.connects.into_iter().find(|connect| connect.out));
+        let out = in_hand.and_then(|in_hand| {
+            in_hand
+                .flow
+                .connects
+                .into_iter()
+                .find(|connect| connect.out)
+        });
         if let Some(Connect { rs, .. }) = out {
-            let todo = self.brain.after(now, Outcome::Ended { flow, rs, end: End::NotSent, owed: None });
+            let todo = self.brain.after(
+                now,
+                Outcome::Ended {
+                    flow,
+                    rs,
+                    end: End::NotSent,
+                    owed: None,
+                },
+            );
             self.carry_out(todo, acts);
         }
     }
@@ -381,7 +433,9 @@
 
     /// Whether a connect of this flow is still out.
     pub fn out(&self, flow: FlowId) -> bool {
-        self.flows.get(&flow).is_some_and(|f| f.flow.connects.iter().any(|c| c.out))
+        self.flows
+            .get(&flow)
+            .is_some_and(|f| f.flow.connects.iter().any(|c| c.out))
     }
 
     /// The flow as it was taken, with its connects so far.
@@ -390,11 +444,24 @@
     }
 
     fn answer(&mut self, now: Time, id: FlowId, place: Place, acts: &mut Vec<Act>) {
-        let Some(in_hand) = self.flows.get_mut(&id) else { return };
+        let Some(in_hand) = self.flows.get_mut(&id) else {
+            return;
+        };
         acts.push(match place {
             Place::To(rs, limit, by) => {
-                in_hand.flow.connects.push(Connect { rs, at: now, out: true, never_ran: false });
-                Act::Connect { flow: id, rs, number: in_hand.flow.connects.len() - 1, limit, by }
+                in_hand.flow.connects.push(Connect {
+                    rs,
+                    at: now,
+                    out: true,
+                    never_ran: false,
+                });
+                Act::Connect {
+                    flow: id,
+                    rs,
+                    number: in_hand.flow.connects.len() - 1,
+                    limit,
+                    by,
+                }
             }
             Place::NotYet => return self.held.push(id),
             Place::Reject(come_back) => {
@@ -402,7 +469,10 @@
                 // What the queue really needs, where there is one.
                 let door = self.door.as_mut().filter(|_| come_back.is_some());
                 let told = door.and_then(|door| door.come_back_of(now, id));
-                Act::Reject { flow: id, come_back: told.or(come_back) }
+                Act::Reject {
+                    flow: id,
+                    come_back: told.or(come_back),
+                }
             }
             Place::Abort => {
                 in_hand.owed = false;
@@ -414,8 +484,14 @@
     fn carry_out(&mut self, todo: Todo, acts: &mut Vec<Act>) {
         acts.extend(todo.probe.into_iter().map(|rs| Act::Probe { rs }));
         acts.extend(todo.shift.into_iter().map(|flow| Act::Move { flow }));
-        let number = |flow| self.flow(flow).map_or(0, |f: &Flow| f.connects.len().saturating_sub(1));
-        acts.extend(todo.call_off.into_iter().map(|flow| Act::CallOff { flow, number: number(flow) }));
+        let number = |flow| {
+            self.flow(flow)
+                .map_or(0, |f: &Flow| f.connects.len().saturating_sub(1))
+        };
+        acts.extend(todo.call_off.into_iter().map(|flow| Act::CallOff {
+            flow,
+            number: number(flow),
+        }));
         acts.extend(todo.ask_list.then_some(Act::AskList));
         acts.extend(todo.tell.map(Act::Tell));
     }
@@ -459,33 +535,86 @@
     }
 
     fn hand(places: &[Place]) -> Hand<Script> {
-        Hand::new(Script { places: places.to_vec(), ..Script::default() })
+        Hand::new(Script {
+            places: places.to_vec(),
+            ..Script::default()
+        })
     }
 
     #[test]
     fn a_flow_is_connected_again_and_answered_once() {
-        let mut hand = hand(&[Place::To(4, 70, 70), Place::To(5, 60, 30), Place::Reject(Some(8))]);
+        let mut hand = hand(&[
+            Place::To(4, 70, 70),
+            Place::To(5, 60, 30),
+            Place::Reject(Some(8)),
+        ]);
         let mut acts = Vec::new();
-        hand.take(1, Flow { id: 7, ..Flow::default() }, Who::default(), &mut acts);
-        let report = Report { beta: Some(0.4), connections: None };
+        hand.take(
+            1,
+            Flow {
+                id: 7,
+                ..Flow::default()
+            },
+            Who::default(),
+            &mut acts,
+        );
+        let report = Report {
+            beta: Some(0.4),
+            connections: None,
+        };
         hand.ended(2, (7, 0), 4, (End::Full, true), report, &mut acts);
         assert!(hand.out(7) && hand.flow(7).is_some_and(|f| f.connects[0].never_ran));
-        hand.ended(3, (7, 1), 5, (End::Cut, false), Report::default(), &mut acts);
+        hand.ended(
+            3,
+            (7, 1),
+            5,
+            (End::Cut, false),
+            Report::default(),
+            &mut acts,
+        );
         assert_eq!(
             acts,
             [
-                Act::Connect { flow: 7, rs: 4, number: 0, limit: 70, by: 70 },
+                Act::Connect {
+                    flow: 7,
+                    rs: 4,
+                    number: 0,
+                    limit: 70,
+                    by: 70
+                },
                 Act::Probe { rs: 4 },
                 Act::Move { flow: 9 },
-                Act::Connect { flow: 7, rs: 5, number: 1, limit: 60, by: 30 },
-                Act::Reject { flow: 7, come_back: Some(8) },
+                Act::Connect {
+                    flow: 7,
+                    rs: 5,
+                    number: 1,
+                    limit: 60,
+                    by: 30
+                },
+                Act::Reject {
+                    flow: 7,
+                    come_back: Some(8)
+                },
             ]
         );
         // Guards against a second answer for a flow that has had its own.
-        hand.ended(4, (7, 1), 5, (End::Cut, false), Report::default(), &mut acts);
-        assert_eq!((acts.len(), hand.brain.owed.as_slice()), (5, &[true, true, false][..]));
+        hand.ended(
+            4,
+            (7, 1),
+            5,
+            (End::Cut, false),
+            Report::default(),
+            &mut acts,
+        );
+        assert_eq!(
+            (acts.len(), hand.brain.owed.as_slice()),
+            (5, &[true, true, false][..])
+        );
         hand.over(5, 7, &mut acts);
-        assert!(hand.flows.is_empty() && hand.brain.owed.len() == 3, "nothing is out, nothing is told");
+        assert!(
+            hand.flows.is_empty() && hand.brain.owed.len() == 3,
+            "nothing is out, nothing is told"
+        );
     }
 
     /// Guards against a connect that is ordered just as its client leaves and counts as in flight for good.
@@ -493,11 +622,23 @@
     fn a_connect_that_nobody_made_is_told_when_its_flow_is_over() {
         let mut hand = hand(&[Place::To(4, 9, 9)]);
         let mut acts = Vec::new();
-        hand.take(1, Flow { id: 1, ..Flow::default() }, Who::default(), &mut acts);
+        hand.take(
+            1,
+            Flow {
+                id: 1,
+                ..Flow::default()
+            },
+            Who::default(),
+            &mut acts,
+        );
         // The client's leave was on its way to us as the order was on its way out.
         hand.left(2, 1, &mut acts);
         hand.over(3, 1, &mut acts);
-        assert_eq!(hand.brain.owed, [false], "the module is told once that it is not out");
+        assert_eq!(
+            hand.brain.owed,
+            [false],
+            "the module is told once that it is not out"
+        );
         hand.over(4, 1, &mut acts);
         assert_eq!(hand.brain.owed, [false]);
     }
@@ -506,15 +647,37 @@
     fn what_is_held_is_asked_about_again_unless_its_client_has_left() {
         let mut hand = hand(&[Place::NotYet, Place::NotYet, Place::To(4, 9, 9)]);
         let mut acts = Vec::new();
-        hand.take(1, Flow { id: 1, ..Flow::default() }, Who::default(), &mut acts);
-        hand.take(1, Flow { id: 2, ..Flow::default() }, Who::default(), &mut acts);
+        hand.take(
+            1,
+            Flow {
+                id: 1,
+                ..Flow::default()
+            },
+            Who::default(),
+            &mut acts,
+        );
+        hand.take(
+            1,
+            Flow {
+                id: 2,
+                ..Flow::default()
+            },
+            Who::default(),
+            &mut acts,
+        );
         hand.left(2, 1, &mut acts);
         hand.elapsed(3, &mut acts);
         assert_eq!(
             acts,
             [
                 Act::CallOff { flow: 1, number: 0 },
-                Act::Connect { flow: 2, rs: 4, number: 0, limit: 9, by: 9 }
+                Act::Connect {
+                    flow: 2,
+                    rs: 4,
+                    number: 0,
+                    limit: 9,
+                    by: 9
+                }
             ]
         );
         assert_eq!(hand.cut_short(5, &mut acts), [2]);
@@ -533,14 +696,34 @@
             Place::Reject(Some(3)),
             Place::NotYet,
         ];
-        let config = Config { held: 2, ..Config::default() };
+        let config = Config {
+            held: 2,
+            ..Config::default()
+        };
         let mut hand = hand(&places).with_door(Door::new(config, 1), true);
         let mut acts = Vec::new();
         for id in 1..=5 {
-            let who = Who { key: id, client: id, retry: false, target: 1_000_000_000 };
-            hand.take(0, Flow { id, ..Flow::default() }, who, &mut acts);
+            let who = Who {
+                key: id,
+                client: id,
+                retry: false,
+                target: 1_000_000_000,
+            };
+            hand.take(
+                0,
+                Flow {
+                    id,
+                    ..Flow::default()
+                },
+                who,
+                &mut acts,
+            );
         }
-        assert_eq!((acts.as_slice(), hand.door().unwrap().waiting()), (&[][..], 3), "the module holds two");
+        assert_eq!(
+            (acts.as_slice(), hand.door().unwrap().waiting()),
+            (&[][..], 3),
+            "the module holds two"
+        );
         hand.left(1, 5, &mut acts);
         assert_eq!(hand.door().unwrap().waiting(), 2);
         // One is placed, one held again; so one more is let in, and refused by the module with the door's time.
@@ -554,7 +737,10 @@
         );
         acts.clear();
         let owed = hand.cut_short(4, &mut acts);
-        assert!(owed.contains(&1) && owed.contains(&2) && !owed.contains(&5), "{owed:?}");
+        assert!(
+            owed.contains(&1) && owed.contains(&2) && !owed.contains(&5),
+            "{owed:?}"
+        );
         (1..=5).for_each(|id| hand.over(5, id, &mut acts));
         assert_eq!(hand.door().unwrap().waiting(), 0);
     }
--- a/crates/lab/src/brains.rs
+++ b/crates/lab/src/brains.rs
@@ -7,7 +7,8 @@
 
 use nettlemux_hand::Brain;
 use nettlemux_policy::{
-    Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Rs, Scope, ServiceType, State, Time, Todo,
+    Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Rs, Scope, ServiceType, State, Time,
+    Todo,
 };
 use nettlemux_settings::Settings;
 use nettlemux_world::dice::Dice;
@@ -27,8 +28,12 @@
 }
 
 impl Kind {
-    pub const BASELINES: [Kind; 4] =
-        [Kind::Random, Kind::RoundRobin, Kind::LeastConnections, Kind::PowerOfTwo];
+    pub const BASELINES: [Kind; 4] = [
+        Kind::Random,
+        Kind::RoundRobin,
+        Kind::LeastConnections,
+        Kind::PowerOfTwo,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -54,14 +59,18 @@
     fn from_str(name: &str) -> Result<Self, String> {
         let mut all = Kind::BASELINES.into_iter().chain([Kind::Module]);
         all.find(|kind| kind.name() == name).ok_or_else(|| {
-            format!("'{name}' is none of module, random, round-robin, least-connections, power-of-two")
+            format!(
+                "'{name}' is none of module, random, round-robin, least-connections, power-of-two"
+            )
         })
     }
 }
 
 /// The decision module as a balancer on sockets has it.
 pub fn module(settings: &Settings, seed: u64) -> Policy {
-    settings.policy(seed, MARGIN, true).expect("settings made by the lab")
+    settings
+        .policy(seed, MARGIN, true)
+        .expect("settings made by the lab")
 }
 
 struct Baseline {
@@ -113,7 +122,9 @@
         match self.types[flow.service_type].repeat {
             Repeat::OnceOnly if ran => Place::Abort,
             Repeat::Referenced(scope, _) if ran && scope != Scope::All => Place::Abort,
-            _ => Place::Reject(Some((self.dice.between(COME_BACK[0], COME_BACK[1]) * 1e9) as Time)),
+            _ => Place::Reject(Some(
+                (self.dice.between(COME_BACK[0], COME_BACK[1]) * 1e9) as Time,
+            )),
         }
     }
 
@@ -139,13 +150,20 @@
 impl Brain for Baseline {
     fn place(&mut self, now: Time, flow: &Flow) -> Place {
         let left = flow.give_up.saturating_sub(now + MARGIN);
-        if left == 0 || flow.connects.len() >= self.connects || flow.connects.iter().any(|c| c.out) {
+        if left == 0 || flow.connects.len() >= self.connects || flow.connects.iter().any(|c| c.out)
+        {
             return self.give_up(flow);
         }
-        let ready = self.servers.values().filter(|s| s.state == State::Ready && self.safe(now, flow, s));
+        let ready = self
+            .servers
+            .values()
+            .filter(|s| s.state == State::Ready && self.safe(now, flow, s));
         let all: Vec<Rs> = ready.map(|server| server.rs).collect();
-        let fresh: Vec<Rs> =
-            all.iter().copied().filter(|rs| flow.connects.iter().all(|c| c.rs != *rs)).collect();
+        let fresh: Vec<Rs> = all
+            .iter()
+            .copied()
+            .filter(|rs| flow.connects.iter().all(|c| c.rs != *rs))
+            .collect();
         let among = if fresh.is_empty() { all } else { fresh };
         if among.is_empty() {
             return self.give_up(flow);
@@ -162,7 +180,9 @@
             }
             Kind::PowerOfTwo => {
                 let two = [among[start], among[self.dice.below(among.len())]];
-                two.into_iter().min_by_key(|rs| self.held(*rs)).expect("two")
+                two.into_iter()
+                    .min_by_key(|rs| self.held(*rs))
+                    .expect("two")
             }
         };
         self.enter(flow.id, rs);
@@ -178,7 +198,9 @@
                 self.strike(flow);
                 todo.place = owed.map(|flow| self.place(now, flow));
             }
-            Outcome::Left { flow } => todo.call_off.extend(self.flows.contains_key(&flow).then_some(flow)),
+            Outcome::Left { flow } => todo
+                .call_off
+                .extend(self.flows.contains_key(&flow).then_some(flow)),
             _ => {}
         }
         todo
@@ -192,7 +214,8 @@
         if whole {
             self.servers.clear();
         }
-        self.servers.extend(entries.iter().map(|entry| (entry.rs, *entry)));
+        self.servers
+            .extend(entries.iter().map(|entry| (entry.rs, *entry)));
     }
 
     fn list_failed(&mut self, _: Time) {}
--- a/crates/lab/src/capacity/assumptions.rs
+++ b/crates/lab/src/capacity/assumptions.rs
@@ -46,7 +46,10 @@
     fn try_from(raw: RawValue) -> Result<Self, String> {
         check_value(raw.value, "value")?;
         check_reason(&raw.why)?;
-        Ok(Parameter { value: raw.value, why: raw.why })
+        Ok(Parameter {
+            value: raw.value,
+            why: raw.why,
+        })
     }
 }
 
@@ -54,14 +57,21 @@
     type Error = String;
     fn try_from(raw: RawValues) -> Result<Self, String> {
         let count = raw.values.len();
-        let values: [f64; CASES] =
-            raw.values.try_into().map_err(|_| format!("`values` are {count}, not {CASES}"))?;
-        values.iter().try_for_each(|value| check_value(*value, "values"))?;
+        let values: [f64; CASES] = raw
+            .values
+            .try_into()
+            .map_err(|_| format!("`values` are {count}, not {CASES}"))?;
+        values
+            .iter()
+            .try_for_each(|value| check_value(*value, "values"))?;
         if !values.is_sorted() {
             return Err("`values` don't rise".into());
         }
         check_reason(&raw.why)?;
-        Ok(Unknown { values, why: raw.why })
+        Ok(Unknown {
+            values,
+            why: raw.why,
+        })
     }
 }
 
@@ -107,13 +117,23 @@
 
 impl Parameter {
     fn entry(&self, section: &'static str, key: &'static str) -> Entry<'_> {
-        Entry { section, key, values: vec![self.value], why: &self.why }
+        Entry {
+            section,
+            key,
+            values: vec![self.value],
+            why: &self.why,
+        }
     }
 }
 
 impl Unknown {
     fn entry(&self, section: &'static str, key: &'static str) -> Entry<'_> {
-        Entry { section, key, values: self.values.to_vec(), why: &self.why }
+        Entry {
+            section,
+            key,
+            values: self.values.to_vec(),
+            why: &self.why,
+        }
     }
 }
 
@@ -187,7 +207,11 @@
                 return Fault::file(file, e.message());
             };
             let line = text[..start].matches('\n').count();
-            let key = text.lines().nth(line).and_then(|line| line.split_once('=')).map(|(key, _)| key.trim());
+            let key = text
+                .lines()
+                .nth(line)
+                .and_then(|line| line.split_once('='))
+                .map(|(key, _)| key.trim());
             let place = key.map_or(String::new(), |key| format!("`{key}`: "));
             Fault::line(file, line + 1, format!("{place}{}", e.message()))
         })
--- a/crates/lab/src/capacity/cold_servers.rs
+++ b/crates/lab/src/capacity/cold_servers.rs
@@ -55,7 +55,12 @@
         value: impl Fn(&Deployment) -> f64 + 'a,
         mechanism: Mechanism,
     ) -> Self {
-        ColdRow { quantity, unit, value: Box::new(value), mechanism }
+        ColdRow {
+            quantity,
+            unit,
+            value: Box::new(value),
+            mechanism,
+        }
     }
 
     /// Over the three numbers of servers.
@@ -70,15 +75,30 @@
     let fleet_pace = |fleet: &Deployment| cold.fleet_pace(fleet.server_connections());
     let pace = mechanism::COLD_PACE;
     vec![
-        ColdRow::new("attempts from all balancers at a new server's start", "a second", fleet_pace, pace),
-        ColdRow::new("the part of one balancer", "a second", move |f| fleet_pace(f) / f.balancers, pace),
+        ColdRow::new(
+            "attempts from all balancers at a new server's start",
+            "a second",
+            fleet_pace,
+            pace,
+        ),
+        ColdRow::new(
+            "the part of one balancer",
+            "a second",
+            move |f| fleet_pace(f) / f.balancers,
+            pace,
+        ),
         ColdRow::new(
             "put down to chance beyond a second's budget of N: 2 sqrt(N) + 2",
             "",
             move |f| 2.0 * fleet_pace(f).sqrt() + 2.0,
             pace,
         ),
-        ColdRow::new("until it holds what a warm one holds, at that pace", "s", |_| cold.refilled_s(), pace),
+        ColdRow::new(
+            "until it holds what a warm one holds, at that pace",
+            "s",
+            |_| cold.refilled_s(),
+            pace,
+        ),
         ColdRow::new(
             "attempts to all of a zone's new servers at their start",
             "a second",
@@ -95,7 +115,12 @@
     for row in cold_rows(&cold) {
         let names = [row.quantity, row.unit].map(String::from);
         let sizes = [row.describe(inputs, full), row.describe(inputs, tenth)];
-        table.row(names.into_iter().chain(sizes).chain([row.mechanism.describe()]));
+        table.row(
+            names
+                .into_iter()
+                .chain(sizes)
+                .chain([row.mechanism.describe()]),
+        );
     }
     table.finish()
 }
--- a/crates/lab/src/capacity/deployment.rs
+++ b/crates/lab/src/capacity/deployment.rs
@@ -74,7 +74,9 @@
                     deployment.connection_life_s = values.connection_life_s.values[case]
                 }
                 Unknown::ChangeBytes => deployment.change_bytes = values.change_bytes.values[case],
-                Unknown::ReturnSpread => deployment.return_spread_s = values.return_spread_s.values[case],
+                Unknown::ReturnSpread => {
+                    deployment.return_spread_s = values.return_spread_s.values[case]
+                }
             }
             deployment
         })
--- a/crates/lab/src/capacity/fault.rs
+++ b/crates/lab/src/capacity/fault.rs
@@ -15,12 +15,20 @@
 impl Fault {
     /// A fault of the file as a whole.
     pub fn file(file: &Path, reason: impl fmt::Display) -> Self {
-        Fault { file: file.into(), line: None, reason: reason.to_string() }
+        Fault {
+            file: file.into(),
+            line: None,
+            reason: reason.to_string(),
+        }
     }
 
     /// A fault in one line, counted from one.
     pub fn line(file: &Path, line: usize, reason: impl fmt::Display) -> Self {
-        Fault { file: file.into(), line: Some(line), reason: reason.to_string() }
+        Fault {
+            file: file.into(),
+            line: Some(line),
+            reason: reason.to_string(),
+        }
     }
 }
 
--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -5,8 +5,8 @@
 use super::markdown::{Table, figure, number};
 use super::mechanism::{self, Mechanism};
 use super::needs::{
-    change_bytes_per_second, control_memory_mb, entry_bytes, least_probes, module_probes, placement_percent,
-    probe_bytes, probes_percent, whole_list_bytes,
+    change_bytes_per_second, control_memory_mb, entry_bytes, least_probes, module_probes,
+    placement_percent, probe_bytes, probes_percent, whole_list_bytes,
 };
 use super::row::Inputs;
 
@@ -41,18 +41,24 @@
             Remedy::ConfigurationChanges => {
                 "changes of the configuration, told from the control machines as differences"
             }
-            Remedy::ListPace => "a whole list in parts or from a neighbour, and a pace for changes of it",
+            Remedy::ListPace => {
+                "a whole list in parts or from a neighbour, and a pace for changes of it"
+            }
         }
     }
 
     /// Whether the code has all of it.
     fn is_built(self) -> bool {
         let mechanisms: &[Mechanism] = match self {
-            Remedy::CandidatesAndBudget => &[mechanism::BOUNDED_CANDIDATES, mechanism::CONTROL_BUDGET],
+            Remedy::CandidatesAndBudget => {
+                &[mechanism::BOUNDED_CANDIDATES, mechanism::CONTROL_BUDGET]
+            }
             Remedy::ConfigurationChanges => &[mechanism::CONFIGURATION],
             Remedy::ListPace => &[mechanism::WHOLE_LIST],
         };
-        mechanisms.iter().all(|mechanism| matches!(mechanism, Mechanism::Present(_)))
+        mechanisms
+            .iter()
+            .all(|mechanism| matches!(mechanism, Mechanism::Present(_)))
     }
 }
 
@@ -78,12 +84,18 @@
 
     /// Whether the mechanism is there but doesn't keep to the budget.
     fn is_over_although_built(&self) -> bool {
-        self.remedy.is_built() && !self.without_remedy && self.times_budget().is_some_and(|times| times > 1.0)
+        self.remedy.is_built()
+            && !self.without_remedy
+            && self.times_budget().is_some_and(|times| times > 1.0)
     }
 
     fn describe(&self) -> String {
         let times = figure(self.times_budget());
-        format!("**{}** ({}: {times} times its budget)", self.remedy.name(), self.need_name)
+        format!(
+            "**{}** ({}: {times} times its budget)",
+            self.remedy.name(),
+            self.need_name
+        )
     }
 }
 
@@ -98,15 +110,27 @@
 
 fn constant_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let requirements = &inputs.assumptions.requirements;
-    let (bytes, percent) =
-        (requirements.control_bytes_per_second.value, requirements.control_percent_of_core.value);
+    let (bytes, percent) = (
+        requirements.control_bytes_per_second.value,
+        requirements.control_percent_of_core.value,
+    );
     let of_module = module_probes(inputs, fleet);
     let least = least_probes(inputs, fleet);
     let gap = |need_name, need, budget| {
         let (remedy, when) = (Remedy::CandidatesAndBudget, When::Always);
-        Gap { remedy, need_name, when, need, budget, without_remedy: false }
+        Gap {
+            remedy,
+            need_name,
+            when,
+            need,
+            budget,
+            without_remedy: false,
+        }
+    };
+    let without_remedy = |gap| Gap {
+        without_remedy: true,
+        ..gap
     };
-    let without_remedy = |gap| Gap { without_remedy: true, ..gap };
     vec![
         gap(
             "bytes a second of the module's probes, measured with the operators' own connections",
@@ -128,8 +152,16 @@
             probes_percent(inputs, least),
             percent,
         )),
-        gap("% of a core for placing", placement_percent(inputs, fleet), percent),
-        gap("MB for control", control_memory_mb(inputs, fleet), requirements.control_memory_mb.value),
+        gap(
+            "% of a core for placing",
+            placement_percent(inputs, fleet),
+            percent,
+        ),
+        gap(
+            "MB for control",
+            control_memory_mb(inputs, fleet),
+            requirements.control_memory_mb.value,
+        ),
     ]
 }
 
@@ -137,47 +169,99 @@
     let requirements = &inputs.assumptions.requirements;
     let change = change_bytes_per_second(inputs, fleet);
     let list = whole_list_bytes(inputs, fleet.servers) / requirements.ready_within_s.value;
-    let zone = fleet.servers / fleet.zones * entry_bytes(inputs) / requirements.change_known_within_s.value;
+    let zone = fleet.servers / fleet.zones * entry_bytes(inputs)
+        / requirements.change_known_within_s.value;
     let gap = |remedy, need_name, need| {
         let budget = requirements.control_bytes_per_second.value;
-        Gap { remedy, need_name, when: When::OnEvent, need: Some(need), budget, without_remedy: false }
+        Gap {
+            remedy,
+            need_name,
+            when: When::OnEvent,
+            need: Some(need),
+            budget,
+            without_remedy: false,
+        }
     };
     vec![
-        gap(Remedy::ConfigurationChanges, "bytes a second of a change within its time", change),
-        gap(Remedy::ListPace, "bytes a second of a whole list within the time to be ready", list),
-        gap(Remedy::ListPace, "bytes a second as a zone's servers go, within the time to be known", zone),
+        gap(
+            Remedy::ConfigurationChanges,
+            "bytes a second of a change within its time",
+            change,
+        ),
+        gap(
+            Remedy::ListPace,
+            "bytes a second of a whole list within the time to be ready",
+            list,
+        ),
+        gap(
+            Remedy::ListPace,
+            "bytes a second as a zone's servers go, within the time to be known",
+            zone,
+        ),
     ]
 }
 
 /// The ranking, and which mechanism is missing first and next.
 pub fn ranking(inputs: &Inputs, full: &Deployment, tenth: &Deployment) -> String {
-    let columns =
-        ["mechanism", "state", "need", "when", "full size", "budget", "times the budget", "at a tenth"];
+    let columns = [
+        "mechanism",
+        "state",
+        "need",
+        "when",
+        "full size",
+        "budget",
+        "times the budget",
+        "at a tenth",
+    ];
     let at_tenth = gaps(inputs, tenth);
     let all = gaps(inputs, full);
     let mut table = Table::new(&columns);
     for gap in &all {
-        let small = at_tenth.iter().find(|small| small.need_name == gap.need_name);
-        let state = if gap.remedy.is_built() { "in the code" } else { "*missing*" };
+        let small = at_tenth
+            .iter()
+            .find(|small| small.need_name == gap.need_name);
+        let state = if gap.remedy.is_built() {
+            "in the code"
+        } else {
+            "*missing*"
+        };
         let names = [gap.remedy.name(), state, gap.need_name, gap.when.describe()];
-        let values = [figure(gap.need), number(gap.budget), figure(gap.times_budget())];
+        let values = [
+            figure(gap.need),
+            number(gap.budget),
+            figure(gap.times_budget()),
+        ];
         let last = [figure(small.and_then(Gap::times_budget))];
-        table.row(names.map(String::from).into_iter().chain(values).chain(last));
+        table.row(
+            names
+                .map(String::from)
+                .into_iter()
+                .chain(values)
+                .chain(last),
+        );
     }
     format!("{}\n{}", verdict(&all), table.finish())
 }
 
 fn verdict(all: &[Gap]) -> String {
-    let over: Vec<String> =
-        all.iter().filter(|gap| gap.is_over_although_built()).map(Gap::describe).collect();
+    let over: Vec<String> = all
+        .iter()
+        .filter(|gap| gap.is_over_although_built())
+        .map(Gap::describe)
+        .collect();
     let over = match over.is_empty() {
         true => String::new(),
-        false => format!(" Over its budget although its mechanism is in the code: {}.", over.join("; ")),
+        false => format!(
+            " Over its budget although its mechanism is in the code: {}.",
+            over.join("; ")
+        ),
     };
     let Some(first) = all.iter().find(|gap| gap.is_open()) else {
         return format!("No mechanism is missing whose need is known to pass its budget.{over}\n");
     };
-    let next = all.iter().find(|gap| gap.is_open() && gap.remedy != first.remedy);
+    let next = all
+        .iter()
+        .find(|gap| gap.is_open() && gap.remedy != first.remedy);
     let next = next.map_or("No runner-up passes its budget.".to_string(), |next| {
         format!("Runner-up: {}.", next.describe())
     });
--- a/crates/lab/src/capacity/markdown.rs
+++ b/crates/lab/src/capacity/markdown.rs
@@ -11,7 +11,10 @@
 impl Table {
     /// A table without rows.
     pub fn new(columns: &[&str]) -> Self {
-        let mut table = Table { columns: columns.len(), text: String::new() };
+        let mut table = Table {
+            columns: columns.len(),
+            text: String::new(),
+        };
         table.row(columns.iter().map(ToString::to_string));
         table.row(columns.iter().map(|_| "---".to_string()));
         table
@@ -19,7 +22,10 @@
 
     /// Adds a row. Missing cells stay empty; a bar within a cell is escaped.
     pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
-        let mut cells: Vec<String> = cells.into_iter().map(|cell| cell.replace('|', "\\|")).collect();
+        let mut cells: Vec<String> = cells
+            .into_iter()
+            .map(|cell| cell.replace('|', "\\|"))
+            .collect();
         cells.resize(self.columns, String::new());
         let joined: Vec<&str> = cells.iter().map(|cell| cell.trim()).collect();
         writeln!(self.text, "| {} |", joined.join(" | ")).expect("a string takes all");
--- a/crates/lab/src/capacity/mechanism.rs
+++ b/crates/lab/src/capacity/mechanism.rs
@@ -40,8 +40,9 @@
     "each balancer's budget, crates/candidates/src/probes.rs; nothing bounds the sum at one server",
 );
 /// Bounds how many balancers keep a connection for probes to one server.
-pub const PROBE_CONNECTIONS: Mechanism =
-    Mechanism::Missing("fewer balancers that keep a connection to each server, crates/core/src/probe.rs");
+pub const PROBE_CONNECTIONS: Mechanism = Mechanism::Missing(
+    "fewer balancers that keep a connection to each server, crates/core/src/probe.rs",
+);
 /// Bounds memory for probes.
 pub const STACK_PER_PROBE: Mechanism = Mechanism::Missing(
     "fewer servers that are probed; each open probe has a stack, crates/core/src/probe.rs",
@@ -51,8 +52,9 @@
     "a whole list in parts, or from a neighbour; crates/core/src/discovery.rs reads it in one answer",
 );
 /// Bounds whole lists that are asked for at once.
-pub const WHOLE_LISTS_OF_ALL: Mechanism =
-    Mechanism::Missing("a limit on whole lists that are asked for at once, beside the pause after a failure");
+pub const WHOLE_LISTS_OF_ALL: Mechanism = Mechanism::Missing(
+    "a limit on whole lists that are asked for at once, beside the pause after a failure",
+);
 /// Tells changes of the list.
 pub const LIST_CHANGES: Mechanism =
     Mechanism::Present("only what has changed is told, crates/core/src/discovery.rs");
@@ -67,11 +69,13 @@
 pub const PEER_MESSAGES: Mechanism =
     Mechanism::Partial("off today; bounded, so it tells of few groups; crates/core/src/peers.rs");
 /// Spreads a large topic.
-pub const LARGE_TOPICS: Mechanism =
-    Mechanism::Partial("one home that grows server by server; `place` in crates/policy/src/policy.rs");
+pub const LARGE_TOPICS: Mechanism = Mechanism::Partial(
+    "one home that grows server by server; `place` in crates/policy/src/policy.rs",
+);
 /// Bounds attempts to all new servers together.
-pub const COLD_SUM: Mechanism =
-    Mechanism::Missing("a bound on the sum over new servers; each balancer's window bounds its own");
+pub const COLD_SUM: Mechanism = Mechanism::Missing(
+    "a bound on the sum over new servers; each balancer's window bounds its own",
+);
 /// Bounds attempts to one new server.
 pub const COLD_PACE: Mechanism =
     Mechanism::Present("`pace`, `credit` and FILLS in crates/policy/src/policy.rs");
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -83,40 +83,94 @@
     let inputs = Inputs::new(assumptions, run);
     let full = Deployment::new(assumptions, 1.0);
     let tenth = Deployment::new(assumptions, TENTH);
-    let role =
-        |name, rows: Vec<row::Row>| Block { name, text: row::table(&rows, assumptions, &full, &tenth) };
+    let role = |name, rows: Vec<row::Row>| Block {
+        name,
+        text: row::table(&rows, assumptions, &full, &tenth),
+    };
     let mut blocks = vec![
-        Block { name: "run", text: run_text(run) },
-        Block { name: "first missing", text: gaps::ranking(&inputs, &full, &tenth) },
+        Block {
+            name: "run",
+            text: run_text(run),
+        },
+        Block {
+            name: "first missing",
+            text: gaps::ranking(&inputs, &full, &tenth),
+        },
         role("balancer", roles::balancer::rows(&inputs)),
         role("server", roles::server::rows(&inputs)),
         role("discovery", roles::discovery::rows(&inputs)),
         role("control machines", roles::control::rows(&inputs)),
         role("clients", roles::clients::rows(&inputs)),
-        Block { name: "storms at full size", text: storms::table(&inputs, &full) },
-        Block { name: "storms at a tenth", text: storms::table(&inputs, &tenth) },
-        Block { name: "cold servers", text: cold_servers::table(&inputs, &full, &tenth) },
-        Block { name: "measured storms", text: storms::measured_table(&inputs) },
-        Block { name: "assumptions", text: assumptions_text(assumptions) },
+        Block {
+            name: "storms at full size",
+            text: storms::table(&inputs, &full),
+        },
+        Block {
+            name: "storms at a tenth",
+            text: storms::table(&inputs, &tenth),
+        },
+        Block {
+            name: "cold servers",
+            text: cold_servers::table(&inputs, &full, &tenth),
+        },
+        Block {
+            name: "measured storms",
+            text: storms::measured_table(&inputs),
+        },
+        Block {
+            name: "assumptions",
+            text: assumptions_text(assumptions),
+        },
     ];
     // Last, when all have asked for theirs.
-    blocks.push(Block { name: "slopes", text: slopes_text(&inputs) });
+    blocks.push(Block {
+        name: "slopes",
+        text: slopes_text(&inputs),
+    });
     blocks
 }
 
 fn run_text(run: Option<&StoredRun>) -> String {
-    let Some(run) = run else { return format!("No run is stored yet: every slope is {NOT_MEASURED}.\n") };
-    let machine: Vec<String> = run.machine.iter().map(|(key, value)| format!("{key} {value}")).collect();
-    format!("Run `{}` of text `{}`, on a machine with {}.\n", run.name, run.text, machine.join(", "))
+    let Some(run) = run else {
+        return format!("No run is stored yet: every slope is {NOT_MEASURED}.\n");
+    };
+    let machine: Vec<String> = run
+        .machine
+        .iter()
+        .map(|(key, value)| format!("{key} {value}"))
+        .collect();
+    format!(
+        "Run `{}` of text `{}`, on a machine with {}.\n",
+        run.name,
+        run.text,
+        machine.join(", ")
+    )
 }
 
 /// The lines that the other blocks have used.
 fn slopes_text(inputs: &Inputs) -> String {
-    let Some(run) = inputs.run else { return format!("{NOT_MEASURED}\n") };
-    let mut table = Table::new(&["run", "part", "figure", "varied", "intercept", "slope", "residual"]);
+    let Some(run) = inputs.run else {
+        return format!("{NOT_MEASURED}\n");
+    };
+    let mut table = Table::new(&[
+        "run",
+        "part",
+        "figure",
+        "varied",
+        "intercept",
+        "slope",
+        "residual",
+    ]);
     for slope in inputs.used() {
-        let names = [run.name.as_str(), slope.part.name(), slope.figure, slope.varied.name()];
-        let fitted = slope.fit().map(|fit| [fit.intercept, fit.slope, fit.residual].map(number));
+        let names = [
+            run.name.as_str(),
+            slope.part.name(),
+            slope.figure,
+            slope.varied.name(),
+        ];
+        let fitted = slope
+            .fit()
+            .map(|fit| [fit.intercept, fit.slope, fit.residual].map(number));
         let fitted = fitted.unwrap_or([NOT_MEASURED; 3].map(String::from));
         table.row(names.map(String::from).into_iter().chain(fitted));
     }
@@ -134,7 +188,11 @@
             .map(|(key, value)| format!("{key} {value}"))
             .collect();
         let names = [part.name(), varied.name()].map(String::from);
-        table.row(names.into_iter().chain([number(least), number(most), fixed.join(", ")]));
+        table.row(
+            names
+                .into_iter()
+                .chain([number(least), number(most), fixed.join(", ")]),
+        );
     }
     table.finish()
 }
--- a/crates/lab/src/capacity/needs.rs
+++ b/crates/lab/src/capacity/needs.rs
@@ -25,20 +25,35 @@
 
 fn mean_payload(inputs: &Inputs) -> Option<f64> {
     let servers = inputs.assumptions.unknown.servers.values[MIDDLE];
-    let figure = |figure| inputs.slope(Part::Sockets, Varied::Servers, figure).at(servers);
-    ratio(figure("probe_bytes_per_second")?, figure("probes_per_second")?)
+    let figure = |figure| {
+        inputs
+            .slope(Part::Sockets, Varied::Servers, figure)
+            .at(servers)
+    };
+    ratio(
+        figure("probe_bytes_per_second")?,
+        figure("probes_per_second")?,
+    )
 }
 
 /// What a probe more a second adds to a figure: the ratio of both slopes over servers.
 fn per_probe(inputs: &Inputs, figure: &'static str) -> Option<f64> {
-    let slope = |figure| inputs.slope(Part::Sockets, Varied::Servers, figure).per_unit();
+    let slope = |figure| {
+        inputs
+            .slope(Part::Sockets, Varied::Servers, figure)
+            .per_unit()
+    };
     ratio(slope(figure)?, slope("probes_per_second")?)
 }
 
 /// Processor time of setting a connection up, in percent of a core for each a second: the ratio of both slopes over
 /// connections.
 pub fn percent_per_set_up(inputs: &Inputs) -> Option<f64> {
-    let slope = |figure| inputs.slope(Part::Sockets, Varied::Connections, figure).per_unit();
+    let slope = |figure| {
+        inputs
+            .slope(Part::Sockets, Varied::Connections, figure)
+            .per_unit()
+    };
     ratio(slope("cpu_percent_of_core")?, slope("connects_per_second")?)
 }
 
@@ -53,23 +68,32 @@
     let headers = format!("{} of packet headers (*assumed*)", number(headers));
     match probe_payload(inputs) {
         Some(payload) => {
-            let way =
-                if per_probe(inputs, "probe_bytes_per_second").is_some() { "slopes" } else { "figures" };
+            let way = if per_probe(inputs, "probe_bytes_per_second").is_some() {
+                "slopes"
+            } else {
+                "figures"
+            };
             format!("{} (measured, ratio of {way}) + {headers}", number(payload))
         }
-        None => format!("{} (*assumed*) + {headers}", number(assumed.probe_payload_bytes.value)),
+        None => format!(
+            "{} (*assumed*) + {headers}",
+            number(assumed.probe_payload_bytes.value)
+        ),
     }
 }
 
 /// Probes a second of the decision module alone, with as many own connections as the operators have told.
 pub fn module_probes(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
-    inputs.slope(Part::Module, Varied::Servers, "probes_per_second").at(fleet.servers)
+    inputs
+        .slope(Part::Module, Varied::Servers, "probes_per_second")
+        .at(fleet.servers)
 }
 
 /// Bytes of a call for the list that brings nothing, with its packet headers.
 pub fn watch_bytes(inputs: &Inputs) -> f64 {
     let assumed = &inputs.assumptions.assumed;
-    assumed.watch_payload_bytes.value + assumed.watch_packets.value * assumed.packet_header_bytes.value
+    assumed.watch_payload_bytes.value
+        + assumed.watch_packets.value * assumed.packet_header_bytes.value
 }
 
 /// Probes a second of a balancer that probes each server that holds a connection of its own at the longest interval.
@@ -80,22 +104,33 @@
 /// Payload and packet headers of a balancer's control, as measured and extrapolated.
 pub fn measured_control_bytes(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let assumed = &inputs.assumptions.assumed;
-    let over_servers = |figure| inputs.slope(Part::Sockets, Varied::Servers, figure).at(fleet.servers);
+    let over_servers = |figure| {
+        inputs
+            .slope(Part::Sockets, Varied::Servers, figure)
+            .at(fleet.servers)
+    };
     let probes = over_servers("probes_per_second")? * assumed.probe_packets.value;
     let calls = over_servers("list_calls_per_second")? * assumed.watch_packets.value;
-    Some(over_servers("control_bytes_per_second")? + (probes + calls) * assumed.packet_header_bytes.value)
+    Some(
+        over_servers("control_bytes_per_second")?
+            + (probes + calls) * assumed.packet_header_bytes.value,
+    )
 }
 
 /// Bytes of a whole list: measured, else by the assumed size of an entry.
 pub fn whole_list_bytes(inputs: &Inputs, servers: f64) -> f64 {
     let slope = inputs.slope(Part::Sockets, Varied::Servers, "list_bytes");
-    slope.at(servers).unwrap_or(servers * inputs.assumptions.assumed.list_entry_bytes.value)
+    slope
+        .at(servers)
+        .unwrap_or(servers * inputs.assumptions.assumed.list_entry_bytes.value)
 }
 
 /// Bytes of one entry of the list: measured, else assumed.
 pub fn entry_bytes(inputs: &Inputs) -> f64 {
     let slope = inputs.slope(Part::Sockets, Varied::Servers, "list_bytes");
-    slope.per_unit().unwrap_or(inputs.assumptions.assumed.list_entry_bytes.value)
+    slope
+        .per_unit()
+        .unwrap_or(inputs.assumptions.assumed.list_entry_bytes.value)
 }
 
 pub fn list_basis(inputs: &Inputs) -> String {
@@ -119,7 +154,9 @@
 
 /// Processor time of placing one new connection, all calls together, in microseconds.
 pub fn placement_us(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
-    inputs.slope(Part::Module, Varied::Servers, "place_us_per_flow").at(fleet.servers)
+    inputs
+        .slope(Part::Module, Varied::Servers, "place_us_per_flow")
+        .at(fleet.servers)
 }
 
 /// Processor time of placing, in percent of a core.
@@ -135,19 +172,26 @@
 
 /// Bytes of one change of the configuration as it comes to one balancer.
 pub fn change_message_bytes(inputs: &Inputs, fleet: &Deployment) -> f64 {
-    fleet.change_bytes + inputs.assumptions.assumed.control_message_header_bytes.value
+    fleet.change_bytes
+        + inputs
+            .assumptions
+            .assumed
+            .control_message_header_bytes
+            .value
 }
 
 /// Bytes a second at one balancer while a change has to come into force.
 pub fn change_bytes_per_second(inputs: &Inputs, fleet: &Deployment) -> f64 {
-    change_message_bytes(inputs, fleet) / inputs.assumptions.requirements.configuration_limit_s.value
+    change_message_bytes(inputs, fleet)
+        / inputs.assumptions.requirements.configuration_limit_s.value
 }
 
 /// Descriptors that the process has to be allowed, as they are shared out: flows, probes, clients that wait.
 pub fn descriptors_needed(inputs: &Inputs, fleet: &Deployment) -> f64 {
     let code = &inputs.assumptions.code;
     let flows = fleet.own_connections() * code.descriptors_per_flow.value;
-    let rest = 1.0 - code.probe_descriptor_part.value.recip() - code.waiting_descriptor_part.value.recip();
+    let rest =
+        1.0 - code.probe_descriptor_part.value.recip() - code.waiting_descriptor_part.value.recip();
     (flows + code.descriptors_standing.value) / rest
 }
 
@@ -160,6 +204,8 @@
 
 /// Memory for control: the process as it was on sockets with few flows, and the module's state of own connections.
 pub fn control_memory_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
-    let process = inputs.slope(Part::Sockets, Varied::Servers, "memory_mb").at(fleet.servers)?;
+    let process = inputs
+        .slope(Part::Sockets, Varied::Servers, "memory_mb")
+        .at(fleet.servers)?;
     Some(process + own_state_mb(inputs, fleet)?)
 }
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -25,9 +25,17 @@
     for marker in [&begin, &end] {
         match page.matches(marker.as_str()).count() {
             1 => {}
-            0 => return Err(Fault::file(file, format!("the marker '{marker}' is missing"))),
+            0 => {
+                return Err(Fault::file(
+                    file,
+                    format!("the marker '{marker}' is missing"),
+                ));
+            }
             count => {
-                return Err(Fault::file(file, format!("the marker '{marker}' stands there {count} times")));
+                return Err(Fault::file(
+                    file,
+                    format!("the marker '{marker}' stands there {count} times"),
+                ));
             }
         }
     }
@@ -35,7 +43,10 @@
     let stop = page.find(&end).expect("counted above");
     match start <= stop {
         true => Ok(start..stop),
-        false => Err(Fault::file(file, format!("the marker '{end}' stands before '{begin}'"))),
+        false => Err(Fault::file(
+            file,
+            format!("the marker '{end}' stands before '{begin}'"),
+        )),
     }
 }
 
@@ -47,7 +58,10 @@
     let mut page = page.to_string();
     for block in blocks {
         let range = place(file, &page, block.name)?;
-        page.replace_range(range, &format!("\n\n{}\n", block.text.trim_end().to_string() + "\n"));
+        page.replace_range(
+            range,
+            &format!("\n\n{}\n", block.text.trim_end().to_string() + "\n"),
+        );
     }
     Ok(page)
 }
--- a/crates/lab/src/capacity/roles/balancer.rs
+++ b/crates/lab/src/capacity/roles/balancer.rs
@@ -4,11 +4,11 @@
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
 use crate::capacity::needs::{
-    BYTES_PER_KB, BYTES_PER_MB, MICROSECONDS_PER_SECOND, PERCENT, SECONDS_PER_DAY, change_bytes_per_second,
-    change_message_bytes, control_memory_mb, descriptors_needed, entry_bytes, least_probes, list_basis,
-    list_changes_per_day, measured_control_bytes, module_probes, own_state_mb, percent_per_set_up,
-    placement_percent, placement_us, probe_bytes, probe_bytes_basis, probes_percent, watch_bytes,
-    whole_list_bytes,
+    BYTES_PER_KB, BYTES_PER_MB, MICROSECONDS_PER_SECOND, PERCENT, SECONDS_PER_DAY,
+    change_bytes_per_second, change_message_bytes, control_memory_mb, descriptors_needed,
+    entry_bytes, least_probes, list_basis, list_changes_per_day, measured_control_bytes,
+    module_probes, own_state_mb, percent_per_set_up, placement_percent, placement_us, probe_bytes,
+    probe_bytes_basis, probes_percent, watch_bytes, whole_list_bytes,
 };
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
@@ -39,8 +39,10 @@
     let probes_paid_for = bytes / probe_bytes(inputs);
     let a_probe = format!("probes x {} bytes", number(probe_bytes(inputs)));
     let ratio = "those probes x the ratio of slopes of processor and probes over servers (measured, sockets)";
-    let longest =
-        format!("servers held, by chance / {} s (code)", number(code.probe_interval_longest_s.value));
+    let longest = format!(
+        "servers held, by chance / {} s (code)",
+        number(code.probe_interval_longest_s.value)
+    );
     let row = |quantity, unit, basis: &str, value: ProbeValue<'a>, budget| {
         Row::new(quantity, unit, basis, value, mechanism::CONTROL_BUDGET)
             .over(Unknown::Servers)
@@ -106,7 +108,10 @@
         row(
             "control bytes on sockets, at the run's price",
             "a second",
-            &format!("{} + packet headers (*assumed*)", sockets("control_bytes_per_second").describe()),
+            &format!(
+                "{} + packet headers (*assumed*)",
+                sockets("control_bytes_per_second").describe()
+            ),
             Box::new(|f| measured_control_bytes(inputs, f)),
             bytes,
         ),
@@ -130,7 +135,11 @@
     let (memory, descriptors) = (sockets("memory_mb"), sockets("descriptors"));
     let of_server = inputs.slope(Part::Module, Varied::Servers, "bytes_per_server");
     let of_connection = inputs.slope(Part::Module, Varied::Connections, "bytes_per_connection");
-    let in_table = inputs.slope(Part::Module, Varied::Connections, "flow_table_bytes_per_connection");
+    let in_table = inputs.slope(
+        Part::Module,
+        Varied::Connections,
+        "flow_table_bytes_per_connection",
+    );
     vec![
         Row::new(
             "memory of the process on sockets, with the run's few flows",
@@ -193,7 +202,10 @@
         Row::new(
             "messages between balancers that would be needed",
             "a second",
-            format!("shards / {} s (code), one server each", number(code.peer_message_repeat_s.value)),
+            format!(
+                "shards / {} s (code), one server each",
+                number(code.peer_message_repeat_s.value)
+            ),
             |f| Some(f.shards / inputs.assumptions.code.peer_message_repeat_s.value),
             mechanism::PEER_MESSAGES,
         )
@@ -304,7 +316,11 @@
 fn list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let (requirements, code) = (&inputs.assumptions.requirements, &inputs.assumptions.code);
     let bytes = requirements.control_bytes_per_second.value;
-    let seen = inputs.slope(Part::Sockets, Varied::ChangesPerSecond, "change_seen_ms_p99");
+    let seen = inputs.slope(
+        Part::Sockets,
+        Varied::ChangesPerSecond,
+        "change_seen_ms_p99",
+    );
     let seen_over_servers = inputs.slope(Part::Sockets, Varied::Servers, "change_seen_ms_p99");
     let change_known_within = requirements.change_known_within_s.value;
     vec![
@@ -341,7 +357,10 @@
         Row::new(
             "a whole list within the time to be ready",
             "bytes a second",
-            format!("a whole list / {} s", number(requirements.ready_within_s.value)),
+            format!(
+                "a whole list / {} s",
+                number(requirements.ready_within_s.value)
+            ),
             |f| {
                 Some(
                     whole_list_bytes(inputs, f.servers)
@@ -355,7 +374,10 @@
         Row::new(
             "a zone's servers that go, within the time to be known",
             "bytes a second",
-            format!("servers / zones x an entry / {} s", number(change_known_within)),
+            format!(
+                "servers / zones x an entry / {} s",
+                number(change_known_within)
+            ),
             move |f| Some(f.servers / f.zones * entry_bytes(inputs) / change_known_within),
             mechanism::LIST_CHANGES,
         )
@@ -389,7 +411,10 @@
         Row::new(
             "a change of the configuration within its time",
             "bytes a second",
-            format!("(change + head) / {} s (three sizes)", number(requirements.configuration_limit_s.value)),
+            format!(
+                "(change + head) / {} s (three sizes)",
+                number(requirements.configuration_limit_s.value)
+            ),
             |f| Some(change_bytes_per_second(inputs, f)),
             mechanism::CONFIGURATION,
         )
@@ -399,7 +424,12 @@
             "changes of the configuration on the mean",
             "bytes a second",
             "changes a day x (change + head) / a day (three sizes)",
-            |f| Some(f.configuration_changes_per_day * change_message_bytes(inputs, f) / SECONDS_PER_DAY),
+            |f| {
+                Some(
+                    f.configuration_changes_per_day * change_message_bytes(inputs, f)
+                        / SECONDS_PER_DAY,
+                )
+            },
             mechanism::CONFIGURATION,
         )
         .over(Unknown::ChangeBytes)
--- a/crates/lab/src/capacity/roles/control.rs
+++ b/crates/lab/src/capacity/roles/control.rs
@@ -44,7 +44,10 @@
             "MB a second",
             "the same x (change + head) (three sizes)",
             move |f| {
-                Some(f.balancers / f.control_machines * change_bytes_per_second(inputs, f) / BYTES_PER_MB)
+                Some(
+                    f.balancers / f.control_machines * change_bytes_per_second(inputs, f)
+                        / BYTES_PER_MB,
+                )
             },
             mechanism::CONTROL_MACHINES,
         )
--- a/crates/lab/src/capacity/roles/discovery.rs
+++ b/crates/lab/src/capacity/roles/discovery.rs
@@ -3,14 +3,20 @@
 use crate::capacity::deployment::Unknown;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism;
-use crate::capacity::needs::{BYTES_PER_MB, list_basis, list_changes_per_day, watch_bytes, whole_list_bytes};
+use crate::capacity::needs::{
+    BYTES_PER_MB, list_basis, list_changes_per_day, watch_bytes, whole_list_bytes,
+};
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
 /// Discovery and its agents, all of them together.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let calls = inputs.slope(Part::Sockets, Varied::Servers, "list_calls_per_second");
-    let answered = inputs.slope(Part::Sockets, Varied::Balancers, "discovery_calls_per_second");
+    let answered = inputs.slope(
+        Part::Sockets,
+        Varied::Balancers,
+        "discovery_calls_per_second",
+    );
     vec![
         Row::new(
             "calls, measured of a balancer",
@@ -30,14 +36,20 @@
         Row::new(
             "calls by the hold",
             "a second",
-            format!("balancers / {} s (code)", number(inputs.assumptions.code.watch_hold_s.value)),
+            format!(
+                "balancers / {} s (code)",
+                number(inputs.assumptions.code.watch_hold_s.value)
+            ),
             |f| Some(f.balancers / inputs.assumptions.code.watch_hold_s.value),
             mechanism::AGENTS,
         ),
         Row::new(
             "bytes while nothing changes",
             "MB a second",
-            format!("balancers x {} bytes (*assumed*)", number(watch_bytes(inputs))),
+            format!(
+                "balancers x {} bytes (*assumed*)",
+                number(watch_bytes(inputs))
+            ),
             |f| {
                 Some(
                     f.balancers * watch_bytes(inputs)
@@ -74,7 +86,10 @@
         Row::new(
             "the same within the time to be known",
             "MB a second",
-            format!("/ {} s", number(inputs.assumptions.requirements.change_known_within_s.value)),
+            format!(
+                "/ {} s",
+                number(inputs.assumptions.requirements.change_known_within_s.value)
+            ),
             |f| {
                 let within = inputs.assumptions.requirements.change_known_within_s.value;
                 Some(whole_list_bytes(inputs, f.servers) * f.balancers / within / BYTES_PER_MB)
--- a/crates/lab/src/capacity/roles/server.rs
+++ b/crates/lab/src/capacity/roles/server.rs
@@ -49,9 +49,13 @@
         Row::new(
             "processor for those probes",
             "% of a core",
-            format!("probes x {} us (*assumed*)", number(assumed.server_probe_us.value)),
+            format!(
+                "probes x {} us (*assumed*)",
+                number(assumed.server_probe_us.value)
+            ),
             move |f| {
-                let each = inputs.assumptions.assumed.server_probe_us.value / MICROSECONDS_PER_SECOND;
+                let each =
+                    inputs.assumptions.assumed.server_probe_us.value / MICROSECONDS_PER_SECOND;
                 Some(least_here(f) * each * PERCENT)
             },
             mechanism::FLEET_PROBE_BUDGET,
--- a/crates/lab/src/capacity/row.rs
+++ b/crates/lab/src/capacity/row.rs
@@ -21,19 +21,35 @@
 impl<'a> Inputs<'a> {
     /// Nothing has been asked for yet.
     pub fn new(assumptions: &'a Assumptions, run: Option<&'a StoredRun>) -> Self {
-        Inputs { assumptions, run, used: RefCell::default() }
+        Inputs {
+            assumptions,
+            run,
+            used: RefCell::default(),
+        }
     }
 
     /// The slope of a figure, or that no run has it.
     pub fn slope(&self, part: Part, varied: Varied, figure: &'static str) -> Slope<'a> {
         self.used.borrow_mut().insert((part, varied, figure));
-        Slope { part, varied, figure, run: self.run }
+        Slope {
+            part,
+            varied,
+            figure,
+            run: self.run,
+        }
     }
 
     /// Slopes of all figures that were asked for so far.
     pub fn used(&self) -> Vec<Slope<'a>> {
         let used = self.used.borrow();
-        used.iter().map(|&(part, varied, figure)| Slope { part, varied, figure, run: self.run }).collect()
+        used.iter()
+            .map(|&(part, varied, figure)| Slope {
+                part,
+                varied,
+                figure,
+                run: self.run,
+            })
+            .collect()
     }
 }
 
@@ -64,16 +80,23 @@
 
     /// The largest measured size.
     fn measured_to(&self) -> Option<f64> {
-        self.run?.range(self.part, self.varied).map(|(_, most)| most)
+        self.run?
+            .range(self.part, self.varied)
+            .map(|(_, most)| most)
     }
 
     /// How the page tells of it.
     pub fn describe(&self) -> String {
         let (figure, count, part) = (self.figure, self.varied.name(), self.part.name());
-        let Some(fit) = self.fit() else { return format!("{figure} over {count} ({part}): *not measured*") };
-        let range = self.measured_to().map_or(String::new(), |most| format!(", to {}", number(most)));
+        let Some(fit) = self.fit() else {
+            return format!("{figure} over {count} ({part}): *not measured*");
+        };
+        let range = self
+            .measured_to()
+            .map_or(String::new(), |most| format!(", to {}", number(most)));
         let sign = if fit.intercept < 0.0 { "-" } else { "+" };
-        let [slope, intercept, residual] = [fit.slope, fit.intercept.abs(), fit.residual].map(number);
+        let [slope, intercept, residual] =
+            [fit.slope, fit.intercept.abs(), fit.residual].map(number);
         let source = format!("measured, {part}{range}, residual {residual}");
         format!("{figure} = {slope} x {count} {sign} {intercept} ({source})")
     }
@@ -104,7 +127,15 @@
         mechanism: Mechanism,
     ) -> Self {
         let value = Box::new(value);
-        Row { quantity, unit, basis: basis.into(), varies: None, value, budget: None, mechanism }
+        Row {
+            quantity,
+            unit,
+            basis: basis.into(),
+            varies: None,
+            value,
+            budget: None,
+            mechanism,
+        }
     }
 
     /// It is worked out for three values of this.
@@ -122,9 +153,11 @@
     fn values(&self, fleet: &Deployment, assumptions: &Assumptions) -> Vec<Option<f64>> {
         match self.varies {
             None => vec![(self.value)(fleet)],
-            Some(unknown) => {
-                fleet.cases(assumptions, unknown).iter().map(|case| (self.value)(case)).collect()
-            }
+            Some(unknown) => fleet
+                .cases(assumptions, unknown)
+                .iter()
+                .map(|case| (self.value)(case))
+                .collect(),
         }
     }
 
@@ -135,9 +168,22 @@
 }
 
 /// A role's table: each figure at the operators' size and at a tenth of it.
-pub fn table(rows: &[Row], assumptions: &Assumptions, full: &Deployment, tenth: &Deployment) -> String {
-    let columns =
-        ["figure", "unit", "worked out by", "full size", "a tenth", "budget", "of the budget", "mechanism"];
+pub fn table(
+    rows: &[Row],
+    assumptions: &Assumptions,
+    full: &Deployment,
+    tenth: &Deployment,
+) -> String {
+    let columns = [
+        "figure",
+        "unit",
+        "worked out by",
+        "full size",
+        "a tenth",
+        "budget",
+        "of the budget",
+        "mechanism",
+    ];
     let mut table = Table::new(&columns);
     for row in rows {
         let share = row.times_budget(full);
--- a/crates/lab/src/capacity/stored_run.rs
+++ b/crates/lab/src/capacity/stored_run.rs
@@ -85,8 +85,13 @@
     /// # Errors
     /// Names the file, the line and the key at fault.
     pub fn parse(file: &Path, text: &str) -> Result<Self, Fault> {
-        let mut lines = text.lines().enumerate().map(|(index, line)| (index + 1, line));
-        let (number, first) = lines.next().ok_or_else(|| Fault::file(file, "is empty: no run"))?;
+        let mut lines = text
+            .lines()
+            .enumerate()
+            .map(|(index, line)| (index + 1, line));
+        let (number, first) = lines
+            .next()
+            .ok_or_else(|| Fault::file(file, "is empty: no run"))?;
         let head: Head = typed(file, number, json(file, number, first)?)?;
         let mut run = StoredRun {
             name: head.run,
@@ -111,7 +116,9 @@
     pub fn at(&self, part: Part, varied: Varied, figure: &str, count: f64) -> Option<f64> {
         let between = self.measured(part, varied, figure);
         let pairs = between.iter().zip(between.iter().skip(1));
-        let around = pairs.into_iter().find(|((least, _), (most, _))| (*least..=*most).contains(&count));
+        let around = pairs
+            .into_iter()
+            .find(|((least, _), (most, _))| (*least..=*most).contains(&count));
         match around {
             Some(((size, value), (next_size, next_value))) if next_size > size => {
                 Some(value + (next_value - value) * (count - size) / (next_size - size))
@@ -148,13 +155,19 @@
         if value.get("fit").is_some() {
             let fit: Fit = typed(file, line, value)?;
             self.check_name(&fit.run, file, line)?;
-            self.take_fit(fit).map_err(|reason| Fault::line(file, line, reason))
+            self.take_fit(fit)
+                .map_err(|reason| Fault::line(file, line, reason))
         } else if value.get("figures").is_some() {
             let point: Point = typed(file, line, value)?;
             self.check_name(&point.run, file, line)?;
-            self.take_point(point).map_err(|reason| Fault::line(file, line, reason))
+            self.take_point(point)
+                .map_err(|reason| Fault::line(file, line, reason))
         } else {
-            Err(Fault::line(file, line, "neither `figures` nor `fit`: no point and no slope"))
+            Err(Fault::line(
+                file,
+                line,
+                "neither `figures` nor `fit`: no point and no slope",
+            ))
         }
     }
 
@@ -162,12 +175,21 @@
         if name == self.name {
             return Ok(());
         }
-        Err(Fault::line(file, line, format!("`run` is '{name}', the first line's is '{}'", self.name)))
+        Err(Fault::line(
+            file,
+            line,
+            format!("`run` is '{name}', the first line's is '{}'", self.name),
+        ))
     }
 
     fn take_fit(&mut self, fit: Fit) -> Result<(), String> {
         let key = (fit.part, fit.varied, fit.figure.clone());
-        let what = format!("`fit` {} over {} in {}", fit.figure, fit.varied.name(), fit.part.name());
+        let what = format!(
+            "`fit` {} over {} in {}",
+            fit.figure,
+            fit.varied.name(),
+            fit.part.name()
+        );
         match self.fits.insert(key, fit) {
             Some(_) => Err(format!("{what}: stands there already")),
             None => Ok(()),
@@ -183,7 +205,10 @@
         if let Some((name, _)) = point.figures.iter().find(|(_, value)| !readable(value)) {
             return Err(format!("`figures.{name}` is no number"));
         }
-        let range = self.ranges.entry((point.part, point.varied)).or_insert((point.size, point.size));
+        let range = self
+            .ranges
+            .entry((point.part, point.varied))
+            .or_insert((point.size, point.size));
         *range = (range.0.min(point.size), range.1.max(point.size));
         self.points.push(point);
         Ok(())
@@ -191,17 +216,28 @@
 }
 
 fn json(file: &Path, number: usize, line: &str) -> Result<Value, Fault> {
-    serde_json::from_str(line).map_err(|e| Fault::line(file, number, format!("no JSON object: {e}")))
+    serde_json::from_str(line)
+        .map_err(|e| Fault::line(file, number, format!("no JSON object: {e}")))
 }
 
-fn typed<T: for<'de> Deserialize<'de>>(file: &Path, number: usize, value: Value) -> Result<T, Fault> {
-    let object = value.as_object().ok_or_else(|| Fault::line(file, number, "no JSON object"))?;
+fn typed<T: for<'de> Deserialize<'de>>(
+    file: &Path,
+    number: usize,
+    value: Value,
+) -> Result<T, Fault> {
+    let object = value
+        .as_object()
+        .ok_or_else(|| Fault::line(file, number, "no JSON object"))?;
     // The reader names a missing key, but not the one whose value has the wrong type.
-    let wrong = NUMBERS.iter().find(|key| object.get(**key).is_some_and(|value| !value.is_number()));
+    let wrong = NUMBERS
+        .iter()
+        .find(|key| object.get(**key).is_some_and(|value| !value.is_number()));
     if let Some(key) = wrong {
         return Err(Fault::line(file, number, format!("`{key}` is no number")));
     }
-    let texts = TEXTS.iter().find(|key| object.get(**key).is_some_and(|value| !value.is_string()));
+    let texts = TEXTS
+        .iter()
+        .find(|key| object.get(**key).is_some_and(|value| !value.is_string()));
     if let Some(key) = texts {
         return Err(Fault::line(file, number, format!("`{key}` is no text")));
     }
--- a/crates/lab/src/capacity/storms.rs
+++ b/crates/lab/src/capacity/storms.rs
@@ -103,7 +103,9 @@
         balancers_lost: none,
         servers_lost: none,
         // Those that cross on the way in and those that cross on the way out.
-        clients: |i, f| 2.0 * i.assumptions.assumed.crossing_share.value * f.connections / f.regions,
+        clients: |i, f| {
+            2.0 * i.assumptions.assumed.crossing_share.value * f.connections / f.regions
+        },
         announced: false,
     },
 ];
@@ -143,7 +145,8 @@
 
     /// Seconds in which servers set them up.
     fn set_up_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
-        self.clients_at_a_server(inputs, fleet) / inputs.assumptions.assumed.server_attempts_per_second.value
+        self.clients_at_a_server(inputs, fleet)
+            / inputs.assumptions.assumed.server_attempts_per_second.value
     }
 
     /// Seconds of a whole core to place them all, at the time that one takes in quiet operation.
@@ -154,9 +157,17 @@
 
     /// Seconds until all are placed again; at least, where the time to decide was not measured.
     fn placed_s(&self, inputs: &Inputs, fleet: &Deployment, window_s: f64) -> f64 {
-        let notice = if self.announced { 0.0 } else { inputs.assumptions.assumed.notice_s.value };
+        let notice = if self.announced {
+            0.0
+        } else {
+            inputs.assumptions.assumed.notice_s.value
+        };
         let decide = self.decide_s(inputs, fleet).unwrap_or(0.0);
-        let slowest = fleet.return_spread_s.max(window_s).max(self.set_up_s(inputs, fleet)).max(decide);
+        let slowest = fleet
+            .return_spread_s
+            .max(window_s)
+            .max(self.set_up_s(inputs, fleet))
+            .max(decide);
         notice + slowest
     }
 
@@ -198,8 +209,16 @@
     };
     let entries = storm.list_entries(inputs, fleet);
     let bytes = entries * entry_bytes(inputs);
-    let budget = inputs.assumptions.requirements.control_bytes_per_second.value;
-    let least = if storm.decide_s(inputs, fleet).is_none() { "at least " } else { "" };
+    let budget = inputs
+        .assumptions
+        .requirements
+        .control_bytes_per_second
+        .value;
+    let least = if storm.decide_s(inputs, fleet).is_none() {
+        "at least "
+    } else {
+        ""
+    };
     vec![
         storm.name.to_string(),
         number((storm.per_year)(inputs, fleet)),
@@ -210,10 +229,17 @@
         over_spread(&|case| storm.clients_at_a_balancer(inputs, case) / case.return_spread_s),
         over_spread(&|case| storm.clients_at_a_server(inputs, case) / case.return_spread_s),
         figure(storm.decide_s(inputs, fleet)),
-        format!("{least}{}", over_spread(&|case| storm.placed_s(inputs, case, storm.window_s(inputs, case)))),
         format!(
             "{least}{}",
-            over_spread(&|case| storm.placed_s(inputs, case, storm.narrowed_window_s(inputs, case)))
+            over_spread(&|case| storm.placed_s(inputs, case, storm.window_s(inputs, case)))
+        ),
+        format!(
+            "{least}{}",
+            over_spread(&|case| storm.placed_s(
+                inputs,
+                case,
+                storm.narrowed_window_s(inputs, case)
+            ))
         ),
         number(bytes),
         number(bytes / budget),
@@ -223,7 +249,11 @@
 
 /// The storms that the stored run has played, as it stored them.
 pub fn measured_table(inputs: &Inputs) -> String {
-    let points: Vec<_> = inputs.run.into_iter().flat_map(|run| run.points(Part::Storm)).collect();
+    let points: Vec<_> = inputs
+        .run
+        .into_iter()
+        .flat_map(|run| run.points(Part::Storm))
+        .collect();
     if points.is_empty() {
         return format!("No storm in the stored run: {NOT_MEASURED}.\n");
     }
@@ -231,7 +261,12 @@
     for point in points {
         for (name, value) in &point.figures {
             let size = number(point.size);
-            table.row([point.varied.name().to_string(), size, name.clone(), figure(value.as_f64())]);
+            table.row([
+                point.varied.name().to_string(),
+                size,
+                name.clone(),
+                figure(value.as_f64()),
+            ]);
         }
     }
     table.finish()
--- a/crates/lab/src/capacity_command.rs
+++ b/crates/lab/src/capacity_command.rs
@@ -13,7 +13,10 @@
     #[bpaf(argument("FILE"), fallback(PathBuf::from("docs/scale/run.jsonl")))]
     run: PathBuf,
     /// What is taken for granted beside it
-    #[bpaf(argument("FILE"), fallback(PathBuf::from("docs/scale/assumptions.toml")))]
+    #[bpaf(
+        argument("FILE"),
+        fallback(PathBuf::from("docs/scale/assumptions.toml"))
+    )]
     assumptions: PathBuf,
     /// Writes the generated blocks of the page anew
     write: bool,
@@ -27,8 +30,17 @@
 /// # Errors
 /// Names the file, line and key at fault.
 pub fn run(arguments: &Arguments) -> Result<(String, bool), String> {
-    let Arguments { run, assumptions, page, write } = arguments.clone();
-    let files = Files { run, assumptions, page };
+    let Arguments {
+        run,
+        assumptions,
+        page,
+        write,
+    } = arguments.clone();
+    let files = Files {
+        run,
+        assumptions,
+        page,
+    };
     let page = files.page.display();
     if write {
         capacity::write(&files).map_err(|e| e.to_string())?;
@@ -38,8 +50,14 @@
     match stale.is_empty() {
         true => Ok((format!("{page}: as run and assumptions give\n"), true)),
         false => {
-            let text = format!("{page}: not as run and assumptions give: {}\n", stale.join(", "));
-            Ok((text + "nettlemux-lab capacity --write writes it anew\n", false))
+            let text = format!(
+                "{page}: not as run and assumptions give: {}\n",
+                stale.join(", ")
+            );
+            Ok((
+                text + "nettlemux-lab capacity --write writes it anew\n",
+                false,
+            ))
         }
     }
 }
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -14,10 +14,14 @@
 use crate::simulate::{Who, simulate};
 use crate::sockets::{self, Program};
 
-const SCENARIO: (&str, &str) =
-    ("lab/scenarios/self-check.toml", include_str!("../../../lab/scenarios/self-check.toml"));
-const ON_SOCKETS: (&str, &str) =
-    ("lab/scenarios/self-check-sockets.toml", include_str!("../../../lab/scenarios/self-check-sockets.toml"));
+const SCENARIO: (&str, &str) = (
+    "lab/scenarios/self-check.toml",
+    include_str!("../../../lab/scenarios/self-check.toml"),
+);
+const ON_SOCKETS: (&str, &str) = (
+    "lab/scenarios/self-check-sockets.toml",
+    include_str!("../../../lab/scenarios/self-check-sockets.toml"),
+);
 
 /// Results so far, and how many were not as they must be.
 #[derive(Default)]
@@ -36,25 +40,39 @@
     }
 
     fn sound(&mut self, name: &str, verdict: &Verdict) {
-        let what = format!("rules kept over {} flows: {:?}", verdict.flows, verdict.broken);
+        let what = format!(
+            "rules kept over {} flows: {:?}",
+            verdict.flows, verdict.broken
+        );
         self.say(name, verdict.kept() && verdict.flows > 0, &what);
     }
 
     fn caught(&mut self, name: &str, mischief: Mischief, verdict: &Verdict) {
         let count = verdict.broken.get(&mischief.breaks()).copied().unwrap_or(0);
-        self.say(name, count > 0, &format!("{:?} seen {count} times", mischief.breaks()));
+        self.say(
+            name,
+            count > 0,
+            &format!("{:?} seen {count} times", mischief.breaks()),
+        );
     }
 
     fn closed(mut self) -> (String, bool) {
         let good = self.missed == 0;
-        writeln!(self.text, "{} passed, {} failed", self.all - self.missed, self.missed)
-            .expect("a string takes all");
+        writeln!(
+            self.text,
+            "{} passed, {} failed",
+            self.all - self.missed,
+            self.missed
+        )
+        .expect("a string takes all");
         (self.text, good)
     }
 }
 
 fn scenario((name, text): (&str, &str)) -> Result<Scenario, String> {
-    let table: toml::Table = text.parse().map_err(|e: toml::de::Error| format!("{name}: {e}"))?;
+    let table: toml::Table = text
+        .parse()
+        .map_err(|e: toml::de::Error| format!("{name}: {e}"))?;
     file::read(&table, Path::new(name)).map_err(|e| e.to_string())
 }
 
@@ -68,7 +86,11 @@
     let mut said = Said::default();
     said.sound("sound", &run(Who::Brain(Kind::Module))?.verdict);
     for mischief in Mischief::ALL {
-        said.caught(mischief.name(), mischief, &run(Who::Mischief(mischief))?.verdict);
+        said.caught(
+            mischief.name(),
+            mischief,
+            &run(Who::Mischief(mischief))?.verdict,
+        );
     }
     Ok(said.closed())
 }
@@ -80,10 +102,16 @@
 /// The scenario is faulty or a run could not be made; a run that is void is no pass.
 pub fn on_sockets(lab: &Path, real: Option<&Path>) -> Result<(String, bool), String> {
     let scenario = scenario(ON_SOCKETS)?;
-    let small = |name: &str| Program { path: lab.into(), args: vec!["faulty-balancer".into(), name.into()] };
+    let small = |name: &str| Program {
+        path: lab.into(),
+        args: vec!["faulty-balancer".into(), name.into()],
+    };
     let mut runs = vec![("sound, on sockets".to_string(), None, small("sound"))];
     if let Some(path) = real {
-        let program = Program { path: path.into(), args: vec!["serve".into()] };
+        let program = Program {
+            path: path.into(),
+            args: vec!["serve".into()],
+        };
         runs.push(("the balancer itself, on sockets".into(), None, program));
     }
     for mischief in Mischief::ALL {
@@ -99,7 +127,9 @@
                 scope.spawn(move || sockets::run(scenario, scenario.seed, &program, None, None))
             };
             let all: Vec<_> = some.iter().map(start).collect();
-            all.into_iter().map(|one| one.join().unwrap_or_else(|_| Err("it panicked".into()))).collect()
+            all.into_iter()
+                .map(|one| one.join().unwrap_or_else(|_| Err("it panicked".into())))
+                .collect()
         });
         for ((name, mischief, _), outcome) in some.iter().zip(done) {
             let outcome = outcome.map_err(|why| format!("{name}: {why}"))?;
@@ -110,9 +140,13 @@
                 (None, None) => {
                     said.sound(name, &outcome.verdict);
                     for one in outcome.verdict.told.iter() {
-                        said.text += &format!("     {:?} at {} ms: {}\n", one.rule, one.at / MS, one.what);
+                        said.text +=
+                            &format!("     {:?} at {} ms: {}\n", one.rule, one.at / MS, one.what);
                     }
-                    outcome.died.iter().for_each(|why| said.say(name, false, why));
+                    outcome
+                        .died
+                        .iter()
+                        .for_each(|why| said.say(name, false, why));
                 }
             }
         }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -23,15 +23,20 @@
             scope.spawn(|| {
                 loop {
                     let index = next.fetch_add(1, Ordering::Relaxed);
-                    let Some((scenario, seed, who)) = runs.get(index) else { break };
-                    let outcome = simulate(scenario, *seed, *who, None).expect("nothing is written");
+                    let Some((scenario, seed, who)) = runs.get(index) else {
+                        break;
+                    };
+                    let outcome =
+                        simulate(scenario, *seed, *who, None).expect("nothing is written");
                     done.lock().unwrap_or_else(PoisonError::into_inner)[index] = Some(outcome);
                 }
             });
         }
     });
     let done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
-    done.into_iter().map(|outcome| outcome.expect("each was run")).collect()
+    done.into_iter()
+        .map(|outcome| outcome.expect("each was run"))
+        .collect()
 }
 
 /// A mean and the half-width of its 95 % interval (Student's t); no interval for one value.
@@ -47,9 +52,18 @@
     if values.len() < 2 {
         return Estimate { mean, within: None };
     }
-    let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0);
-    let t = StudentsT::new(0.0, 1.0, count - 1.0).expect("more than one value").inverse_cdf(0.975);
-    Estimate { mean, within: Some(t * (variance / count).sqrt()) }
+    let variance = values
+        .iter()
+        .map(|value| (value - mean).powi(2))
+        .sum::<f64>()
+        / (count - 1.0);
+    let t = StudentsT::new(0.0, 1.0, count - 1.0)
+        .expect("more than one value")
+        .inverse_cdf(0.975);
+    Estimate {
+        mean,
+        within: Some(t * (variance / count).sqrt()),
+    }
 }
 
 /// One figure under both, and the paired difference.
@@ -71,7 +85,10 @@
 }
 
 fn figures(outcomes: &[Outcome]) -> Vec<Figures> {
-    outcomes.iter().map(|outcome| outcome.figures.clone()).collect()
+    outcomes
+        .iter()
+        .map(|outcome| outcome.figures.clone())
+        .collect()
 }
 
 /// Pairs of figures from the same seeds.
@@ -79,10 +96,19 @@
     let names = crate::figures::NAMES.iter().map(|(name, _)| *name);
     names
         .map(|name| {
-            let of = |all: &[Figures]| all.iter().map(|figures| figures.get(name)).collect::<Vec<_>>();
+            let of = |all: &[Figures]| {
+                all.iter()
+                    .map(|figures| figures.get(name))
+                    .collect::<Vec<_>>()
+            };
             let (a, b) = (of(a), of(b));
             let difference: Vec<f64> = a.iter().zip(&b).map(|(a, b)| a - b).collect();
-            Row { name, a: estimate(&a), b: estimate(&b), difference: estimate(&difference) }
+            Row {
+                name,
+                a: estimate(&a),
+                b: estimate(&b),
+                difference: estimate(&difference),
+            }
         })
         .collect()
 }
@@ -98,7 +124,10 @@
 
 /// How bad a day is: what the best baseline serves beyond the module, and 1 for each rule that the module breaks.
 fn badness(module: &Outcome, baselines: &[Outcome]) -> f64 {
-    let best = baselines.iter().map(|b| b.figures.get("worth")).fold(0.0, f64::max);
+    let best = baselines
+        .iter()
+        .map(|b| b.figures.get("worth"))
+        .fold(0.0, f64::max);
     module.verdict.broken.len() as f64 + best - module.figures.get("worth")
 }
 
@@ -106,7 +135,8 @@
     let baselines = [Kind::LeastConnections, Kind::RoundRobin];
     let each = |s: &Scenario| {
         let whos = std::iter::once(Kind::Module).chain(baselines);
-        whos.map(|kind| (s.clone(), s.seed, Who::Brain(kind))).collect::<Vec<_>>()
+        whos.map(|kind| (s.clone(), s.seed, Who::Brain(kind)))
+            .collect::<Vec<_>>()
     };
     let runs: Vec<_> = scenarios.iter().flat_map(each).collect();
     let mut outcomes = all(&runs, threads).into_iter();
@@ -127,13 +157,17 @@
     let days: Vec<Scenario> = (0..tries.max(1))
         .map(|_| {
             let mut day = scenario.clone();
-            day.faults = (0..1 + dice.below(3)).map(|_| draw(&day, &mut dice)).collect();
+            day.faults = (0..1 + dice.below(3))
+                .map(|_| draw(&day, &mut dice))
+                .collect();
             day.expect.clear();
             day
         })
         .collect();
     let judged = judge(&days, threads);
-    let worst = (0..judged.len()).max_by(|a, b| judged[*a].0.total_cmp(&judged[*b].0)).expect("one at least");
+    let worst = (0..judged.len())
+        .max_by(|a, b| judged[*a].0.total_cmp(&judged[*b].0))
+        .expect("one at least");
     let (mut found, mut bad) = (days[worst].clone(), judged[worst].clone());
     let mut tried = days.len();
     // Each round offers all days that are smaller by one step and takes the first that is nearly as bad.
@@ -142,7 +176,12 @@
         (found, bad) = (smaller, as_bad);
     }
     found.name = format!("{}-hunted", scenario.name);
-    Found { scenario: found, badness: bad.0, verdict: bad.1, tried }
+    Found {
+        scenario: found,
+        badness: bad.0,
+        verdict: bad.1,
+        tried,
+    }
 }
 
 /// So much of its badness a day keeps that is cut down.
@@ -164,7 +203,9 @@
     }
     let judged = judge(&days, threads);
     let looked = days.len();
-    let first = judged.iter().position(|(badness, _)| *badness >= KEPT * bad && *badness > 0.0)?;
+    let first = judged
+        .iter()
+        .position(|(badness, _)| *badness >= KEPT * bad && *badness > 0.0)?;
     Some((days.swap_remove(first), judged[first].clone(), looked))
 }
 
--- a/crates/lab/src/experiment/tests.rs
+++ b/crates/lab/src/experiment/tests.rs
@@ -4,7 +4,13 @@
 
 #[test]
 fn intervals_are_students() {
-    assert_eq!(estimate(&[2.0]), Estimate { mean: 2.0, within: None });
+    assert_eq!(
+        estimate(&[2.0]),
+        Estimate {
+            mean: 2.0,
+            within: None
+        }
+    );
     let two = estimate(&[1.0, 3.0]);
     // t with one degree of freedom at 97.5 % is 12.706.
     assert!((two.mean - 2.0).abs() < 1e-12 && (two.within.unwrap() - 12.706).abs() < 0.01);
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -15,27 +15,51 @@
 
 /// All figures, each with what it means.
 pub const NAMES: [(&str, &str); 32] = [
-    ("worth", "part of the worth wanted that was served in time, from the settling on"),
+    (
+        "worth",
+        "part of the worth wanted that was served in time, from the settling on",
+    ),
     ("worth_worst", "the same in the worst 5 s"),
-    ("goodput", "worth served in time a second, from the settling on"),
-    ("setup_p50", "seconds from a flow's taking to its connection, median"),
+    (
+        "goodput",
+        "worth served in time a second, from the settling on",
+    ),
+    (
+        "setup_p50",
+        "seconds from a flow's taking to its connection, median",
+    ),
     ("setup_p99", "the same, 99th percentile"),
-    ("setup_in_target", "part of established flows that were so within their target"),
+    (
+        "setup_in_target",
+        "part of established flows that were so within their target",
+    ),
     (
         "message_p50",
         "seconds of a message on average on the server where it is, median over connections and time",
     ),
     ("message_p99", "the same, 99th percentile"),
     ("flows", "flows taken"),
-    ("established", "part of the flows answered that were established"),
+    (
+        "established",
+        "part of the flows answered that were established",
+    ),
     ("rejected", "part that was rejected"),
     ("aborted", "part that was aborted"),
     ("unanswered", "flows whose client gave up without an answer"),
     ("connects_per_flow", "connects made for each flow"),
-    ("moves_per_established", "connections moved by balancers for each established"),
-    ("lost_per_established", "connections reset by servers or with their balancer for each established"),
+    (
+        "moves_per_established",
+        "connections moved by balancers for each established",
+    ),
+    (
+        "lost_per_established",
+        "connections reset by servers or with their balancer for each established",
+    ),
     ("reconnects_worst", "returning clients in the worst second"),
-    ("spread", "deviation of the servers' load over their mean, on average"),
+    (
+        "spread",
+        "deviation of the servers' load over their mean, on average",
+    ),
     ("hot", "part of server time over 0.8 of capacity"),
     ("fell", "cold servers that fell over"),
     ("clients_lost", "clients that gave up for good"),
@@ -47,14 +71,26 @@
         "seconds from when a client of any customer but the first wants service until it has it, tries and all, median",
     ),
     ("quiet_p99", "the same, 99th percentile"),
-    ("quiet_lost", "part of such clients' answers that were rejections or failures"),
-    ("told_served", "part of those that came back when they were told to and were then established"),
+    (
+        "quiet_lost",
+        "part of such clients' answers that were rejections or failures",
+    ),
+    (
+        "told_served",
+        "part of those that came back when they were told to and were then established",
+    ),
     (
         "told_slice",
         "most that came back when told to in one tenth of a second, over the mean of those that have any",
     ),
-    ("balancer_cpu", "processor seconds a second of each balancer's process, on average; 0 in virtual time"),
-    ("balancer_mb", "largest resident memory of a balancer's process, in MB; 0 in virtual time"),
+    (
+        "balancer_cpu",
+        "processor seconds a second of each balancer's process, on average; 0 in virtual time",
+    ),
+    (
+        "balancer_mb",
+        "largest resident memory of a balancer's process, in MB; 0 in virtual time",
+    ),
     ("steps", "events of virtual time, or lines on sockets"),
 ];
 
@@ -156,15 +192,20 @@
             return;
         }
         let mean = betas.iter().sum::<f64>() / betas.len() as f64;
-        let square = betas.iter().map(|beta| (beta - mean).powi(2)).sum::<f64>() / betas.len() as f64;
-        self.spread = (self.spread.0 + square.sqrt() / mean.max(1e-9), self.spread.1 + 1.0);
+        let square =
+            betas.iter().map(|beta| (beta - mean).powi(2)).sum::<f64>() / betas.len() as f64;
+        self.spread = (
+            self.spread.0 + square.sqrt() / mean.max(1e-9),
+            self.spread.1 + 1.0,
+        );
         self.hot.0 += betas.iter().filter(|beta| **beta > HOT).count() as f64;
         self.hot.1 += betas.len() as f64;
     }
 
     pub fn message(&mut self, now: Time, seconds: f64, connections: u64) {
         if now >= self.settle && connections > 0 {
-            self.message.saturating_record_n((seconds * 1e6) as u64, connections);
+            self.message
+                .saturating_record_n((seconds * 1e6) as u64, connections);
         }
     }
 
@@ -204,7 +245,8 @@
             self.quiet_answers += 1;
             self.quiet_lost += u64::from(!established);
             if established {
-                self.quiet.saturating_record(now.saturating_sub(client.since) / 1000);
+                self.quiet
+                    .saturating_record(now.saturating_sub(client.since) / 1000);
             }
         }
     }
@@ -218,7 +260,10 @@
 
     fn told_slice(&self) -> f64 {
         let most = self.told.values().max().copied().unwrap_or(0) as f64;
-        part(most * self.told.len() as f64, self.told.values().sum::<u64>() as f64)
+        part(
+            most * self.told.len() as f64,
+            self.told.values().sum::<u64>() as f64,
+        )
     }
 
     pub fn finish(self, standing: usize, verdict: &Verdict) -> Figures {
@@ -286,7 +331,8 @@
     pub fn table(&self) -> String {
         let mut out = String::new();
         for (name, means) in NAMES {
-            writeln!(out, "{name:<22} {:>12}  {means}", show(self.get(name))).expect("a string takes all");
+            writeln!(out, "{name:<22} {:>12}  {means}", show(self.get(name)))
+                .expect("a string takes all");
         }
         out
     }
@@ -297,9 +343,18 @@
             let value = self.get(name);
             let under = expect.min.is_some_and(|min| value.is_nan() || value < min);
             let over = expect.max.is_some_and(|max| value.is_nan() || value > max);
-            let bound = if under { ("under", expect.min) } else { ("over", expect.max) };
+            let bound = if under {
+                ("under", expect.min)
+            } else {
+                ("over", expect.max)
+            };
             (under || over).then(|| {
-                format!("{name} {} is {} {}", show(value), bound.0, show(bound.1.unwrap_or(f64::NAN)))
+                format!(
+                    "{name} {} is {} {}",
+                    show(value),
+                    bound.0,
+                    show(bound.1.unwrap_or(f64::NAN))
+                )
             })
         };
         scenario.expect.iter().filter_map(check).collect()
--- a/crates/lab/src/file.rs
+++ b/crates/lab/src/file.rs
@@ -24,7 +24,13 @@
 
 impl fmt::Display for Faulty {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: key '{}': {}", self.file.display(), self.key, self.why)
+        write!(
+            f,
+            "{}: key '{}': {}",
+            self.file.display(),
+            self.key,
+            self.why
+        )
     }
 }
 
@@ -33,15 +39,25 @@
 /// # Errors
 /// Names the file and the key at fault; an unknown key with the nearest known one.
 pub fn load(file: &Path) -> Result<(Scenario, toml::Table), Faulty> {
-    let faulty = |key: &str, why: String| Faulty { file: file.into(), key: key.into(), why };
+    let faulty = |key: &str, why: String| Faulty {
+        file: file.into(),
+        key: key.into(),
+        why,
+    };
     let text = std::fs::read_to_string(file).map_err(|e| faulty(WHOLE_FILE, e.to_string()))?;
-    let table: toml::Table = text.parse().map_err(|e: toml::de::Error| faulty(WHOLE_FILE, e.to_string()))?;
+    let table: toml::Table = text
+        .parse()
+        .map_err(|e: toml::de::Error| faulty(WHOLE_FILE, e.to_string()))?;
     Ok((read(&table, file)?, table))
 }
 
 /// Reads a scenario that is in hand already; `file` is named in errors.
 pub fn read(table: &toml::Table, file: &Path) -> Result<Scenario, Faulty> {
-    let faulty = |key: String, why: String| Faulty { file: file.into(), key, why };
+    let faulty = |key: String, why: String| Faulty {
+        file: file.into(),
+        key,
+        why,
+    };
     let scenario = Scenario::deserialize(table.clone()).map_err(|e| {
         let (key, why) = complaint(e.message());
         faulty(key, why)
@@ -50,11 +66,18 @@
     for (name, expect) in &scenario.expect {
         let names = crate::figures::NAMES.map(|(name, _)| name);
         if !names.contains(&name.as_str()) {
-            let near = nearest(name, names).map_or(names.join(", "), |near| format!("is '{near}' meant?"));
-            return Err(faulty(format!("expect.{name}"), format!("no figure; {near}")));
+            let near =
+                nearest(name, names).map_or(names.join(", "), |near| format!("is '{near}' meant?"));
+            return Err(faulty(
+                format!("expect.{name}"),
+                format!("no figure; {near}"),
+            ));
         }
         if expect.min.is_none() && expect.max.is_none() {
-            return Err(faulty(format!("expect.{name}"), "neither min nor max".into()));
+            return Err(faulty(
+                format!("expect.{name}"),
+                "neither min nor max".into(),
+            ));
         }
     }
     Ok(scenario)
@@ -67,10 +90,14 @@
         (true, Some(name)) => {
             let known: Vec<&str> = names.collect();
             let near = nearest(name, known.iter().copied());
-            let near = near.map_or(format!("there are {}", known.join(", ")), |n| format!("is '{n}' meant?"));
+            let near = near.map_or(format!("there are {}", known.join(", ")), |n| {
+                format!("is '{n}' meant?")
+            });
             (name.to_string(), format!("unknown; {near}"))
         }
-        (false, Some(name)) if message.starts_with("missing field") => (name.to_string(), "missing".into()),
+        (false, Some(name)) if message.starts_with("missing field") => {
+            (name.to_string(), "missing".into())
+        }
         _ => (WHOLE_FILE.into(), message.trim().to_string()),
     }
 }
@@ -94,10 +121,18 @@
     match table.get_mut(first) {
         Some(toml::Value::Table(inner)) => set(inner, rest, value),
         Some(toml::Value::Array(list)) => {
-            let (index, key) = rest.split_once('.').ok_or(format!("'{path}' names no key in a list"))?;
-            let index: usize = index.parse().map_err(|_| format!("'{index}' is no place in '{first}'"))?;
+            let (index, key) = rest
+                .split_once('.')
+                .ok_or(format!("'{path}' names no key in a list"))?;
+            let index: usize = index
+                .parse()
+                .map_err(|_| format!("'{index}' is no place in '{first}'"))?;
             let inner = list.get_mut(index).and_then(toml::Value::as_table_mut);
-            set(inner.ok_or(format!("'{first}' has no place {index}"))?, key, value)
+            set(
+                inner.ok_or(format!("'{first}' has no place {index}"))?,
+                key,
+                value,
+            )
         }
         _ => Err(format!("there is no '{first}'")),
     }
@@ -106,7 +141,11 @@
 /// The settings that a balancer of that zone gets: the platform's form, times in microseconds.
 pub fn settings(scenario: &Scenario, zone: usize) -> Value {
     let us = |s: f64| (s * 1e6).round() as u64;
-    let names = |letter: &str, count: usize| (0..count).map(|i| format!("{letter}{i}")).collect::<Vec<_>>();
+    let names = |letter: &str, count: usize| {
+        (0..count)
+            .map(|i| format!("{letter}{i}"))
+            .collect::<Vec<_>>()
+    };
     let types: Vec<Value> = (scenario.types.iter())
         .map(|t| {
             let (repeat, group) = match t.repeat {
@@ -150,7 +189,10 @@
 
 /// The door as a scenario has it: customers are told apart by number, and weights name them c0, c1 and so on.
 pub fn door(keys: &operator::Door, longest: Time) -> Config {
-    keys.config(longest, |name| name.strip_prefix('c').and_then(|number| number.parse().ok()))
+    keys.config(longest, |name| {
+        name.strip_prefix('c')
+            .and_then(|number| number.parse().ok())
+    })
 }
 
 /// Seconds after which a connection that isn't made can't be made.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -165,14 +165,22 @@
 
 /// The program that is run as the balancers; the `nettlemux` beside this one where none is named.
 fn program() -> impl Parser<PathBuf> {
-    let beside = std::env::current_exe().unwrap_or_default().with_file_name("nettlemux");
+    let beside = std::env::current_exe()
+        .unwrap_or_default()
+        .with_file_name("nettlemux");
     let help = "The balancer's program; without it, the nettlemux beside this one";
-    bpaf::long("program").help(help).argument::<PathBuf>("PATH").fallback(beside)
+    bpaf::long("program")
+        .help(help)
+        .argument::<PathBuf>("PATH")
+        .fallback(beside)
 }
 
 fn threads() -> impl Parser<usize> {
     let all = std::thread::available_parallelism().map_or(1, usize::from);
-    bpaf::long("threads").help("Runs at a time").argument::<usize>("N").fallback(all)
+    bpaf::long("threads")
+        .help("Runs at a time")
+        .argument::<usize>("N")
+        .fallback(all)
 }
 
 fn main() -> ExitCode {
@@ -199,14 +207,28 @@
 /// What to print, and whether all was as expected; an error is a fault in what was asked.
 fn run(command: Command) -> Result<(String, bool), String> {
     match command {
-        Command::Simulate { seed, policy, record, json, scenario } => {
+        Command::Simulate {
+            seed,
+            policy,
+            record,
+            json,
+            scenario,
+        } => {
             let (scenario, _) = file::load(&scenario).map_err(|e| e.to_string())?;
             let seed = seed.unwrap_or(scenario.seed);
             let at = |e: std::io::Error| {
-                format!("{}: {e}", record.as_deref().unwrap_or(&PathBuf::new()).display())
+                format!(
+                    "{}: {e}",
+                    record.as_deref().unwrap_or(&PathBuf::new()).display()
+                )
             };
-            let mut writer = record.as_ref().map(|file| Writer::create(file)).transpose().map_err(at)?;
-            let outcome = simulate(&scenario, seed, Who::Brain(policy), writer.as_mut()).map_err(at)?;
+            let mut writer = record
+                .as_ref()
+                .map(|file| Writer::create(file))
+                .transpose()
+                .map_err(at)?;
+            let outcome =
+                simulate(&scenario, seed, Who::Brain(policy), writer.as_mut()).map_err(at)?;
             writer.map_or(Ok(()), Writer::finish).map_err(at)?;
             let (figures, verdict) = (outcome.figures, outcome.verdict);
             let run = Told {
@@ -219,7 +241,14 @@
             };
             Ok(run.told(&scenario, json))
         }
-        Command::Compare { a, b, seeds, threads, json, scenario } => {
+        Command::Compare {
+            a,
+            b,
+            seeds,
+            threads,
+            json,
+            scenario,
+        } => {
             let (scenario, _) = file::load(&scenario).map_err(|e| e.to_string())?;
             let seeds = seeds.max(1);
             let mut out = String::new();
@@ -233,7 +262,13 @@
                     for b in others {
                         let (one, other) = (Who::Brain(a), Who::Brain(b));
                         let rows = experiment::compare(&scenario, one, other, seeds, threads);
-                        out += &compared(&scenario, (a.name(), b.name()), ("simulated", seeds), &rows, json);
+                        out += &compared(
+                            &scenario,
+                            (a.name(), b.name()),
+                            ("simulated", seeds),
+                            &rows,
+                            json,
+                        );
                     }
                 }
                 (Side::Program(a), Some(Side::Program(b))) => {
@@ -242,19 +277,30 @@
                     let done = ("on sockets", seeds - void);
                     out += &compared(&scenario, (&names.0, &names.1), done, &rows, json);
                     if void > 0 {
-                        writeln!(out, "{void} of {seeds} pairs were void").expect("a string takes all");
+                        writeln!(out, "{void} of {seeds} pairs were void")
+                            .expect("a string takes all");
                     }
                 }
                 _ => return Err(UNLIKE.into()),
             }
             Ok((out, true))
         }
-        Command::Sweep { key, values, policy, seeds, threads, json, scenario: path } => {
+        Command::Sweep {
+            key,
+            values,
+            policy,
+            seeds,
+            threads,
+            json,
+            scenario: path,
+        } => {
             let (_, table) = file::load(&path).map_err(|e| e.to_string())?;
             let mut out = String::new();
             for value in values.split(',') {
-                let number: f64 =
-                    value.trim().parse().map_err(|_| format!("--values: '{value}' is no number"))?;
+                let number: f64 = value
+                    .trim()
+                    .parse()
+                    .map_err(|_| format!("--values: '{value}' is no number"))?;
                 let mut table = table.clone();
                 file::set(&mut table, &key, number).map_err(|why| format!("--key: {why}"))?;
                 let scenario = file::read(&table, &path).map_err(|e| e.to_string())?;
@@ -266,25 +312,47 @@
                     let values: Vec<f64> = outcomes.iter().map(|o| o.figures.get(name)).collect();
                     experiment::estimate(&values)
                 };
-                let names = ["worth", "worth_worst", "setup_p99", "rejected", "spread", "rules_broken"];
+                let names = [
+                    "worth",
+                    "worth_worst",
+                    "setup_p99",
+                    "rejected",
+                    "spread",
+                    "rules_broken",
+                ];
                 if json {
-                    let figures: serde_json::Map<_, _> =
-                        names.iter().map(|name| (name.to_string(), json!(mean(name).mean))).collect();
-                    writeln!(out, "{}", json!({"key": key, "value": number, "figures": figures}))
+                    let figures: serde_json::Map<_, _> = names
+                        .iter()
+                        .map(|name| (name.to_string(), json!(mean(name).mean)))
+                        .collect();
+                    writeln!(
+                        out,
+                        "{}",
+                        json!({"key": key, "value": number, "figures": figures})
+                    )
                 } else {
-                    let told: Vec<String> =
-                        names.iter().map(|n| format!("{n} {}", interval(mean(n)))).collect();
+                    let told: Vec<String> = names
+                        .iter()
+                        .map(|n| format!("{n} {}", interval(mean(n))))
+                        .collect();
                     writeln!(out, "{key} = {value:<8} {}", told.join("  "))
                 }
                 .expect("a string takes all");
             }
             Ok((out, true))
         }
-        Command::Hunt { tries, seed, out, threads, scenario } => {
+        Command::Hunt {
+            tries,
+            seed,
+            out,
+            threads,
+            scenario,
+        } => {
             let (scenario, mut table) = file::load(&scenario).map_err(|e| e.to_string())?;
             let found = experiment::hunt(&scenario, seed, tries, threads);
             table.insert("name".into(), found.scenario.name.clone().into());
-            let faults = toml::Value::try_from(&found.scenario.faults).map_err(|e| e.to_string())?;
+            let faults =
+                toml::Value::try_from(&found.scenario.faults).map_err(|e| e.to_string())?;
             table.insert("faults".into(), faults);
             table.remove("expect");
             let text = toml::to_string(&table).map_err(|e| e.to_string())?;
@@ -299,27 +367,57 @@
             );
             Ok((told, found.verdict.kept()))
         }
-        Command::Judge { slack, scenario, record } => {
+        Command::Judge {
+            slack,
+            scenario,
+            record,
+        } => {
             let (scenario, _) = file::load(&scenario).map_err(|e| e.to_string())?;
             let name = record.display().to_string();
             let opened = std::fs::File::open(&record).map_err(|e| format!("{name}: {e}"))?;
             let read = record::read(opened).map_err(|e| format!("{name}: {e}"))?;
             let mut judge = Rules::new(&scenario, slack * MS);
             read.seen.iter().for_each(|seen| judge.see(seen));
-            let end = read.seen.iter().filter_map(|seen| seen.at()).max().unwrap_or(0);
+            let end = read
+                .seen
+                .iter()
+                .filter_map(|seen| seen.at())
+                .max()
+                .unwrap_or(0);
             let verdict = judge.finish(end);
-            let cut =
-                read.cut.map_or(String::new(), |line| format!("the record is cut off at line {line}\n"));
-            Ok((format!("{cut}{}{}\n", breaks(&verdict), rules(&verdict)), verdict.kept()))
+            let cut = read.cut.map_or(String::new(), |line| {
+                format!("the record is cut off at line {line}\n")
+            });
+            Ok((
+                format!("{cut}{}{}\n", breaks(&verdict), rules(&verdict)),
+                verdict.kept(),
+            ))
         }
-        Command::Run { program, seed, record, logs, json, scenario } => {
+        Command::Run {
+            program,
+            seed,
+            record,
+            logs,
+            json,
+            scenario,
+        } => {
             let (scenario, _) = file::load(&scenario).map_err(|e| e.to_string())?;
             let seed = seed.unwrap_or(scenario.seed);
             let at = |e: std::io::Error| {
-                format!("{}: {e}", record.as_deref().unwrap_or(&PathBuf::new()).display())
+                format!(
+                    "{}: {e}",
+                    record.as_deref().unwrap_or(&PathBuf::new()).display()
+                )
+            };
+            let writer = record
+                .as_ref()
+                .map(|file| Writer::create(file))
+                .transpose()
+                .map_err(at)?;
+            let balancer = Program {
+                path: program,
+                args: vec!["serve".into()],
             };
-            let writer = record.as_ref().map(|file| Writer::create(file)).transpose().map_err(at)?;
-            let balancer = Program { path: program, args: vec!["serve".into()] };
             let outcome = sockets::run(&scenario, seed, &balancer, writer, logs.as_deref())?;
             let version = sockets::version(&balancer);
             let died: String = outcome.died.iter().map(|why| format!("{why}\n")).collect();
@@ -338,7 +436,12 @@
             }
             Ok((died.clone() + &text, good && died.is_empty()))
         }
-        Command::Scale { program, out, text, scenario } => scaled(&scenario, &program, &out, &text),
+        Command::Scale {
+            program,
+            out,
+            text,
+            scenario,
+        } => scaled(&scenario, &program, &out, &text),
         Command::SelfCheck { sockets, program } => {
             let (mut text, mut good) = check::self_check()?;
             if sockets {
@@ -350,7 +453,9 @@
         }
         Command::Capacity(arguments) => capacity_command::run(&arguments),
         Command::FaultyBalancer { name } => {
-            let mischief = Mischief::ALL.into_iter().find(|mischief| mischief.name() == name);
+            let mischief = Mischief::ALL
+                .into_iter()
+                .find(|mischief| mischief.name() == name);
             if mischief.is_none() && name != "sound" {
                 return Err(format!("'{name}' is no mischief"));
             }
@@ -365,7 +470,12 @@
     let at = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
     let mut lines = LineWriter::create(out).map_err(|e| at(out, e))?;
     let limits = Limits::of(&scenario.limits);
-    let mut run = scale::Run { scenario: &scenario, program: program.into(), limits, out: &mut lines };
+    let mut run = scale::Run {
+        scenario: &scenario,
+        program: program.into(),
+        limits,
+        out: &mut lines,
+    };
     let ended = run.all(text);
     let (table_file, plot_file) = scale::beside(out);
     let told = table::markdown(&lines.lines);
@@ -399,13 +509,22 @@
         }
         let mut out = self.figures.table();
         for (b, (cpu, memory)) in self.balancers.iter().enumerate() {
-            writeln!(out, "balancer {b}: {cpu:.4} processor seconds a second, {memory:.1} MB at most")
-                .expect("a string takes all");
+            writeln!(
+                out,
+                "balancer {b}: {cpu:.4} processor seconds a second, {memory:.1} MB at most"
+            )
+            .expect("a string takes all");
         }
         out += &breaks(&self.verdict);
-        unmet.iter().for_each(|what| writeln!(out, "unmet: {what}").expect("a string takes all"));
+        unmet
+            .iter()
+            .for_each(|what| writeln!(out, "unmet: {what}").expect("a string takes all"));
         let word = if good { "good" } else { "NOT GOOD" };
-        let how = if self.simulated { "simulated" } else { "on sockets" };
+        let how = if self.simulated {
+            "simulated"
+        } else {
+            "on sockets"
+        };
         let (worth, rules) = (show(self.figures.get("worth")), rules(&self.verdict));
         let (count, met) = (scenario.expect.len(), scenario.expect.len() - unmet.len());
         let (name, policy, seed) = (&scenario.name, self.policy, self.seed);
@@ -420,16 +539,26 @@
 
 fn rules(verdict: &Verdict) -> String {
     if verdict.kept() {
-        return format!("rules kept over {} flows and {} connects", verdict.flows, verdict.connects);
+        return format!(
+            "rules kept over {} flows and {} connects",
+            verdict.flows, verdict.connects
+        );
     }
-    let each: Vec<String> =
-        verdict.broken.iter().map(|(rule, count)| format!("{rule:?} {count} times")).collect();
+    let each: Vec<String> = verdict
+        .broken
+        .iter()
+        .map(|(rule, count)| format!("{rule:?} {count} times"))
+        .collect();
     format!("RULES BROKEN: {}", each.join(", "))
 }
 
 fn breaks(verdict: &Verdict) -> String {
     let at = |one: &nettlemux_lab::rules::Broken| one.at as f64 / SEC as f64;
-    verdict.told.iter().map(|one| format!("{:>9.3} s {:?}: {}\n", at(one), one.rule, one.what)).collect()
+    verdict
+        .told
+        .iter()
+        .map(|one| format!("{:>9.3} s {:?}: {}\n", at(one), one.rule, one.what))
+        .collect()
 }
 
 fn interval(estimate: Estimate) -> String {
@@ -459,11 +588,18 @@
 }
 
 /// Two programs in turn on the same seeds; pairs of which one is void are left out and counted.
-fn on_sockets(scenario: &Scenario, (a, b): (&Path, &Path), seeds: u64) -> Result<(Vec<Row>, u64), String> {
+fn on_sockets(
+    scenario: &Scenario,
+    (a, b): (&Path, &Path),
+    seeds: u64,
+) -> Result<(Vec<Row>, u64), String> {
     let (mut first, mut second, mut void) = (Vec::new(), Vec::new(), 0);
     for seed in (0..seeds).map(|k| scenario.seed + k) {
         let run = |path: &Path| {
-            let program = Program { path: path.into(), args: vec!["serve".into()] };
+            let program = Program {
+                path: path.into(),
+                args: vec!["serve".into()],
+            };
             sockets::run(scenario, seed, &program, None, None)
         };
         let (one, other) = (run(a)?, run(b)?);
@@ -501,12 +637,18 @@
             json!({"scenario": scenario.name, "a": a, "b": b, "seeds": seeds, "rows": rows})
         );
     }
-    let mut out =
-        format!("{} ({how}), {seeds} seeds from {}: {a} against {b}\n", scenario.name, scenario.seed);
+    let mut out = format!(
+        "{} ({how}), {seeds} seeds from {}: {a} against {b}\n",
+        scenario.name, scenario.seed
+    );
     for row in rows {
         let cells = [interval(row.a), interval(row.b), interval(row.difference)];
-        writeln!(out, "{:<22} {:>20} {:>20} {:>20}", row.name, cells[0], cells[1], cells[2])
-            .expect("a string takes all");
+        writeln!(
+            out,
+            "{:<22} {:>20} {:>20} {:>20}",
+            row.name, cells[0], cells[1], cells[2]
+        )
+        .expect("a string takes all");
     }
     out
 }
--- a/crates/lab/src/mischief.rs
+++ b/crates/lab/src/mischief.rs
@@ -71,11 +71,19 @@
         };
         match self {
             Mischief::SendsToDraining | Mischief::FloodsCold | Mischief::RejectsWhatMayHaveRun => {
-                Box::new(Bent { inner: sound(settings), mischief: self, youngest: None })
+                Box::new(Bent {
+                    inner: sound(settings),
+                    mischief: self,
+                    youngest: None,
+                })
             }
             Mischief::RepeatsOnceOnly => {
                 let mut settings = settings.clone();
-                for one in settings["service-types"].as_array_mut().into_iter().flatten() {
+                for one in settings["service-types"]
+                    .as_array_mut()
+                    .into_iter()
+                    .flatten()
+                {
                     one["repeat"] = "free".into();
                 }
                 sound(&settings)
@@ -96,7 +104,9 @@
 impl Bent {
     fn bend(&self, place: Place, flow: &Flow) -> Place {
         match (place, self.mischief, self.youngest) {
-            (Place::To(_, limit, by), Mischief::FloodsCold, Some((_, rs))) => Place::To(rs, limit, by),
+            (Place::To(_, limit, by), Mischief::FloodsCold, Some((_, rs))) => {
+                Place::To(rs, limit, by)
+            }
             (Place::Abort, Mischief::RejectsWhatMayHaveRun, _) if !flow.connects.is_empty() => {
                 Place::Reject(None)
             }
@@ -113,7 +123,13 @@
 
     fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
         let mut todo = self.inner.after(now, outcome);
-        if let (Some(place), Outcome::Ended { owed: Some(flow), .. }) = (todo.place, outcome) {
+        if let (
+            Some(place),
+            Outcome::Ended {
+                owed: Some(flow), ..
+            },
+        ) = (todo.place, outcome)
+        {
             todo.place = Some(self.bend(place, flow));
         }
         todo
