--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -43,19 +43,28 @@
     loop {
         text.clear();
         number += 1;
-        if lines.read_until(b'\n', &mut text).map_err(|e| format!("line {number}: {e}"))? == 0 {
+        if lines
+            .read_until(b'\n', &mut text)
+            .map_err(|e| format!("line {number}: {e}"))?
+            == 0
+        {
             break;
         }
         match serde_json::from_slice::<Seen>(&text) {
             Ok(one) => seen.push(one),
             Err(_) if text.last() != Some(&b'\n') && number > 1 => {
-                return Ok(Read { seen, cut: Some(number) });
+                return Ok(Read {
+                    seen,
+                    cut: Some(number),
+                });
             }
             Err(e) => return Err(format!("line {number}: {e}")),
         }
         if number == 1 {
             match seen[0] {
-                Seen::Header { version: VERSION, .. } => {}
+                Seen::Header {
+                    version: VERSION, ..
+                } => {}
                 Seen::Header { version, .. } => {
                     return Err(format!("line 1: version {version}, not {VERSION}"));
                 }
@@ -63,7 +72,11 @@
             }
         }
     }
-    if seen.is_empty() { Err("line 1: nothing".into()) } else { Ok(Read { seen, cut: None }) }
+    if seen.is_empty() {
+        Err("line 1: nothing".into())
+    } else {
+        Ok(Read { seen, cut: None })
+    }
 }
 
 #[cfg(test)]
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -134,20 +134,30 @@
     fn broken(&mut self, rule: Rule, what: String) {
         *self.verdict.broken.entry(rule).or_default() += 1;
         if self.verdict.told.len() < TOLD {
-            self.verdict.told.push(Broken { rule, at: self.now, what });
+            self.verdict.told.push(Broken {
+                rule,
+                at: self.now,
+                what,
+            });
         }
     }
 
     /// The next fact, in order of time.
     pub fn see(&mut self, seen: &Seen) {
         self.now = self.now.max(seen.at().unwrap_or(self.now));
-        while self.over.front().is_some_and(|(at, _)| at + REMEMBERED < self.now) {
+        while self
+            .over
+            .front()
+            .is_some_and(|(at, _)| at + REMEMBERED < self.now)
+        {
             let (_, flow) = self.over.pop_front().expect("looked at");
             self.flows.remove(&flow);
         }
         match *seen {
             Seen::Header { .. } => {}
-            Seen::Server { server, zone, cell, .. } => {
+            Seen::Server {
+                server, zone, cell, ..
+            } => {
                 let place = self.servers.entry(server).or_default();
                 (place.zone, place.cell) = (zone, cell);
             }
@@ -157,48 +167,99 @@
                 place.sent.clear();
             }
             Seen::Fell { server, .. } => {
-                self.broken(Rule::Cold, format!("server {server} fell over when it was cold"));
+                self.broken(
+                    Rule::Cold,
+                    format!("server {server} fell over when it was cold"),
+                );
             }
-            Seen::Told { at, balancer, server, ready } => {
+            Seen::Told {
+                at,
+                balancer,
+                server,
+                ready,
+            } => {
                 if ready {
                     self.told.remove(&(balancer, server));
                 } else {
                     self.told.entry((balancer, server)).or_insert(at);
                 }
             }
-            Seen::Taken { flow, balancer, kind, give_up, .. } => {
+            Seen::Taken {
+                flow,
+                balancer,
+                kind,
+                give_up,
+                ..
+            } => {
                 self.verdict.flows += 1;
                 let (answered, over, connects) = (None, None, Vec::new());
-                self.flows.insert(flow, Flow { balancer, kind, give_up, answered, over, connects });
+                self.flows.insert(
+                    flow,
+                    Flow {
+                        balancer,
+                        kind,
+                        give_up,
+                        answered,
+                        over,
+                        connects,
+                    },
+                );
             }
             Seen::Answered { at, flow, with } => self.answered(at, flow, with),
             Seen::Left { at, flow } => {
                 // Guards against a client that has waited in vain and is taken for one that changed its mind.
-                let owed = self.flows.get(&flow).filter(|f| f.answered.is_none() && f.over.is_none());
+                let owed = self
+                    .flows
+                    .get(&flow)
+                    .filter(|f| f.answered.is_none() && f.over.is_none());
                 if owed.is_some_and(|f| at > f.give_up + self.slack) {
                     self.broken(Rule::Lost, format!("flow {flow} was not answered in time"));
                 }
                 self.ends(at, flow);
             }
-            Seen::Connect { at, balancer, flow, number, server } => {
+            Seen::Connect {
+                at,
+                balancer,
+                flow,
+                number,
+                server,
+            } => {
                 self.verdict.connects += 1;
                 self.connect(at, balancer, flow, (number, server));
             }
-            Seen::ConnectEnded { flow, number, never_ran, .. } => {
+            Seen::ConnectEnded {
+                flow,
+                number,
+                never_ran,
+                ..
+            } => {
                 let made = self.flows.get_mut(&flow).and_then(|f| {
-                    f.connects.iter_mut().rev().find(|made| made.number == number && made.ended.is_none())
+                    f.connects
+                        .iter_mut()
+                        .rev()
+                        .find(|made| made.number == number && made.ended.is_none())
                 });
                 if let Some(made) = made {
                     made.ended = Some(never_ran);
                 }
             }
-            Seen::Ended { at, flow, by, told, sound } => {
+            Seen::Ended {
+                at,
+                flow,
+                by,
+                told,
+                sound,
+            } => {
                 if by == Ender::Balancer && sound && !told {
                     self.broken(Rule::Cut, format!("flow {flow} was cut off unannounced"));
                 }
                 self.ends(at, flow);
             }
-            Seen::BalancerEnded { at, balancer, planned } => {
+            Seen::BalancerEnded {
+                at,
+                balancer,
+                planned,
+            } => {
                 let held: Vec<u64> = (self.flows.iter())
                     .filter(|(_, f)| f.balancer == balancer && f.over.is_none())
                     .map(|(id, _)| *id)
@@ -211,7 +272,10 @@
                             true => (Rule::Lost, "unanswered"),
                             false => (Rule::Cut, "open"),
                         };
-                        self.broken(rule, format!("flow {flow} was {what} when balancer {balancer} ended"));
+                        self.broken(
+                            rule,
+                            format!("flow {flow} was {what} when balancer {balancer} ended"),
+                        );
                     }
                     self.ends(at, flow);
                 }
@@ -222,10 +286,16 @@
 
     fn answered(&mut self, at: Time, id: u64, with: Final) {
         let Some(flow) = self.flows.get_mut(&id) else {
-            return self.broken(Rule::AfterTheEnd, format!("flow {id} was answered {with:?}, long over"));
+            return self.broken(
+                Rule::AfterTheEnd,
+                format!("flow {id} was answered {with:?}, long over"),
+            );
         };
         let before = flow.answered.replace(with);
-        let (late, left) = (at > flow.give_up + self.slack, flow.over.is_some() && before.is_none());
+        let (late, left) = (
+            at > flow.give_up + self.slack,
+            flow.over.is_some() && before.is_none(),
+        );
         let may_have_run = flow.connects.iter().any(|made| made.ended != Some(true));
         let unsafe_word = with == Final::Rejected
             && may_have_run
@@ -239,12 +309,18 @@
             self.ends(at, id);
         }
         if let Some(before) = before {
-            self.broken(Rule::AnsweredTwice, format!("flow {id}: {before:?}, then {with:?}"));
+            self.broken(
+                Rule::AnsweredTwice,
+                format!("flow {id}: {before:?}, then {with:?}"),
+            );
         } else if late && !left {
             self.broken(Rule::Late, format!("flow {id}: {with:?}"));
         }
         if unsafe_word {
-            self.broken(Rule::Twice, format!("flow {id} was rejected and may have run"));
+            self.broken(
+                Rule::Twice,
+                format!("flow {id} was rejected and may have run"),
+            );
         }
     }
 
@@ -260,13 +336,18 @@
     fn connect(&mut self, at: Time, balancer: usize, id: u64, (number, server): (usize, usize)) {
         let since = self.told.get(&(balancer, server)).copied();
         if since.is_some_and(|since| at > since + self.grace + self.slack) {
-            self.broken(Rule::Drain, format!("flow {id} went to server {server}, which takes nothing new"));
+            self.broken(
+                Rule::Drain,
+                format!("flow {id} went to server {server}, which takes nothing new"),
+            );
         }
         self.cold(at, server);
         let (second_copies, slack) = (self.second_copies, self.slack);
         let Some(flow) = self.flows.get(&id) else {
-            return self
-                .broken(Rule::AfterTheEnd, format!("a connect for flow {id}, which nobody asked for"));
+            return self.broken(
+                Rule::AfterTheEnd,
+                format!("a connect for flow {id}, which nobody asked for"),
+            );
         };
         let over = flow.answered.is_some() || flow.over.is_some_and(|over| at > over + slack);
         let two = !second_copies && flow.connects.iter().any(|made| made.ended.is_none());
@@ -284,24 +365,43 @@
                 !same || at > made.at + window + slack
             }),
         };
-        let made = Made { number, server, at, ended: None };
-        self.flows.get_mut(&id).expect("looked at").connects.push(made);
+        let made = Made {
+            number,
+            server,
+            at,
+            ended: None,
+        };
+        self.flows
+            .get_mut(&id)
+            .expect("looked at")
+            .connects
+            .push(made);
         if over {
-            self.broken(Rule::AfterTheEnd, format!("a connect for flow {id}, which is answered"));
+            self.broken(
+                Rule::AfterTheEnd,
+                format!("a connect for flow {id}, which is answered"),
+            );
         }
         if two {
             self.broken(Rule::TwoInFlight, format!("flow {id} has two connects out"));
         }
         if twice {
-            self.broken(Rule::Twice, format!("flow {id} went again and may have run"));
+            self.broken(
+                Rule::Twice,
+                format!("flow {id} went again and may have run"),
+            );
         }
     }
 
     /// The budget of a cold server: what it could set up in the window, so many times over, and a little chance.
     fn cold(&mut self, at: Time, server: usize) {
         let (fall, warm_up) = (self.fall, self.warm_up);
-        let Some(place) = self.servers.get_mut(&server) else { return };
-        let Some(age) = place.started.map(|started| at.saturating_sub(started)) else { return };
+        let Some(place) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let Some(age) = place.started.map(|started| at.saturating_sub(started)) else {
+            return;
+        };
         if age >= warm_up {
             return;
         }
@@ -314,16 +414,24 @@
         if place.sent.len() as f64 > budget {
             let sent = place.sent.len();
             place.sent.clear();
-            self.broken(Rule::Cold, format!("server {server} was sent {sent} connects, {budget:.1} at most"));
+            self.broken(
+                Rule::Cold,
+                format!("server {server} was sent {sent} connects, {budget:.1} at most"),
+            );
         }
     }
 
     /// The run has ended: whoever's time was up by then must have been answered.
     pub fn finish(mut self, end: Time) -> Verdict {
         self.now = end;
-        let owed = self.flows.iter().filter(|(_, f)| f.answered.is_none() && f.over.is_none());
-        let lost: Vec<u64> =
-            owed.filter(|(_, f)| f.give_up + self.slack + MS < end).map(|(id, _)| *id).collect();
+        let owed = self
+            .flows
+            .iter()
+            .filter(|(_, f)| f.answered.is_none() && f.over.is_none());
+        let lost: Vec<u64> = owed
+            .filter(|(_, f)| f.give_up + self.slack + MS < end)
+            .map(|(id, _)| *id)
+            .collect();
         for flow in lost {
             self.broken(Rule::Lost, format!("flow {flow} was never answered"));
         }
--- a/crates/lab/src/rules/tests.rs
+++ b/crates/lab/src/rules/tests.rs
@@ -10,13 +10,30 @@
 }
 
 fn taken(flow: u64, kind: Kind) -> Seen {
-    Seen::Taken { at: 0, balancer: 0, flow, kind, give_up: SEC }
+    Seen::Taken {
+        at: 0,
+        balancer: 0,
+        flow,
+        kind,
+        give_up: SEC,
+    }
 }
 fn connect(at: Time, number: usize, server: usize) -> Seen {
-    Seen::Connect { at, balancer: 0, flow: 1, number, server }
+    Seen::Connect {
+        at,
+        balancer: 0,
+        flow: 1,
+        number,
+        server,
+    }
 }
 fn ended(number: usize, never_ran: bool) -> Seen {
-    Seen::ConnectEnded { at: 2, flow: 1, number, never_ran }
+    Seen::ConnectEnded {
+        at: 2,
+        flow: 1,
+        number,
+        never_ran,
+    }
 }
 fn answered(at: Time, with: Final) -> Seen {
     Seen::Answered { at, flow: 1, with }
@@ -24,63 +41,191 @@
 
 fn judge(seen: &[Seen]) -> Vec<Rule> {
     let mut rules = Rules::new(&scenario(), 0);
-    let servers =
-        [(0, 0), (1, 1)].map(|(server, zone)| Seen::Server { at: 0, server, zone, cell: 0, machine: 0 });
+    let servers = [(0, 0), (1, 1)].map(|(server, zone)| Seen::Server {
+        at: 0,
+        server,
+        zone,
+        cell: 0,
+        machine: 0,
+    });
     servers.iter().chain(seen).for_each(|one| rules.see(one));
     rules.finish(9 * SEC).broken.into_keys().collect()
 }
 
 #[test]
 fn each_rule_is_judged_by_what_was_seen() {
-    let zone = Kind::Referenced { scope: Scope::Zone, window: 50 };
+    let zone = Kind::Referenced {
+        scope: Scope::Zone,
+        window: 50,
+    };
     let up = answered(5, Final::Established);
-    let cut = |told, sound| Seen::Ended { at: 7, flow: 1, by: Ender::Balancer, told, sound };
-    let told = Seen::Told { at: 0, balancer: 0, server: 0, ready: false };
+    let cut = |told, sound| Seen::Ended {
+        at: 7,
+        flow: 1,
+        by: Ender::Balancer,
+        told,
+        sound,
+    };
+    let told = Seen::Told {
+        at: 0,
+        balancer: 0,
+        server: 0,
+        ready: false,
+    };
     let started = Seen::Started { at: 1, server: 0 };
-    let flood: Vec<Seen> = (0..20).flat_map(|n| [connect(2, n, 0), ended(n, true)]).collect();
+    let flood: Vec<Seen> = (0..20)
+        .flat_map(|n| [connect(2, n, 0), ended(n, true)])
+        .collect();
     let free = taken(1, Kind::Repeatable);
     let cases: Vec<(Vec<Seen>, Vec<Rule>)> = vec![
-        (vec![free.clone(), connect(1, 0, 0), ended(0, false), connect(3, 1, 1), up.clone()], vec![]),
+        (
+            vec![
+                free.clone(),
+                connect(1, 0, 0),
+                ended(0, false),
+                connect(3, 1, 1),
+                up.clone(),
+            ],
+            vec![],
+        ),
         (vec![free.clone()], vec![Rule::Lost]),
         (vec![free.clone(), Seen::Left { at: 3, flow: 1 }], vec![]),
-        (vec![free.clone(), Seen::Left { at: SEC + 1, flow: 1 }], vec![Rule::Lost]),
-        (vec![free.clone(), up.clone(), answered(6, Final::Rejected)], vec![Rule::AnsweredTwice]),
-        (vec![free.clone(), answered(SEC + 1, Final::Aborted)], vec![Rule::Late]),
-        (vec![free.clone(), answered(5, Final::Rejected), connect(6, 0, 0)], vec![Rule::AfterTheEnd]),
-        (vec![free.clone(), up.clone(), cut(false, true)], vec![Rule::Cut]),
+        (
+            vec![
+                free.clone(),
+                Seen::Left {
+                    at: SEC + 1,
+                    flow: 1,
+                },
+            ],
+            vec![Rule::Lost],
+        ),
+        (
+            vec![free.clone(), up.clone(), answered(6, Final::Rejected)],
+            vec![Rule::AnsweredTwice],
+        ),
+        (
+            vec![free.clone(), answered(SEC + 1, Final::Aborted)],
+            vec![Rule::Late],
+        ),
+        (
+            vec![free.clone(), answered(5, Final::Rejected), connect(6, 0, 0)],
+            vec![Rule::AfterTheEnd],
+        ),
+        (
+            vec![free.clone(), up.clone(), cut(false, true)],
+            vec![Rule::Cut],
+        ),
         (vec![free.clone(), up.clone(), cut(true, true)], vec![]),
         (vec![free.clone(), up.clone(), cut(false, false)], vec![]),
-        (vec![free.clone(), connect(1, 0, 0), connect(1, 1, 1), up.clone()], vec![Rule::TwoInFlight]),
         (
-            vec![taken(1, Kind::OnceOnly), connect(1, 0, 0), ended(0, true), connect(3, 1, 1), up.clone()],
+            vec![free.clone(), connect(1, 0, 0), connect(1, 1, 1), up.clone()],
+            vec![Rule::TwoInFlight],
+        ),
+        (
+            vec![
+                taken(1, Kind::OnceOnly),
+                connect(1, 0, 0),
+                ended(0, true),
+                connect(3, 1, 1),
+                up.clone(),
+            ],
             vec![],
         ),
         (
-            vec![taken(1, Kind::OnceOnly), connect(1, 0, 0), ended(0, false), connect(3, 1, 1), up.clone()],
+            vec![
+                taken(1, Kind::OnceOnly),
+                connect(1, 0, 0),
+                ended(0, false),
+                connect(3, 1, 1),
+                up.clone(),
+            ],
             vec![Rule::Twice],
         ),
         (
-            vec![taken(1, Kind::OnceOnly), connect(1, 0, 0), ended(0, false), answered(5, Final::Rejected)],
+            vec![
+                taken(1, Kind::OnceOnly),
+                connect(1, 0, 0),
+                ended(0, false),
+                answered(5, Final::Rejected),
+            ],
             vec![Rule::Twice],
         ),
-        (vec![taken(1, zone), connect(1, 0, 0), ended(0, false), connect(3, 1, 0), up.clone()], vec![]),
         (
-            vec![taken(1, zone), connect(1, 0, 0), ended(0, false), connect(3, 1, 1), up.clone()],
+            vec![
+                taken(1, zone),
+                connect(1, 0, 0),
+                ended(0, false),
+                connect(3, 1, 0),
+                up.clone(),
+            ],
+            vec![],
+        ),
+        (
+            vec![
+                taken(1, zone),
+                connect(1, 0, 0),
+                ended(0, false),
+                connect(3, 1, 1),
+                up.clone(),
+            ],
             vec![Rule::Twice],
         ),
         (
-            vec![taken(1, zone), connect(1, 0, 0), ended(0, false), connect(60, 1, 0), up.clone()],
+            vec![
+                taken(1, zone),
+                connect(1, 0, 0),
+                ended(0, false),
+                connect(60, 1, 0),
+                up.clone(),
+            ],
             vec![Rule::Twice],
         ),
-        (vec![free.clone(), told.clone(), connect(400 * MS, 0, 0), up.clone()], vec![]),
         (
-            vec![free.clone(), told, connect(401 * MS, 0, 0), answered(500 * MS, Final::Established)],
+            vec![
+                free.clone(),
+                told.clone(),
+                connect(400 * MS, 0, 0),
+                up.clone(),
+            ],
+            vec![],
+        ),
+        (
+            vec![
+                free.clone(),
+                told,
+                connect(401 * MS, 0, 0),
+                answered(500 * MS, Final::Established),
+            ],
             vec![Rule::Drain],
         ),
-        ([vec![free.clone(), started], flood, vec![up.clone()]].concat(), vec![Rule::Cold]),
+        (
+            [vec![free.clone(), started], flood, vec![up.clone()]].concat(),
+            vec![Rule::Cold],
+        ),
         (vec![Seen::Fell { at: 1, server: 0 }], vec![Rule::Cold]),
-        (vec![free.clone(), Seen::BalancerEnded { at: 1, balancer: 0, planned: false }], vec![]),
-        (vec![free, Seen::BalancerEnded { at: 1, balancer: 0, planned: true }], vec![Rule::Lost]),
+        (
+            vec![
+                free.clone(),
+                Seen::BalancerEnded {
+                    at: 1,
+                    balancer: 0,
+                    planned: false,
+                },
+            ],
+            vec![],
+        ),
+        (
+            vec![
+                free,
+                Seen::BalancerEnded {
+                    at: 1,
+                    balancer: 0,
+                    planned: true,
+                },
+            ],
+            vec![Rule::Lost],
+        ),
     ];
     for (i, (seen, broken)) in cases.into_iter().enumerate() {
         assert_eq!(judge(&seen), broken, "case {i}: {seen:?}");
--- a/crates/lab/src/scale/clients.rs
+++ b/crates/lab/src/scale/clients.rs
@@ -57,7 +57,8 @@
 
 impl Clients {
     pub fn new(balancers: Vec<Balancer>, groups: u64, life: Option<f64>, seed: u64) -> Arc<Self> {
-        let placed_again = Histogram::new_with_max(LONGEST_MS, SIGNIFICANT_DIGITS).expect("bounds that hold");
+        let placed_again =
+            Histogram::new_with_max(LONGEST_MS, SIGNIFICANT_DIGITS).expect("bounds that hold");
         Arc::new(Clients {
             balancers,
             groups,
@@ -77,7 +78,14 @@
             for client in 0..number {
                 let delay = over.mul_f64((client as f64 + 0.5) / number as f64);
                 let rng = Dice::new(self.seed ^ home as u64, client);
-                tokio::spawn(Client { all: self.clone(), home, rng }.run(delay));
+                tokio::spawn(
+                    Client {
+                        all: self.clone(),
+                        home,
+                        rng,
+                    }
+                    .run(delay),
+                );
             }
         }
     }
@@ -94,12 +102,22 @@
 
     /// How many came back, and after how many milliseconds: the median and the 99th percentile.
     pub fn placed_again(&self) -> (u64, f64, f64) {
-        let times = self.placed_again.lock().unwrap_or_else(PoisonError::into_inner);
-        (times.len(), times.value_at_quantile(0.5) as f64, times.value_at_quantile(0.99) as f64)
+        let times = self
+            .placed_again
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        (
+            times.len(),
+            times.value_at_quantile(0.5) as f64,
+            times.value_at_quantile(0.99) as f64,
+        )
     }
 
     fn note_placed_again(&self, after: Duration) {
-        let mut times = self.placed_again.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut times = self
+            .placed_again
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         times.saturating_record(after.as_millis() as u64);
     }
 }
@@ -132,7 +150,8 @@
         loop {
             self.choose_balancer();
             let balancer = self.all.balancers[self.home].clone();
-            let tried = tokio::time::timeout(TRY_TIMEOUT, self.open(&balancer, lost_at.is_some())).await;
+            let tried =
+                tokio::time::timeout(TRY_TIMEOUT, self.open(&balancer, lost_at.is_some())).await;
             match tried.ok().flatten().unwrap_or(Try::Failed(Duration::ZERO)) {
                 Try::Up(stream) => {
                     if let Some(at) = lost_at.take() {
@@ -182,12 +201,20 @@
         if answer.starts_with("UP ") {
             return Some(Try::Up(stream));
         }
-        let wait = answer.strip_prefix("BUSY ").and_then(|ms| ms.trim_end().parse().ok()).unwrap_or(0);
-        Some(Try::Failed(Duration::from_millis(wait).min(COME_BACK_LIMIT)))
+        let wait = answer
+            .strip_prefix("BUSY ")
+            .and_then(|ms| ms.trim_end().parse().ok())
+            .unwrap_or(0);
+        Some(Try::Failed(
+            Duration::from_millis(wait).min(COME_BACK_LIMIT),
+        ))
     }
 
     async fn hold(&mut self, balancer: &Balancer, mut stream: BufReader<TcpStream>) -> End {
-        let life = self.all.life.map(|mean| Duration::from_secs_f64(self.rng.exponential(mean)));
+        let life = self
+            .all
+            .life
+            .map(|mean| Duration::from_secs_f64(self.rng.exponential(mean)));
         self.all.up.fetch_add(1, Relaxed);
         let mut ignored = [0; 64];
         let lost = async {
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -88,8 +88,16 @@
 
 impl Calls {
     fn new() -> Self {
-        let placing = Histogram::new_with_max(LONGEST_CALL, SIGNIFICANT_DIGITS).expect("bounds that hold");
-        Calls { placing, number: 0, nanoseconds: 0, inherited_bytes: 0, notes: Vec::new(), noted_bytes: 0 }
+        let placing =
+            Histogram::new_with_max(LONGEST_CALL, SIGNIFICANT_DIGITS).expect("bounds that hold");
+        Calls {
+            placing,
+            number: 0,
+            nanoseconds: 0,
+            inherited_bytes: 0,
+            notes: Vec::new(),
+            noted_bytes: 0,
+        }
     }
 
     fn note(&mut self, note: impl FnOnce() -> Note) {
@@ -127,7 +135,9 @@
     }
     fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
         self.policy.list(now, entries, whole);
-        self.calls.borrow_mut().note(|| Note::List(entries.to_vec()));
+        self.calls
+            .borrow_mut()
+            .note(|| Note::List(entries.to_vec()));
     }
     fn list_failed(&mut self, now: Time) {
         self.policy.list_failed(now);
@@ -188,10 +198,15 @@
             may_tell: part.may_tell,
         };
         let settings = Settings::within(&settings(of)).map_err(|e| e.to_string())?;
-        let policy = settings.policy(seed, MARGIN, true).map_err(|e| e.to_string())?;
+        let policy = settings
+            .policy(seed, MARGIN, true)
+            .map_err(|e| e.to_string())?;
         let calls = Rc::new(RefCell::new(Calls::new()));
         Ok(Driver {
-            flow_table: Hand::new(MeasuredPolicy { policy, calls: calls.clone() }),
+            flow_table: Hand::new(MeasuredPolicy {
+                policy,
+                calls: calls.clone(),
+            }),
             calls,
             rng: Dice::new(seed, 0),
             now: 0,
@@ -210,7 +225,12 @@
 
     /// The whole list; returns the bytes that are kept of it.
     fn list(&mut self, servers: u64) -> f64 {
-        let listed = |rs| Listed { rs, state: State::Ready, weight: 1.0, ..Listed::default() };
+        let listed = |rs| Listed {
+            rs,
+            state: State::Ready,
+            weight: 1.0,
+            ..Listed::default()
+        };
         let entries: Vec<Listed> = (0..servers).map(listed).collect();
         let before = self.module_bytes();
         self.flow_table.list(self.now, &entries, true);
@@ -239,13 +259,24 @@
         let id = self.next_flow;
         self.next_flow += 1;
         let group = Some(format!("g{}", self.rng.below(self.groups as usize)));
-        Flow { id, group, taken, give_up: taken + DEADLINE_MS * MS, ..Flow::default() }
+        Flow {
+            id,
+            group,
+            taken,
+            give_up: taken + DEADLINE_MS * MS,
+            ..Flow::default()
+        }
     }
 
     fn begin_measuring(&mut self) {
         let mut calls = self.calls.borrow_mut();
         let (notes, noted_bytes) = (std::mem::take(&mut calls.notes), calls.noted_bytes);
-        *calls = Calls { inherited_bytes: calls.inherited_bytes, notes, noted_bytes, ..Calls::new() };
+        *calls = Calls {
+            inherited_bytes: calls.inherited_bytes,
+            notes,
+            noted_bytes,
+            ..Calls::new()
+        };
         drop(calls);
         (self.probes, self.placed) = (0, 0);
     }
@@ -254,7 +285,10 @@
         let until = self.last_arrival;
         let number = ((until - self.now) as f64 / SEC as f64 * per_second) as u64;
         for change in 1..=number {
-            self.plan(self.now + (until - self.now) * change / number, Event::ListChange);
+            self.plan(
+                self.now + (until - self.now) * change / number,
+                Event::ListChange,
+            );
         }
     }
 
@@ -280,7 +314,9 @@
             }
             let event_at = self.events.first_key_value().map(|((at, _), _)| *at);
             let next = [event_at, self.due].into_iter().flatten().min();
-            let Some(next) = next.filter(|next| *next <= end) else { break };
+            let Some(next) = next.filter(|next| *next <= end) else {
+                break;
+            };
             self.now = self.now.max(next);
             if event_at == Some(next) {
                 let (_, event) = self.events.pop_first().expect("it was looked at");
@@ -305,17 +341,31 @@
             }
             Event::ProbeAnswered(rs) => {
                 let load = self.rng.between(LEAST_LOAD, MOST_LOAD);
-                let report = Report { beta: Some(load), connections: None };
+                let report = Report {
+                    beta: Some(load),
+                    connections: None,
+                };
                 self.flow_table.probed(now, rs, true, report, &mut acts);
             }
             Event::ListChange => {
-                let gone = Listed { rs: self.first_server, ..Listed::default() };
+                let gone = Listed {
+                    rs: self.first_server,
+                    ..Listed::default()
+                };
                 let rs = self.first_server + self.servers;
-                let ready = Listed { rs, state: State::Ready, weight: 1.0, started: now, ..gone };
+                let ready = Listed {
+                    rs,
+                    state: State::Ready,
+                    weight: 1.0,
+                    started: now,
+                    ..gone
+                };
                 self.first_server += 1;
                 self.flow_table.list(now, &[gone, ready], false);
             }
-            Event::Connected(id) => self.flow_table.established(now, id, CONNECT_TIME, &mut acts),
+            Event::Connected(id) => self
+                .flow_table
+                .established(now, id, CONNECT_TIME, &mut acts),
         }
         self.carry_out(acts);
     }
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -105,11 +105,30 @@
         let mut list = self.list();
         list.version += 1;
         let version = list.version;
-        for Change { server, address, lifecycle, cold } in changes.iter().copied() {
+        for Change {
+            server,
+            address,
+            lifecycle,
+            cold,
+        } in changes.iter().copied()
+        {
             let started_ms = if cold { unix_ms() } else { 0 };
-            list.entries.insert(server, (version, Entry { address, lifecycle, started_ms }));
+            list.entries.insert(
+                server,
+                (
+                    version,
+                    Entry {
+                        address,
+                        lifecycle,
+                        started_ms,
+                    },
+                ),
+            );
         }
-        list.changed.insert(version, changes.iter().map(|change| change.server).collect());
+        list.changed.insert(
+            version,
+            changes.iter().map(|change| change.server).collect(),
+        );
         drop(list);
         self.version.send_replace(version);
     }
@@ -133,7 +152,11 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream, real: bool) -> Option<()> {
-        let traffic = if real { &self.real_calls } else { &self.hollow_calls };
+        let traffic = if real {
+            &self.real_calls
+        } else {
+            &self.hollow_calls
+        };
         let (read, mut out) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         let mut version = self.version.subscribe();
@@ -149,16 +172,20 @@
             }
             let from = query(&request, "from");
             if let Some(from) = from {
-                let hold = Duration::from_millis(query(&request, "hold_ms").unwrap_or(0)).min(HOLD_LIMIT);
+                let hold =
+                    Duration::from_millis(query(&request, "hold_ms").unwrap_or(0)).min(HOLD_LIMIT);
                 // Until something is new, or the hold is over.
-                let _ = tokio::time::timeout(hold, version.wait_for(|version| *version > from)).await;
+                let _ =
+                    tokio::time::timeout(hold, version.wait_for(|version| *version > from)).await;
             }
             let body = self.list().body(from);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             out.write_all(head.as_bytes()).await.ok()?;
             out.write_all(body.as_bytes()).await.ok()?;
             traffic.calls.fetch_add(1, Relaxed);
-            traffic.bytes.fetch_add((received + head.len() + body.len()) as u64, Relaxed);
+            traffic
+                .bytes
+                .fetch_add((received + head.len() + body.len()) as u64, Relaxed);
         }
     }
 }
@@ -166,10 +193,17 @@
 impl List {
     /// The answer to a call: what has changed since that version, or all.
     fn body(&mut self, from: Option<u64>) -> Arc<str> {
-        let Some(from) = from else { return self.whole() };
-        let servers = self.changed.range(from + 1..).flat_map(|(_, servers)| servers);
+        let Some(from) = from else {
+            return self.whole();
+        };
+        let servers = self
+            .changed
+            .range(from + 1..)
+            .flat_map(|(_, servers)| servers);
         let servers: std::collections::BTreeSet<usize> = servers.copied().collect();
-        let entries = servers.into_iter().map(|server| (server, self.entries[&server].1));
+        let entries = servers
+            .into_iter()
+            .map(|server| (server, self.entries[&server].1));
         answer(self.version, false, entries).into()
     }
 
@@ -179,7 +213,10 @@
         {
             return text.clone();
         }
-        let listed = self.entries.iter().map(|(server, (_, entry))| (*server, *entry));
+        let listed = self
+            .entries
+            .iter()
+            .map(|(server, (_, entry))| (*server, *entry));
         let listed = listed.filter(|(_, entry)| entry.lifecycle != Lifecycle::Gone);
         let text: Arc<str> = answer(self.version, true, listed).into();
         self.whole = Some((self.version, text.clone()));
@@ -191,7 +228,11 @@
     let mut text = format!(r#"{{"generation":{version},"reset":{whole},"instances":["#);
     for (number, (server, entry)) in entries.enumerate() {
         let comma = if number > 0 { "," } else { "" };
-        let Entry { address, lifecycle, started_ms } = entry;
+        let Entry {
+            address,
+            lifecycle,
+            started_ms,
+        } = entry;
         let lifecycle = lifecycle.name();
         write!(
             text,
@@ -205,8 +246,12 @@
 
 /// The value of a number in the request's query.
 fn query(request: &str, name: &str) -> Option<u64> {
-    let mut pairs = request.split(['?', '&', ' ']).filter_map(|pair| pair.split_once('='));
-    pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse().ok())
+    let mut pairs = request
+        .split(['?', '&', ' '])
+        .filter_map(|pair| pair.split_once('='));
+    pairs
+        .find(|(key, _)| *key == name)
+        .and_then(|(_, value)| value.parse().ok())
 }
 
 async fn listen() -> io::Result<TcpListener> {
@@ -214,5 +259,8 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -17,9 +17,19 @@
     if points.len() < 2 || spread <= 0.0 {
         return None;
     }
-    let together: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let together: f64 = points
+        .iter()
+        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .sum();
     let slope = together / spread;
     let intercept = mean_y - slope * mean_x;
-    let missed: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
-    Some(LinearFit { intercept, slope, residual: (missed / count).sqrt() })
+    let missed: f64 = points
+        .iter()
+        .map(|(x, y)| (y - intercept - slope * x).powi(2))
+        .sum();
+    Some(LinearFit {
+        intercept,
+        slope,
+        residual: (missed / count).sqrt(),
+    })
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -64,10 +64,17 @@
     /// A balancer isn't ready, or addresses or files can't be had.
     pub async fn start(plan: &FleetPlan) -> Result<Self, String> {
         let counts = &plan.counts;
-        let (listed, all) = (counts.servers as usize, (counts.servers + plan.spare_servers) as usize);
-        let connections = (plan.real * counts.connections + plan.hollow * plan.hollow_connections) as f64;
-        let servers = Servers::start(all, listed, connections).map_err(|e| format!("hollow servers: {e}"))?;
-        let discovery = Discovery::start().await.map_err(|e| format!("discovery: {e}"))?;
+        let (listed, all) = (
+            counts.servers as usize,
+            (counts.servers + plan.spare_servers) as usize,
+        );
+        let connections =
+            (plan.real * counts.connections + plan.hollow * plan.hollow_connections) as f64;
+        let servers =
+            Servers::start(all, listed, connections).map_err(|e| format!("hollow servers: {e}"))?;
+        let discovery = Discovery::start()
+            .await
+            .map_err(|e| format!("discovery: {e}"))?;
         let ready = |server| Change {
             server,
             address: servers.address(server),
@@ -76,11 +83,22 @@
         };
         discovery.change(&(0..listed).map(ready).collect::<Vec<_>>());
         let folder = RunFolder::new()?;
-        let of = SettingsOf { balancers: counts.balancers, probe_price: plan.probe_price, may_tell: false };
-        let launch =
-            Launch::new(&plan.program, discovery.for_real, plan.descriptors, settings(of), plan.seed);
+        let of = SettingsOf {
+            balancers: counts.balancers,
+            probe_price: plan.probe_price,
+            may_tell: false,
+        };
+        let launch = Launch::new(
+            &plan.program,
+            discovery.for_real,
+            plan.descriptors,
+            settings(of),
+            plan.seed,
+        );
         let start = |number| RealBalancer::start(number, &launch, &folder).map(Arc::new);
-        let real = (0..plan.real as usize).map(start).collect::<Result<Vec<_>, _>>()?;
+        let real = (0..plan.real as usize)
+            .map(start)
+            .collect::<Result<Vec<_>, _>>()?;
         for balancer in &real {
             balancer.wait_until_ready().await?;
         }
@@ -88,7 +106,9 @@
         let hollow = |number| HollowBalancer::start(number, discovery.for_hollow, rate, plan.seed);
         let hollow: Vec<_> = (0..plan.hollow as usize).map(hollow).collect();
         let balancers = real.iter().cloned().map(Balancer::Real);
-        let balancers = balancers.chain(hollow.iter().cloned().map(Balancer::Hollow)).collect();
+        let balancers = balancers
+            .chain(hollow.iter().cloned().map(Balancer::Hollow))
+            .collect();
         let clients = Clients::new(balancers, counts.groups, plan.connection_seconds, plan.seed);
         let each = |balancer: &Balancer| match balancer {
             Balancer::Real(_) => counts.connections,
@@ -120,19 +140,27 @@
             lifecycle,
             cold,
         };
-        let gone = old.iter().map(|server| change(*server, Lifecycle::Gone, false));
-        let ready = new.iter().map(|server| change(*server, Lifecycle::Ready, true));
-        self.discovery.change(&gone.chain(ready).collect::<Vec<_>>());
+        let gone = old
+            .iter()
+            .map(|server| change(*server, Lifecycle::Gone, false));
+        let ready = new
+            .iter()
+            .map(|server| change(*server, Lifecycle::Ready, true));
+        self.discovery
+            .change(&gone.chain(ready).collect::<Vec<_>>());
         old.iter().for_each(|server| self.servers.end(*server));
         self.listed.extend(&new);
         let listed_at = Instant::now();
-        new.into_iter().map(|server| Replacement { server, listed_at }).collect()
+        new.into_iter()
+            .map(|server| Replacement { server, listed_at })
+            .collect()
     }
 
     /// What the real balancers use, on average.
     pub fn usage(&self) -> Usage {
         let all: Vec<Usage> = self.real.iter().map(|balancer| balancer.usage()).collect();
-        let mean = |of: fn(&Usage) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
+        let mean =
+            |of: fn(&Usage) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
         Usage {
             cpu_seconds: mean(|usage| usage.cpu_seconds),
             memory_mb: mean(|usage| usage.memory_mb),
@@ -146,14 +174,25 @@
     /// # Errors
     /// Names them, with the end of their logs.
     pub fn all_alive(&self) -> Result<(), String> {
-        let died: Vec<String> = self.real.iter().filter_map(|balancer| balancer.died()).collect();
-        if died.is_empty() { Ok(()) } else { Err(died.join("\n")) }
+        let died: Vec<String> = self
+            .real
+            .iter()
+            .filter_map(|balancer| balancer.died())
+            .collect();
+        if died.is_empty() {
+            Ok(())
+        } else {
+            Err(died.join("\n"))
+        }
     }
 
     /// Connections at the listed servers: the mean, and the most at one.
     pub fn connections(&self) -> (f64, f64) {
-        let all: Vec<f64> =
-            self.listed.iter().map(|server| self.servers.connections(*server) as f64).collect();
+        let all: Vec<f64> = self
+            .listed
+            .iter()
+            .map(|server| self.servers.connections(*server) as f64)
+            .collect();
         let mean = all.iter().sum::<f64>() / all.len().max(1) as f64;
         (mean, all.into_iter().fold(0.0, f64::max))
     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -64,7 +64,12 @@
 
 impl HollowBalancer {
     /// Starts the one with that number.
-    pub fn start(number: usize, discovery: SocketAddr, probes_per_second: f64, seed: u64) -> Arc<Self> {
+    pub fn start(
+        number: usize,
+        discovery: SocketAddr,
+        probes_per_second: f64,
+        seed: u64,
+    ) -> Arc<Self> {
         let balancer = Arc::new(HollowBalancer {
             source: Ipv4Addr::from_bits(FIRST_ADDRESS + number as u32),
             discovery,
@@ -128,7 +133,8 @@
         loop {
             let began = tokio::time::Instant::now();
             let answered =
-                tokio::time::timeout(HOLD + PATIENCE, call(&mut line, self.discovery, version)).await;
+                tokio::time::timeout(HOLD + PATIENCE, call(&mut line, self.discovery, version))
+                    .await;
             match answered {
                 Ok(Ok(answer)) => {
                     version = Some(answer.generation);
@@ -161,7 +167,11 @@
     }
 
     async fn probe(self: Arc<Self>) {
-        let first = self.rng.lock().unwrap_or_else(PoisonError::into_inner).unit();
+        let first = self
+            .rng
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .unit();
         // So that hollow balancers don't probe in step.
         tokio::time::sleep(self.probe_interval.mul_f64(first)).await;
         let mut ticks = tokio::time::interval(self.probe_interval);
@@ -185,7 +195,11 @@
 type Line = BufReader<TcpStream>;
 
 /// One call for the list, over the connection of the last one where it stays open.
-async fn call(line: &mut Option<Line>, discovery: SocketAddr, version: Option<u64>) -> io::Result<Answer> {
+async fn call(
+    line: &mut Option<Line>,
+    discovery: SocketAddr,
+    version: Option<u64>,
+) -> io::Result<Answer> {
     let stream = match line {
         Some(stream) => stream,
         None => line.insert(BufReader::new(TcpStream::connect(discovery).await?)),
@@ -193,7 +207,8 @@
     let path = version.map_or("/api/targets".into(), |version| {
         format!("/api/targets?from={version}&hold_ms={}", HOLD.as_millis())
     });
-    let request = format!("GET {path} HTTP/1.1\r\nHost: {discovery}\r\nAccept: application/json\r\n\r\n");
+    let request =
+        format!("GET {path} HTTP/1.1\r\nHost: {discovery}\r\nAccept: application/json\r\n\r\n");
     stream.write_all(request.as_bytes()).await?;
     let mut length = 0;
     loop {
--- a/crates/lab/src/scale/limits.rs
+++ b/crates/lab/src/scale/limits.rs
@@ -50,7 +50,11 @@
 
 impl fmt::Display for Exceeded {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "would pass the limit of {}: needs {}, {} allowed", self.resource, self.needed, self.limit)
+        write!(
+            f,
+            "would pass the limit of {}: needs {}, {} allowed",
+            self.resource, self.needed, self.limit
+        )
     }
 }
 
@@ -67,12 +71,21 @@
     /// The scenario's, or the system's where those are lower. Takes all descriptors that the system lets this process have.
     pub fn of(keys: &LimitKeys) -> Self {
         let system = rustix::process::getrlimit(Resource::Nofile);
-        let all = Rlimit { current: system.maximum, maximum: system.maximum };
+        let all = Rlimit {
+            current: system.maximum,
+            maximum: system.maximum,
+        };
         let _ = rustix::process::setrlimit(Resource::Nofile, all);
         let system_descriptors = system.maximum.unwrap_or(u64::MAX);
         let descriptors = keys.descriptors.unwrap_or(u64::MAX).min(system_descriptors);
-        let memory_mb = keys.memory_mb.min(available_memory_mb().unwrap_or(u64::MAX));
-        Limits { memory_mb, descriptors, processes: keys.processes }
+        let memory_mb = keys
+            .memory_mb
+            .min(available_memory_mb().unwrap_or(u64::MAX));
+        Limits {
+            memory_mb,
+            descriptors,
+            processes: keys.processes,
+        }
     }
 
     /// Whether all of this is allowed.
@@ -86,7 +99,13 @@
             (Resources::Processes, need.processes, self.processes),
         ];
         let passed = each.into_iter().find(|(_, needed, limit)| needed > limit);
-        passed.map_or(Ok(()), |(resource, needed, limit)| Err(Exceeded { resource, needed, limit }))
+        passed.map_or(Ok(()), |(resource, needed, limit)| {
+            Err(Exceeded {
+                resource,
+                needed,
+                limit,
+            })
+        })
     }
 }
 
@@ -123,19 +142,38 @@
 /// What the module alone needs at these counts.
 pub fn of_module(counts: &Counts, _part: &ModulePart) -> Need {
     let bytes = counts.servers * SERVER_BYTES + counts.connections * OWN_BYTES;
-    Need { memory_mb: LABORATORY_MB + (bytes >> 20), descriptors: STANDING_DESCRIPTORS, processes: 1 }
+    Need {
+        memory_mb: LABORATORY_MB + (bytes >> 20),
+        descriptors: STANDING_DESCRIPTORS,
+        processes: 1,
+    }
 }
 
 /// What a fleet on sockets needs at these counts.
 pub fn of_sockets(counts: &Counts, part: &SocketPart, descriptors_of_each: u64) -> Need {
-    let hollow = counts.balancers.saturating_sub(part.real_balancers).min(part.hollow_limit);
-    of_fleet(counts, part.real_balancers, hollow, part.hollow_connections, descriptors_of_each)
+    let hollow = counts
+        .balancers
+        .saturating_sub(part.real_balancers)
+        .min(part.hollow_limit);
+    of_fleet(
+        counts,
+        part.real_balancers,
+        hollow,
+        part.hollow_connections,
+        descriptors_of_each,
+    )
 }
 
 /// What a storm needs.
 pub fn of_storm(part: &StormPart, descriptors_of_each: u64) -> Need {
     let hollow = part.fixed.balancers - part.real_balancers;
-    of_fleet(&part.fixed, part.real_balancers, hollow, part.hollow_connections, descriptors_of_each)
+    of_fleet(
+        &part.fixed,
+        part.real_balancers,
+        hollow,
+        part.hollow_connections,
+        descriptors_of_each,
+    )
 }
 
 fn of_fleet(
--- a/crates/lab/src/scale/looked_at.rs
+++ b/crates/lab/src/scale/looked_at.rs
@@ -24,7 +24,10 @@
 /// The mean of servers looked at for a placement, or none where nothing was placed. `tells` is whether balancers tell one
 /// another what is held where: far candidates are looked at first then.
 pub fn servers_per_placement(notes: &[Note], tells: bool) -> Option<f64> {
-    let mut known = Known { tells, ..Known::default() };
+    let mut known = Known {
+        tells,
+        ..Known::default()
+    };
     let (mut looked_at, mut placements) = (0, 0);
     for note in notes {
         match note {
@@ -55,31 +58,45 @@
 impl Known {
     /// As the module does: a server that has gone stays known while it holds own connections.
     fn list(&mut self, entries: &[Listed]) {
-        self.servers.extend(entries.iter().map(|entry| (entry.rs, *entry)));
+        self.servers
+            .extend(entries.iter().map(|entry| (entry.rs, *entry)));
         if self.servers.len() > WHOLE_LIST {
             let known = self.long.is_some();
             let long = self.long.get_or_insert_default();
             let all = || self.servers.values().copied().collect();
             let news: Vec<Listed> = if known { entries.to_vec() } else { all() };
             for entry in news {
-                long.update(entry.rs, entry.hall, entry.weight, entry.state == State::Ready);
+                long.update(
+                    entry.rs,
+                    entry.hall,
+                    entry.weight,
+                    entry.state == State::Ready,
+                );
             }
         } else {
             self.long = None;
         }
         let held = &self.held;
-        self.servers.retain(|server, entry| entry.state != State::Gone || held.contains_key(server));
+        self.servers
+            .retain(|server, entry| entry.state != State::Gone || held.contains_key(server));
     }
 
     fn hold(&mut self, group: &str, server: Rs) {
-        *self.holders.entry(group.to_owned()).or_default().entry(server).or_default() += 1;
+        *self
+            .holders
+            .entry(group.to_owned())
+            .or_default()
+            .entry(server)
+            .or_default() += 1;
         *self.held.entry(server).or_default() += 1;
     }
 
     /// Servers looked at for a flow that went there: near candidates and holders; far ones as well where it went to none
     /// of those; and the whole list where it went to none of these either.
     fn looked_at(&self, group: &str, went_to: Rs) -> usize {
-        let Some(long) = &self.long else { return self.servers.len() };
+        let Some(long) = &self.long else {
+            return self.servers.len();
+        };
         let mut looked_at = 0;
         for far in [self.tells, true] {
             let holders = self.holders.get(group).into_iter().flatten();
--- a/crates/lab/src/scale/measurement.rs
+++ b/crates/lab/src/scale/measurement.rs
@@ -162,7 +162,9 @@
     pub fn measured(&self) -> Vec<(String, f64)> {
         let value = serde_json::to_value(self).unwrap_or_default();
         let pairs = value.as_object().into_iter().flatten();
-        pairs.filter_map(|(name, value)| Some((name.clone(), value.as_f64()?))).collect()
+        pairs
+            .filter_map(|(name, value)| Some((name.clone(), value.as_f64()?)))
+            .collect()
     }
 }
 
@@ -251,8 +253,20 @@
 
 impl From<Counts> for Counted {
     fn from(counts: Counts) -> Self {
-        let Counts { servers, balancers, connections, groups, changes_per_second } = counts;
-        Counted { servers, balancers, connections, groups, changes_per_second }
+        let Counts {
+            servers,
+            balancers,
+            connections,
+            groups,
+            changes_per_second,
+        } = counts;
+        Counted {
+            servers,
+            balancers,
+            connections,
+            groups,
+            changes_per_second,
+        }
     }
 }
 
@@ -275,7 +289,10 @@
 
 impl<W: Write> LineWriter<W> {
     pub fn new(out: W) -> Self {
-        LineWriter { out, lines: Vec::new() }
+        LineWriter {
+            out,
+            lines: Vec::new(),
+        }
     }
 
     /// Writes one line.
@@ -299,5 +316,7 @@
 /// Names the line that is none.
 pub fn read(text: &str) -> Result<Vec<Line>, String> {
     let lines = text.lines().enumerate();
-    lines.map(|(at, line)| serde_json::from_str(line).map_err(|e| format!("line {}: {e}", at + 1))).collect()
+    lines
+        .map(|(at, line)| serde_json::from_str(line).map_err(|e| format!("line {}: {e}", at + 1)))
+        .collect()
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -67,10 +67,25 @@
 impl std::fmt::Display for Failure {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Failure::Limit { part, varied, size, exceeded } => {
-                write!(f, "{} with {} = {size} {exceeded}; stopped before it", part.name(), varied.name())
+            Failure::Limit {
+                part,
+                varied,
+                size,
+                exceeded,
+            } => {
+                write!(
+                    f,
+                    "{} with {} = {size} {exceeded}; stopped before it",
+                    part.name(),
+                    varied.name()
+                )
             }
-            Failure::Run { part, varied, size, why } => {
+            Failure::Run {
+                part,
+                varied,
+                size,
+                why,
+            } => {
                 write!(f, "{} with {} = {size}: {why}", part.name(), varied.name())
             }
             Failure::Write(error) => write!(f, "the run's lines can't be written: {error}"),
@@ -88,12 +103,24 @@
 
 impl At {
     fn limit(&self, limits: &Limits, need: Need) -> Result<(), Failure> {
-        let At { part, varied, size, .. } = *self;
-        limits.allow(&need).map_err(|exceeded| Failure::Limit { part, varied, size, exceeded })
+        let At {
+            part, varied, size, ..
+        } = *self;
+        limits.allow(&need).map_err(|exceeded| Failure::Limit {
+            part,
+            varied,
+            size,
+            exceeded,
+        })
     }
 
     fn failed(&self, why: String) -> Failure {
-        Failure::Run { part: self.part, varied: self.varied, size: self.size, why }
+        Failure::Run {
+            part: self.part,
+            varied: self.varied,
+            size: self.size,
+            why,
+        }
     }
 }
 
@@ -109,7 +136,12 @@
 pub fn machine(limits: &Limits) -> Machine {
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get() as u64);
     let memory_mb = limits::total_memory_mb().unwrap_or(0);
-    Machine { cores, memory_mb, descriptors: limits.descriptors, load_average: limits::load_average() }
+    Machine {
+        cores,
+        memory_mb,
+        descriptors: limits.descriptors,
+        load_average: limits::load_average(),
+    }
 }
 
 impl<W: Write> Run<'_, W> {
@@ -119,7 +151,11 @@
     /// A size would pass a limit or failed, or a line couldn't be written. What was measured before it is written.
     pub fn all(&mut self, text: &str) -> Result<(), Failure> {
         let (run, machine) = (self.scenario.name.clone(), machine(&self.limits));
-        self.write(Line::Start { run, machine, text: text.into() })?;
+        self.write(Line::Start {
+            run,
+            machine,
+            text: text.into(),
+        })?;
         let scenario = self.scenario;
         if let Some(part) = &scenario.module {
             self.module(part)?;
@@ -138,11 +174,18 @@
             let mut measured = Vec::new();
             for size in sizes {
                 let counts = part.fixed.with(varied, *size);
-                let at = At { part: Part::Module, varied, size: *size };
+                let at = At {
+                    part: Part::Module,
+                    varied,
+                    size: *size,
+                };
                 at.limit(&self.limits, limits::of_module(&counts, part))?;
                 let figures = decisions::measure(&counts, part, self.scenario.seed);
                 let figures = figures.map_err(|why| at.failed(why))?;
-                let fixed = Fixed { probe_price: Some(part.probe_price), ..Fixed::new(counts) };
+                let fixed = Fixed {
+                    probe_price: Some(part.probe_price),
+                    ..Fixed::new(counts)
+                };
                 self.write_measurement(at, fixed, &figures)?;
                 measured.push((*size, figures));
             }
@@ -156,10 +199,18 @@
             let mut measured = Vec::new();
             for size in sizes {
                 let counts = part.fixed.with(varied, *size);
-                let at = At { part: Part::Sockets, varied, size: *size };
-                at.limit(&self.limits, limits::of_sockets(&counts, part, self.limits.descriptors))?;
+                let at = At {
+                    part: Part::Sockets,
+                    varied,
+                    size: *size,
+                };
+                at.limit(
+                    &self.limits,
+                    limits::of_sockets(&counts, part, self.limits.descriptors),
+                )?;
                 let plan = self.socket_plan(&counts, part);
-                let figures = on_threads(steady::measure(&plan, part)).map_err(|why| at.failed(why))?;
+                let figures =
+                    on_threads(steady::measure(&plan, part)).map_err(|why| at.failed(why))?;
                 let fixed = Fixed {
                     real_balancers: Some(plan.real),
                     hollow_balancers: Some(plan.hollow),
@@ -179,7 +230,10 @@
         FleetPlan {
             counts: *counts,
             real: part.real_balancers,
-            hollow: counts.balancers.saturating_sub(part.real_balancers).min(part.hollow_limit),
+            hollow: counts
+                .balancers
+                .saturating_sub(part.real_balancers)
+                .min(part.hollow_limit),
             hollow_connections: part.hollow_connections,
             hollow_probes_per_second: part.hollow_probes_per_second,
             probe_price: part.probe_price,
@@ -214,32 +268,88 @@
             probe_price: Some(0.0),
             ..Fixed::new(counts)
         };
-        let killed = Fixed { killed: Some(part.killed), ..base.clone() };
-        let replaced = Fixed { replaced: Some(part.replaced), ..base };
+        let killed = Fixed {
+            killed: Some(part.killed),
+            ..base.clone()
+        };
+        let replaced = Fixed {
+            replaced: Some(part.replaced),
+            ..base
+        };
         let storms = [
-            (Storm::BalancersKilled, Varied::Balancers, counts.balancers, killed),
-            (Storm::ServersReplaced, Varied::Servers, counts.servers, replaced),
+            (
+                Storm::BalancersKilled,
+                Varied::Balancers,
+                counts.balancers,
+                killed,
+            ),
+            (
+                Storm::ServersReplaced,
+                Varied::Servers,
+                counts.servers,
+                replaced,
+            ),
         ];
         for (storm, varied, size, fixed) in storms {
-            let at = At { part: Part::Storm, varied, size: size as f64 };
-            at.limit(&self.limits, limits::of_storm(part, self.limits.descriptors))?;
-            let figures = on_threads(storms::measure(&plan, part, storm)).map_err(|why| at.failed(why))?;
+            let at = At {
+                part: Part::Storm,
+                varied,
+                size: size as f64,
+            };
+            at.limit(
+                &self.limits,
+                limits::of_storm(part, self.limits.descriptors),
+            )?;
+            let figures =
+                on_threads(storms::measure(&plan, part, storm)).map_err(|why| at.failed(why))?;
             self.write_measurement(at, fixed, &figures)?;
         }
         Ok(())
     }
 
-    fn write_measurement(&mut self, at: At, fixed: Fixed, figures: &Figures) -> Result<(), Failure> {
-        let At { part, varied, size, .. } = at;
+    fn write_measurement(
+        &mut self,
+        at: At,
+        fixed: Fixed,
+        figures: &Figures,
+    ) -> Result<(), Failure> {
+        let At {
+            part, varied, size, ..
+        } = at;
         let (run, figures) = (self.scenario.name.clone(), Box::new(figures.clone()));
-        self.write(Line::Measurement { run, part, varied, size, fixed, figures })
+        self.write(Line::Measurement {
+            run,
+            part,
+            varied,
+            size,
+            fixed,
+            figures,
+        })
     }
 
-    fn write_fits(&mut self, part: Part, varied: Varied, measured: &[(f64, Figures)]) -> Result<(), Failure> {
+    fn write_fits(
+        &mut self,
+        part: Part,
+        varied: Varied,
+        measured: &[(f64, Figures)],
+    ) -> Result<(), Failure> {
         for (name, points) in by_figure(measured) {
-            if let Some(LinearFit { intercept, slope, residual }) = least_squares(&points) {
+            if let Some(LinearFit {
+                intercept,
+                slope,
+                residual,
+            }) = least_squares(&points)
+            {
                 let run = self.scenario.name.clone();
-                self.write(Line::Fit { run, part, fit: name, varied, intercept, slope, residual })?;
+                self.write(Line::Fit {
+                    run,
+                    part,
+                    fit: name,
+                    varied,
+                    intercept,
+                    slope,
+                    residual,
+                })?;
             }
         }
         Ok(())
@@ -252,11 +362,16 @@
 
 /// Each figure with its points, in the order in which figures are written.
 fn by_figure(measured: &[(f64, Figures)]) -> Vec<(String, Vec<(f64, f64)>)> {
-    let points: Vec<(f64, Vec<(String, f64)>)> =
-        measured.iter().map(|(size, figures)| (*size, figures.measured())).collect();
+    let points: Vec<(f64, Vec<(String, f64)>)> = measured
+        .iter()
+        .map(|(size, figures)| (*size, figures.measured()))
+        .collect();
     let of = |name: String| {
         let value = |(size, figures): &(f64, Vec<(String, f64)>)| {
-            figures.iter().find(|(figure, _)| *figure == name).map(|(_, value)| (*size, *value))
+            figures
+                .iter()
+                .find(|(figure, _)| *figure == name)
+                .map(|(_, value)| (*size, *value))
         };
         let points = points.iter().filter_map(value).collect();
         (name, points)
@@ -266,7 +381,10 @@
 
 /// Runs a fleet on threads of its own, which end with it.
 fn on_threads(work: impl Future<Output = Result<Figures, String>>) -> Result<Figures, String> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(THREADS).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(THREADS)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("can't start threads: {e}"))?;
     let figures = runtime.block_on(work);
     runtime.shutdown_timeout(SHUTDOWN);
--- a/crates/lab/src/scale/plot.rs
+++ b/crates/lab/src/scale/plot.rs
@@ -8,8 +8,13 @@
 use super::table::{kinds, points};
 
 /// What is drawn of each part.
-const MODULE_FIGURES: [&str; 5] =
-    ["place_p50_us", "place_p99_us", "place_us_per_flow", "probes_per_second", "bytes_per_server"];
+const MODULE_FIGURES: [&str; 5] = [
+    "place_p50_us",
+    "place_p99_us",
+    "place_us_per_flow",
+    "probes_per_second",
+    "bytes_per_server",
+];
 const SOCKET_FIGURES: [&str; 5] = [
     "control_bytes_per_second",
     "probes_per_second",
@@ -29,8 +34,10 @@
 /// # Errors
 /// As drawing has them.
 pub fn svg(lines: &[Line]) -> Result<String, String> {
-    let kinds: Vec<(Part, Varied)> =
-        kinds(lines).into_iter().filter(|(part, _)| *part != Part::Storm).collect();
+    let kinds: Vec<(Part, Varied)> = kinds(lines)
+        .into_iter()
+        .filter(|(part, _)| *part != Part::Storm)
+        .collect();
     let rows = kinds.len().div_ceil(COLUMNS).max(1);
     let size = (PANEL_WIDTH * COLUMNS as u32, PANEL_HEIGHT * rows as u32);
     let mut text = String::new();
@@ -39,7 +46,8 @@
         root.fill(&WHITE).map_err(|e| e.to_string())?;
         let panels = root.split_evenly((rows, COLUMNS));
         for (kind, panel) in kinds.iter().zip(&panels) {
-            draw(panel, lines, *kind).map_err(|e| format!("{} by {}: {e}", kind.0.name(), kind.1.name()))?;
+            draw(panel, lines, *kind)
+                .map_err(|e| format!("{} by {}: {e}", kind.0.name(), kind.1.name()))?;
         }
         root.present().map_err(|e| e.to_string())?;
     }
@@ -48,7 +56,11 @@
 
 type Panel<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-fn draw(panel: &Panel, lines: &[Line], kind: (Part, Varied)) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(
+    panel: &Panel,
+    lines: &[Line],
+    kind: (Part, Varied),
+) -> Result<(), Box<dyn std::error::Error>> {
     let series = series(lines, kind);
     let values = || series.iter().flat_map(|(_, points)| points);
     let bounds = |of: fn(&(f64, f64)) -> f64| {
@@ -57,17 +69,33 @@
         least / 1.5..most.max(least) * 1.5
     };
     let mut chart = ChartBuilder::on(panel)
-        .caption(format!("{}, by {}", kind.0.name(), kind.1.name()), ("sans-serif", 16))
+        .caption(
+            format!("{}, by {}", kind.0.name(), kind.1.name()),
+            ("sans-serif", 16),
+        )
         .margin(10)
         .x_label_area_size(28)
         .y_label_area_size(64)
-        .build_cartesian_2d(bounds(|point| point.0).log_scale(), bounds(|point| point.1).log_scale())?;
-    chart.configure_mesh().x_desc(kind.1.name()).light_line_style(TRANSPARENT).draw()?;
+        .build_cartesian_2d(
+            bounds(|point| point.0).log_scale(),
+            bounds(|point| point.1).log_scale(),
+        )?;
+    chart
+        .configure_mesh()
+        .x_desc(kind.1.name())
+        .light_line_style(TRANSPARENT)
+        .draw()?;
     for ((name, points), color) in series.iter().zip(COLORS) {
-        let line = chart.draw_series(LineSeries::new(points.iter().copied(), color).point_size(3))?;
-        line.label(name.as_str()).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
+        let line =
+            chart.draw_series(LineSeries::new(points.iter().copied(), color).point_size(3))?;
+        line.label(name.as_str())
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK.mix(0.3))
+        .draw()?;
     Ok(())
 }
 
@@ -75,14 +103,25 @@
 type Series = (String, Vec<(f64, f64)>);
 
 fn series(lines: &[Line], kind: (Part, Varied)) -> Vec<Series> {
-    let names: &[&str] = if kind.0 == Part::Module { &MODULE_FIGURES } else { &SOCKET_FIGURES };
+    let names: &[&str] = if kind.0 == Part::Module {
+        &MODULE_FIGURES
+    } else {
+        &SOCKET_FIGURES
+    };
     let points = points(lines, kind);
     let of = |name: &&str| {
         let value = |(size, figures): &(f64, Vec<(String, f64)>)| {
             let value = figures.iter().find(|(figure, _)| figure == name)?.1;
             Some((*size, value.max(LEAST)))
         };
-        (name.to_string(), points.iter().filter_map(value).collect::<Vec<_>>())
+        (
+            name.to_string(),
+            points.iter().filter_map(value).collect::<Vec<_>>(),
+        )
     };
-    names.iter().map(of).filter(|(_, points)| !points.is_empty()).collect()
+    names
+        .iter()
+        .map(of)
+        .filter(|(_, points)| !points.is_empty())
+        .collect()
 }
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -39,7 +39,8 @@
     pub fn new() -> Result<Self, String> {
         static MADE: AtomicU16 = AtomicU16::new(0);
         let number = MADE.fetch_add(1, Relaxed);
-        let path = std::env::temp_dir().join(format!("nettlemux-scale-{}-{number}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("nettlemux-scale-{}-{number}", std::process::id()));
         fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(RunFolder { path })
     }
@@ -62,9 +63,22 @@
 }
 
 impl Launch {
-    pub fn new(program: &Path, discovery: SocketAddr, descriptors: u64, settings: Value, seed: u64) -> Self {
+    pub fn new(
+        program: &Path,
+        discovery: SocketAddr,
+        descriptors: u64,
+        settings: Value,
+        seed: u64,
+    ) -> Self {
         let port = NEXT_PORT.fetch_add(1, Relaxed);
-        Launch { program: program.into(), discovery, descriptors, settings, seed, port }
+        Launch {
+            program: program.into(),
+            discovery,
+            descriptors,
+            settings,
+            seed,
+            port,
+        }
     }
 }
 
@@ -96,7 +110,10 @@
     pub fn start(number: usize, launch: &Launch, folder: &RunFolder) -> Result<Self, String> {
         let process = std::process::id();
         let [second, third] = [96 + process % 32, 1 + process / 32 % 250].map(|byte| byte as u8);
-        let address = SocketAddr::from((Ipv4Addr::new(127, second, third, 1 + number as u8), launch.port));
+        let address = SocketAddr::from((
+            Ipv4Addr::new(127, second, third, 1 + number as u8),
+            launch.port,
+        ));
         let seed = (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ launch.seed;
         let config = json!({
             "name": format!("b{number}"),
@@ -128,11 +145,17 @@
     pub fn spawn(&self) -> Result<(), String> {
         let log = File::options().create(true).append(true).open(&self.log);
         let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
-        let copy = log.try_clone().map_err(|e| format!("{}: {e}", self.log.display()))?;
+        let copy = log
+            .try_clone()
+            .map_err(|e| format!("{}: {e}", self.log.display()))?;
         let mut command = Command::new(&self.program);
-        command.args(["serve", "--log", "warn", "--config"]).arg(&self.config);
+        command
+            .args(["serve", "--log", "warn", "--config"])
+            .arg(&self.config);
         command.stdin(Stdio::null()).stdout(copy).stderr(log);
-        let child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
+        let child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", self.program.display()))?;
         *self.child() = Some(child);
         Ok(())
     }
@@ -152,7 +175,11 @@
         if in_time {
             Ok(())
         } else {
-            Err(format!("balancer {} isn't ready:\n{}", self.number, self.log_end()))
+            Err(format!(
+                "balancer {} isn't ready:\n{}",
+                self.number,
+                self.log_end()
+            ))
         }
     }
 
@@ -172,18 +199,25 @@
 
     /// That it has ended by itself, with the end of its log.
     pub fn died(&self) -> Option<String> {
-        let ended = self.child().as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
+        let ended = self
+            .child()
+            .as_mut()
+            .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
         ended.then(|| format!("balancer {} died:\n{}", self.number, self.log_end()))
     }
 
     /// What it uses; nothing where it doesn't run.
     pub fn usage(&self) -> Usage {
-        let Some(id) = self.child().as_ref().map(Child::id) else { return Usage::default() };
-        let read = |name: &str| fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
+        let Some(id) = self.child().as_ref().map(Child::id) else {
+            return Usage::default();
+        };
+        let read =
+            |name: &str| fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
         let status = read("status");
         let megabytes = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name));
-            let kilobytes = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
+            let kilobytes =
+                line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
             kilobytes.unwrap_or(0.0) / 1024.0
         };
         Usage {
@@ -214,8 +248,18 @@
 
 /// User and system time in `/proc/PID/stat`: the 12th and 13th word after the program's name in brackets.
 fn cpu_seconds(stat: &str) -> f64 {
-    let words: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |at: usize| words.get(at).and_then(|word| word.parse::<f64>().ok()).unwrap_or(0.0);
+    let words: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .collect();
+    let ticks = |at: usize| {
+        words
+            .get(at)
+            .and_then(|word| word.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     (ticks(11) + ticks(12)) / rustix::param::clock_ticks_per_second() as f64
 }
 
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -35,7 +35,11 @@
 
 impl Default for LimitKeys {
     fn default() -> Self {
-        LimitKeys { memory_mb: 12 * 1024, processes: 200, descriptors: None }
+        LimitKeys {
+            memory_mb: 12 * 1024,
+            processes: 200,
+            descriptors: None,
+        }
     }
 }
 
@@ -153,7 +157,11 @@
     /// # Errors
     /// Names the file and the key at fault; an unknown key with the nearest known one.
     pub fn load(file: &Path) -> Result<Self, Faulty> {
-        let whole = |why: String| Faulty { file: file.into(), key: file::WHOLE_FILE.into(), why };
+        let whole = |why: String| Faulty {
+            file: file.into(),
+            key: file::WHOLE_FILE.into(),
+            why,
+        };
         let text = std::fs::read_to_string(file).map_err(|e| whole(e.to_string()))?;
         Self::parse(&text, file)
     }
@@ -163,7 +171,11 @@
     /// # Errors
     /// As [`ScaleScenario::load`].
     pub fn parse(text: &str, file: &Path) -> Result<Self, Faulty> {
-        let faulty = |key: String, why: String| Faulty { file: file.into(), key, why };
+        let faulty = |key: String, why: String| Faulty {
+            file: file.into(),
+            key,
+            why,
+        };
         let scenario: Self = toml::from_str(text).map_err(|error| {
             let (key, why) = file::complaint(error.message());
             // A value of the wrong kind is told by its place alone: the line names its key.
@@ -198,8 +210,18 @@
                 "storm.fixed.balancers",
                 storm.fixed.balancers,
             )?;
-            at_most("storm.killed", storm.killed, "storm.fixed.balancers", storm.fixed.balancers - 1)?;
-            at_most("storm.replaced", storm.replaced, "storm.fixed.servers", storm.fixed.servers - 1)?;
+            at_most(
+                "storm.killed",
+                storm.killed,
+                "storm.fixed.balancers",
+                storm.fixed.balancers - 1,
+            )?;
+            at_most(
+                "storm.replaced",
+                storm.replaced,
+                "storm.fixed.servers",
+                storm.fixed.servers - 1,
+            )?;
             seconds("storm.settle_seconds", storm.settle_seconds)?;
             seconds("storm.measure_seconds", storm.measure_seconds)?;
         }
@@ -216,7 +238,14 @@
 
 fn positive(key: &str, value: f64) -> Result<(), Complaint> {
     let good = value.is_finite() && value > 0.0 && value <= SIZE_LIMIT;
-    if good { Ok(()) } else { Err((key.into(), format!("{value} isn't between 0 and {SIZE_LIMIT}"))) }
+    if good {
+        Ok(())
+    } else {
+        Err((
+            key.into(),
+            format!("{value} isn't between 0 and {SIZE_LIMIT}"),
+        ))
+    }
 }
 
 fn seconds(key: &str, value: f64) -> Result<(), Complaint> {
@@ -224,7 +253,10 @@
     if good {
         Ok(())
     } else {
-        Err((key.into(), format!("{value} isn't between 0 and {SECONDS_LIMIT} seconds")))
+        Err((
+            key.into(),
+            format!("{value} isn't between 0 and {SECONDS_LIMIT} seconds"),
+        ))
     }
 }
 
@@ -232,14 +264,20 @@
     if value <= limit {
         Ok(())
     } else {
-        Err((key.into(), format!("{value} is too many for {other}: {limit} at most")))
+        Err((
+            key.into(),
+            format!("{value} is too many for {other}: {limit} at most"),
+        ))
     }
 }
 
 fn check_counts(part: &str, fixed: &Counts, sizes: &Sizes) -> Result<(), Complaint> {
     positive(&format!("{part}.fixed.servers"), fixed.servers as f64)?;
     positive(&format!("{part}.fixed.balancers"), fixed.balancers as f64)?;
-    positive(&format!("{part}.fixed.connections"), fixed.connections as f64)?;
+    positive(
+        &format!("{part}.fixed.connections"),
+        fixed.connections as f64,
+    )?;
     positive(&format!("{part}.fixed.groups"), fixed.groups as f64)?;
     for (varied, sizes) in sizes.all() {
         for size in sizes {
--- a/crates/lab/src/scale/servers.rs
+++ b/crates/lab/src/scale/servers.rs
@@ -116,7 +116,9 @@
     }
 
     fn at(&self, address: SocketAddr) -> Option<usize> {
-        let IpAddr::V4(address) = address.ip() else { return None };
+        let IpAddr::V4(address) = address.ip() else {
+            return None;
+        };
         let server = address.to_bits().checked_sub(FIRST_ADDRESS)? as usize;
         (server < self.all.len()).then_some(server)
     }
@@ -128,7 +130,10 @@
 
     /// When a real balancer first probed it or connected to it.
     pub fn first_seen(&self, server: usize) -> Option<Instant> {
-        *self.all[server].first_seen.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.all[server]
+            .first_seen
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn connections(&self, server: usize) -> i64 {
@@ -143,8 +148,10 @@
     pub fn most_connects_in_a_second(&self, since: Instant, of: impl Fn(usize) -> bool) -> u64 {
         let first_second = since.duration_since(self.began).as_secs();
         let connects = self.connects();
-        let later =
-            connects.by_second.iter().filter(|((server, second), _)| *second >= first_second && of(*server));
+        let later = connects
+            .by_second
+            .iter()
+            .filter(|((server, second), _)| *second >= first_second && of(*server));
         later.map(|(_, count)| *count).max().unwrap_or(0)
     }
 
@@ -155,7 +162,11 @@
     async fn serve(self: Arc<Self>, mut stream: TcpStream, from: SocketAddr) -> Option<()> {
         let server = self.at(stream.local_addr().ok()?)?;
         let real = from.ip() == REAL_SOURCE;
-        let traffic = if real { &self.from_real } else { &self.from_hollow };
+        let traffic = if real {
+            &self.from_real
+        } else {
+            &self.from_hollow
+        };
         let mut gone = self.all[server].gone.subscribe();
         let _ = stream.set_nodelay(true);
         let mut held = Vec::new();
@@ -165,7 +176,10 @@
                 _ = gone.wait_for(|gone| *gone) => return None,
             };
             if real {
-                let mut first = self.all[server].first_seen.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut first = self.all[server]
+                    .first_seen
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
                 first.get_or_insert_with(Instant::now);
             }
             if line.starts_with("OPEN ") {
@@ -175,7 +189,9 @@
             let answer = self.report(server);
             stream.write_all(answer.as_bytes()).await.ok()?;
             traffic.probes.fetch_add(1, Relaxed);
-            traffic.probe_bytes.fetch_add((line.len() + 2 + answer.len()) as u64, Relaxed);
+            traffic
+                .probe_bytes
+                .fetch_add((line.len() + 2 + answer.len()) as u64, Relaxed);
         }
     }
 
--- a/crates/lab/src/scale/steady.rs
+++ b/crates/lab/src/scale/steady.rs
@@ -55,7 +55,12 @@
     tokio::time::sleep(Duration::from_secs_f64(part.settle_seconds)).await;
     let up = fleet.clients.up();
     let before = Counted::now(&fleet);
-    let replaced = change_steadily(&mut fleet, plan.counts.changes_per_second, part.measure_seconds).await;
+    let replaced = change_steadily(
+        &mut fleet,
+        plan.counts.changes_per_second,
+        part.measure_seconds,
+    )
+    .await;
     let after = Counted::now(&fleet);
     wait_until_seen(&fleet, &replaced).await;
     fleet.all_alive()?;
@@ -87,7 +92,11 @@
 /// Until each new server has been seen, or for as long as that may take.
 async fn wait_until_seen(fleet: &Fleet, replaced: &[Replacement]) {
     let until = Instant::now() + SEEN_WITHIN;
-    let unseen = || replaced.iter().any(|new| fleet.servers.first_seen(new.server).is_none());
+    let unseen = || {
+        replaced
+            .iter()
+            .any(|new| fleet.servers.first_seen(new.server).is_none())
+    };
     while unseen() && Instant::now() < until {
         tokio::time::sleep(STEP).await;
     }
@@ -104,7 +113,9 @@
         probes_per_second: of_each(before.probes, after.probes),
         probe_bytes_per_second: probe_bytes,
         list_bytes_per_second: list_bytes,
-        control_bytes_per_second: probe_bytes.zip(list_bytes).map(|(probes, list)| probes + list),
+        control_bytes_per_second: probe_bytes
+            .zip(list_bytes)
+            .map(|(probes, list)| probes + list),
         list_calls_per_second: of_each(before.list_calls, after.list_calls),
         discovery_calls_per_second: Some((calls(after) - calls(before)) / seconds),
         connects_per_second: of_each(before.connects, after.connects),
@@ -120,7 +131,8 @@
     if replaced.is_empty() {
         return;
     }
-    let mut times = Histogram::<u64>::new_with_max(LONGEST_MS, SIGNIFICANT_DIGITS).expect("bounds that hold");
+    let mut times =
+        Histogram::<u64>::new_with_max(LONGEST_MS, SIGNIFICANT_DIGITS).expect("bounds that hold");
     for Replacement { server, listed_at } in replaced {
         if let Some(seen) = fleet.servers.first_seen(*server) {
             times.saturating_record(seen.saturating_duration_since(*listed_at).as_millis() as u64);
--- a/crates/lab/src/scale/storms.rs
+++ b/crates/lab/src/scale/storms.rs
@@ -56,7 +56,12 @@
     match storm {
         Storm::BalancersKilled => kill_and_restart(&fleet, part).await?,
         Storm::ServersReplaced => {
-            new_servers.extend(fleet.replace(part.replaced as usize).iter().map(|new| new.server));
+            new_servers.extend(
+                fleet
+                    .replace(part.replaced as usize)
+                    .iter()
+                    .map(|new| new.server),
+            );
         }
     }
     let end = began + Duration::from_secs_f64(part.measure_seconds);
@@ -68,8 +73,9 @@
     let lost = after.lost - before.lost;
     let [first, returning, retried] =
         [0, 1, 2].map(|at: usize| Some((after.causes[at] - before.causes[at]) as f64));
-    let most_connects =
-        |of: &dyn Fn(usize) -> bool| Some(fleet.servers.most_connects_in_a_second(began, of) as f64);
+    let most_connects = |of: &dyn Fn(usize) -> bool| {
+        Some(fleet.servers.most_connects_in_a_second(began, of) as f64)
+    };
     let is_new = |server: usize| new_servers.contains(&server);
     Ok(Figures {
         connections_up: Some(up as f64),
@@ -83,7 +89,8 @@
         server_connections_max_before: Some(most_before),
         server_connections_max: Some(most),
         server_connects_in_a_second_max: most_connects(&|_| true),
-        new_server_connects_in_a_second_max: most_connects(&is_new).filter(|_| !new_servers.is_empty()),
+        new_server_connects_in_a_second_max: most_connects(&is_new)
+            .filter(|_| !new_servers.is_empty()),
         placed_again_ms_p50: Some(p50),
         placed_again_ms_p99: Some(p99),
         placed_again_share: (lost > 0).then(|| placed_again as f64 / lost as f64),
@@ -95,7 +102,9 @@
 async fn kill_and_restart(fleet: &Fleet, part: &StormPart) -> Result<(), String> {
     let share = part.killed as f64 / part.fixed.balancers as f64;
     let of_real = (share * fleet.real.len() as f64).round() as usize;
-    let of_hollow = (part.killed as usize).saturating_sub(of_real).min(fleet.hollow.len());
+    let of_hollow = (part.killed as usize)
+        .saturating_sub(of_real)
+        .min(fleet.hollow.len());
     let (real, hollow) = (&fleet.real[..of_real], &fleet.hollow[..of_hollow]);
     real.iter().for_each(|balancer| balancer.kill());
     hollow.iter().for_each(|balancer| balancer.kill());
--- a/crates/lab/src/scale/table.rs
+++ b/crates/lab/src/scale/table.rs
@@ -11,7 +11,8 @@
     let mut out = String::new();
     for line in lines {
         if let Line::Start { run, machine, text } = line {
-            let (cores, memory, descriptors) = (machine.cores, machine.memory_mb, machine.descriptors);
+            let (cores, memory, descriptors) =
+                (machine.cores, machine.memory_mb, machine.descriptors);
             writeln!(
                 out,
                 "# Scale run `{run}`\n\nMeasured on {cores} cores with {memory} MB, {descriptors} descriptors a process, at {text}."
@@ -42,9 +43,13 @@
 /// Sizes and figures of one kind, in order.
 pub fn points(lines: &[Line], of: (Part, Varied)) -> Vec<(f64, Vec<(String, f64)>)> {
     let one = |line: &Line| match line {
-        Line::Measurement { part, varied, size, figures, .. } if (*part, *varied) == of => {
-            Some((*size, figures.measured()))
-        }
+        Line::Measurement {
+            part,
+            varied,
+            size,
+            figures,
+            ..
+        } if (*part, *varied) == of => Some((*size, figures.measured())),
         _ => None,
     };
     lines.iter().filter_map(one).collect()
@@ -52,16 +57,27 @@
 
 fn measurements(lines: &[Line], part: Part, varied: Varied) -> String {
     let points = points(lines, (part, varied));
-    let mut out =
-        format!("| figure |{}\n", points.iter().map(|(size, _)| format!(" {size} |")).collect::<String>());
+    let mut out = format!(
+        "| figure |{}\n",
+        points
+            .iter()
+            .map(|(size, _)| format!(" {size} |"))
+            .collect::<String>()
+    );
     out += &format!("| --- |{}\n", " ---: |".repeat(points.len()));
     for name in names(&points) {
         let cell = |(_, figures): &(f64, Vec<(String, f64)>)| {
             let value = figures.iter().find(|(figure, _)| *figure == name);
-            value.map_or(" - |".to_string(), |(_, value)| format!(" {} |", rounded(*value)))
+            value.map_or(" - |".to_string(), |(_, value)| {
+                format!(" {} |", rounded(*value))
+            })
         };
-        writeln!(out, "| `{name}` |{}", points.iter().map(cell).collect::<String>())
-            .expect("a string takes all");
+        writeln!(
+            out,
+            "| `{name}` |{}",
+            points.iter().map(cell).collect::<String>()
+        )
+        .expect("a string takes all");
     }
     out
 }
@@ -80,14 +96,24 @@
 fn fits(lines: &[Line], of_part: Part, of_varied: Varied) -> String {
     let mut out = String::new();
     for line in lines {
-        if let Line::Fit { part, fit, varied, intercept, slope, residual, .. } = line
+        if let Line::Fit {
+            part,
+            fit,
+            varied,
+            intercept,
+            slope,
+            residual,
+            ..
+        } = line
             && (*part, *varied) == (of_part, of_varied)
         {
             if out.is_empty() {
                 out += "\n| fitted | at 0 | slope | residual |\n| --- | ---: | ---: | ---: |\n";
             }
-            let [intercept, slope, residual] = [intercept, slope, residual].map(|value| rounded(*value));
-            writeln!(out, "| `{fit}` | {intercept} | {slope} | {residual} |").expect("a string takes all");
+            let [intercept, slope, residual] =
+                [intercept, slope, residual].map(|value| rounded(*value));
+            writeln!(out, "| `{fit}` | {intercept} | {slope} | {residual} |")
+                .expect("a string takes all");
         }
     }
     out
@@ -99,5 +125,9 @@
         return value.to_string();
     }
     let digits = 2 - value.abs().log10().floor() as i32;
-    if digits <= 0 { format!("{value:.0}") } else { format!("{value:.*}", digits.min(9) as usize) }
+    if digits <= 0 {
+        format!("{value:.0}")
+    } else {
+        format!("{value:.*}", digits.min(9) as usize)
+    }
 }
--- a/crates/lab/src/simulate/answers.rs
+++ b/crates/lab/src/simulate/answers.rs
@@ -19,7 +19,9 @@
         self.flow_of_client.remove(&client);
         self.observe_answer(flow, answer);
         let wait = match answer {
-            Final::Rejected => self.clients.rejected(client, retry_after, &self.model.scenario),
+            Final::Rejected => self
+                .clients
+                .rejected(client, retry_after, &self.model.scenario),
             _ => self.clients.aborted(client, &self.model.scenario),
         };
         self.retry_after(client, wait);
@@ -30,20 +32,31 @@
 
     /// Records an answer and counts it in the figures.
     pub(super) fn observe_answer(&mut self, flow: FlowId, answer: Final) {
-        let Some(state) = self.flows.get(&flow) else { return };
+        let Some(state) = self.flows.get(&flow) else {
+            return;
+        };
         let took = self.now - state.accepted;
         let known = self.clients.get(state.client);
         if let Some(client) = known {
             self.figures.of_client(self.now, client, answer);
         }
-        let target = known.map_or(0.0, |client| self.model.scenario.types[client.service_type].target);
-        self.figures.answered(self.now, answer, took, seconds(target));
-        self.observe(Seen::Answered { at: self.now, flow, with: answer });
+        let target = known.map_or(0.0, |client| {
+            self.model.scenario.types[client.service_type].target
+        });
+        self.figures
+            .answered(self.now, answer, took, seconds(target));
+        self.observe(Seen::Answered {
+            at: self.now,
+            flow,
+            with: answer,
+        });
     }
 
     /// Removes a flow of which nothing more comes. Every flow ends here, except those of a run that ends first.
     pub(super) fn close(&mut self, flow: FlowId) {
-        let Some(state) = self.flows.remove(&flow) else { return };
+        let Some(state) = self.flows.remove(&flow) else {
+            return;
+        };
         if self.flow_of_client.get(&state.client) == Some(&flow) {
             self.flow_of_client.remove(&state.client);
         }
--- a/crates/lab/src/simulate/attempts.rs
+++ b/crates/lab/src/simulate/attempts.rs
@@ -13,19 +13,28 @@
 impl Simulation<'_> {
     /// A balancer dials a server and waits so long.
     pub(super) fn start_attempt(&mut self, flow: FlowId, attempt: Attempt, timeout: Time) {
-        let Some(state) = self.flows.get_mut(&flow) else { return };
+        let Some(state) = self.flows.get_mut(&flow) else {
+            return;
+        };
         state.attempt = Some(attempt);
         self.figures.connects += 1;
         let number = attempt.number;
         let arrival = self.now + self.latency(flow, attempt.server);
         self.schedule(arrival, Event::AttemptArrives { flow, number });
-        self.schedule(self.now + timeout.max(1), Event::AttemptDeadline { flow, number });
+        self.schedule(
+            self.now + timeout.max(1),
+            Event::AttemptDeadline { flow, number },
+        );
     }
 
     /// An attempt arrives at its server, which takes it or not.
     pub(super) fn attempt_arrives(&mut self, flow: FlowId, number: usize) {
-        let Some(state) = self.flows.get(&flow) else { return };
-        let Some(attempt) = state.current_attempt(number) else { return };
+        let Some(state) = self.flows.get(&flow) else {
+            return;
+        };
+        let Some(attempt) = state.current_attempt(number) else {
+            return;
+        };
         if state.phase == FlowPhase::Connected {
             return;
         }
@@ -44,26 +53,55 @@
             self.attach(flow, client, attempt.server);
             answered += seconds(setup);
         }
-        self.schedule(answered, Event::ResponseArrives { flow, number, response });
+        self.schedule(
+            answered,
+            Event::ResponseArrives {
+                flow,
+                number,
+                response,
+            },
+        );
         self.carry_out(happened);
     }
 
     /// Nothing answers the dial, and the balancer has to find out by itself.
     fn schedule_dial_timeout(&mut self, flow: FlowId, number: usize) {
         let response = ServerResponse::Unreachable;
-        self.schedule(self.now + seconds(file::DIAL), Event::ResponseArrives { flow, number, response });
+        self.schedule(
+            self.now + seconds(file::DIAL),
+            Event::ResponseArrives {
+                flow,
+                number,
+                response,
+            },
+        );
     }
 
     /// Records an attempt whose last byte has come to a server.
     pub(super) fn observe_attempt(&mut self, balancer: usize, flow: FlowId, attempt: Attempt) {
         let Attempt { number, server } = attempt;
-        self.observe(Seen::Connect { at: self.now, balancer, flow, number, server });
+        self.observe(Seen::Connect {
+            at: self.now,
+            balancer,
+            flow,
+            number,
+            server,
+        });
     }
 
     /// The balancer learns what a server did with an attempt, or with the connection that came of it.
-    pub(super) fn response_arrives(&mut self, flow: FlowId, number: usize, response: ServerResponse) {
-        let Some(state) = self.flows.get(&flow) else { return };
-        let Some(attempt) = state.current_attempt(number) else { return };
+    pub(super) fn response_arrives(
+        &mut self,
+        flow: FlowId,
+        number: usize,
+        response: ServerResponse,
+    ) {
+        let Some(state) = self.flows.get(&flow) else {
+            return;
+        };
+        let Some(attempt) = state.current_attempt(number) else {
+            return;
+        };
         if state.phase == FlowPhase::Connected {
             if matches!(response, ServerResponse::Reset | ServerResponse::Redirected) {
                 self.closed_by_server(flow, response);
@@ -104,7 +142,12 @@
         state.phase = FlowPhase::Connected;
         let (client, moving) = (state.client, state.moving);
         let number = attempt.number;
-        self.observe(Seen::ConnectEnded { at: self.now, flow, number, never_ran: false });
+        self.observe(Seen::ConnectEnded {
+            at: self.now,
+            flow,
+            number,
+            never_ran: false,
+        });
         self.observe_answer(flow, Final::Established);
         self.clients.established(client);
         self.report_connected(flow);
@@ -129,7 +172,10 @@
 
     /// The balancer stops waiting for an attempt that is still in flight.
     pub(super) fn attempt_deadline(&mut self, flow: FlowId, number: usize) {
-        let pending = self.flows.get(&flow).filter(|state| state.phase != FlowPhase::Connected);
+        let pending = self
+            .flows
+            .get(&flow)
+            .filter(|state| state.phase != FlowPhase::Connected);
         if let Some(attempt) = pending.and_then(|state| state.current_attempt(number)) {
             self.attempt_ended(flow, attempt, Ending::may_have_run(End::TimedOut));
         }
@@ -137,7 +183,10 @@
 
     /// The balancer cancels the attempt of a client that has left.
     pub(super) fn cancel_attempt(&mut self, flow: FlowId) {
-        let settled = self.flows.get(&flow).filter(|state| state.phase == FlowPhase::Settled);
+        let settled = self
+            .flows
+            .get(&flow)
+            .filter(|state| state.phase == FlowPhase::Settled);
         if let Some(attempt) = settled.and_then(|state| state.attempt) {
             self.attempt_ended(flow, attempt, Ending::may_have_run(End::CalledOff));
         }
@@ -145,12 +194,19 @@
 
     /// An attempt is no longer in flight. Its server is released before the flow table is told.
     fn attempt_ended(&mut self, flow: FlowId, attempt: Attempt, ending: Ending) {
-        let Some(state) = self.flows.get_mut(&flow) else { return };
+        let Some(state) = self.flows.get_mut(&flow) else {
+            return;
+        };
         state.attempt = None;
         let settled = state.phase == FlowPhase::Settled;
         self.detach(flow, attempt.server);
         let (number, never_ran) = (attempt.number, ending.never_ran);
-        self.observe(Seen::ConnectEnded { at: self.now, flow, number, never_ran });
+        self.observe(Seen::ConnectEnded {
+            at: self.now,
+            flow,
+            number,
+            never_ran,
+        });
         self.report_ended(flow, attempt, ending);
         if settled {
             self.close(flow);
@@ -159,12 +215,21 @@
 
     /// Tells the flow table that an attempt or a connection has ended.
     pub(super) fn report_ended(&mut self, flow: FlowId, attempt: Attempt, ending: Ending) {
-        let Some(balancer) = self.flows.get(&flow).map(|state| state.balancer) else { return };
+        let Some(balancer) = self.flows.get(&flow).map(|state| state.balancer) else {
+            return;
+        };
         let Attempt { number, server } = attempt;
         let Ending { end, never_ran } = ending;
         self.ask(balancer, |flow_table, now, actions| {
             let report = Report::default();
-            flow_table.ended(now, (flow, number), server as u64, (end, never_ran), report, actions);
+            flow_table.ended(
+                now,
+                (flow, number),
+                server as u64,
+                (end, never_ran),
+                report,
+                actions,
+            );
         });
     }
 }
--- a/crates/lab/src/simulate/balancer.rs
+++ b/crates/lab/src/simulate/balancer.rs
@@ -29,7 +29,13 @@
 impl Balancer {
     /// A balancer whose process has not been started.
     pub(super) fn new(zone: usize) -> Self {
-        Balancer { flow_table: None, epoch: 0, zone, list_version: 0, wakeup: None }
+        Balancer {
+            flow_table: None,
+            epoch: 0,
+            zone,
+            list_version: 0,
+            wakeup: None,
+        }
     }
 
     /// Whether the process runs.
--- a/crates/lab/src/simulate/clients.rs
+++ b/crates/lab/src/simulate/clients.rs
@@ -33,7 +33,9 @@
 
     /// A client without a flow tries to be served.
     pub(super) fn client_tries(&mut self, client: ClientId) {
-        let Some(known) = self.clients.get(client).cloned() else { return };
+        let Some(known) = self.clients.get(client).cloned() else {
+            return;
+        };
         if self.flow_of_client.contains_key(&client) || known.gone {
             return;
         }
@@ -57,18 +59,32 @@
         let target = self.now + seconds(service_type.target);
         let flow = self.new_flow(client, deadline);
         let id = flow.id;
-        self.flows.insert(id, FlowState::waiting(client, balancer, self.now));
+        self.flows
+            .insert(id, FlowState::waiting(client, balancer, self.now));
         self.flow_of_client.insert(client, id);
         self.figures.flows += 1;
         let kind = self.clients.kind(client, &self.model.scenario);
-        self.observe(Seen::Taken { at: self.now, balancer, flow: id, kind, give_up: deadline });
+        self.observe(Seen::Taken {
+            at: self.now,
+            balancer,
+            flow: id,
+            kind,
+            give_up: deadline,
+        });
         self.schedule(deadline + PATIENCE, Event::PatienceOver { flow: id });
         if known.told {
             self.figures.came_when_told(self.now);
         }
         let key = self.admission_key(client, known);
-        let requester = Requester { key, client, retry: known.tries > 0, target };
-        self.ask(balancer, |flow_table, now, actions| flow_table.take(now, flow, requester, actions));
+        let requester = Requester {
+            key,
+            client,
+            retry: known.tries > 0,
+            target,
+        };
+        self.ask(balancer, |flow_table, now, actions| {
+            flow_table.take(now, flow, requester, actions)
+        });
     }
 
     /// A flow of a client, under a number of its own.
@@ -98,7 +114,9 @@
 
     /// A client that is still without an answer takes its flow for lost.
     pub(super) fn patience_over(&mut self, flow: FlowId) {
-        let Some(client) = self.waiting_flow(flow).map(|state| state.client) else { return };
+        let Some(client) = self.waiting_flow(flow).map(|state| state.client) else {
+            return;
+        };
         self.figures.unanswered += 1;
         self.client_leaves(flow);
         let wait = self.clients.aborted(client, &self.model.scenario);
@@ -107,12 +125,16 @@
 
     /// The client of a flow goes away before it is connected.
     fn client_leaves(&mut self, flow: FlowId) {
-        let Some(state) = self.flows.get_mut(&flow) else { return };
+        let Some(state) = self.flows.get_mut(&flow) else {
+            return;
+        };
         state.phase = FlowPhase::Settled;
         let (balancer, client, in_flight) = (state.balancer, state.client, state.attempt.is_some());
         self.flow_of_client.remove(&client);
         self.observe(Seen::Left { at: self.now, flow });
-        self.ask(balancer, |flow_table, now, actions| flow_table.left(now, flow, actions));
+        self.ask(balancer, |flow_table, now, actions| {
+            flow_table.left(now, flow, actions)
+        });
         if !in_flight {
             self.close(flow);
         }
@@ -122,7 +144,11 @@
     pub(super) fn client_done(&mut self, client: ClientId) {
         if let Some(flow) = self.flow_of_client.get(&client).copied() {
             if self.connected_flow(flow).is_some() {
-                let closure = Closure { by: Ender::Client, told: false, sound: true };
+                let closure = Closure {
+                    by: Ender::Client,
+                    told: false,
+                    sound: true,
+                };
                 self.close_connection(flow, closure, Ending::may_have_run(End::Done));
             } else {
                 self.client_leaves(flow);
@@ -133,9 +159,16 @@
 
     /// The load of a connection changes; the next change is scheduled.
     pub(super) fn load_changes(&mut self, flow: FlowId) {
-        let Some(state) = self.connected_flow(flow) else { return };
-        let (client, balancer, Some(attempt)) = (state.client, state.balancer, state.attempt) else { return };
-        let Some((load, wait)) = self.clients.change_load(client, &self.model.scenario) else { return };
+        let Some(state) = self.connected_flow(flow) else {
+            return;
+        };
+        let (client, balancer, Some(attempt)) = (state.client, state.balancer, state.attempt)
+        else {
+            return;
+        };
+        let Some((load, wait)) = self.clients.change_load(client, &self.model.scenario) else {
+            return;
+        };
         self.model.servers[attempt.server].set_load(flow, load);
         if let Some(flow_table) = &mut self.balancers[balancer].flow_table {
             flow_table.told_load(flow, load);
--- a/crates/lab/src/simulate/commands.rs
+++ b/crates/lab/src/simulate/commands.rs
@@ -11,8 +11,14 @@
 
 impl Simulation<'_> {
     /// Calls a running balancer's flow table, executes its actions and schedules its next wakeup.
-    pub(super) fn ask(&mut self, balancer: usize, call: impl FnOnce(&mut FlowTable, Time, &mut Vec<Act>)) {
-        let Some(flow_table) = &mut self.balancers[balancer].flow_table else { return };
+    pub(super) fn ask(
+        &mut self,
+        balancer: usize,
+        call: impl FnOnce(&mut FlowTable, Time, &mut Vec<Act>),
+    ) {
+        let Some(flow_table) = &mut self.balancers[balancer].flow_table else {
+            return;
+        };
         let mut actions = Vec::new();
         call(flow_table, self.now, &mut actions);
         self.execute_all(balancer, actions);
@@ -28,8 +34,17 @@
 
     fn execute(&mut self, balancer: usize, action: Act) {
         match action {
-            Act::Connect { flow, rs, number, limit, .. } => {
-                let attempt = Attempt { number, server: rs as usize };
+            Act::Connect {
+                flow,
+                rs,
+                number,
+                limit,
+                ..
+            } => {
+                let attempt = Attempt {
+                    number,
+                    server: rs as usize,
+                };
                 self.start_attempt(flow, attempt, limit);
             }
             Act::Reject { flow, come_back } => self.send_answer(flow, Final::Rejected, come_back),
@@ -46,12 +61,20 @@
     fn schedule_wakeup(&mut self, balancer: usize) {
         let incarnation = self.incarnation(balancer);
         let state = &mut self.balancers[balancer];
-        let wait = state.flow_table.as_ref().and_then(|flow_table| flow_table.wait(self.now));
+        let wait = state
+            .flow_table
+            .as_ref()
+            .and_then(|flow_table| flow_table.wait(self.now));
         let Some(wait) = wait else { return };
         let at = self.now + wait.max(MS);
         if state.wakeup.is_none_or(|scheduled| at < scheduled) {
             state.wakeup = Some(at);
-            self.schedule(at, Event::Wakeup { balancer: incarnation });
+            self.schedule(
+                at,
+                Event::Wakeup {
+                    balancer: incarnation,
+                },
+            );
         }
     }
 
@@ -60,7 +83,9 @@
         let balancer = incarnation.balancer;
         if self.is_current(incarnation) && self.balancers[balancer].wakeup == Some(self.now) {
             self.balancers[balancer].wakeup = None;
-            self.ask(balancer, |flow_table, now, actions| flow_table.elapsed(now, actions));
+            self.ask(balancer, |flow_table, now, actions| {
+                flow_table.elapsed(now, actions)
+            });
         }
     }
 }
--- a/crates/lab/src/simulate/connections.rs
+++ b/crates/lab/src/simulate/connections.rs
@@ -19,7 +19,9 @@
 impl Simulation<'_> {
     /// Puts a client's load on a server.
     pub(super) fn attach(&mut self, flow: FlowId, client: ClientId, server: usize) {
-        let Some(known) = self.clients.get(client) else { return };
+        let Some(known) = self.clients.get(client) else {
+            return;
+        };
         self.model.servers[server].seat(flow, known.guest());
     }
 
@@ -44,8 +46,14 @@
     /// A server has reset a connection or told its client to move.
     pub(super) fn closed_by_server(&mut self, flow: FlowId, response: ServerResponse) {
         let told = response == ServerResponse::Redirected;
-        let closure = Closure { by: Ender::Server, told, sound: false };
-        let Some(client) = self.close_connection(flow, closure, response.ending()) else { return };
+        let closure = Closure {
+            by: Ender::Server,
+            told,
+            sound: false,
+        };
+        let Some(client) = self.close_connection(flow, closure, response.ending()) else {
+            return;
+        };
         self.figures.lost += u64::from(!told);
         self.reconnect(client, told);
     }
@@ -54,7 +62,15 @@
     pub(super) fn move_client(&mut self, flow: FlowId) {
         if self.connected_flow(flow).is_some() {
             let told = self.announces_moves();
-            self.closed_by_balancer(flow, Closure { by: Ender::Balancer, told, sound: true }, End::CalledOff);
+            self.closed_by_balancer(
+                flow,
+                Closure {
+                    by: Ender::Balancer,
+                    told,
+                    sound: true,
+                },
+                End::CalledOff,
+            );
             self.figures.moves += 1;
         } else if let Some(state) = self.flows.get_mut(&flow) {
             state.moving = true;
@@ -63,14 +79,26 @@
 
     /// The balancer has heard nothing from a connection's server for too long.
     pub(super) fn server_silent(&mut self, flow: FlowId) {
-        let Some(state) = self.connected_flow(flow) else { return };
+        let Some(state) = self.connected_flow(flow) else {
+            return;
+        };
         let Some(attempt) = state.attempt else { return };
-        let still_attached = self.model.servers[attempt.server].guests.contains_key(&flow);
+        let still_attached = self.model.servers[attempt.server]
+            .guests
+            .contains_key(&flow);
         if still_attached && self.is_reachable(flow, attempt.server) {
             // A zone was cut off and is back: the server was there all the time.
             return;
         }
-        self.closed_by_balancer(flow, Closure { by: Ender::Balancer, told: true, sound: false }, End::Cut);
+        self.closed_by_balancer(
+            flow,
+            Closure {
+                by: Ender::Balancer,
+                told: true,
+                sound: false,
+            },
+            End::Cut,
+        );
         self.figures.lost += 1;
     }
 
@@ -90,7 +118,13 @@
         let state = self.flows.get(&flow)?;
         let (client, attempt) = (state.client, state.attempt?);
         let Closure { by, told, sound } = closure;
-        self.observe(Seen::Ended { at: self.now, flow, by, told, sound });
+        self.observe(Seen::Ended {
+            at: self.now,
+            flow,
+            by,
+            told,
+            sound,
+        });
         self.detach(flow, attempt.server);
         self.report_ended(flow, attempt, ending);
         self.close(flow);
--- a/crates/lab/src/simulate/discovery.rs
+++ b/crates/lab/src/simulate/discovery.rs
@@ -38,9 +38,16 @@
         self.balancers[balancer].list_version = self.model.version();
         for entry in &entries {
             let (server, ready) = (entry.rs as usize, entry.state == State::Ready);
-            self.observe(Seen::Told { at: self.now, balancer, server, ready });
+            self.observe(Seen::Told {
+                at: self.now,
+                balancer,
+                server,
+                ready,
+            });
         }
         let whole = known_version == 0;
-        self.ask(balancer, |flow_table, now, _| flow_table.list(now, &entries, whole));
+        self.ask(balancer, |flow_table, now, _| {
+            flow_table.list(now, &entries, whole)
+        });
     }
 }
--- a/crates/lab/src/simulate/event.rs
+++ b/crates/lab/src/simulate/event.rs
@@ -28,13 +28,20 @@
     /// An attempt arrives at its server.
     AttemptArrives { flow: FlowId, number: usize },
     /// The balancer learns what the server did with an attempt or its connection.
-    ResponseArrives { flow: FlowId, number: usize, response: ServerResponse },
+    ResponseArrives {
+        flow: FlowId,
+        number: usize,
+        response: ServerResponse,
+    },
     /// The balancer stops waiting for an attempt.
     AttemptDeadline { flow: FlowId, number: usize },
     /// The balancer notices that the server of a connection no longer answers.
     ServerSilent { flow: FlowId },
     /// A probe is answered, or fails.
-    ProbeReturns { balancer: Incarnation, server: usize },
+    ProbeReturns {
+        balancer: Incarnation,
+        server: usize,
+    },
     /// A change of the list arrives at a balancer.
     ListArrives { balancer: Incarnation },
     /// A balancer is asked to shut down.
@@ -42,11 +49,19 @@
     /// A balancer that shuts down moves another part of its clients.
     DrainStep { balancer: Incarnation, since: Time },
     /// A balancer's process ends.
-    BalancerEnds { balancer: Incarnation, planned: bool, downtime: Time },
+    BalancerEnds {
+        balancer: Incarnation,
+        planned: bool,
+        downtime: Time,
+    },
     /// A balancer's process starts again.
     BalancerStarts { balancer: usize },
     /// A mutant sends an answer that it has held back.
-    DelayedAnswer { flow: FlowId, answer: Final, retry_after: Option<Time> },
+    DelayedAnswer {
+        flow: FlowId,
+        answer: Final,
+        retry_after: Option<Time>,
+    },
 }
 
 /// What a balancer learns from, or about, a server that it sent an attempt to.
@@ -89,6 +104,9 @@
 impl Ending {
     /// An ending after which the server may have acted.
     pub(super) fn may_have_run(end: End) -> Self {
-        Ending { end, never_ran: false }
+        Ending {
+            end,
+            never_ran: false,
+        }
     }
 }
--- a/crates/lab/src/simulate/faults.rs
+++ b/crates/lab/src/simulate/faults.rs
@@ -20,7 +20,9 @@
         for happening in happened {
             match happening {
                 Happening::Reset { ids, .. } => self.send_responses(ids, ServerResponse::Reset),
-                Happening::SentAway { ids, .. } => self.send_responses(ids, ServerResponse::Redirected),
+                Happening::SentAway { ids, .. } => {
+                    self.send_responses(ids, ServerResponse::Redirected)
+                }
                 Happening::Silenced { ids, .. } => self.schedule_silence(ids),
                 Happening::Started { server } => self.server_started(server),
                 Happening::Fell { server } => self.server_fell(server),
@@ -39,9 +41,18 @@
     /// Sends word of a server's end of these connections to their balancers.
     fn send_responses(&mut self, flows: Vec<FlowId>, response: ServerResponse) {
         for flow in flows {
-            let Some(attempt) = self.flows.get(&flow).and_then(|state| state.attempt) else { continue };
+            let Some(attempt) = self.flows.get(&flow).and_then(|state| state.attempt) else {
+                continue;
+            };
             let at = self.now + self.latency(flow, attempt.server);
-            self.schedule(at, Event::ResponseArrives { flow, number: attempt.number, response });
+            self.schedule(
+                at,
+                Event::ResponseArrives {
+                    flow,
+                    number: attempt.number,
+                    response,
+                },
+            );
         }
     }
 
@@ -55,24 +66,36 @@
 
     fn server_started(&mut self, server: usize) {
         self.observe_server(server);
-        self.observe(Seen::Started { at: self.now, server });
+        self.observe(Seen::Started {
+            at: self.now,
+            server,
+        });
     }
 
     fn server_fell(&mut self, server: usize) {
         self.figures.fell += 1;
-        self.observe(Seen::Fell { at: self.now, server });
+        self.observe(Seen::Fell {
+            at: self.now,
+            server,
+        });
     }
 
     /// Connections between a zone that was cut off and the others fall silent.
     fn zone_cut_off(&mut self, zone: usize) {
-        let crossing = self.flows.iter().filter(|(_, state)| self.crosses_border(state, zone));
+        let crossing = self
+            .flows
+            .iter()
+            .filter(|(_, state)| self.crosses_border(state, zone));
         let flows = crossing.map(|(flow, _)| *flow).collect();
         self.schedule_silence(flows);
     }
 
     /// Whether a flow is connected from inside a zone to outside of it, or the reverse.
     fn crosses_border(&self, state: &FlowState, zone: usize) -> bool {
-        let Some(attempt) = state.attempt.filter(|_| state.phase == FlowPhase::Connected) else {
+        let Some(attempt) = state
+            .attempt
+            .filter(|_| state.phase == FlowPhase::Connected)
+        else {
             return false;
         };
         let balancer_zone = self.balancers[state.balancer].zone;
@@ -82,11 +105,21 @@
 
     fn schedule_restart(&mut self, balancer: usize, downtime: Time, earlier: u64) {
         let wait = earlier * (SHUTDOWN_TIME + downtime + RESTART_GAP);
-        self.schedule(self.now + wait, Event::ShutdownBegins { balancer, downtime });
+        self.schedule(
+            self.now + wait,
+            Event::ShutdownBegins { balancer, downtime },
+        );
     }
 
     fn schedule_kill(&mut self, balancer: usize, downtime: Time) {
         let balancer = self.incarnation(balancer);
-        self.schedule(self.now, Event::BalancerEnds { balancer, planned: false, downtime });
+        self.schedule(
+            self.now,
+            Event::BalancerEnds {
+                balancer,
+                planned: false,
+                downtime,
+            },
+        );
     }
 }
--- a/crates/lab/src/simulate/flow.rs
+++ b/crates/lab/src/simulate/flow.rs
@@ -38,13 +38,27 @@
 impl FlowState {
     /// A flow whose client waits for an answer.
     pub(super) fn waiting(client: ClientId, balancer: usize, accepted: Time) -> Self {
-        FlowState { client, balancer, accepted, phase: FlowPhase::Waiting, attempt: None, moving: false }
+        FlowState {
+            client,
+            balancer,
+            accepted,
+            phase: FlowPhase::Waiting,
+            attempt: None,
+            moving: false,
+        }
     }
 
     /// A connection that stands when the run starts.
     pub(super) fn standing(client: ClientId, balancer: usize, server: usize) -> Self {
         let attempt = Some(Attempt { number: 0, server });
-        FlowState { client, balancer, accepted: 0, phase: FlowPhase::Connected, attempt, moving: false }
+        FlowState {
+            client,
+            balancer,
+            accepted: 0,
+            phase: FlowPhase::Connected,
+            attempt,
+            moving: false,
+        }
     }
 
     /// The attempt of that number, where it is the current one.
--- a/crates/lab/src/simulate/mutants.rs
+++ b/crates/lab/src/simulate/mutants.rs
@@ -35,25 +35,49 @@
         let was_waiting = self.waiting_flow(flow).is_some();
         self.answer(flow, answer, retry_after);
         if was_waiting && self.is_mutant(Mischief::AnswersTwice) {
-            let second = Event::DelayedAnswer { flow, answer, retry_after };
+            let second = Event::DelayedAnswer {
+                flow,
+                answer,
+                retry_after,
+            };
             self.schedule(self.now + SECOND_ANSWER_DELAY, second);
         }
     }
 
     fn answer_late(&mut self, flow: FlowId, answer: Final, retry_after: Option<Time>) {
-        let Some(state) = self.waiting_flow(flow) else { return };
+        let Some(state) = self.waiting_flow(flow) else {
+            return;
+        };
         let known = self.clients.get(state.client);
-        let wait = known.map_or(0.0, |client| self.model.scenario.types[client.service_type].wait);
+        let wait = known.map_or(0.0, |client| {
+            self.model.scenario.types[client.service_type].wait
+        });
         let late = state.accepted + seconds(wait) + LATENESS;
-        self.schedule(late, Event::DelayedAnswer { flow, answer, retry_after });
+        self.schedule(
+            late,
+            Event::DelayedAnswer {
+                flow,
+                answer,
+                retry_after,
+            },
+        );
     }
 
     /// A held-back answer is sent. Where the client was answered before, it receives this one as well.
-    pub(super) fn delayed_answer(&mut self, flow: FlowId, answer: Final, retry_after: Option<Time>) {
+    pub(super) fn delayed_answer(
+        &mut self,
+        flow: FlowId,
+        answer: Final,
+        retry_after: Option<Time>,
+    ) {
         if self.waiting_flow(flow).is_some() {
             self.answer(flow, answer, retry_after);
         } else {
-            self.observe(Seen::Answered { at: self.now, flow, with: answer });
+            self.observe(Seen::Answered {
+                at: self.now,
+                flow,
+                with: answer,
+            });
         }
     }
 
@@ -63,7 +87,14 @@
         let chosen = self.attempts_arrived.is_multiple_of(DUPLICATE_EVERY);
         if chosen && self.is_mutant(Mischief::ConnectsTwice) {
             let server = (attempt.server + 1) % self.model.servers.len();
-            self.observe_attempt(balancer, flow, Attempt { number: attempt.number + 1, server });
+            self.observe_attempt(
+                balancer,
+                flow,
+                Attempt {
+                    number: attempt.number + 1,
+                    server,
+                },
+            );
         }
     }
 
--- a/crates/lab/src/simulate/probes.rs
+++ b/crates/lab/src/simulate/probes.rs
@@ -32,7 +32,11 @@
         }
         let zone = self.balancers[balancer].zone;
         let reachable = self.model.reaches(zone, self.server_zone(server));
-        let report = if reachable { self.load_report(server) } else { None };
+        let report = if reachable {
+            self.load_report(server)
+        } else {
+            None
+        };
         self.ask(balancer, |flow_table, now, actions| {
             let (passed, report) = (report.is_some(), report.unwrap_or_default());
             flow_table.probed(now, server as u64, passed, report, actions);
--- a/crates/lab/src/simulate/queue.rs
+++ b/crates/lab/src/simulate/queue.rs
@@ -18,7 +18,11 @@
     /// Adds an event that takes effect at a time.
     pub(super) fn schedule(&mut self, at: Time, event: Event) {
         self.sequence += 1;
-        self.heap.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
+        self.heap.push(Reverse(Scheduled {
+            at,
+            sequence: self.sequence,
+            event,
+        }));
     }
 
     /// Removes the earliest event; none is left after the queue ran empty.
--- a/crates/lab/src/simulate/queue/tests.rs
+++ b/crates/lab/src/simulate/queue/tests.rs
@@ -16,7 +16,9 @@
     while let Some((at, Event::ClientTries { client })) = queue.pop() {
         order.push((at, client));
     }
-    let mut expected: Vec<_> = (0..CLIENTS).map(|client| (TIMES - client % TIMES, client)).collect();
+    let mut expected: Vec<_> = (0..CLIENTS)
+        .map(|client| (TIMES - client % TIMES, client))
+        .collect();
     expected.sort();
     assert_eq!(order, expected);
     assert!(queue.pop().is_none());
--- a/crates/lab/src/simulate/restarts.rs
+++ b/crates/lab/src/simulate/restarts.rs
@@ -34,8 +34,18 @@
         }
         self.front.dies(balancer, self.now + FRONT_STOPS);
         let balancer = self.incarnation(balancer);
-        self.schedule(self.now + MOVES_BEGIN, Event::DrainStep { balancer, since: self.now });
-        let ends = Event::BalancerEnds { balancer, planned: true, downtime };
+        self.schedule(
+            self.now + MOVES_BEGIN,
+            Event::DrainStep {
+                balancer,
+                since: self.now,
+            },
+        );
+        let ends = Event::BalancerEnds {
+            balancer,
+            planned: true,
+            downtime,
+        };
         self.schedule(self.now + SHUTDOWN_TIME, ends);
     }
 
@@ -50,7 +60,10 @@
         if elapsed >= LAST_ANSWER {
             self.give_up_waiting_flows(balancer);
         }
-        let next = Event::DrainStep { balancer: incarnation, since };
+        let next = Event::DrainStep {
+            balancer: incarnation,
+            since,
+        };
         self.schedule(self.now + DRAIN_INTERVAL, next);
     }
 
@@ -67,14 +80,18 @@
         for flow in self.cut_short(balancer) {
             match self.flows.get(&flow).and_then(|state| state.attempt) {
                 Some(attempt) => self.attempt_deadline(flow, attempt.number),
-                None => self.ask(balancer, |flow_table, now, actions| flow_table.abort(now, flow, actions)),
+                None => self.ask(balancer, |flow_table, now, actions| {
+                    flow_table.abort(now, flow, actions)
+                }),
             }
         }
     }
 
     /// Lets the flow table give up what it can, and returns the flows that are still owed an answer, in order.
     fn cut_short(&mut self, balancer: usize) -> Vec<FlowId> {
-        let Some(flow_table) = &mut self.balancers[balancer].flow_table else { return Vec::new() };
+        let Some(flow_table) = &mut self.balancers[balancer].flow_table else {
+            return Vec::new();
+        };
         let mut actions = Vec::new();
         let mut waiting = flow_table.cut_short(self.now, &mut actions);
         waiting.sort_unstable();
@@ -84,14 +101,23 @@
     }
 
     /// A balancer's process ends and all its flows are lost.
-    pub(super) fn balancer_ends(&mut self, incarnation: Incarnation, planned: bool, downtime: Time) {
+    pub(super) fn balancer_ends(
+        &mut self,
+        incarnation: Incarnation,
+        planned: bool,
+        downtime: Time,
+    ) {
         let balancer = incarnation.balancer;
         if !self.is_current(incarnation) || !self.balancers[balancer].is_running() {
             return;
         }
         self.balancers[balancer].flow_table = None;
         self.balancers[balancer].epoch += 1;
-        self.observe(Seen::BalancerEnded { at: self.now, balancer, planned });
+        self.observe(Seen::BalancerEnded {
+            at: self.now,
+            balancer,
+            planned,
+        });
         if !planned {
             let notice = seconds(self.model.scenario.balancers.notice);
             self.front.dies(balancer, self.now + notice);
@@ -99,11 +125,18 @@
         for flow in self.flows_where(|state| state.balancer == balancer) {
             self.lose_flow(flow);
         }
-        self.schedule(self.now + downtime.max(MS), Event::BalancerStarts { balancer });
+        self.schedule(
+            self.now + downtime.max(MS),
+            Event::BalancerStarts { balancer },
+        );
     }
 
     fn flows_where(&self, matches: impl Fn(&FlowState) -> bool) -> Vec<FlowId> {
-        self.flows.iter().filter(|(_, state)| matches(state)).map(|(flow, _)| *flow).collect()
+        self.flows
+            .iter()
+            .filter(|(_, state)| matches(state))
+            .map(|(flow, _)| *flow)
+            .collect()
     }
 
     /// A flow ends with its balancer's process, without any word to its client.
--- a/crates/lab/src/simulate/sampling.rs
+++ b/crates/lab/src/simulate/sampling.rs
@@ -28,9 +28,15 @@
         let utilizations: Vec<f64> = self.model.betas(self.now).collect();
         self.figures.load(self.now, &utilizations);
         let fleet = &self.model.scenario.fleet;
-        for server in self.model.servers.iter().filter(|server| server.life == Life::Up) {
+        for server in self
+            .model
+            .servers
+            .iter()
+            .filter(|server| server.life == Life::Up)
+        {
             let seconds = server.message(fleet, self.now);
-            self.figures.message(self.now, seconds, server.guests.len() as u64);
+            self.figures
+                .message(self.now, seconds, server.guests.len() as u64);
         }
         self.schedule(self.now + SAMPLE_INTERVAL, Event::Sample);
     }
--- a/crates/lab/src/simulate/simulation.rs
+++ b/crates/lab/src/simulate/simulation.rs
@@ -52,7 +52,12 @@
 
 impl<'a> Simulation<'a> {
     /// A run that has not begun.
-    pub(super) fn new(scenario: Scenario, seed: u64, policy: Who, record: Option<&'a mut Writer>) -> Self {
+    pub(super) fn new(
+        scenario: Scenario,
+        seed: u64,
+        policy: Who,
+        record: Option<&'a mut Writer>,
+    ) -> Self {
         let zones = scenario.zones.number;
         // Balancers act on news that took this long to arrive; the judge allows for it.
         let slack = seconds(scenario.zones.between.max(scenario.zones.inside)) + MS;
@@ -62,11 +67,15 @@
             queue: EventQueue::default(),
             clients: Crowd::new(seed),
             front: Front::new(scenario.balancers.number, zones),
-            balancers: (0..scenario.balancers.number).map(|b| Balancer::new(b % zones)).collect(),
+            balancers: (0..scenario.balancers.number)
+                .map(|b| Balancer::new(b % zones))
+                .collect(),
             flows: BTreeMap::new(),
             flow_of_client: BTreeMap::new(),
             next_flow: 1,
-            settings: (0..zones).map(|zone| file::settings(&scenario, zone)).collect(),
+            settings: (0..zones)
+                .map(|zone| file::settings(&scenario, zone))
+                .collect(),
             policy,
             seed,
             rng: Dice::new(seed, RNG_STREAM),
@@ -99,10 +108,16 @@
         if let Some(error) = self.record_error {
             return Err(error);
         }
-        let connected = self.flows.values().filter(|flow| flow.phase == FlowPhase::Connected);
+        let connected = self
+            .flows
+            .values()
+            .filter(|flow| flow.phase == FlowPhase::Connected);
         let standing = connected.count();
         let verdict = self.judge.finish(self.end);
-        Ok(Outcome { figures: self.figures.finish(standing, &verdict), verdict })
+        Ok(Outcome {
+            figures: self.figures.finish(standing, &verdict),
+            verdict,
+        })
     }
 
     /// Schedules an event.
@@ -122,7 +137,10 @@
 
     /// The run of a balancer's process that is current now.
     pub(super) fn incarnation(&self, balancer: usize) -> Incarnation {
-        Incarnation { balancer, epoch: self.balancers[balancer].epoch }
+        Incarnation {
+            balancer,
+            epoch: self.balancers[balancer].epoch,
+        }
     }
 
     /// Whether a balancer's process has not ended since.
@@ -132,12 +150,16 @@
 
     /// The state of a flow whose client waits for an answer.
     pub(super) fn waiting_flow(&self, flow: FlowId) -> Option<&FlowState> {
-        self.flows.get(&flow).filter(|state| state.phase == FlowPhase::Waiting)
+        self.flows
+            .get(&flow)
+            .filter(|state| state.phase == FlowPhase::Waiting)
     }
 
     /// The state of a flow whose client is connected.
     pub(super) fn connected_flow(&self, flow: FlowId) -> Option<&FlowState> {
-        self.flows.get(&flow).filter(|state| state.phase == FlowPhase::Connected)
+        self.flows
+            .get(&flow)
+            .filter(|state| state.phase == FlowPhase::Connected)
     }
 
     /// The zone of a server.
@@ -147,7 +169,10 @@
 
     /// How long a message takes between a flow's balancer and a server.
     pub(super) fn latency(&self, flow: FlowId, server: usize) -> Time {
-        let zone = self.flows.get(&flow).map_or(0, |state| self.balancers[state.balancer].zone);
+        let zone = self
+            .flows
+            .get(&flow)
+            .map_or(0, |state| self.balancers[state.balancer].zone);
         self.model.way(zone, self.server_zone(server))
     }
 
@@ -162,20 +187,34 @@
             Event::PatienceOver { flow } => self.patience_over(flow),
             Event::Wakeup { balancer } => self.wake_up(balancer),
             Event::AttemptArrives { flow, number } => self.attempt_arrives(flow, number),
-            Event::ResponseArrives { flow, number, response } => {
+            Event::ResponseArrives {
+                flow,
+                number,
+                response,
+            } => {
                 self.response_arrives(flow, number, response);
             }
             Event::AttemptDeadline { flow, number } => self.attempt_deadline(flow, number),
             Event::ServerSilent { flow } => self.server_silent(flow),
             Event::ProbeReturns { balancer, server } => self.probe_returns(balancer, server),
             Event::ListArrives { balancer } => self.list_arrives(balancer),
-            Event::ShutdownBegins { balancer, downtime } => self.shutdown_begins(balancer, downtime),
+            Event::ShutdownBegins { balancer, downtime } => {
+                self.shutdown_begins(balancer, downtime)
+            }
             Event::DrainStep { balancer, since } => self.drain_step(balancer, since),
-            Event::BalancerEnds { balancer, planned, downtime } => {
+            Event::BalancerEnds {
+                balancer,
+                planned,
+                downtime,
+            } => {
                 self.balancer_ends(balancer, planned, downtime);
             }
             Event::BalancerStarts { balancer } => self.balancer_returns(balancer),
-            Event::DelayedAnswer { flow, answer, retry_after } => {
+            Event::DelayedAnswer {
+                flow,
+                answer,
+                retry_after,
+            } => {
                 self.delayed_answer(flow, answer, retry_after);
             }
         }
--- a/crates/lab/src/simulate/startup.rs
+++ b/crates/lab/src/simulate/startup.rs
@@ -40,14 +40,25 @@
     fn observe_header(&mut self) {
         let scenario = self.model.scenario.name.clone();
         let program = format!("{} in virtual time", self.policy.name());
-        self.observe(Seen::Header { version: VERSION, scenario, seed: self.seed, program });
+        self.observe(Seen::Header {
+            version: VERSION,
+            scenario,
+            seed: self.seed,
+            program,
+        });
     }
 
     /// Records where a server is.
     pub(super) fn observe_server(&mut self, server: usize) {
         let state = &self.model.servers[server];
         let (zone, cell, machine) = (state.zone, state.cell, state.machine);
-        self.observe(Seen::Server { at: self.now, server, zone, cell, machine });
+        self.observe(Seen::Server {
+            at: self.now,
+            server,
+            zone,
+            cell,
+            machine,
+        });
     }
 
     /// Starts a balancer's process without any state and gives it the current list.
@@ -92,15 +103,20 @@
         let client = self.clients.arrive(0, &self.model);
         let known = self.clients.get(client).expect("it has just arrived");
         let (client_zone, load) = (known.zone, known.load);
-        let Some(balancer) = self.front.deal(0, client_zone) else { return };
-        let server = self.model.stood_at(self.balancers[balancer].zone, &mut self.rng);
+        let Some(balancer) = self.front.deal(0, client_zone) else {
+            return;
+        };
+        let server = self
+            .model
+            .stood_at(self.balancers[balancer].zone, &mut self.rng);
         let flow = self.new_flow(client, Time::MAX);
         let id = flow.id;
         if let Some(flow_table) = &mut self.balancers[balancer].flow_table {
             flow_table.inherit(flow, server as u64);
             flow_table.told_load(id, load);
         }
-        self.flows.insert(id, FlowState::standing(client, balancer, server));
+        self.flows
+            .insert(id, FlowState::standing(client, balancer, server));
         self.flow_of_client.insert(client, id);
         self.attach(id, client, server);
         self.connection_opened(id, client);
--- a/crates/lab/src/sockets/client.rs
+++ b/crates/lab/src/sockets/client.rs
@@ -72,7 +72,9 @@
 async fn live(stage: Arc<Stage>, id: u64, mut standing: Option<usize>) {
     loop {
         let client = stage.lock().crowd.get(id).cloned();
-        let Some(client) = client.filter(|client| !client.gone) else { break };
+        let Some(client) = client.filter(|client| !client.gone) else {
+            break;
+        };
         match once(&stage, id, &client, standing.take()).await {
             Came::Over => break,
             Came::Again(Some(wait)) => {
@@ -99,9 +101,13 @@
         inner.front.deal(stage.now(), client.zone)
     };
     let refused = || Came::Again(Some(stage.lock().crowd.refused()));
-    let Some(balancer) = dealt else { return refused() };
+    let Some(balancer) = dealt else {
+        return refused();
+    };
     let dial = TcpStream::connect(stage.balancer(balancer));
-    let Ok(Ok(stream)) = tokio::time::timeout(DIAL, dial).await else { return refused() };
+    let Ok(Ok(stream)) = tokio::time::timeout(DIAL, dial).await else {
+        return refused();
+    };
     let _ = stream.set_nodelay(true);
     let (read, mut out) = stream.into_split();
     let mut lines = BufReader::with_capacity(512, read).lines();
@@ -127,7 +133,13 @@
         if !inner.alive[balancer] {
             return Came::Again(Some(inner.crowd.refused()));
         }
-        let known = Known { client: id, balancer, server: standing, by_server: None, tell: None };
+        let known = Known {
+            client: id,
+            balancer,
+            server: standing,
+            by_server: None,
+            tell: None,
+        };
         inner.flows.insert(flow, known);
         let kind = inner.crowd.kind(id, &stage.scenario);
         taken = stage.now();
@@ -140,18 +152,37 @@
                 inner.gather.came_when_told(taken);
             }
             let give_up = taken + wait;
-            inner.see(Seen::Taken { at: taken, balancer, flow, kind, give_up });
+            inner.see(Seen::Taken {
+                at: taken,
+                balancer,
+                flow,
+                kind,
+                give_up,
+            });
         }
         kind
     };
     let came = match out.write_all(rest.as_bytes()).await {
         Ok(()) => {
-            let asked = Asked { stage, id, flow, kind, taken, wait, balancer };
-            asked.wait(&mut lines, &mut out, client, standing.is_some()).await
+            let asked = Asked {
+                stage,
+                id,
+                flow,
+                kind,
+                taken,
+                wait,
+                balancer,
+            };
+            asked
+                .wait(&mut lines, &mut out, client, standing.is_some())
+                .await
         }
         Err(_) => {
             // Never whole at the balancer: it has nothing to answer.
-            stage.see(Seen::Left { at: stage.now(), flow });
+            stage.see(Seen::Left {
+                at: stage.now(),
+                flow,
+            });
             refused()
         }
     };
@@ -238,7 +269,11 @@
             let mut inner = stage.lock();
             inner.gather.answered(now, with, now - self.taken, target);
             inner.gather.of_client(now, client, with);
-            inner.see(Seen::Answered { at: now, flow: self.flow, with });
+            inner.see(Seen::Answered {
+                at: now,
+                flow: self.flow,
+                with,
+            });
         }
         match with {
             Final::Established => {
@@ -270,8 +305,16 @@
     async fn second_answer(&self, lines: &mut Lines) {
         let more = tokio::time::timeout(Duration::from_millis(50), lines.next_line()).await;
         if let Ok(Ok(Some(line))) = more {
-            let with = if line.starts_with("BUSY") { Final::Rejected } else { Final::Aborted };
-            self.stage.see(Seen::Answered { at: self.stage.now(), flow: self.flow, with });
+            let with = if line.starts_with("BUSY") {
+                Final::Rejected
+            } else {
+                Final::Aborted
+            };
+            self.stage.see(Seen::Answered {
+                at: self.stage.now(),
+                flow: self.flow,
+                with,
+            });
         }
     }
 
@@ -300,7 +343,11 @@
                 });
                 return Came::Over;
             }
-            let wake = if stage.begun() { next.min(client.ends) } else { next };
+            let wake = if stage.begun() {
+                next.min(client.ends)
+            } else {
+                next
+            };
             tokio::select! {
                 line = lines.next_line() => match line {
                     Ok(Some(line)) if line == "MOVE" => {
@@ -356,7 +403,10 @@
             inner.broken(at, self.flow, told);
         }
         let inner = &mut *stage.lock();
-        let by_server = inner.flows.get(&self.flow).is_some_and(|known| known.by_server.is_some());
+        let by_server = inner
+            .flows
+            .get(&self.flow)
+            .is_some_and(|known| known.by_server.is_some());
         match (told, by_server) {
             (true, false) => inner.gather.moves += 1,
             (false, _) => inner.gather.lost += 1,
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -18,7 +18,9 @@
 /// Its address can't be had.
 pub async fn start(stage: &Arc<Stage>, balancer: usize) -> Result<(), String> {
     let at = stage.discovery(balancer);
-    let listener = TcpListener::bind(at).await.map_err(|e| format!("can't listen at {at}: {e}"))?;
+    let listener = TcpListener::bind(at)
+        .await
+        .map_err(|e| format!("can't listen at {at}: {e}"))?;
     let stage = stage.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -35,8 +37,12 @@
         let request = lines.next_line().await.ok()??;
         while !lines.next_line().await.ok()??.is_empty() {}
         let value = |name: &str| {
-            let mut pairs = request.split(['?', '&', ' ']).filter_map(|pair| pair.split_once('='));
-            pairs.find(|(key, _)| *key == name).and_then(|(_, value)| value.parse::<u64>().ok())
+            let mut pairs = request
+                .split(['?', '&', ' '])
+                .filter_map(|pair| pair.split_once('='));
+            pairs
+                .find(|(key, _)| *key == name)
+                .and_then(|(_, value)| value.parse::<u64>().ok())
         };
         let (from, hold) = (value("from"), value("hold_ms").unwrap_or(0).min(LONGEST));
         let mut news = stage.news.subscribe();
--- a/crates/lab/src/sockets/faulty.rs
+++ b/crates/lab/src/sockets/faulty.rs
@@ -46,16 +46,32 @@
     let text = std::fs::read_to_string(&file).map_err(|e| format!("{file}: {e}"))?;
     let config: Value = serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
     let address = |key: &str| -> Result<SocketAddr, String> {
-        config[key].as_str().and_then(|at| at.parse().ok()).ok_or(format!("{file}: key '{key}': no address"))
+        config[key]
+            .as_str()
+            .and_then(|at| at.parse().ok())
+            .ok_or(format!("{file}: key '{key}': no address"))
     };
     let (listen, discovery) = (address("listen")?, address("discovery")?);
-    let types = config["settings"]["service-types"].as_array().cloned().unwrap_or_default();
+    let types = config["settings"]["service-types"]
+        .as_array()
+        .cloned()
+        .unwrap_or_default();
     let once_only = types.iter().filter(|one| one["repeat"] == "single_shot");
-    let once_only = once_only.filter_map(|one| one["name"].as_str().map(String::from)).collect();
-    let shared = Arc::new(Shared { mischief, servers: Mutex::default(), once_only });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let once_only = once_only
+        .filter_map(|one| one["name"].as_str().map(String::from))
+        .collect();
+    let shared = Arc::new(Shared {
+        mischief,
+        servers: Mutex::default(),
+        once_only,
+    });
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
-        let listener = TcpListener::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
+        let listener = TcpListener::bind(listen)
+            .await
+            .map_err(|e| format!("{listen}: {e}"))?;
         tokio::spawn(watch(shared.clone(), discovery));
         loop {
             if let Ok((stream, _)) = listener.accept().await {
@@ -71,12 +87,22 @@
         match news(discovery, from).await {
             Some(value) => {
                 from = value["generation"].as_u64();
-                let mut held = shared.servers.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut held = shared
+                    .servers
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
                 for one in value["instances"].as_array().into_iter().flatten() {
                     let text = |key: &str| one[key].as_str().unwrap_or_default().to_string();
-                    let Ok(address) = text("hostPort").parse() else { continue };
+                    let Ok(address) = text("hostPort").parse() else {
+                        continue;
+                    };
                     let started = one["startedAtMs"].as_u64().unwrap_or(0);
-                    let server = Server { address, state: text("lifecycle"), started, sent: None };
+                    let server = Server {
+                        address,
+                        state: text("lifecycle"),
+                        started,
+                        sent: None,
+                    };
                     held.0.insert(text("instanceId"), server);
                 }
             }
@@ -87,13 +113,22 @@
 
 async fn news(discovery: SocketAddr, from: Option<u64>) -> Option<Value> {
     let mut stream = TcpStream::connect(discovery).await.ok()?;
-    let path = from.map_or("/api/targets".into(), |from| format!("/api/targets?from={from}&hold_ms=500"));
-    stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes()).await.ok()?;
+    let path = from.map_or("/api/targets".into(), |from| {
+        format!("/api/targets?from={from}&hold_ms=500")
+    });
+    stream
+        .write_all(format!("GET {path} HTTP/1.1\r\nHost: lab\r\n\r\n").as_bytes())
+        .await
+        .ok()?;
     let mut lines = BufReader::new(stream);
     let mut length = 0;
     loop {
         let mut line = String::new();
-        lines.read_line(&mut line).await.ok().filter(|count| *count > 0)?;
+        lines
+            .read_line(&mut line)
+            .await
+            .ok()
+            .filter(|count| *count > 0)?;
         if line == "\r\n" {
             break;
         }
@@ -119,19 +154,27 @@
         let now = Instant::now();
         let floods = self.is(Mischief::FloodsCold);
         if floods
-            && let Some(cold) = held.0.values().filter(|s| s.state == "Ready").max_by_key(|s| s.started)
+            && let Some(cold) = held
+                .0
+                .values()
+                .filter(|s| s.state == "Ready")
+                .max_by_key(|s| s.started)
             && cold.started > 0
         {
             return Some(cold.address);
         }
-        let draining = |server: &Server| self.is(Mischief::SendsToDraining) && server.state == "Terminating";
+        let draining =
+            |server: &Server| self.is(Mischief::SendsToDraining) && server.state == "Terminating";
         // Mischief goes where it must not whenever it can.
-        if let Some(server) =
-            held.0.values().find(|server| draining(server) && !tried.contains(&server.address))
+        if let Some(server) = held
+            .0
+            .values()
+            .find(|server| draining(server) && !tried.contains(&server.address))
         {
             return Some(server.address);
         }
-        let spared = |server: &Server| server.started == 0 || server.sent.is_none_or(|at| at + COLD < now);
+        let spared =
+            |server: &Server| server.started == 0 || server.sent.is_none_or(|at| at + COLD < now);
         let fits = |server: &&mut Server| {
             server.state == "Ready" && spared(server) && !tried.contains(&server.address)
         };
@@ -147,7 +190,9 @@
 
     fn ready(&self, address: SocketAddr) -> bool {
         let held = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
-        held.0.values().any(|server| server.address == address && server.state == "Ready")
+        held.0
+            .values()
+            .any(|server| server.address == address && server.state == "Ready")
     }
 
     /// Whether this flow is one of those on which mischief is done.
@@ -165,16 +210,27 @@
     let mut line = String::new();
     loop {
         line.clear();
-        lines.read_line(&mut line).await.ok().filter(|count| *count > 0)?;
+        lines
+            .read_line(&mut line)
+            .await
+            .ok()
+            .filter(|count| *count > 0)?;
         if line.starts_with("OPEN ") {
             break;
         }
         out.write_all(b"PONG\r\n").await.ok()?;
     }
     let taken = Instant::now();
-    let value = |name: &str| line.trim_end().split([',', ' ']).find_map(|pair| pair.strip_prefix(name));
+    let value = |name: &str| {
+        line.trim_end()
+            .split([',', ' '])
+            .find_map(|pair| pair.strip_prefix(name))
+    };
     let wait = Duration::from_millis(value("d=").and_then(|ms| ms.parse().ok()).unwrap_or(1000));
-    let once_only = shared.once_only.iter().any(|name| value("c=") == Some(name));
+    let once_only = shared
+        .once_only
+        .iter()
+        .any(|name| value("c=") == Some(name));
     let careful = once_only && !shared.is(Mischief::RepeatsOnceOnly);
     // What stood before the run is set up soundly, so that the run can begin.
     let picked = !line.contains(",at=") && shared.picked();
@@ -193,7 +249,9 @@
     }
     let (mut tried, mut ran) = (Vec::new(), false);
     while tried.len() < TRIES && taken.elapsed() + MARGIN < wait {
-        let Some(address) = shared.choose(&tried) else { break };
+        let Some(address) = shared.choose(&tried) else {
+            break;
+        };
         tried.push(address);
         let left = (wait - MARGIN).saturating_sub(taken.elapsed());
         let second = match picked && shared.is(Mischief::ConnectsTwice) {
@@ -214,7 +272,9 @@
         }
     }
     let failed = ran && once_only && !shared.is(Mischief::RejectsWhatMayHaveRun);
-    out.write_all(if failed { b"ERR\r\n" } else { b"BUSY\r\n" }).await.ok()
+    out.write_all(if failed { b"ERR\r\n" } else { b"BUSY\r\n" })
+        .await
+        .ok()
 }
 
 enum Came {
@@ -230,7 +290,9 @@
     line: &str,
     left: Duration,
 ) -> Came {
-    let Ok(Ok(mut server)) = tokio::time::timeout(DIAL.min(left), TcpStream::connect(address)).await else {
+    let Ok(Ok(mut server)) =
+        tokio::time::timeout(DIAL.min(left), TcpStream::connect(address)).await
+    else {
         return Came::NeverRan;
     };
     let sound = !shared.is(Mischief::SendsToDraining) && !shared.is(Mischief::FloodsCold);
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -74,7 +74,10 @@
     record: Option<Writer>,
     logs: Option<&Path>,
 ) -> Result<Outcome, String> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(THREADS).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(THREADS)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("can't start threads: {e}"))?;
     let outcome = runtime.block_on(play(scenario, seed, program, record, logs));
     runtime.shutdown_timeout(Duration::from_millis(500));
@@ -91,7 +94,12 @@
     let stage = Stage::new(scenario.clone(), seed, record)?;
     let version = version(program);
     let name = scenario.name.clone();
-    stage.see(Seen::Header { version: VERSION, scenario: name, seed, program: version });
+    stage.see(Seen::Header {
+        version: VERSION,
+        scenario: name,
+        seed,
+        program: version,
+    });
     for server in 0..scenario.fleet.servers {
         stage.joins(server);
     }
@@ -123,7 +131,13 @@
     let died = processes.end();
     let void = void.or_else(|| too_slow(&late));
     let (figures, verdict) = outcome.map_err(|e| format!("the record can't be written: {e}"))?;
-    Ok(Outcome { figures, verdict, balancers, void, died })
+    Ok(Outcome {
+        figures,
+        verdict,
+        balancers,
+        void,
+        died,
+    })
 }
 
 /// Whether the machine kept up, by how late each tick came: a run on one that didn't is no result.
@@ -133,7 +147,10 @@
     let slow = many as f64 > LATE_PART * late.len() as f64 || latest > LATEST;
     let all = late.len();
     slow.then(|| {
-        format!("the machine was too slow: {many} of {all} ticks late, by {} ms at worst", latest / MS)
+        format!(
+            "the machine was too slow: {many} of {all} ticks late, by {} ms at worst",
+            latest / MS
+        )
     })
 }
 
@@ -152,8 +169,12 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let up = stage.standing();
-    (up < count)
-        .then(|| format!("{up} of {count} standing connections came up within {} s", STANDING.as_secs()))
+    (up < count).then(|| {
+        format!(
+            "{up} of {count} standing connections came up within {} s",
+            STANDING.as_secs()
+        )
+    })
 }
 
 /// A moment of the run as a span to wait.
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -67,27 +67,42 @@
 
 /// What the program says of itself.
 pub fn version(program: &Program) -> String {
-    let said = Command::new(&program.path).arg("version").stdin(Stdio::null()).output();
+    let said = Command::new(&program.path)
+        .arg("version")
+        .stdin(Stdio::null())
+        .output();
     let said = said.ok().filter(|out| out.status.success());
-    said.map_or("unknown".into(), |out| String::from_utf8_lossy(&out.stdout).trim().to_string())
+    said.map_or("unknown".into(), |out| {
+        String::from_utf8_lossy(&out.stdout).trim().to_string()
+    })
 }
 
 impl Processes {
     pub fn new(stage: &Arc<Stage>, program: &Program, logs: Option<&Path>) -> Result<Self, String> {
         if !program.path.is_file() {
-            return Err(format!("{}: there is no such program", program.path.display()));
+            return Err(format!(
+                "{}: there is no such program",
+                program.path.display()
+            ));
         }
         let (folder, ours) = match logs {
             Some(folder) => (folder.to_path_buf(), false),
             None => {
-                let name = format!("nettlemux-lab-{}-{}", std::process::id(), stage.balancer(0).ip());
+                let name = format!(
+                    "nettlemux-lab-{}-{}",
+                    std::process::id(),
+                    stage.balancer(0).ip()
+                );
                 (std::env::temp_dir().join(name), true)
             }
         };
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         // As many descriptors as this process may have: each connection takes two of them.
         let limit = rustix::process::getrlimit(Resource::Nofile);
-        let all = Rlimit { current: limit.maximum, maximum: limit.maximum };
+        let all = Rlimit {
+            current: limit.maximum,
+            maximum: limit.maximum,
+        };
         let _ = rustix::process::setrlimit(Resource::Nofile, all);
         Ok(Processes {
             stage: stage.clone(),
@@ -104,10 +119,13 @@
     fn spawn(&self, b: usize, again: u64) -> Result<(Child, PathBuf, PathBuf), String> {
         let stage = &self.stage;
         let scenario = &stage.scenario;
-        let expected =
-            scenario.clients.standing.max((scenario.clients.rate * scenario.clients.life) as usize);
-        let sockets =
-            DESCRIPTORS + 6 * expected / scenario.balancers.number + 8 * stage.scenario.fleet.servers;
+        let expected = scenario
+            .clients
+            .standing
+            .max((scenario.clients.rate * scenario.clients.life) as usize);
+        let sockets = DESCRIPTORS
+            + 6 * expected / scenario.balancers.number
+            + 8 * stage.scenario.fleet.servers;
         let config = json!({
             "name": format!("b{b}"),
             "listen": stage.balancer(b).to_string(),
@@ -119,29 +137,46 @@
         });
         let at = |name: String| self.folder.join(name);
         let (path, log) = (at(format!("b{b}.json")), at(format!("b{b}.log")));
-        std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, config.to_string())
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         let file = File::options().create(true).append(true).open(&log);
         let file = file.map_err(|e| format!("{}: {e}", log.display()))?;
-        let other = file.try_clone().map_err(|e| format!("{}: {e}", log.display()))?;
+        let other = file
+            .try_clone()
+            .map_err(|e| format!("{}: {e}", log.display()))?;
         let mut command = Command::new(&self.program.path);
         command.args(&self.program.args);
         if let Some(door) = &scenario.door {
-            let operator = Operator { door: Some(door.clone()), ..Operator::default() };
+            let operator = Operator {
+                door: Some(door.clone()),
+                ..Operator::default()
+            };
             let text = toml::to_string(&operator).map_err(|e| e.to_string())?;
             let path = at(format!("b{b}.toml"));
             std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
             command.arg("--operator").arg(&path);
         }
-        command.env("LB_CONFIG", &path).env("LB_NAME", format!("b{b}"));
+        command
+            .env("LB_CONFIG", &path)
+            .env("LB_NAME", format!("b{b}"));
         command.stdin(Stdio::null()).stdout(other).stderr(file);
-        let child = command.spawn().map_err(|e| format!("{}: {e}", self.program.path.display()))?;
+        let child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", self.program.path.display()))?;
         Ok((child, log, path))
     }
 
     pub async fn start_all(&mut self) -> Result<(), String> {
         for b in 0..self.stage.scenario.balancers.number {
             let (child, log, config) = self.spawn(b, 0)?;
-            self.all.push(One { child, state: State::Runs, log, config, cpu: 0.0, memory: 0.0 });
+            self.all.push(One {
+                child,
+                state: State::Runs,
+                log,
+                config,
+                cpu: 0.0,
+                memory: 0.0,
+            });
         }
         for b in 0..self.all.len() {
             let ready = async {
@@ -150,7 +185,10 @@
                 }
             };
             if tokio::time::timeout(READY, ready).await.is_err() {
-                return Err(format!("balancer {b} isn't ready in time:\n{}", end_of(&self.all[b].log)));
+                return Err(format!(
+                    "balancer {b} isn't ready in time:\n{}",
+                    end_of(&self.all[b].log)
+                ));
             }
             self.stage.lock().alive[b] = true;
         }
@@ -162,7 +200,12 @@
         match happened {
             Happening::Restart { balancer, away } => {
                 let mine = |planned: &&(Time, usize, Time)| planned.0 >= now;
-                let last = self.planned.iter().filter(mine).map(|p| p.0 + ENDS + p.2 + IN_TURN).max();
+                let last = self
+                    .planned
+                    .iter()
+                    .filter(mine)
+                    .map(|p| p.0 + ENDS + p.2 + IN_TURN)
+                    .max();
                 self.planned.push((last.unwrap_or(now), balancer, away));
             }
             Happening::Kill { balancer, away } => {
@@ -180,9 +223,10 @@
         let (soon, later): (Vec<_>, Vec<_>) = self.planned.drain(..).partition(due);
         self.planned = later;
         for (_, b, away) in soon {
-            if let (State::Runs, Some(pid)) =
-                (&self.all[b].state, Pid::from_raw(self.all[b].child.id() as i32))
-            {
+            if let (State::Runs, Some(pid)) = (
+                &self.all[b].state,
+                Pid::from_raw(self.all[b].child.id() as i32),
+            ) {
                 self.usage_of(b);
                 let _ = rustix::process::kill_process(pid, Signal::TERM);
                 self.all[b].state = State::Ending(now, away);
@@ -201,7 +245,8 @@
                             self.ended(b, now, true, away);
                         }
                         _ if ended => {
-                            self.died.push(format!("balancer {b} died:\n{}", end_of(&self.all[b].log)));
+                            self.died
+                                .push(format!("balancer {b} died:\n{}", end_of(&self.all[b].log)));
                             self.ended(b, now, false, SEC);
                         }
                         _ => {}
@@ -228,22 +273,41 @@
         let mut inner = self.stage.lock();
         inner.alive[b] = false;
         if !planned {
-            inner.front.dies(b, now + seconds(self.stage.scenario.balancers.notice));
+            inner
+                .front
+                .dies(b, now + seconds(self.stage.scenario.balancers.notice));
         }
-        inner.see(Seen::BalancerEnded { at: now, balancer: b, planned });
+        inner.see(Seen::BalancerEnded {
+            at: now,
+            balancer: b,
+            planned,
+        });
     }
 
     fn usage_of(&mut self, b: usize) {
         let id = self.all[b].child.id();
-        let read = |name: &str| std::fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
+        let read =
+            |name: &str| std::fs::read_to_string(format!("/proc/{id}/{name}")).unwrap_or_default();
         // After the program's name in brackets: user and system time are the 12th and 13th word.
         let stat = read("stat");
-        let words: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        let ticks = |i: usize| words.get(i).and_then(|word| word.parse::<f64>().ok()).unwrap_or(0.0);
+        let words: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or("")
+            .split_whitespace()
+            .collect();
+        let ticks = |i: usize| {
+            words
+                .get(i)
+                .and_then(|word| word.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         self.all[b].cpu += (ticks(11) + ticks(12)) / self.clock;
         let status = read("status");
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-        let kb = peak.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok()).unwrap_or(0.0);
+        let kb = peak
+            .and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok())
+            .unwrap_or(0.0);
         self.all[b].memory = self.all[b].memory.max(kb / 1024.0);
     }
 
@@ -251,7 +315,10 @@
     pub fn usage(&mut self) -> Vec<(f64, f64)> {
         (0..self.all.len()).for_each(|b| self.usage_of(b));
         let seconds = self.stage.scenario.seconds;
-        self.all.iter().map(|one| (one.cpu / seconds, one.memory)).collect()
+        self.all
+            .iter()
+            .map(|one| (one.cpu / seconds, one.memory))
+            .collect()
     }
 
     /// Ends what was started; what died by itself is told.
@@ -289,7 +356,10 @@
         stream.read_exact(&mut answer).await.ok()?;
         (&answer == b"PONG\r\n").then_some(())
     };
-    matches!(tokio::time::timeout(Duration::from_millis(500), ask).await, Ok(Some(())))
+    matches!(
+        tokio::time::timeout(Duration::from_millis(500), ask).await,
+        Ok(Some(()))
+    )
 }
 
 fn end_of(log: &Path) -> String {
--- a/crates/lab/src/sockets/server.rs
+++ b/crates/lab/src/sockets/server.rs
@@ -26,7 +26,12 @@
 const LONGEST: usize = 4096 + 2;
 
 /// Listens for as long as the run lasts, but for while the server's process is down.
-pub async fn listen(stage: Arc<Stage>, server: usize, zone: usize, mut life: watch::Receiver<Life>) {
+pub async fn listen(
+    stage: Arc<Stage>,
+    server: usize,
+    zone: usize,
+    mut life: watch::Receiver<Life>,
+) {
     loop {
         while *life.borrow_and_update() == Life::Down {
             if life.changed().await.is_err() {
@@ -70,14 +75,23 @@
     fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         let (read, out) = stream.into_split();
-        Wire { lines: BufReader::with_capacity(512, read), out, line: Vec::new() }
+        Wire {
+            lines: BufReader::with_capacity(512, read),
+            out,
+            line: Vec::new(),
+        }
     }
 
     /// The next line without its end; none once the connection is over.
     async fn line(&mut self) -> Option<&str> {
         // What has been read of a line is kept where the wait for the rest is given up.
         loop {
-            let bytes = self.lines.fill_buf().await.ok().filter(|bytes| !bytes.is_empty())?;
+            let bytes = self
+                .lines
+                .fill_buf()
+                .await
+                .ok()
+                .filter(|bytes| !bytes.is_empty())?;
             let end = bytes.iter().position(|byte| *byte == b'\n');
             let count = end.map_or(bytes.len(), |end| end + 1);
             if self.line.last() == Some(&b'\n') {
@@ -132,7 +146,12 @@
     fn ended(&mut self, never_ran: bool) {
         if let Some(number) = self.out.take() {
             let at = self.stage.now();
-            self.stage.see(Seen::ConnectEnded { at, flow: self.flow, number, never_ran });
+            self.stage.see(Seen::ConnectEnded {
+                at,
+                flow: self.flow,
+                number,
+                never_ran,
+            });
         }
     }
 }
@@ -158,7 +177,9 @@
         inner.world.way(zone, to)
     };
     loop {
-        let Some(line) = wire.line().await else { return };
+        let Some(line) = wire.line().await else {
+            return;
+        };
         let line = line.to_string();
         // There and back.
         tokio::time::sleep(span(2 * way)).await;
@@ -195,13 +216,25 @@
     inner.gather.probes += 1;
     let inner = &mut *inner;
     let report = inner.world.servers[server].report(&stage.scenario.fleet, now, &mut inner.dice)?;
-    let (beta, held) = (report.beta.unwrap_or(0.0), report.connections.unwrap_or(0.0));
+    let (beta, held) = (
+        report.beta.unwrap_or(0.0),
+        report.connections.unwrap_or(0.0),
+    );
     Some(format!("PONG x0={beta:.4},inflight={held}\r\n"))
 }
 
 /// Serves one connection from its first line on.
-async fn open(stage: &Arc<Stage>, (server, zone): (usize, usize), mut wire: Wire, line: &str, way: Time) {
-    let flow = line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok());
+async fn open(
+    stage: &Arc<Stage>,
+    (server, zone): (usize, usize),
+    mut wire: Wire,
+    line: &str,
+    way: Time,
+) {
+    let flow = line
+        .split(' ')
+        .nth(1)
+        .and_then(|id| u64::from_str_radix(id, 16).ok());
     let Some(flow) = flow.filter(|flow| stage.lock().flows.contains_key(flow)) else {
         // No client of ours sent it.
         let _ = wire.say("SYNTAX\r\n").await;
@@ -209,7 +242,13 @@
     };
     let inherited = line.contains(",at=");
     let (sender, mut told) = mpsc::unbounded_channel();
-    let mut seat = Seat { stage, server, flow, seated: false, out: None };
+    let mut seat = Seat {
+        stage,
+        server,
+        flow,
+        seated: false,
+        out: None,
+    };
     let offer = {
         let now = stage.now();
         let mut inner = stage.lock();
@@ -220,7 +259,13 @@
             false => {
                 inner.gather.connects += 1;
                 let number = inner.gather.connects as usize;
-                inner.see(Seen::Connect { at: now, balancer, flow, number, server });
+                inner.see(Seen::Connect {
+                    at: now,
+                    balancer,
+                    flow,
+                    number,
+                    server,
+                });
                 seat.out = Some(number);
                 let (offer, more) = inner.world.offer(now, zone, server);
                 happened = more;
@@ -265,15 +310,24 @@
         }
     }
     seat.ended(false);
-    let load = stage.lock().world.servers[server].guests.get(&flow).map_or(1.0, |guest| guest.load);
-    if !wire.say(&format!("UP {flow:x}\r\nLOAD {load:.4}\r\n")).await {
+    let load = stage.lock().world.servers[server]
+        .guests
+        .get(&flow)
+        .map_or(1.0, |guest| guest.load);
+    if !wire
+        .say(&format!("UP {flow:x}\r\nLOAD {load:.4}\r\n"))
+        .await
+    {
         return;
     }
     serve(stage, (server, zone), wire, &mut told, flow, way).await;
 }
 
 fn sit(inner: &mut super::stage::Inner, flow: u64, server: usize) -> bool {
-    let client = inner.flows.get(&flow).and_then(|known| inner.crowd.get(known.client));
+    let client = inner
+        .flows
+        .get(&flow)
+        .and_then(|known| inner.crowd.get(known.client));
     let Some(client) = client else { return false };
     inner.world.servers[server].seat(flow, client.guest());
     true
@@ -335,7 +389,11 @@
 }
 
 fn next_change(stage: &Stage) -> Time {
-    stage.lock().crowd.first_change(&stage.scenario).unwrap_or(super::FOREVER)
+    stage
+        .lock()
+        .crowd
+        .first_change(&stage.scenario)
+        .unwrap_or(super::FOREVER)
 }
 
 async fn leave(mut wire: Wire, tell: Option<Tell>, stage: &Stage, server: usize) {
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -92,7 +92,9 @@
 
     /// A client sees its connection end without having been told to move.
     pub fn broken(&mut self, at: Time, flow: u64, told: bool) {
-        let Some(known) = self.flows.get(&flow) else { return };
+        let Some(known) = self.flows.get(&flow) else {
+            return;
+        };
         let zone = known.balancer % self.world.scenario.zones.number;
         let sound = known.server.is_some_and(|server| {
             let one = &self.world.servers[server];
@@ -102,7 +104,13 @@
             Some(told) => (Ender::Server, told),
             None => (Ender::Balancer, told),
         };
-        self.see(Seen::Ended { at, flow, by, told, sound });
+        self.see(Seen::Ended {
+            at,
+            flow,
+            by,
+            told,
+            sound,
+        });
     }
 }
 
@@ -122,7 +130,9 @@
 impl Stage {
     pub fn new(scenario: Scenario, seed: u64, record: Option<Writer>) -> Result<Arc<Self>, String> {
         let (block, claim) = claim()?;
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         // Word takes its way: what is judged at its arrival may be so late.
         let slack = SLACK + seconds(scenario.zones.between.max(scenario.zones.inside));
         let inner = Inner {
@@ -160,7 +170,9 @@
 
     /// Time since the run began; 0 before.
     pub fn now(&self) -> Time {
-        self.origin.get().map_or(0, |origin| origin.elapsed().as_nanos() as Time)
+        self.origin
+            .get()
+            .map_or(0, |origin| origin.elapsed().as_nanos() as Time)
     }
 
     pub fn begins(&self) {
@@ -207,7 +219,13 @@
         let one = &inner.world.servers[server];
         let (zone, cell, machine) = (one.zone, one.cell, one.machine);
         let at = self.now();
-        inner.see(Seen::Server { at, server, zone, cell, machine });
+        inner.see(Seen::Server {
+            at,
+            server,
+            zone,
+            cell,
+            machine,
+        });
         if inner.lives.len() <= server {
             let life = watch::Sender::new(Life::Up);
             for zone in 0..self.scenario.zones.number {
@@ -222,7 +240,10 @@
         let mut inner = self.lock();
         let happened = inner.world.tick(now);
         let seconds = super::TICK as f64 / 1e9;
-        let (wanted, served) = (inner.crowd.wanted * seconds, std::mem::take(&mut inner.served));
+        let (wanted, served) = (
+            inner.crowd.wanted * seconds,
+            std::mem::take(&mut inner.served),
+        );
         inner.gather.worth(now, (wanted, served), seconds);
         if inner.sampled + SAMPLE <= now {
             inner.sampled = now;
@@ -243,12 +264,18 @@
                 Happening::SentAway { ids, .. } => self.tell(&ids, Tell::SendAway),
                 Happening::Started { server } => {
                     self.joins(server);
-                    self.see(Seen::Started { at: self.now(), server });
+                    self.see(Seen::Started {
+                        at: self.now(),
+                        server,
+                    });
                 }
                 Happening::Fell { server } => {
                     let mut inner = self.lock();
                     inner.gather.fell += 1;
-                    inner.see(Seen::Fell { at: self.now(), server });
+                    inner.see(Seen::Fell {
+                        at: self.now(),
+                        server,
+                    });
                 }
                 Happening::Listed | Happening::Heard => self.spread_list(),
                 // Whoever talks across the cut finds out for itself.
@@ -285,7 +312,9 @@
     fn spread_list(self: &Arc<Self>) {
         let mut inner = self.lock();
         for balancer in 0..inner.visible.len() {
-            let Some(delay) = inner.world.discovery() else { continue };
+            let Some(delay) = inner.world.discovery() else {
+                continue;
+            };
             let stage = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(super::span(delay)).await;
@@ -304,14 +333,22 @@
         let mut inner = self.lock();
         let zone = self.zone(balancer);
         let (version, entries) = match from {
-            Some(from) => (inner.visible[balancer], inner.world.between(from, inner.visible[balancer])),
+            Some(from) => (
+                inner.visible[balancer],
+                inner.world.between(from, inner.visible[balancer]),
+            ),
             None => (inner.world.version(), inner.world.since(0)),
         };
         let at = self.now();
         let mut instances = Vec::new();
         for entry in entries {
             let server = entry.rs as usize;
-            inner.see(Seen::Told { at, balancer, server, ready: entry.state == State::Ready });
+            inner.see(Seen::Told {
+                at,
+                balancer,
+                server,
+                ready: entry.state == State::Ready,
+            });
             instances.push(json!({
                 "instanceId": format!("s{server}"),
                 "hostPort": self.server(server, zone).to_string(),
@@ -334,7 +371,9 @@
     fn unix(&self) -> u64 {
         match self.origin.get() {
             Some(origin) => {
-                let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+                let now = SystemTime::now()
+                    .duration_since(SystemTime::UNIX_EPOCH)
+                    .unwrap_or_default();
                 (now.as_millis() as u64).saturating_sub(origin.elapsed().as_millis() as u64)
             }
             None => self.unix,
@@ -344,13 +383,21 @@
     /// The run is over: figures and verdict.
     pub fn finish(&self, end: Time, balancers: &[(f64, f64)]) -> io::Result<(Figures, Verdict)> {
         let mut inner = self.lock();
-        let standing = inner.world.servers.iter().map(|server| server.guests.len()).sum();
+        let standing = inner
+            .world
+            .servers
+            .iter()
+            .map(|server| server.guests.len())
+            .sum();
         let verdict = inner.rules.take().expect("finished once").finish(end);
         let gather = std::mem::replace(&mut inner.gather, Gather::new(FOREVER));
         let mut figures = gather.finish(standing, &verdict);
         let cpu = balancers.iter().map(|one| one.0).sum::<f64>() / balancers.len().max(1) as f64;
         figures.0.insert("balancer_cpu", cpu);
-        figures.0.insert("balancer_mb", balancers.iter().map(|one| one.1).fold(0.0, f64::max));
+        figures.0.insert(
+            "balancer_mb",
+            balancers.iter().map(|one| one.1).fold(0.0, f64::max),
+        );
         match (inner.failed.take(), inner.record.take()) {
             (Some(e), _) => Err(e),
             (None, Some(record)) => record.finish().map(|()| (figures, verdict)),
