--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -36,7 +36,8 @@
 
 impl Scratch {
     fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("nettlemux-capacity-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("nettlemux-capacity-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let files = Files {
             run: folder.join("run.jsonl"),
@@ -58,7 +59,10 @@
     fn row(&self, quantity: &str) -> String {
         let begin = format!("| {quantity} |");
         let page = self.page();
-        let rows: Vec<&str> = page.lines().filter(|line| line.starts_with(&begin)).collect();
+        let rows: Vec<&str> = page
+            .lines()
+            .filter(|line| line.starts_with(&begin))
+            .collect();
         assert!(!rows.is_empty(), "no row '{quantity}'");
         rows[0].to_string()
     }
@@ -66,7 +70,11 @@
     fn command(&self, more: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"));
         command.arg("capacity").arg("--run").arg(&self.files.run);
-        command.arg("--assumptions").arg(&self.files.assumptions).args(more).arg(&self.files.page);
+        command
+            .arg("--assumptions")
+            .arg(&self.files.assumptions)
+            .args(more)
+            .arg(&self.files.page);
         command.output().unwrap()
     }
 }
@@ -84,15 +92,20 @@
 #[test]
 fn the_committed_page_is_what_the_stored_run_and_the_assumptions_give() {
     let stale = capacity::check(&committed()).unwrap();
-    assert!(stale.is_empty(), "stale: {stale:?}; `nettlemux-lab capacity --write` writes them anew");
+    assert!(
+        stale.is_empty(),
+        "stale: {stale:?}; `nettlemux-lab capacity --write` writes them anew"
+    );
 }
 
 /// Guards against figures in the text that stay as they were when the run changes.
 #[test]
 fn text_by_hand_quotes_no_figures() {
     let prose = capacity::prose(&committed()).unwrap();
-    let quoting: Vec<&str> =
-        prose.lines().filter(|line| line.contains(|c: char| c.is_ascii_digit())).collect();
+    let quoting: Vec<&str> = prose
+        .lines()
+        .filter(|line| line.contains(|c: char| c.is_ascii_digit()))
+        .collect();
     assert!(quoting.is_empty(), "{quoting:#?}");
 }
 
@@ -107,7 +120,11 @@
     std::fs::write(&scratch.files.page, sound.replacen(&row, &edited, 1)).unwrap();
     let output = scratch.command(&[]);
     assert_eq!(output.status.code(), Some(1), "{}", text_of(&output));
-    assert!(text_of(&output).contains("not as run and assumptions give: balancer\n"), "{}", text_of(&output));
+    assert!(
+        text_of(&output).contains("not as run and assumptions give: balancer\n"),
+        "{}",
+        text_of(&output)
+    );
     assert!(scratch.command(&["--write"]).status.success());
     assert_eq!(scratch.page(), sound);
     assert!(scratch.command(&[]).status.success());
@@ -123,9 +140,15 @@
     assert_ne!(changed, synthetic_run(), "the fixture has that slope");
     std::fs::write(&scratch.files.run, changed).unwrap();
     let stale = capacity::check(&scratch.files).unwrap();
-    assert!(stale.contains(&"balancer") && stale.contains(&"slopes"), "{stale:?}");
+    assert!(
+        stale.contains(&"balancer") && stale.contains(&"slopes"),
+        "{stale:?}"
+    );
     std::fs::remove_file(&scratch.files.run).unwrap();
-    assert!(capacity::check(&scratch.files).unwrap().contains(&"run"), "the run is gone");
+    assert!(
+        capacity::check(&scratch.files).unwrap().contains(&"run"),
+        "the run is gone"
+    );
 }
 
 #[test]
@@ -133,11 +156,18 @@
     let scratch = Scratch::new("assumption-changes");
     capacity::write(&scratch.files).unwrap();
     let text = std::fs::read_to_string(&scratch.files.assumptions).unwrap();
-    let changed = text.replacen("rack_machines = { value = 40", "rack_machines = { value = 41", 1);
+    let changed = text.replacen(
+        "rack_machines = { value = 40",
+        "rack_machines = { value = 41",
+        1,
+    );
     assert_ne!(changed, text);
     std::fs::write(&scratch.files.assumptions, changed).unwrap();
     let stale = capacity::check(&scratch.files).unwrap();
-    assert_eq!(stale, ["storms at full size", "storms at a tenth", "assumptions"]);
+    assert_eq!(
+        stale,
+        ["storms at full size", "storms at a tenth", "assumptions"]
+    );
 }
 
 #[test]
@@ -146,8 +176,11 @@
     std::fs::remove_file(&scratch.files.run).unwrap();
     capacity::write(&scratch.files).unwrap();
     assert!(scratch.page().contains("No run is stored yet"));
-    let measured =
-        ["one placement", "probes on sockets, at the run's price", "processor for the module's probes"];
+    let measured = [
+        "one placement",
+        "probes on sockets, at the run's price",
+        "processor for the module's probes",
+    ];
     for quantity in measured {
         let row = scratch.row(quantity);
         let full_size = row.split(" | ").nth(3).unwrap();
@@ -166,21 +199,36 @@
         // 5 / 0.25 of payload and 3 x 52 of headers.
         ("one probe", "176"),
         // 50 + 0.05 x servers.
-        ("probes of the module with the operators' own connections", "200 / 350 / 650"),
+        (
+            "probes of the module with the operators' own connections",
+            "200 / 350 / 650",
+        ),
         ("bytes of the module's probes", "35,200 / 61,600 / 114,400"),
         // 0.0025 / 0.25 % of a core a probe.
         ("processor for the module's probes", "2 / 3.5 / 6.5"),
         // 10 + 0.25 x servers.
-        ("probes on sockets, at the run's price", "760 / 1,510 / 3,010"),
+        (
+            "probes on sockets, at the run's price",
+            "760 / 1,510 / 3,010",
+        ),
         // 300 + 20 x 6,000 + 52 x 3 x (1,510 + 1), and so at the others.
-        ("control bytes on sockets, at the run's price", "179,016 / 356,016 / 710,016"),
+        (
+            "control bytes on sockets, at the run's price",
+            "179,016 / 356,016 / 710,016",
+        ),
         // 12 + 0.002 x servers.
-        ("memory of the process on sockets, with the run's few flows", "18 / 24 / 36"),
+        (
+            "memory of the process on sockets, with the run's few flows",
+            "18 / 24 / 36",
+        ),
         // 800 x servers, and 565 x 44,286.
         ("the module's state of servers", "2.4 / 4.8 / 9.6"),
         ("the module's state of own connections", "25"),
         // 0.0125 / 0.125 % of a core for each, times new connections a second.
-        ("processor for setting connections up", "7.38 / 1.23 / 0.154"),
+        (
+            "processor for setting connections up",
+            "7.38 / 1.23 / 0.154",
+        ),
         // 62e6 / 1,400 / 600, 3,600 and 28,800 s.
         ("new connections", "73.8 / 12.3 / 1.54"),
         // 4 + 0.25 x servers.
@@ -192,15 +240,24 @@
         // 62e6 / 1,400.
         ("own connections", "44,286"),
         // (20,000 + 200) / 4 in the middle.
-        ("a change of the configuration within its time", "300 / 5,050 / 50,050"),
+        (
+            "a change of the configuration within its time",
+            "300 / 5,050 / 50,050",
+        ),
     ];
     for (quantity, expected) in cases {
         let row = scratch.row(quantity);
-        assert!(row.contains(&format!("| {expected} |")), "{quantity}: {expected} is not in {row}");
+        assert!(
+            row.contains(&format!("| {expected} |")),
+            "{quantity}: {expected} is not in {row}"
+        );
     }
     // 2 million clients over 1,400 x 30 / 31 balancers; 1,504 us each.
     let zone = scratch.row("a zone goes");
-    assert!(zone.contains("| 2,000,000 | 1,476 |") && zone.contains("| 2.22 |"), "{zone}");
+    assert!(
+        zone.contains("| 2,000,000 | 1,476 |") && zone.contains("| 2.22 |"),
+        "{zone}"
+    );
     // (100 + 200 x 6,000) / 10 s of 2,000; 20,200 / 4 s of 2,000.
     let first = "Missing first: **a whole list in parts or from a neighbour, and a pace for changes of it** (bytes a \
         second of a whole list within the time to be ready: 60 times its budget). Runner-up: **changes of the \
@@ -210,12 +267,23 @@
         times its budget); ";
     assert!(scratch.page().contains(first), "{}", scratch.page());
     // 6,000 x (1 - e^-7.38) / 10 s x 176 bytes of 2,000: ranked, but no need of today.
-    let verdict = scratch.page().lines().find(|line| line.starts_with("Missing first")).unwrap().to_string();
+    let verdict = scratch
+        .page()
+        .lines()
+        .find(|line| line.starts_with("Missing first"))
+        .unwrap()
+        .to_string();
     assert!(!verdict.contains("without a control budget"), "{verdict}");
     let ranked = "bytes a second of probes at the longest interval, without a control budget | every second | 105,534 |";
-    assert!(scratch.page().contains(ranked) && scratch.page().contains("| 52.8 |"), "{}", scratch.page());
     assert!(
-        scratch.page().contains("| balancers | 100 | list_calls | 1,234 |"),
+        scratch.page().contains(ranked) && scratch.page().contains("| 52.8 |"),
+        "{}",
+        scratch.page()
+    );
+    assert!(
+        scratch
+            .page()
+            .contains("| balancers | 100 | list_calls | 1,234 |"),
         "the played storm is listed"
     );
 }
@@ -227,12 +295,21 @@
     let scratch = Scratch::new("flat-probes");
     let slope = r#""fit":"probes_per_second","varied":"servers","intercept":10,"slope":0.25"#;
     let run = synthetic_run();
-    let fit = run.lines().find(|line| line.contains("sockets") && line.contains(slope)).expect("the fixture");
-    std::fs::write(&scratch.files.run, run.replacen(fit, &fit.replace("0.25", "-0.25"), 1)).unwrap();
+    let fit = run
+        .lines()
+        .find(|line| line.contains("sockets") && line.contains(slope))
+        .expect("the fixture");
+    std::fs::write(
+        &scratch.files.run,
+        run.replacen(fit, &fit.replace("0.25", "-0.25"), 1),
+    )
+    .unwrap();
     capacity::write(&scratch.files).unwrap();
     // 30,000 / 1,510 of payload, half a way between the two sizes around 6,000 servers.
     assert!(
-        scratch.row("one probe").contains("| 19.9 (measured, ratio of figures) + 156"),
+        scratch
+            .row("one probe")
+            .contains("| 19.9 (measured, ratio of figures) + 156"),
         "{}",
         scratch.row("one probe")
     );
@@ -243,9 +320,9 @@
 #[test]
 fn a_stored_run_that_is_faulty_is_named_by_line_and_key() {
     let head = r#"{"run":"a","machine":{},"text":"0"}"#;
-    let fit =
-        r#"{"run":"a","part":"module","fit":"x","varied":"servers","intercept":1,"slope":2,"residual":0}"#;
-    let point = r#"{"run":"a","part":"module","varied":"servers","size":60,"fixed":{},"figures":{"x":1}}"#;
+    let fit = r#"{"run":"a","part":"module","fit":"x","varied":"servers","intercept":1,"slope":2,"residual":0}"#;
+    let point =
+        r#"{"run":"a","part":"module","varied":"servers","size":60,"fixed":{},"figures":{"x":1}}"#;
     let cases: [(String, &str); 14] = [
         (String::new(), "run.jsonl: is empty"),
         (format!("{}\n", &head[..9]), "line 1: no JSON object"),
@@ -257,20 +334,52 @@
             format!("{head}\n{}", fit.replace("\"a\"", "\"b\"")),
             "line 2: `run` is 'b', the first line's is 'a'",
         ),
-        (format!("{head}\n{}", fit.replace("slope", "slop")), "line 2: missing field `slope`"),
-        (format!("{head}\n{}", fit.replace(":2", ":\"2\"")), "line 2: `slope` is no number"),
-        (format!("{head}\n{}", fit.replace("module", "modul")), "line 2: unknown variant `modul`"),
-        (format!("{head}\n{fit}\n{fit}"), "line 3: `fit` x over servers in module: stands there already"),
-        (format!("{head}\n{}", point.replace("60", "0")), "line 2: `size` is not over 0"),
-        (format!("{head}\n{}", point.replace(":1}", ":[]}")), "line 2: `figures.x` is no number"),
-        (format!("{head}\n{head}"), "line 2: neither `figures` nor `fit`"),
+        (
+            format!("{head}\n{}", fit.replace("slope", "slop")),
+            "line 2: missing field `slope`",
+        ),
+        (
+            format!("{head}\n{}", fit.replace(":2", ":\"2\"")),
+            "line 2: `slope` is no number",
+        ),
+        (
+            format!("{head}\n{}", fit.replace("module", "modul")),
+            "line 2: unknown variant `modul`",
+        ),
+        (
+            format!("{head}\n{fit}\n{fit}"),
+            "line 3: `fit` x over servers in module: stands there already",
+        ),
+        (
+            format!("{head}\n{}", point.replace("60", "0")),
+            "line 2: `size` is not over 0",
+        ),
+        (
+            format!("{head}\n{}", point.replace(":1}", ":[]}")),
+            "line 2: `figures.x` is no number",
+        ),
+        (
+            format!("{head}\n{head}"),
+            "line 2: neither `figures` nor `fit`",
+        ),
     ];
     for (text, expected) in cases {
-        let fault = StoredRun::parse(Path::new("run.jsonl"), &text).expect_err(expected).to_string();
-        assert!(fault.contains("run.jsonl: ") && fault.contains(expected), "'{fault}' is not '{expected}'");
+        let fault = StoredRun::parse(Path::new("run.jsonl"), &text)
+            .expect_err(expected)
+            .to_string();
+        assert!(
+            fault.contains("run.jsonl: ") && fault.contains(expected),
+            "'{fault}' is not '{expected}'"
+        );
     }
-    let run = StoredRun::parse(Path::new("run.jsonl"), &format!("{head}\n{point}\n{fit}\n")).unwrap();
-    assert_eq!(run.fit(Part::Module, Varied::Servers, "x").unwrap().at(10.0), 21.0);
+    let run =
+        StoredRun::parse(Path::new("run.jsonl"), &format!("{head}\n{point}\n{fit}\n")).unwrap();
+    assert_eq!(
+        run.fit(Part::Module, Varied::Servers, "x")
+            .unwrap()
+            .at(10.0),
+        21.0
+    );
     assert_eq!(run.range(Part::Module, Varied::Servers), Some((60.0, 60.0)));
 }
 
@@ -294,8 +403,15 @@
     ];
     let run = StoredRun::parse(Path::new("run.jsonl"), &lines.join("\n")).unwrap();
     let at = |count| run.at(Part::Module, Varied::Servers, "x", count);
-    let cases =
-        [(10.0, 2.0), (15.0, 3.0), (20.0, 4.0), (60.0, 17.0), (100.0, 30.0), (200.0, 95.0), (2.0, -4.0)];
+    let cases = [
+        (10.0, 2.0),
+        (15.0, 3.0),
+        (20.0, 4.0),
+        (60.0, 17.0),
+        (100.0, 30.0),
+        (200.0, 95.0),
+        (2.0, -4.0),
+    ];
     for (count, expected) in cases {
         assert_eq!(at(count), Some(expected), "{count}");
     }
@@ -306,7 +422,13 @@
 #[test]
 fn assumptions_that_are_faulty_are_named_by_line_and_key() {
     let sound = std::fs::read_to_string(committed().assumptions).unwrap();
-    let line_of = |key: &str| sound.lines().position(|line| line.starts_with(key)).unwrap() + 1;
+    let line_of = |key: &str| {
+        sound
+            .lines()
+            .position(|line| line.starts_with(key))
+            .unwrap()
+            + 1
+    };
     let change = |from: &str, to: &str| {
         assert!(sound.contains(from), "{from}");
         sound.replacen(from, to, 1)
@@ -314,24 +436,52 @@
     let zones = format!("line {}: `zones`: ", line_of("zones ="));
     let servers = format!("line {}: `servers`: ", line_of("servers ="));
     let cases = [
-        (change("zones = { value = 31", "zones = { value = 0"), zones.clone() + "`value`: 0 is not over 0"),
+        (
+            change("zones = { value = 31", "zones = { value = 0"),
+            zones.clone() + "`value`: 0 is not over 0",
+        ),
         (
             change("zones = { value = 31", "zones = { value = inf"),
             zones.clone() + "`value`: inf is not over 0",
         ),
-        (change("zones = { value = 31", "zones = { value = \"31\""), zones.clone() + "invalid type: string"),
-        (change("zones = { value = 31", "zones = { vale = 31"), zones.clone() + "unknown field `vale`"),
-        (change("zones = {", "zone = {"), "unknown field `zone`".into()),
-        (change("zones = {", "# zones = {"), "missing field `zones`".into()),
-        (change("\"99 in 100 deliveries\"", "\" \""), "`delivery_limit_ms`: `why` is empty".into()),
-        (change("[3000, 6000, 12000]", "[3000, 6000]"), servers.clone() + "`values` are 2, not 3"),
-        (change("[3000, 6000, 12000]", "[6000, 3000, 12000]"), servers + "`values` don't rise"),
-        (change("[requirements]", "[requirement]"), "unknown field `requirement`".into()),
+        (
+            change("zones = { value = 31", "zones = { value = \"31\""),
+            zones.clone() + "invalid type: string",
+        ),
+        (
+            change("zones = { value = 31", "zones = { vale = 31"),
+            zones.clone() + "unknown field `vale`",
+        ),
+        (
+            change("zones = {", "zone = {"),
+            "unknown field `zone`".into(),
+        ),
+        (
+            change("zones = {", "# zones = {"),
+            "missing field `zones`".into(),
+        ),
+        (
+            change("\"99 in 100 deliveries\"", "\" \""),
+            "`delivery_limit_ms`: `why` is empty".into(),
+        ),
+        (
+            change("[3000, 6000, 12000]", "[3000, 6000]"),
+            servers.clone() + "`values` are 2, not 3",
+        ),
+        (
+            change("[3000, 6000, 12000]", "[6000, 3000, 12000]"),
+            servers + "`values` don't rise",
+        ),
+        (
+            change("[requirements]", "[requirement]"),
+            "unknown field `requirement`".into(),
+        ),
         (change("[requirements]", "[letter"), "line ".into()),
     ];
     for (text, expected) in cases {
-        let fault =
-            Assumptions::parse(Path::new("assumptions.toml"), &text).expect_err(&expected).to_string();
+        let fault = Assumptions::parse(Path::new("assumptions.toml"), &text)
+            .expect_err(&expected)
+            .to_string();
         assert!(fault.starts_with("assumptions.toml: "), "{fault}");
         assert!(fault.contains(&expected), "'{fault}' is not '{expected}'");
     }
@@ -342,7 +492,10 @@
     let marker = "<!-- generated: server -->";
     let page = std::fs::read_to_string(committed().page).unwrap();
     let cases = [
-        (page.replace(marker, ""), "the marker '<!-- generated: server -->' is missing"),
+        (
+            page.replace(marker, ""),
+            "the marker '<!-- generated: server -->' is missing",
+        ),
         (
             page.replace(marker, &marker.repeat(2)),
             "the marker '<!-- generated: server -->' stands there 2 times",
@@ -353,7 +506,11 @@
         std::fs::write(&scratch.files.page, &text).unwrap();
         let output = scratch.command(&["--write"]);
         assert_eq!(output.status.code(), Some(2));
-        assert!(text_of(&output).contains(&format!("CAPACITY.md: {expected}")), "{}", text_of(&output));
+        assert!(
+            text_of(&output).contains(&format!("CAPACITY.md: {expected}")),
+            "{}",
+            text_of(&output)
+        );
         assert_eq!(scratch.page(), text, "nothing was written");
     }
 }
@@ -380,27 +537,75 @@
     let assumptions = Assumptions::load(&committed().assumptions).unwrap();
     let code = &assumptions.code;
     let cases = [
-        (code.probe_interval_longest_s.value, 10.0, "const PROBE_BOUND: Time = 10 * SEC;"),
-        (code.watch_hold_s.value, 1.0, "const HOLD: Time = SEC; | const WATCH_HOLD: Time = SEC;"),
+        (
+            code.probe_interval_longest_s.value,
+            10.0,
+            "const PROBE_BOUND: Time = 10 * SEC;",
+        ),
+        (
+            code.watch_hold_s.value,
+            1.0,
+            "const HOLD: Time = SEC; | const WATCH_HOLD: Time = SEC;",
+        ),
         (code.answer_limit_bytes.value, 4_194_304.0, RESPONSE_LIMIT),
-        (code.flow_memory_kb.value, 48.0, "const FLOW: usize = 48 << 10;"),
-        (code.descriptors_standing.value, 16.0, "const STANDING: usize = 16;"),
-        (code.peer_messages_heard_per_second.value, 30.0, "const RECEIVED_PER_SECOND: f64 = 30.0;"),
-        (code.peer_message_repeat_s.value, 20.0, "const REPEAT_AFTER: Time = 20 * SEC;"),
-        (code.attempts_in_flight_fleet.value, 600.0, "const CALM_ALL: f64 = 600.0;"),
-        (code.attempts_in_flight_most.value, 8.0, "const CALM: f64 = 8.0;"),
+        (
+            code.flow_memory_kb.value,
+            48.0,
+            "const FLOW: usize = 48 << 10;",
+        ),
+        (
+            code.descriptors_standing.value,
+            16.0,
+            "const STANDING: usize = 16;",
+        ),
+        (
+            code.peer_messages_heard_per_second.value,
+            30.0,
+            "const RECEIVED_PER_SECOND: f64 = 30.0;",
+        ),
+        (
+            code.peer_message_repeat_s.value,
+            20.0,
+            "const REPEAT_AFTER: Time = 20 * SEC;",
+        ),
+        (
+            code.attempts_in_flight_fleet.value,
+            600.0,
+            "const CALM_ALL: f64 = 600.0;",
+        ),
+        (
+            code.attempts_in_flight_most.value,
+            8.0,
+            "const CALM: f64 = 8.0;",
+        ),
         (code.cold_fill_factor.value, 4.0, "const FILLS: f64 = 4.0;"),
-        (code.idle_client_s.value, 30.0, "const VANISHED: Time = 30 * SEC;"),
-        (code.silent_server_s.value, 5.0, "const SILENCE: Time = 5 * SEC;"),
+        (
+            code.idle_client_s.value,
+            30.0,
+            "const VANISHED: Time = 30 * SEC;",
+        ),
+        (
+            code.silent_server_s.value,
+            5.0,
+            "const SILENCE: Time = 5 * SEC;",
+        ),
     ];
     let mut sources = String::new();
     for package in ["policy", "core"] {
-        read_sources(&repository().join("crates").join(package).join("src"), &mut sources);
+        read_sources(
+            &repository().join("crates").join(package).join("src"),
+            &mut sources,
+        );
     }
     for (repeated, value, constant) in cases {
         assert_eq!(repeated, value, "{constant}");
-        let found = constant.split(" | ").any(|declaration| sources.contains(declaration));
-        assert!(found, "'{constant}' has changed: docs/scale/assumptions.toml, [code]");
+        let found = constant
+            .split(" | ")
+            .any(|declaration| sources.contains(declaration));
+        assert!(
+            found,
+            "'{constant}' has changed: docs/scale/assumptions.toml, [code]"
+        );
     }
 }
 
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -17,11 +17,16 @@
 }
 
 fn load(name: &str) -> Scenario {
-    file::load(&scenarios().join(name).with_extension("toml")).unwrap().0
+    file::load(&scenarios().join(name).with_extension("toml"))
+        .unwrap()
+        .0
 }
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_nettlemux-lab")).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"))
+        .args(args)
+        .output()
+        .unwrap()
 }
 
 fn temporary(name: &str) -> PathBuf {
@@ -36,7 +41,10 @@
 fn the_judge_catches_each_mischief_and_passes_a_sound_balancer() {
     let output = lab(&["self-check"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success() && text.ends_with("10 passed, 0 failed\n"), "{text}");
+    assert!(
+        output.status.success() && text.ends_with("10 passed, 0 failed\n"),
+        "{text}"
+    );
 }
 
 /// The same where what crosses real sockets is all that the judge sees.
@@ -53,7 +61,8 @@
     let run = |name: &str, seed: u64| {
         let file = temporary(name);
         let mut writer = Writer::create(&file).unwrap();
-        let outcome = simulate(&scenario, seed, Who::Brain(Kind::Module), Some(&mut writer)).unwrap();
+        let outcome =
+            simulate(&scenario, seed, Who::Brain(Kind::Module), Some(&mut writer)).unwrap();
         writer.finish().unwrap();
         let bytes = std::fs::read(&file).unwrap();
         std::fs::remove_file(file).unwrap();
@@ -66,7 +75,11 @@
     let mut judge = Rules::new(&scenario, SEC / 100);
     read.seen.iter().for_each(|seen| judge.see(seen));
     let verdict = judge.finish(scenario.end());
-    assert!(verdict.kept() && verdict.flows == a.verdict.flows && verdict.connects == a.verdict.connects);
+    assert!(
+        verdict.kept()
+            && verdict.flows == a.verdict.flows
+            && verdict.connects == a.verdict.connects
+    );
 }
 
 /// Each scenario in the repository must load and be as it expects, the module deciding; `size` and `many` are too long for here.
@@ -80,8 +93,18 @@
         }
         assert_eq!(path.file_stem().unwrap().to_string_lossy(), scenario.name);
         let outcome = module(&scenario, scenario.seed);
-        assert_eq!(outcome.figures.unmet(&scenario), Vec::<String>::new(), "{}", scenario.name);
-        assert!(outcome.verdict.kept(), "{}: {:?}", scenario.name, outcome.verdict);
+        assert_eq!(
+            outcome.figures.unmet(&scenario),
+            Vec::<String>::new(),
+            "{}",
+            scenario.name
+        );
+        assert!(
+            outcome.verdict.kept(),
+            "{}: {:?}",
+            scenario.name,
+            outcome.verdict
+        );
     }
 }
 
@@ -132,8 +155,9 @@
     for (what, amount) in [("list-silent", 0.0), ("list-late", 5.0)] {
         let mut day = scenario.clone();
         for (what, amount, at) in [(what, amount, 10), ("shrink", 3.0, 12)] {
-            let text =
-                format!(r#"{{"what": "{what}", "at": {at}, "for": 15, "share": 0.3, "amount": {amount}}}"#);
+            let text = format!(
+                r#"{{"what": "{what}", "at": {at}, "for": 15, "share": 0.3, "amount": {amount}}}"#
+            );
             day.faults.push(serde_json::from_str(&text).unwrap());
         }
         let with = module(&day, 1);
@@ -183,24 +207,54 @@
     let calm = std::fs::read_to_string(scenarios().join("calm.toml")).unwrap();
     let file = temporary("faulty.toml");
     for (from, to, key) in [
-        ("seconds = 60", "second = 60", "key 'second': unknown; is 'seconds' meant?"),
+        (
+            "seconds = 60",
+            "second = 60",
+            "key 'second': unknown; is 'seconds' meant?",
+        ),
         ("seconds = 60", "seconds = -1", "key 'seconds'"),
         ("seconds = 60\n", "", "key 'seconds': missing"),
         ("settle = 5", "settle = 60", "key 'settle'"),
         ("servers = 24", "servers = 0", "key 'fleet.servers'"),
-        ("standing = 528", "standing = 5000000", "key 'clients.standing'"),
+        (
+            "standing = 528",
+            "standing = 5000000",
+            "key 'clients.standing'",
+        ),
         ("repeat = \"once-only\"", "repeat = \"never\"", "once-only"),
-        ("[expect]", "[[faults]]\nwhat = \"slow\"\nat = 3\n[expect]", "key 'faults[0].amount'"),
-        ("[expect]", "[[faults]]\nwhat = \"crash\"\nat = 99\n[expect]", "key 'faults[0].at'"),
-        ("[expect]", "[[faults]]\nwhat = \"crash\"\nat = 9\nwho = [24]\n[expect]", "key 'faults[0].who'"),
-        ("worth =", "wroth =", "key 'expect.wroth': no figure; is 'worth' meant?"),
+        (
+            "[expect]",
+            "[[faults]]\nwhat = \"slow\"\nat = 3\n[expect]",
+            "key 'faults[0].amount'",
+        ),
+        (
+            "[expect]",
+            "[[faults]]\nwhat = \"crash\"\nat = 99\n[expect]",
+            "key 'faults[0].at'",
+        ),
+        (
+            "[expect]",
+            "[[faults]]\nwhat = \"crash\"\nat = 9\nwho = [24]\n[expect]",
+            "key 'faults[0].who'",
+        ),
+        (
+            "worth =",
+            "wroth =",
+            "key 'expect.wroth': no figure; is 'worth' meant?",
+        ),
         ("[expect]", "[expect", "key '(whole file)'"),
     ] {
         std::fs::write(&file, calm.replacen(from, to, 1)).unwrap();
         let output = lab(&["simulate", file.to_str().unwrap()]);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(output.status.code() == Some(2) && text.contains(key), "{to}: {text}");
-        assert!(text.contains("faulty.toml") && !text.contains("panicked"), "{text}");
+        assert!(
+            output.status.code() == Some(2) && text.contains(key),
+            "{to}: {text}"
+        );
+        assert!(
+            text.contains("faulty.toml") && !text.contains("panicked"),
+            "{text}"
+        );
     }
     std::fs::remove_file(file).unwrap();
     assert_eq!(lab(&["simulate", "nowhere.toml"]).status.code(), Some(2));
@@ -217,11 +271,24 @@
     // What is not as expected is told, last in one line.
     let file = temporary("unmet.toml");
     let text = std::fs::read_to_string(calm).unwrap();
-    std::fs::write(&file, text.replace("[expect]", "[expect]\nspread = { max = 0.0001 }")).unwrap();
+    std::fs::write(
+        &file,
+        text.replace("[expect]", "[expect]\nspread = { max = 0.0001 }"),
+    )
+    .unwrap();
     let output = lab(&["simulate", file.to_str().unwrap()]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.code() == Some(1) && text.contains("unmet: spread"), "{text}");
-    assert!(text.lines().last().unwrap().starts_with("NOT GOOD: calm (simulated, module, seed 1)"), "{text}");
+    assert!(
+        output.status.code() == Some(1) && text.contains("unmet: spread"),
+        "{text}"
+    );
+    assert!(
+        text.lines()
+            .last()
+            .unwrap()
+            .starts_with("NOT GOOD: calm (simulated, module, seed 1)"),
+        "{text}"
+    );
     std::fs::remove_file(file).unwrap();
 }
 
@@ -232,22 +299,38 @@
     let (a, b) = (Who::Brain(Kind::Module), Who::Brain(Kind::Random));
     let rows = experiment::compare(&scenario, a, b, 3, 3);
     let worth = rows.iter().find(|row| row.name == "worth").unwrap();
-    assert!(worth.difference.mean > worth.difference.within.unwrap(), "{worth:?}");
+    assert!(
+        worth.difference.mean > worth.difference.within.unwrap(),
+        "{worth:?}"
+    );
     // Nothing differs from itself, however many threads there are.
     let same = experiment::compare(&scenario, a, a, 2, 2);
     assert!(same.iter().all(|row| row.difference.mean == 0.0));
     let crash = scenarios().join("crash.toml");
-    let output =
-        lab(&["sweep", "--key", "clients.rate", "--values", "4,20", "--seeds", "1", crash.to_str().unwrap()]);
+    let output = lab(&[
+        "sweep",
+        "--key",
+        "clients.rate",
+        "--values",
+        "4,20",
+        "--seeds",
+        "1",
+        crash.to_str().unwrap(),
+    ]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
         output.status.success() && text.lines().count() == 2 && text.contains("clients.rate = 20"),
         "{text}"
     );
     let path = crash.to_str().unwrap();
-    let output = lab(&["compare", "--a", "module", "--b", "random", "--seeds", "2", "--json", path]);
+    let output = lab(&[
+        "compare", "--a", "module", "--b", "random", "--seeds", "2", "--json", path,
+    ]);
     let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert!(told["a"] == "module" && told["b"] == "random" && told["rows"][0]["figure"] == "worth", "{told}");
+    assert!(
+        told["a"] == "module" && told["b"] == "random" && told["rows"][0]["figure"] == "worth",
+        "{told}"
+    );
     let unlike = lab(&["compare", "--a", "module", "--b", "./nettlemux", path]);
     assert!(unlike.status.code() == Some(2));
     let found = experiment::hunt(&scenario, 1, 6, 4);
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -10,7 +10,9 @@
 use nettlemux_lab::scale::allocation::CountingAllocator;
 use nettlemux_lab::scale::fit::{LinearFit, least_squares};
 use nettlemux_lab::scale::limits::{self, Exceeded, Limits, Need, Resources};
-use nettlemux_lab::scale::measurement::{self, Figures, Fixed, Line, LineWriter, Machine, Part, Varied};
+use nettlemux_lab::scale::measurement::{
+    self, Figures, Fixed, Line, LineWriter, Machine, Part, Varied,
+};
 use nettlemux_lab::scale::scenario::{Counts, ModulePart, ScaleScenario, Sizes};
 use nettlemux_lab::scale::{decisions, plot, table};
 
@@ -34,7 +36,10 @@
 
 impl Temporary {
     fn new(name: &str) -> Self {
-        Temporary(std::env::temp_dir().join(format!("nettlemux-scale-test-{}-{name}", std::process::id())))
+        Temporary(std::env::temp_dir().join(format!(
+            "nettlemux-scale-test-{}-{name}",
+            std::process::id()
+        )))
     }
 }
 
@@ -49,10 +54,16 @@
 /// Runs the laboratory on this scenario, without a balancer; its lines and what it said.
 fn scale(name: &str, scenario: &str) -> (Vec<Line>, Output) {
     let file = Temporary::new(name);
-    let (toml, lines) = (file.0.with_extension("toml"), file.0.with_extension("jsonl"));
+    let (toml, lines) = (
+        file.0.with_extension("toml"),
+        file.0.with_extension("jsonl"),
+    );
     std::fs::write(&toml, scenario).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"));
-    command.args(["scale", "--program", "/nowhere/nettlemux", "--out"]).arg(&lines).arg(&toml);
+    command
+        .args(["scale", "--program", "/nowhere/nettlemux", "--out"])
+        .arg(&lines)
+        .arg(&toml);
     let output = command.output().unwrap();
     let written = std::fs::read_to_string(&lines).unwrap_or_default();
     (measurement::read(&written).unwrap(), output)
@@ -63,7 +74,13 @@
 }
 
 fn module(servers: u64, balancers: u64, probe_price: f64) -> (Counts, ModulePart) {
-    let fixed = Counts { servers, balancers, connections: 500, groups: 2000, changes_per_second: 0.0 };
+    let fixed = Counts {
+        servers,
+        balancers,
+        connections: 500,
+        groups: 2000,
+        changes_per_second: 0.0,
+    };
     let sizes = Sizes::default();
     let part = ModulePart {
         fixed,
@@ -87,7 +104,10 @@
 fn assert_all_are_probed(servers: u64, figures: &Figures) {
     let expected = servers as f64 / 2.0;
     let share = figures.probes_per_second.unwrap() / expected;
-    assert!(PROBE_TOLERANCE.contains(&share), "{servers} servers, {expected} a second expected: {figures:?}");
+    assert!(
+        PROBE_TOLERANCE.contains(&share),
+        "{servers} servers, {expected} a second expected: {figures:?}"
+    );
 }
 
 #[test]
@@ -97,7 +117,11 @@
         assert_all_are_probed(servers, &figures);
         assert_eq!(figures.servers_per_placement, Some(servers as f64));
         assert_eq!(figures.placed_share, Some(1.0), "{servers} servers");
-        assert_eq!(figures.place_calls_per_placement, Some(1.0), "{servers} servers");
+        assert_eq!(
+            figures.place_calls_per_placement,
+            Some(1.0),
+            "{servers} servers"
+        );
     }
 }
 
@@ -107,18 +131,39 @@
 
 fn measure_long_list(servers: u64, changes_per_second: f64) -> Figures {
     let (counts, part) = module(servers, 4, 0.0);
-    let counts = Counts { changes_per_second, ..counts };
-    let (placements, placements_per_second) = (LONG_LIST_PLACEMENTS, LONG_LIST_PLACEMENTS_PER_SECOND);
-    decisions::measure(&counts, &ModulePart { placements, placements_per_second, ..part }, 7).unwrap()
+    let counts = Counts {
+        changes_per_second,
+        ..counts
+    };
+    let (placements, placements_per_second) =
+        (LONG_LIST_PLACEMENTS, LONG_LIST_PLACEMENTS_PER_SECOND);
+    decisions::measure(
+        &counts,
+        &ModulePart {
+            placements,
+            placements_per_second,
+            ..part
+        },
+        7,
+    )
+    .unwrap()
 }
 
 /// Within the budget, with what may have been saved up before, and not much under it, as servers and flows ask for more.
 fn assert_probes_use_their_budget(servers: u64, figures: &Figures) {
-    let (seconds, budget) =
-        (LONG_LIST_PLACEMENTS as f64 / LONG_LIST_PLACEMENTS_PER_SECOND, PROBES_A_SECOND as f64);
+    let (seconds, budget) = (
+        LONG_LIST_PLACEMENTS as f64 / LONG_LIST_PLACEMENTS_PER_SECOND,
+        PROBES_A_SECOND as f64,
+    );
     let probes = figures.probes_per_second.unwrap();
-    assert!(probes <= budget * (seconds + 1.0) / seconds, "{servers} servers: {figures:?}");
-    assert!(probes >= PROBE_TOLERANCE.start() * budget, "{servers} servers: {figures:?}");
+    assert!(
+        probes <= budget * (seconds + 1.0) / seconds,
+        "{servers} servers: {figures:?}"
+    );
+    assert!(
+        probes >= PROBE_TOLERANCE.start() * budget,
+        "{servers} servers: {figures:?}"
+    );
 }
 
 #[test]
@@ -129,7 +174,10 @@
         // Candidates and own holders; a walk over the list, or a key that isn't the module's, would pass that.
         let most = 2 * MOST_CANDIDATES.min(servers as usize / 2);
         let looked_at = figures.servers_per_placement.unwrap();
-        assert!((1.0..=most as f64).contains(&looked_at), "{servers} servers: {figures:?}");
+        assert!(
+            (1.0..=most as f64).contains(&looked_at),
+            "{servers} servers: {figures:?}"
+        );
         assert_eq!(figures.placed_share, Some(1.0), "{servers} servers");
     }
 }
@@ -137,7 +185,15 @@
 /// Past the sparse limit, at so many flows a second.
 fn measure_sparse(servers: u64, placements_per_second: f64) -> Figures {
     let (counts, part) = module(servers, 4, 0.2);
-    decisions::measure(&counts, &ModulePart { placements_per_second, ..part }, 7).unwrap()
+    decisions::measure(
+        &counts,
+        &ModulePart {
+            placements_per_second,
+            ..part
+        },
+        7,
+    )
+    .unwrap()
 }
 
 /// Lists on both sides of the limit up to which all servers are looked at.
@@ -149,7 +205,10 @@
     for servers in SPARSE_SERVERS {
         let figures = measure_sparse(servers, 2.0);
         assert_eq!(figures.placed_share, Some(1.0), "{figures:?}");
-        assert!(figures.place_calls_per_placement > Some(1.5), "held until a figure has come: {figures:?}");
+        assert!(
+            figures.place_calls_per_placement > Some(1.5),
+            "held until a figure has come: {figures:?}"
+        );
     }
 }
 
@@ -162,7 +221,10 @@
         assert_eq!(sparse.placed_share, Some(1.0), "{sparse:?}");
         // No more than what is due anyway and one for each flow.
         let most = dense.probes_per_second.unwrap() + 50.0;
-        assert!(sparse.probes_per_second.unwrap() <= most, "{sparse:?}\n{dense:?}");
+        assert!(
+            sparse.probes_per_second.unwrap() <= most,
+            "{sparse:?}\n{dense:?}"
+        );
     }
 }
 
@@ -172,8 +234,19 @@
 fn probes_go_on_while_the_list_changes_many_times_a_second() {
     for (servers, changes_per_second) in [(190, 2.0), (60, 2.0), (60, 32.0)] {
         let (counts, part) = module(servers, 4, 0.0);
-        let counts = Counts { changes_per_second, ..counts };
-        let figures = decisions::measure(&counts, &ModulePart { placements: 200, ..part }, 7).unwrap();
+        let counts = Counts {
+            changes_per_second,
+            ..counts
+        };
+        let figures = decisions::measure(
+            &counts,
+            &ModulePart {
+                placements: 200,
+                ..part
+            },
+            7,
+        )
+        .unwrap();
         assert_all_are_probed(servers, &figures);
     }
 }
@@ -182,7 +255,10 @@
 fn probes_of_a_long_list_go_on_within_their_budget_while_it_changes_many_times_a_second() {
     for servers in [240, 3_000] {
         for changes_per_second in [2.0, 32.0] {
-            assert_probes_use_their_budget(servers, &measure_long_list(servers, changes_per_second));
+            assert_probes_use_their_budget(
+                servers,
+                &measure_long_list(servers, changes_per_second),
+            );
         }
     }
 }
@@ -191,9 +267,18 @@
 fn bytes_are_counted_of_each_server_and_connection() {
     let (one, other) = (measure(60, 0.0), measure(240, 0.0));
     for figures in [&one, &other] {
-        assert!((200.0..4000.0).contains(&figures.bytes_per_server.unwrap()), "{figures:?}");
-        assert!((100.0..2000.0).contains(&figures.bytes_per_connection.unwrap()), "{figures:?}");
-        assert!((100.0..2000.0).contains(&figures.flow_table_bytes_per_connection.unwrap()), "{figures:?}");
+        assert!(
+            (200.0..4000.0).contains(&figures.bytes_per_server.unwrap()),
+            "{figures:?}"
+        );
+        assert!(
+            (100.0..2000.0).contains(&figures.bytes_per_connection.unwrap()),
+            "{figures:?}"
+        );
+        assert!(
+            (100.0..2000.0).contains(&figures.flow_table_bytes_per_connection.unwrap()),
+            "{figures:?}"
+        );
     }
 }
 
@@ -216,24 +301,66 @@
 #[test]
 fn a_faulty_key_is_named_with_its_file() {
     for (good, bad, named) in [
-        ("hollow_limit = 20", "hollow_limt = 20", "key 'hollow_limt': unknown; is 'hollow_limit' meant?"),
+        (
+            "hollow_limit = 20",
+            "hollow_limt = 20",
+            "key 'hollow_limt': unknown; is 'hollow_limit' meant?",
+        ),
         ("real_balancers = 1\n", "", "key 'real_balancers': missing"),
-        ("hollow_limit = 20", "hollow_limit = \"many\"", "key 'hollow_limit': invalid type"),
-        ("groups = 2000", "groups = -5", "key 'groups': invalid value"),
-        ("groups = 2000", "groups = 0", "key 'module.fixed.groups': 0 isn't"),
-        ("settle_seconds = 1.0", "settle_seconds = 3600", "key 'sockets.settle_seconds': 3600 isn't"),
-        ("servers = [20, 60, 120, 240]", "servers = [20, nan]", "key 'module.sizes.servers': NaN isn't"),
-        ("killed = 7", "killed = 10", "key 'storm.killed': 10 is too many for storm.fixed.balancers"),
-        ("replaced = 6", "replaced = 600", "key 'storm.replaced': 600 is too many for storm.fixed.servers"),
-        ("[module]", "[modul]", "key 'modul': unknown; is 'module' meant?"),
+        (
+            "hollow_limit = 20",
+            "hollow_limit = \"many\"",
+            "key 'hollow_limit': invalid type",
+        ),
+        (
+            "groups = 2000",
+            "groups = -5",
+            "key 'groups': invalid value",
+        ),
+        (
+            "groups = 2000",
+            "groups = 0",
+            "key 'module.fixed.groups': 0 isn't",
+        ),
+        (
+            "settle_seconds = 1.0",
+            "settle_seconds = 3600",
+            "key 'sockets.settle_seconds': 3600 isn't",
+        ),
+        (
+            "servers = [20, 60, 120, 240]",
+            "servers = [20, nan]",
+            "key 'module.sizes.servers': NaN isn't",
+        ),
+        (
+            "killed = 7",
+            "killed = 10",
+            "key 'storm.killed': 10 is too many for storm.fixed.balancers",
+        ),
+        (
+            "replaced = 6",
+            "replaced = 600",
+            "key 'storm.replaced': 600 is too many for storm.fixed.servers",
+        ),
+        (
+            "[module]",
+            "[modul]",
+            "key 'modul': unknown; is 'module' meant?",
+        ),
         ("name = \"small\"", "name = ", "some.toml"),
     ] {
         let text = small();
         assert!(text.contains(good), "{good}");
         let told = parse(&text.replacen(good, bad, 1)).map(drop).unwrap_err();
-        assert!(told.contains("some.toml") && told.contains(named), "{bad}: {told}");
+        assert!(
+            told.contains("some.toml") && told.contains(named),
+            "{bad}: {told}"
+        );
     }
-    let nowhere = ScaleScenario::load(Path::new("/nowhere/scale.toml")).map(drop).unwrap_err().to_string();
+    let nowhere = ScaleScenario::load(Path::new("/nowhere/scale.toml"))
+        .map(drop)
+        .unwrap_err()
+        .to_string();
     assert!(nowhere.contains("/nowhere/scale.toml"), "{nowhere}");
 }
 
@@ -241,7 +368,11 @@
 fn a_faulty_scenario_ends_the_run_before_a_line_is_written() {
     let (lines, output) = scale("faulty", &small().replacen("groups", "grups", 1));
     assert_eq!((lines, output.status.code()), (Vec::new(), Some(2)));
-    assert!(said(&output).contains("key 'grups': unknown; is 'groups' meant?"), "{}", said(&output));
+    assert!(
+        said(&output).contains("key 'grups': unknown; is 'groups' meant?"),
+        "{}",
+        said(&output)
+    );
 }
 
 fn only(part: &str) -> String {
@@ -250,7 +381,8 @@
     let tables = format!("[{rest}");
     let mine = tables.split_inclusive('\n').scan(false, |inside, line| {
         if line.starts_with('[') {
-            *inside = line.starts_with(&format!("[{part}]")) || line.starts_with(&format!("[{part}."));
+            *inside =
+                line.starts_with(&format!("[{part}]")) || line.starts_with(&format!("[{part}."));
         }
         Some(if *inside { line } else { "" })
     });
@@ -272,8 +404,14 @@
     assert_eq!(measured_sizes(&lines), [20.0], "the size before it stands");
     assert_eq!(output.status.code(), Some(2));
     let told = said(&output);
-    assert!(told.contains("module with servers = 4000 would pass the limit of memory (MB)"), "{told}");
-    assert!(told.contains("needs 80, 70 allowed; stopped before it"), "{told}");
+    assert!(
+        told.contains("module with servers = 4000 would pass the limit of memory (MB)"),
+        "{told}"
+    );
+    assert!(
+        told.contains("needs 80, 70 allowed; stopped before it"),
+        "{told}"
+    );
 }
 
 /// There is no such balancer: had anything been started the error would name its file.
@@ -281,33 +419,80 @@
 fn sizes_that_would_pass_the_limits_of_descriptors_or_processes_are_not_begun() {
     let sockets = only("sockets") + "\n[limits]\ndescriptors = 90\n";
     let (lines, output) = scale("descriptors", &sockets);
-    assert_eq!((measured_sizes(&lines), output.status.code()), (vec![], Some(2)));
+    assert_eq!(
+        (measured_sizes(&lines), output.status.code()),
+        (vec![], Some(2))
+    );
     let told = said(&output);
-    assert!(told.contains("sockets with servers = 20 would pass the limit of descriptors"), "{told}");
-    let (lines, output) = scale("processes", &(only("storm") + "\n[limits]\nprocesses = 3\n"));
-    assert_eq!((measured_sizes(&lines), output.status.code()), (vec![], Some(2)));
+    assert!(
+        told.contains("sockets with servers = 20 would pass the limit of descriptors"),
+        "{told}"
+    );
+    let (lines, output) = scale(
+        "processes",
+        &(only("storm") + "\n[limits]\nprocesses = 3\n"),
+    );
+    assert_eq!(
+        (measured_sizes(&lines), output.status.code()),
+        (vec![], Some(2))
+    );
     let told = said(&output);
     assert!(
-        told.contains("storm with balancers = 10 would pass the limit of processes: needs 4, 3 allowed"),
+        told.contains(
+            "storm with balancers = 10 would pass the limit of processes: needs 4, 3 allowed"
+        ),
         "{told}"
     );
 }
 
 #[test]
 fn each_limit_is_held_against_what_is_needed() {
-    let allowed = Limits { memory_mb: 10, descriptors: 20, processes: 30 };
-    let need = Need { memory_mb: 10, descriptors: 20, processes: 30 };
+    let allowed = Limits {
+        memory_mb: 10,
+        descriptors: 20,
+        processes: 30,
+    };
+    let need = Need {
+        memory_mb: 10,
+        descriptors: 20,
+        processes: 30,
+    };
     assert_eq!(allowed.allow(&need), Ok(()));
     for (need, resource) in [
-        (Need { memory_mb: 11, ..need }, Resources::Memory),
-        (Need { descriptors: 31, ..need }, Resources::Descriptors),
-        (Need { processes: 31, ..need }, Resources::Processes),
+        (
+            Need {
+                memory_mb: 11,
+                ..need
+            },
+            Resources::Memory,
+        ),
+        (
+            Need {
+                descriptors: 31,
+                ..need
+            },
+            Resources::Descriptors,
+        ),
+        (
+            Need {
+                processes: 31,
+                ..need
+            },
+            Resources::Processes,
+        ),
     ] {
         let exceeded = allowed.allow(&need).unwrap_err();
         assert_eq!(exceeded.resource, resource);
     }
-    let exceeded = Exceeded { resource: Resources::Memory, needed: 11, limit: 10 };
-    assert_eq!(exceeded.to_string(), "would pass the limit of memory (MB): needs 11, 10 allowed");
+    let exceeded = Exceeded {
+        resource: Resources::Memory,
+        needed: 11,
+        limit: 10,
+    };
+    assert_eq!(
+        exceeded.to_string(),
+        "would pass the limit of memory (MB): needs 11, 10 allowed"
+    );
 }
 
 #[test]
@@ -315,12 +500,21 @@
     let scenario = ScaleScenario::load(&folder().join("full.toml")).unwrap();
     let part = scenario.sockets.unwrap();
     let need = |varied, size| limits::of_sockets(&part.fixed.with(varied, size), &part, 20_000);
-    for (varied, few, many) in [(Varied::Balancers, 20.0, 1400.0), (Varied::Connections, 100.0, 4000.0)] {
+    for (varied, few, many) in [
+        (Varied::Balancers, 20.0, 1400.0),
+        (Varied::Connections, 100.0, 4000.0),
+    ] {
         let (few, many) = (need(varied, few), need(varied, many));
-        assert!(few.descriptors < many.descriptors && few.memory_mb < many.memory_mb, "{few:?} {many:?}");
+        assert!(
+            few.descriptors < many.descriptors && few.memory_mb < many.memory_mb,
+            "{few:?} {many:?}"
+        );
     }
     let (few, many) = (need(Varied::Servers, 60.0), need(Varied::Servers, 12_000.0));
-    assert!(few.descriptors < many.descriptors && few.memory_mb < many.memory_mb, "{few:?} {many:?}");
+    assert!(
+        few.descriptors < many.descriptors && few.memory_mb < many.memory_mb,
+        "{few:?} {many:?}"
+    );
 }
 
 /// Takes each write as the system would and notes where it ended.
@@ -338,10 +532,25 @@
 }
 
 fn lines() -> Vec<Line> {
-    let counts = Counts { servers: 60, balancers: 4, connections: 9, groups: 2, changes_per_second: 0.5 };
+    let counts = Counts {
+        servers: 60,
+        balancers: 4,
+        connections: 9,
+        groups: 2,
+        changes_per_second: 0.5,
+    };
     let run = || "test".to_string();
-    let machine = Machine { cores: 8, memory_mb: 1000, descriptors: 20, load_average: Some(0.5) };
-    let mut lines = vec![Line::Start { run: run(), machine, text: "abc".into() }];
+    let machine = Machine {
+        cores: 8,
+        memory_mb: 1000,
+        descriptors: 20,
+        load_average: Some(0.5),
+    };
+    let mut lines = vec![Line::Start {
+        run: run(),
+        machine,
+        text: "abc".into(),
+    }];
     for (size, bytes) in [(60.0, 100.0), (600.0, 1000.0), (3000.0, 0.0)] {
         let figures = Figures {
             probes_per_second: Some(size / 2.0),
@@ -374,20 +583,32 @@
 fn each_line_is_written_whole_in_one_piece_and_read_again() {
     let mut pieces = Pieces::default();
     let mut writer = LineWriter::new(&mut pieces);
-    lines().into_iter().for_each(|line| writer.write(line).unwrap());
+    lines()
+        .into_iter()
+        .for_each(|line| writer.write(line).unwrap());
     assert_eq!(pieces.0.len(), lines().len());
     for piece in &pieces.0 {
-        assert_eq!(piece.iter().position(|byte| *byte == b'\n'), Some(piece.len() - 1));
+        assert_eq!(
+            piece.iter().position(|byte| *byte == b'\n'),
+            Some(piece.len() - 1)
+        );
     }
     let text = String::from_utf8(pieces.0.concat()).unwrap();
     assert_eq!(measurement::read(&text).unwrap(), lines());
     let broken = text.replacen("\"part\":\"sockets\"", "\"part\":", 1);
-    assert!(measurement::read(&broken).unwrap_err().starts_with("line 2:"));
+    assert!(
+        measurement::read(&broken)
+            .unwrap_err()
+            .starts_with("line 2:")
+    );
 }
 
 #[test]
 fn the_form_of_the_lines_is_as_documented() {
-    let text: Vec<String> = lines().iter().map(|line| serde_json::to_string(line).unwrap()).collect();
+    let text: Vec<String> = lines()
+        .iter()
+        .map(|line| serde_json::to_string(line).unwrap())
+        .collect();
     assert_eq!(
         text[0],
         r#"{"run":"test","machine":{"cores":8,"memory_mb":1000,"descriptors":20,"load_average":0.5},"text":"abc"}"#
@@ -412,9 +633,17 @@
 #[test]
 fn a_run_that_is_cut_off_leaves_whole_lines_only() {
     let file = Temporary::new("cut-off");
-    let (toml, path) = (file.0.with_extension("toml"), file.0.with_extension("jsonl"));
-    let sizes = "[20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 400, 800, 1600]";
-    std::fs::write(&toml, only("module").replacen("[20, 60, 120, 240]", sizes, 1)).unwrap();
+    let (toml, path) = (
+        file.0.with_extension("toml"),
+        file.0.with_extension("jsonl"),
+    );
+    let sizes =
+        "[20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 400, 800, 1600]";
+    std::fs::write(
+        &toml,
+        only("module").replacen("[20, 60, 120, 240]", sizes, 1),
+    )
+    .unwrap();
     for lines_before in [1, 3, 9] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"));
         command.arg("scale").arg("--out").arg(&path).arg(&toml);
@@ -437,15 +666,32 @@
 
 #[test]
 fn straight_lines_are_fitted_with_what_they_miss() {
-    let exact = [(60.0, 35.0), (600.0, 305.0), (3000.0, 1505.0), (12000.0, 6005.0)];
-    let LinearFit { intercept, slope, residual } = least_squares(&exact).unwrap();
+    let exact = [
+        (60.0, 35.0),
+        (600.0, 305.0),
+        (3000.0, 1505.0),
+        (12000.0, 6005.0),
+    ];
+    let LinearFit {
+        intercept,
+        slope,
+        residual,
+    } = least_squares(&exact).unwrap();
     assert!((intercept - 5.0).abs() < 1e-6 && (slope - 0.5).abs() < 1e-9 && residual < 1e-6);
     // Misses of 1 either way, whose root mean square is 1.
     let bent = [(0.0, 1.0), (1.0, -1.0), (2.0, -1.0), (3.0, 1.0)];
-    let LinearFit { intercept, slope, residual } = least_squares(&bent).unwrap();
+    let LinearFit {
+        intercept,
+        slope,
+        residual,
+    } = least_squares(&bent).unwrap();
     assert!(intercept.abs() < 1e-9 && slope.abs() < 1e-9 && (residual - 1.0).abs() < 1e-9);
     assert_eq!(least_squares(&[(1.0, 2.0)]), None);
-    assert_eq!(least_squares(&[(1.0, 2.0), (1.0, 3.0)]), None, "one size alone has no slope");
+    assert_eq!(
+        least_squares(&[(1.0, 2.0), (1.0, 3.0)]),
+        None,
+        "one size alone has no slope"
+    );
     assert_eq!(least_squares(&[]), None);
 }
 
@@ -473,10 +719,16 @@
         assert!(markdown.contains(expected), "{expected}\n{markdown}");
     }
     let svg = plot::svg(&lines()).unwrap();
-    assert!(svg.starts_with("<svg") && svg.contains("control_bytes_per_second"), "{svg}");
+    assert!(
+        svg.starts_with("<svg") && svg.contains("control_bytes_per_second"),
+        "{svg}"
+    );
     // Nothing was measured, or one size, or nothing but zeros.
     assert!(plot::svg(&[]).is_ok() && plot::svg(&lines()[..2]).is_ok());
-    let zeros = Figures { probes_per_second: Some(0.0), ..Figures::default() };
+    let zeros = Figures {
+        probes_per_second: Some(0.0),
+        ..Figures::default()
+    };
     let mut flat = lines();
     if let Line::Measurement { figures, .. } = &mut flat[1] {
         **figures = zeros;
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -33,11 +33,23 @@
 }
 
 fn service_type() -> ServiceType {
-    ServiceType { setup_target: 230 * MS, value: 1.0, repeat: Repeat::Repeatable }
+    ServiceType {
+        setup_target: 230 * MS,
+        value: 1.0,
+        repeat: Repeat::Repeatable,
+    }
 }
 
 fn listed(rs: Rs, zones: u64) -> Listed {
-    Listed { rs, hall: rs % zones, machine: 0, cell: rs, state: State::Ready, weight: 1.0, started: 0 }
+    Listed {
+        rs,
+        hall: rs % zones,
+        machine: 0,
+        cell: rs,
+        state: State::Ready,
+        weight: 1.0,
+        started: 0,
+    }
 }
 
 fn balancer(seed: u64, zone: u64, balancers: f64, whole: bool) -> Policy {
@@ -47,7 +59,11 @@
         .probing(true, PROBE_PRICE)
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
         .among(balancers, false);
-    if whole { policy.whole_list(usize::MAX) } else { policy }
+    if whole {
+        policy.whole_list(usize::MAX)
+    } else {
+        policy
+    }
 }
 
 /// One balancer in its own time: what comes next, and what came of it.
@@ -99,7 +115,13 @@
     fn flow(&mut self) -> Flow {
         self.next_id += 1;
         let group = Some(format!("g{}", self.rng.generate_range(0..GROUPS)));
-        Flow { id: self.next_id, group, taken: self.now, give_up: self.now + 2 * SEC, ..Flow::default() }
+        Flow {
+            id: self.next_id,
+            group,
+            taken: self.now,
+            give_up: self.now + 2 * SEC,
+            ..Flow::default()
+        }
     }
 
     fn outcome(&mut self, outcome: Outcome) {
@@ -109,7 +131,8 @@
         self.outcomes.1 += 1;
         self.probes += todo.probe.len();
         for rs in todo.probe {
-            self.answers.push(std::cmp::Reverse((self.now + 2 * MS, rs)));
+            self.answers
+                .push(std::cmp::Reverse((self.now + 2 * MS, rs)));
         }
     }
 
@@ -122,10 +145,18 @@
             Place::To(rs, ..) => {
                 self.per_look.push(took);
                 self.per_flow.push(spent + took);
-                self.outcome(Outcome::Established { flow: flow.id, took: MS });
+                self.outcome(Outcome::Established {
+                    flow: flow.id,
+                    took: MS,
+                });
                 self.established.push_back((flow.id, rs));
                 let (flow, rs) = self.established.pop_front().expect("one at least");
-                self.outcome(Outcome::Ended { flow, rs, end: End::Done, owed: None });
+                self.outcome(Outcome::Ended {
+                    flow,
+                    rs,
+                    end: End::Done,
+                    owed: None,
+                });
             }
             _ => self.refused += 1,
         }
@@ -136,15 +167,27 @@
         loop {
             let answer = self.answers.peek().map(|answer| answer.0.0);
             let wait = self.policy.wait(self.now).map(|wait| self.now + wait);
-            let Some(next) = [answer, wait].into_iter().flatten().min().filter(|at| *at < end) else {
+            let Some(next) = [answer, wait]
+                .into_iter()
+                .flatten()
+                .min()
+                .filter(|at| *at < end)
+            else {
                 break;
             };
             self.now = self.now.max(next);
             if answer == Some(next) {
                 let rs = self.answers.pop().expect("seen").0.1;
                 let beta = 0.42 + 0.06 * self.rng.generate::<f64>();
-                let report = Report { beta: Some(beta), connections: Some(10_000.0) };
-                self.outcome(Outcome::Probed { rs, passed: true, report });
+                let report = Report {
+                    beta: Some(beta),
+                    connections: Some(10_000.0),
+                };
+                self.outcome(Outcome::Probed {
+                    rs,
+                    passed: true,
+                    report,
+                });
             } else {
                 self.outcome(Outcome::Elapsed);
                 for (flow, spent) in std::mem::take(&mut self.held) {
@@ -159,12 +202,20 @@
 /// Memory in use, as the system tells.
 fn resident() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * 4_096
+    statm
+        .split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok())
+        .unwrap_or(0)
+        * 4_096
 }
 
 fn state() {
     let arguments: Vec<String> = std::env::args().skip(2).collect();
-    let servers: u64 = arguments.first().and_then(|servers| servers.parse().ok()).unwrap_or(6_000);
+    let servers: u64 = arguments
+        .first()
+        .and_then(|servers| servers.parse().ok())
+        .unwrap_or(6_000);
     let whole = arguments.get(1).is_some_and(|way| way == "whole");
     let before = resident();
     let mut policy = balancer(7, 0, BALANCERS, whole);
@@ -174,7 +225,14 @@
     let listed = resident();
     for id in 0..OWN as FlowId {
         let group = Some(format!("g{}", id * 7 % GROUPS));
-        policy.inherit(&Flow { id, group, ..Flow::default() }, id % servers);
+        policy.inherit(
+            &Flow {
+                id,
+                group,
+                ..Flow::default()
+            },
+            id % servers,
+        );
     }
     println!(
         "{servers} servers: {} KB, {OWN} own connections: {} KB",
@@ -189,7 +247,9 @@
 }
 
 fn places() {
-    println!("servers  list        place us  all looks of a flow us  probes/s  after us  placed  refused");
+    println!(
+        "servers  list        place us  all looks of a flow us  probes/s  after us  placed  refused"
+    );
     for servers in [60, 200, 600, 3_000, 6_000, 12_000] {
         for whole in [true, false] {
             let mut driver = Driver::new(servers, whole);
@@ -225,9 +285,12 @@
         for whole in [true, false] {
             let mut rng = WyRand::new_seed(5);
             let list: Vec<Listed> = (0..servers).map(|rs| listed(rs, zones)).collect();
-            let mut fleet: Vec<Policy> =
-                (0..balancers).map(|seed| balancer(seed, seed % zones, balancers as f64, whole)).collect();
-            fleet.iter_mut().for_each(|policy| policy.list(T0, &list, true));
+            let mut fleet: Vec<Policy> = (0..balancers)
+                .map(|seed| balancer(seed, seed % zones, balancers as f64, whole))
+                .collect();
+            fleet
+                .iter_mut()
+                .for_each(|policy| policy.list(T0, &list, true));
             let mut held = vec![0.0; servers as usize];
             let mut of_group: BTreeMap<u64, std::collections::BTreeSet<Rs>> = BTreeMap::new();
             let (mut now, mut lost) = (T0, 0);
@@ -238,7 +301,12 @@
                 let policy = &mut fleet[rng.generate_range(0..balancers) as usize];
                 let group = rng.generate_range(0..groups);
                 let name = grouped.then(|| format!("g{group}"));
-                let mut flow = Flow { id, group: name, taken: now, ..Flow::default() };
+                let mut flow = Flow {
+                    id,
+                    group: name,
+                    taken: now,
+                    ..Flow::default()
+                };
                 flow.give_up = now + 2 * SEC;
                 let mut at = now;
                 let placed = loop {
@@ -259,14 +327,19 @@
             }
             let mean = held.iter().sum::<f64>() / servers as f64;
             let most = held.iter().copied().fold(0.0, f64::max);
-            let deviation = held.iter().map(|held| (held - mean).powi(2)).sum::<f64>() / servers as f64;
+            let deviation =
+                held.iter().map(|held| (held - mean).powi(2)).sum::<f64>() / servers as f64;
             println!(
                 "{:<6}  {}  {:>8.2}  {:>14.3}  {:>15.1}  {lost:>10}",
                 if grouped { "yes" } else { "none" },
                 if whole { "whole     " } else { "candidates" },
                 most / mean,
                 deviation.sqrt() / mean,
-                of_group.values().map(|servers| servers.len() as f64).sum::<f64>() / of_group.len() as f64,
+                of_group
+                    .values()
+                    .map(|servers| servers.len() as f64)
+                    .sum::<f64>()
+                    / of_group.len() as f64,
             );
         }
     }
@@ -277,7 +350,21 @@
     let mut asked = policy.after(now, Outcome::Elapsed).probe;
     while let Some(rs) = asked.pop() {
         let count = held[rs as usize];
-        let report = Report { beta: Some(count * each), connections: Some(count) };
-        asked.extend(policy.after(now, Outcome::Probed { rs, passed: true, report }).probe);
+        let report = Report {
+            beta: Some(count * each),
+            connections: Some(count),
+        };
+        asked.extend(
+            policy
+                .after(
+                    now,
+                    Outcome::Probed {
+                        rs,
+                        passed: true,
+                        report,
+                    },
+                )
+                .probe,
+        );
     }
 }
--- a/crates/policy/src/book.rs
+++ b/crates/policy/src/book.rs
@@ -39,18 +39,45 @@
         *self.by_customer.entry(flow.customer).or_default() += 1;
         self.by_rs.entry(rs).or_default().insert(flow.id);
         if let Some(group) = &group {
-            *self.by_group.entry(group.clone()).or_default().entry(rs).or_default() += 1;
+            *self
+                .by_group
+                .entry(group.clone())
+                .or_default()
+                .entry(rs)
+                .or_default() += 1;
         }
         if !established {
             self.out.insert(flow.id, (rs, now));
         }
-        let (&Flow { service_type, customer, .. }, moved, load, estimate) = (flow, false, None, None);
-        self.own
-            .insert(flow.id, Own { rs, service_type, customer, group, established, moved, load, estimate });
+        let (
+            &Flow {
+                service_type,
+                customer,
+                ..
+            },
+            moved,
+            load,
+            estimate,
+        ) = (flow, false, None, None);
+        self.own.insert(
+            flow.id,
+            Own {
+                rs,
+                service_type,
+                customer,
+                group,
+                established,
+                moved,
+                load,
+                estimate,
+            },
+        );
     }
 
     pub(crate) fn told(&mut self, flow: FlowId, load: f64) {
-        let Some(own) = self.own.get_mut(&flow) else { return };
+        let Some(own) = self.own.get_mut(&flow) else {
+            return;
+        };
         let (count, sum) = self.told.entry(own.service_type).or_default();
         *count += if own.load.is_none() { 1.0 } else { 0.0 };
         *sum += load - own.load.replace(load).unwrap_or(0.0);
@@ -66,7 +93,11 @@
     pub(crate) fn strike(&mut self, flow: FlowId) -> Option<Own> {
         let own = self.own.remove(&flow)?;
         self.out.remove(&flow);
-        if self.by_rs.get_mut(&own.rs).is_some_and(|here| here.remove(&flow) && here.is_empty()) {
+        if self
+            .by_rs
+            .get_mut(&own.rs)
+            .is_some_and(|here| here.remove(&flow) && here.is_empty())
+        {
             self.by_rs.remove(&own.rs);
         }
         less(&mut self.by_customer, &own.customer);
--- a/crates/policy/src/holders.rs
+++ b/crates/policy/src/holders.rs
@@ -34,18 +34,26 @@
 
     /// Notes that the server holds the group.
     pub(crate) fn note(&mut self, now: Time, word: Holds) {
-        self.told.entry(word.group).or_default().insert(word.rs, now);
+        self.told
+            .entry(word.group)
+            .or_default()
+            .insert(word.rs, now);
     }
 
     /// Drops what isn't told again, so that groups that are no more take no room.
     pub(crate) fn sweep(&mut self, now: Time) {
-        self.told.values_mut().for_each(|servers| servers.retain(|_, at| now < *at + 2 * REPEAT_AFTER));
+        self.told
+            .values_mut()
+            .for_each(|servers| servers.retain(|_, at| now < *at + 2 * REPEAT_AFTER));
         self.told.retain(|_, servers| !servers.is_empty());
     }
 
     /// Whether it was told so lately that it needn't be told again.
     pub(crate) fn fresh(&self, now: Time, word: Holds) -> bool {
-        let at = self.told.get(&word.group).and_then(|servers| servers.get(&word.rs));
+        let at = self
+            .told
+            .get(&word.group)
+            .and_then(|servers| servers.get(&word.rs));
         at.is_some_and(|at| now < at + REPEAT_AFTER)
     }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -119,7 +119,14 @@
     /// The slot of the budget for cold servers, and how many connects it was sent in it.
     fn sent_as_cold(&self, now: Time) -> (Time, u64) {
         let slot = (now + self.phase) / SLOT;
-        (slot, if self.sent_cold.0 == slot { self.sent_cold.1 } else { 0 })
+        (
+            slot,
+            if self.sent_cold.0 == slot {
+                self.sent_cold.1
+            } else {
+                0
+            },
+        )
     }
 }
 
@@ -206,7 +213,11 @@
     }
 
     fn widen(&mut self) {
-        self.width += if self.width < self.steady { 1.0 } else { 1.0 / self.width };
+        self.width += if self.width < self.steady {
+            1.0
+        } else {
+            1.0 / self.width
+        };
     }
 
     /// Once a round at most, since the connects of one round fail together.
@@ -231,7 +242,12 @@
             margin: 10 * MS,
             every: PROBE_EVERY,
             cold: (0.1, 30 * SEC, 1.0),
-            window: Window { calm: CALM, width: CALM, steady: f64::INFINITY, narrowed: 0 },
+            window: Window {
+                calm: CALM,
+                width: CALM,
+                steady: f64::INFINITY,
+                narrowed: 0,
+            },
             they_move: true,
             whole_list: WHOLE_LIST,
             salt: hash(seed),
@@ -243,16 +259,26 @@
     pub fn change(&mut self, new: Policy) {
         let old = std::mem::replace(self, new);
         (self.rng, self.servers, self.book) = (old.rng, old.servers, old.book);
-        self.window = Window { calm: self.window.calm, ..old.window };
+        self.window = Window {
+            calm: self.window.calm,
+            ..old.window
+        };
         (self.settled, self.began, self.cold_until) = (old.settled, old.began, old.cold_until);
-        (self.every, self.sparse, self.next_probe) = (old.every, old.sparse && self.probes, old.next_probe);
+        (self.every, self.sparse, self.next_probe) =
+            (old.every, old.sparse && self.probes, old.next_probe);
         (self.held, self.look, self.least) = (old.held, old.look, old.least);
         (self.holders, self.leaving) = (old.holders, old.leaving);
         (self.long, self.salt, self.draining) = (old.long, old.salt, old.draining);
     }
 
     /// How many connects a flow may have, and how long before its connect timeout we answer.
-    pub fn connects(mut self, most: usize, margin: Time, second_copies: bool, may_call_off: bool) -> Self {
+    pub fn connects(
+        mut self,
+        most: usize,
+        margin: Time,
+        second_copies: bool,
+        may_call_off: bool,
+    ) -> Self {
         (self.max_connects, self.margin) = (most.max(1), margin);
         (self.second_copies, self.may_call_off) = (second_copies, may_call_off);
         self
@@ -292,7 +318,11 @@
 
     /// A cold server has this share of its capacity, is warm after so long and falls at so many times it in a window.
     pub fn cold(mut self, start: f64, warm_up: Time, multiple: f64, window: Time) -> Self {
-        self.cold = (start, warm_up, multiple * window as f64 / (window + SLOT) as f64);
+        self.cold = (
+            start,
+            warm_up,
+            multiple * window as f64 / (window + SLOT) as f64,
+        );
         self
     }
 
@@ -306,8 +336,16 @@
     pub fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
         for server in self.servers.values_mut() {
             // Also where a whole list tells of the drain.
-            server.drains = if server.listed.state == State::Ready { now } else { server.drains };
-            server.listed.state = if whole { State::Gone } else { server.listed.state };
+            server.drains = if server.listed.state == State::Ready {
+                now
+            } else {
+                server.drains
+            };
+            server.listed.state = if whole {
+                State::Gone
+            } else {
+                server.listed.state
+            };
         }
         for entry in entries {
             if entry.started > 0 {
@@ -331,13 +369,19 @@
         }
         self.follow(entries, whole);
         let book = &self.book;
-        self.servers.retain(|rs, server| server.listed.state != State::Gone || book.at(*rs) > 0.0);
-        let draining = self.servers.values().filter(|server| server.listed.state == State::Draining);
+        self.servers
+            .retain(|rs, server| server.listed.state != State::Gone || book.at(*rs) > 0.0);
+        let draining = self
+            .servers
+            .values()
+            .filter(|server| server.listed.state == State::Draining);
         self.draining = draining.map(|server| server.listed.rs).collect();
         let drains = !self.drained(now).is_empty();
         self.leaving = self.leaving.or(drains.then_some(now + LEAVE));
         // Not put off: guards against a list that changes many times a second and probes that never come due.
-        self.next_probe = self.due(now).map(|due| self.next_probe.map_or(due, |at| at.min(due)));
+        self.next_probe = self
+            .due(now)
+            .map(|due| self.next_probe.map_or(due, |at| at.min(due)));
     }
 
     /// Keeps what the news say of a long list.
@@ -347,10 +391,19 @@
             return;
         }
         let all = || self.servers.values().map(|server| server.listed).collect();
-        let news: Vec<Listed> = if whole || known.is_none() { all() } else { entries.to_vec() };
+        let news: Vec<Listed> = if whole || known.is_none() {
+            all()
+        } else {
+            entries.to_vec()
+        };
         let mut long = known.unwrap_or_default();
         for entry in news {
-            long.update(entry.rs, entry.hall, entry.weight, entry.state == State::Ready);
+            long.update(
+                entry.rs,
+                entry.hall,
+                entry.weight,
+                entry.state == State::Ready,
+            );
         }
         (self.long, self.sparse) = (Some(long), self.probes);
     }
@@ -359,7 +412,10 @@
     fn scope(&self, flow: &Flow, far: bool) -> Option<Vec<Rs>> {
         let long = self.long.as_ref()?;
         let group = flow.group.as_ref();
-        let holders = group.and_then(|group| self.book.by_group.get(group)).into_iter().flatten();
+        let holders = group
+            .and_then(|group| self.book.by_group.get(group))
+            .into_iter()
+            .flatten();
         let key = group.map_or_else(|| hash(self.salt ^ flow.id), |group| hash_name(group));
         Some(long.scope(key, self.hall, far, holders))
     }
@@ -393,7 +449,8 @@
         self.began.get_or_insert(now);
         let left = flow.give_up.saturating_sub(now + self.margin);
         let two_out = !self.second_copies && flow.connects.iter().any(|c| c.out);
-        let jammed = self.window.width < self.window.calm && flow.connects.iter().any(|c| !c.never_ran);
+        let jammed =
+            self.window.width < self.window.calm && flow.connects.iter().any(|c| !c.never_ran);
         if left == 0 || two_out || jammed || flow.connects.len() >= self.max_connects {
             return self.give_up(now, flow);
         }
@@ -410,14 +467,22 @@
         }
         // Rule 4: cold servers only within our part of their budget. The pace walks a long list once a second.
         if self.long.is_none() || now >= self.paced.0 + SEC {
-            self.paced = (now, if now < self.cold_until { self.pace(now) } else { BTreeMap::new() });
+            self.paced = (
+                now,
+                if now < self.cold_until {
+                    self.pace(now)
+                } else {
+                    BTreeMap::new()
+                },
+            );
         }
         // Guards against a flow whose candidates are all away or full: further ones, then the whole list.
         let mut choice = self.choose(now, flow, worth, self.scope(flow, self.tells).as_deref());
         if choice.among.is_empty() && self.long.is_some() {
             choice = self.choose(now, flow, worth, self.scope(flow, true).as_deref());
         }
-        let whole = choice.among.is_empty() && self.long.as_mut().is_some_and(|long| long.may_walk(now));
+        let whole =
+            choice.among.is_empty() && self.long.as_mut().is_some_and(|long| long.may_walk(now));
         if whole {
             choice = self.choose(now, flow, worth, None);
         }
@@ -427,19 +492,34 @@
             self.least = (now, least);
         }
         // When many wait the figures that there are must do: looking at all of them again costs too much.
-        let waits = now < flow.taken + self.service_type(flow).setup_target && left > 2 * LOOK_AGAIN;
+        let waits =
+            now < flow.taken + self.service_type(flow).setup_target && left > 2 * LOOK_AGAIN;
         let asks = !ask.is_empty() && !self.crowded() && waits;
-        if asks && self.long.as_mut().is_none_or(|long| long.probes.pay(now, ask.len())) {
+        if asks
+            && self
+                .long
+                .as_mut()
+                .is_none_or(|long| long.probes.pay(now, ask.len()))
+        {
             return self.ask(now, &ask);
         }
-        let Some(rs) = self.turn(&among) else { return self.hold(now, flow) };
+        let Some(rs) = self.turn(&among) else {
+            return self.hold(now, flow);
+        };
         let server = self.servers.get_mut(&rs).expect("a listed server");
         let (slot, sent) = server.sent_as_cold(now);
         server.sent_cold = (slot, sent + 1);
         server.placed.push_back(now);
         self.book.enter(now, flow, rs, false);
         // All the time that is left: a connect that was given up has cost the store its call all the same.
-        Place::To(rs, left, left.min(self.send_by(flow).saturating_sub(now + self.margin + HELD_UP)))
+        Place::To(
+            rs,
+            left,
+            left.min(
+                self.send_by(flow)
+                    .saturating_sub(now + self.margin + HELD_UP),
+            ),
+        )
     }
 
     /// Looks at these servers, or at all, for where the flow may go.
@@ -448,26 +528,41 @@
         let listed: Vec<&Server> = scope.map_or_else(|| self.servers.values().collect(), of_scope);
         let part = listed.len() as f64 / self.servers.len().max(1) as f64;
         // Rules 2 and 3: only ready servers, and only where a repeat can do no harm.
-        let allowed = listed.into_iter().filter(|server| self.may_send(now, flow, server));
+        let allowed = listed
+            .into_iter()
+            .filter(|server| self.may_send(now, flow, server));
         let has_budget = |server: &Server| self.cold_budget(now, server, &self.paced.1) > 0;
         let warm = allowed.filter(|server| self.warmth(now, server) >= 1.0 || has_budget(server));
         // Each server with its figure: worked out once for a flow, as this is most of what a flow costs us.
-        let warm: Vec<Seen> = warm.map(|server| (server, self.beta(now, server))).collect();
+        let warm: Vec<Seen> = warm
+            .map(|server| (server, self.beta(now, server)))
+            .collect();
         // Guards against one server that answers nothing and soon holds all connects that may be in flight.
         let target = self.service_type(flow).setup_target;
         let late = self.book.out.values().filter(|(_, at)| at + target < now);
         let overdue: BTreeSet<Rs> = late.map(|(rs, _)| *rs).collect();
         let answers = |rs: Rs| !flow.connects.iter().any(|c| c.rs == rs) && !overdue.contains(&rs);
-        let healthy = prefer(warm, |server| self.healthy(now, server) && answers(server.listed.rs));
+        let healthy = prefer(warm, |server| {
+            self.healthy(now, server) && answers(server.listed.rs)
+        });
         let number = healthy.len().max(1) as f64;
-        let own_there = |_| healthy.iter().map(|(server, _)| self.book.at(server.listed.rs)).sum();
+        let own_there = |_| {
+            healthy
+                .iter()
+                .map(|(server, _)| self.book.at(server.listed.rs))
+                .sum()
+        };
         let mean_own = scope.map_or(self.book.own.len() as f64, own_there) / number;
         let unknown = |server: &Server| self.stale(now, server, OLD);
         let (mut sum, mut count, mut placed, mut roomy) = (0.0, 0.0, 0, 0.0);
         for (server, beta) in &healthy {
             placed += server.placed.len();
             (sum, count) = beta.map_or((sum, count), |beta| (sum + beta, count + 1.0));
-            roomy += if beta.is_some_and(|beta| beta < FULL) || unknown(server) { 1.0 } else { 0.0 };
+            roomy += if beta.is_some_and(|beta| beta < FULL) || unknown(server) {
+                1.0
+            } else {
+                0.0
+            };
         }
         let mean = sum / f64::max(count, 1.0);
         // What we placed lately counts at once, as two mean connections since it is set up and may bring its
@@ -486,9 +581,14 @@
             () => (self.balancers - 1.0) * lately,
         };
         let expected = |(server, beta): &Seen| {
-            beta.map_or(mean, |beta| beta + each * (server.placed.len() as f64 + theirs))
+            beta.map_or(mean, |beta| {
+                beta + each * (server.placed.len() as f64 + theirs)
+            })
         };
-        let holders = flow.group.as_ref().and_then(|group| self.book.by_group.get(group));
+        let holders = flow
+            .group
+            .as_ref()
+            .and_then(|group| self.book.by_group.get(group));
         // Guards against servers that drop what they hold since more and more is placed on them, and, as
         // holders of the flow's group take more, against common work that is paid for on every server.
         let name = flow.group.as_ref().map_or(0, |group| hash_name(group));
@@ -501,12 +601,18 @@
         // of servers for it, whose first is its home, with room but for a few more on the same figure.
         let rank = |server: &Server| hash(name ^ server.listed.rs);
         let alone = flow.group.is_some() && holders.is_none() && !told;
-        let homes = healthy.iter().filter(|(server, _)| alone && is_near(server));
-        let home = homes.min_by_key(|(server, _)| rank(server)).map(|(server, _)| server.listed.rs);
+        let homes = healthy
+            .iter()
+            .filter(|(server, _)| alone && is_near(server));
+        let home = homes
+            .min_by_key(|(server, _)| rank(server))
+            .map(|(server, _)| server.listed.rs);
         let room = |server: &Server| match () {
             () if returns => T_H.min(worth + mean.clamp(NEW, FULL)),
             () if holds(server) => T_H.min(worth + FULL),
-            () if home == Some(server.listed.rs) => T_H.min(worth + (T_H - SPARE * each).clamp(NEW, FULL)),
+            () if home == Some(server.listed.rs) => {
+                T_H.min(worth + (T_H - SPARE * each).clamp(NEW, FULL))
+            }
             // Where no loads are told nothing brings more for its load than the rest.
             () if told && self.book.told.is_empty() => NEW,
             () => T_H.min(worth + NEW),
@@ -520,23 +626,42 @@
         // Guards against the few that one of hundreds of balancers holds being taken for too many.
         let slack = if self.tells { FEWEST } else { 1.0 };
         // Some are candidates more often than others: the rotation alone would give them more flows.
-        let times = if flow.group.is_none() && scope.is_some() { 1.0 } else { 1.5 };
-        let mut kin = prefer(open, |server| self.book.at(server.listed.rs) <= times * mean_own + slack);
+        let times = if flow.group.is_none() && scope.is_some() {
+            1.0
+        } else {
+            1.5
+        };
+        let mut kin = prefer(open, |server| {
+            self.book.at(server.listed.rs) <= times * mean_own + slack
+        });
         // A crossing is paid for once, a group's common work on each server as long as it holds any.
         kin = if self.tells { prefer(kin, holds) } else { kin };
         kin = prefer(prefer(kin, is_near), holds);
         // The one whose turn it is, or, for a group that needs a server, the roomiest of a few.
         let next = |server: &Server| server.turn + usable_weight(server.listed.weight);
-        let mut ask =
-            kin.iter().copied().max_by(|a, b| next(a.0).total_cmp(&next(b.0))).into_iter().collect();
+        let mut ask = kin
+            .iter()
+            .copied()
+            .max_by(|a, b| next(a.0).total_cmp(&next(b.0)))
+            .into_iter()
+            .collect();
         if flow.group.is_some() && !kin.iter().any(|(server, _)| holds(server)) {
             kin.sort_by_key(|(server, _)| rank(server));
-            kin.truncate(if self.tells { CHOICE } else { 1 + usize::from(scope.is_some()) });
+            kin.truncate(if self.tells {
+                CHOICE
+            } else {
+                1 + usize::from(scope.is_some())
+            });
             ask = std::mem::take(&mut kin);
-            kin.extend(ask.iter().copied().min_by(|a, b| expected(a).total_cmp(&expected(b))));
+            kin.extend(
+                ask.iter()
+                    .copied()
+                    .min_by(|a, b| expected(a).total_cmp(&expected(b))),
+            );
         }
         ask.retain(|(server, _)| self.stale(now, server, FRESH));
-        let [ask, among] = [ask, kin].map(|of| of.iter().map(|(s, _)| s.listed.rs).collect::<Vec<Rs>>());
+        let [ask, among] =
+            [ask, kin].map(|of| of.iter().map(|(s, _)| s.listed.rs).collect::<Vec<Rs>>());
         Choice { ask, among, least }
     }
 
@@ -548,7 +673,10 @@
                 if let Some(rs) = self.book.established(flow) {
                     todo.tell = self.tell(now, flow, rs);
                     self.window.widen();
-                    let warm = self.servers.get(&rs).is_some_and(|server| self.warmth(now, server) >= 1.0);
+                    let warm = self
+                        .servers
+                        .get(&rs)
+                        .is_some_and(|server| self.warmth(now, server) >= 1.0);
                     if let Some(server) = self.servers.get_mut(&rs) {
                         server.failed.clear();
                         server.last_established = now;
@@ -558,18 +686,32 @@
                     self.settled.drain(..old);
                 }
             }
-            Outcome::Ended { flow, rs, end, owed } => {
+            Outcome::Ended {
+                flow,
+                rs,
+                end,
+                owed,
+            } => {
                 let own = self.book.strike(flow);
                 let setting_up = own.as_ref().is_some_and(|own| !own.established);
                 self.they_move |=
                     end == End::CalledOff && own.is_some_and(|own| own.established && !own.moved);
                 let shared = matches!(end, End::TimedOut | End::Error);
-                if shared && self.servers.get(&rs).is_some_and(|server| self.healthy(now, server)) {
+                if shared
+                    && self
+                        .servers
+                        .get(&rs)
+                        .is_some_and(|server| self.healthy(now, server))
+                {
                     self.window.narrow(now);
                 }
                 if let Some(server) = self.servers.get_mut(&rs).filter(|_| setting_up) {
                     server.placed.pop_back();
-                    server.refused = if end == End::Full { Some(now) } else { server.refused };
+                    server.refused = if end == End::Full {
+                        Some(now)
+                    } else {
+                        server.refused
+                    };
                     if shared || matches!(end, End::Unreachable | End::Full | End::Cut) {
                         keep(&mut server.failed, now);
                     }
@@ -578,12 +720,15 @@
             }
             Outcome::Left { flow } => {
                 let in_flight = self.book.own.get(&flow).is_some_and(|own| !own.established);
-                todo.call_off.extend((self.may_call_off && in_flight).then_some(flow));
+                todo.call_off
+                    .extend((self.may_call_off && in_flight).then_some(flow));
             }
             Outcome::Probed { rs, passed, report } => {
                 self.pending = 0;
                 let waits = self.sparse && self.held > 0;
-                self.look = self.look.or(waits.then_some(now + self.gather().min(LOOK_AGAIN)));
+                self.look = self
+                    .look
+                    .or(waits.then_some(now + self.gather().min(LOOK_AGAIN)));
                 if let Some(server) = self.servers.get_mut(&rs) {
                     server.answered = now;
                     if passed {
@@ -601,7 +746,10 @@
                         server.reports.truncate(SAMPLES - 1);
                         server.reports.insert(0, (now, beta));
                         server.placed.retain(|at| at + REPORT_AGE > now);
-                        let each = report.connections.filter(|count| *count >= 1.0).map(|count| beta / count);
+                        let each = report
+                            .connections
+                            .filter(|count| *count >= 1.0)
+                            .map(|count| beta / count);
                         for flow in self.book.by_rs.get(&rs).into_iter().flatten() {
                             let own = self.book.own.get_mut(flow).expect("our connection");
                             own.estimate = own.estimate.or(each);
@@ -613,16 +761,27 @@
             Outcome::Elapsed => (self.held, self.look) = (0, self.look.filter(|at| *at > now)),
         }
         if self.next_probe.is_some_and(|at| at <= now) {
-            todo.probe = if self.long.is_some() { self.probe_some(now) } else { self.probe_due(now) };
+            todo.probe = if self.long.is_some() {
+                self.probe_some(now)
+            } else {
+                self.probe_due(now)
+            };
             self.next_probe = self.due(now);
         }
         if self.leaving.is_some_and(|at| at <= now) {
             let drained = self.drained(now);
             self.leaving = (!drained.is_empty()).then_some(now + LOOK_AGAIN);
             let mut goes = |chance| self.rng.0.generate::<f64>() < chance;
-            todo.shift.extend(drained.into_iter().filter(|(_, chance)| goes(*chance)).map(|(flow, _)| flow));
+            todo.shift.extend(
+                drained
+                    .into_iter()
+                    .filter(|(_, chance)| goes(*chance))
+                    .map(|(flow, _)| flow),
+            );
         }
-        todo.shift.iter().for_each(|flow| self.book.own.get_mut(flow).expect("our connection").moved = true);
+        todo.shift
+            .iter()
+            .for_each(|flow| self.book.own.get_mut(flow).expect("our connection").moved = true);
         todo.ask_list = self.next_ask.take_if(|at| *at <= now).is_some();
         todo
     }
@@ -632,7 +791,11 @@
         let mut probes = Vec::new();
         let paid = self.probe_every(now, self.servers.len());
         self.sparse = self.probes && paid > SPARSE;
-        let paid = if self.sparse { self.probe_every(now, self.book.by_rs.len()) } else { paid };
+        let paid = if self.sparse {
+            self.probe_every(now, self.book.by_rs.len())
+        } else {
+            paid
+        };
         self.every = paid.clamp(PROBE_EVERY, PROBE_BOUND);
         for server in self.servers.values_mut() {
             if server.next_probe <= now && server.listed.state == State::Ready {
@@ -651,24 +814,47 @@
 
     /// On a long list: as many as the budget allows.
     fn probe_some(&mut self, now: Time) -> Vec<Rs> {
-        let Some(long) = self.long.as_mut() else { return Vec::new() };
-        let ready = |rs| self.servers.get(&rs).filter(|server| server.listed.state == State::Ready);
+        let Some(long) = self.long.as_mut() else {
+            return Vec::new();
+        };
+        let ready = |rs| {
+            self.servers
+                .get(&rs)
+                .filter(|server| server.listed.state == State::Ready)
+        };
         let last_figure = |rs| ready(rs).map(|server| server.answered.max(server.asked));
-        let probes = long.probes.next(now, &self.book.by_rs, BTreeSet::len, last_figure);
-        probes.iter().for_each(|rs| _ = self.servers.entry(*rs).and_modify(|server| server.asked = now));
+        let probes = long
+            .probes
+            .next(now, &self.book.by_rs, BTreeSet::len, last_figure);
+        probes.iter().for_each(|rs| {
+            _ = self
+                .servers
+                .entry(*rs)
+                .and_modify(|server| server.asked = now)
+        });
         probes
     }
 
     /// How long to wait for the next outcome at most.
     pub fn wait(&self, now: Time) -> Option<Time> {
         let held = (self.held > 0).then_some(now + LOOK_AGAIN.max(self.gather()));
-        let all = [self.next_probe, self.next_ask, held, self.leaving, self.look];
-        all.into_iter().flatten().min().map(|at| at.saturating_sub(now))
+        let all = [
+            self.next_probe,
+            self.next_ask,
+            held,
+            self.leaving,
+            self.look,
+        ];
+        all.into_iter()
+            .flatten()
+            .min()
+            .map(|at| at.saturating_sub(now))
     }
 
     /// How long answers are gathered before the next look at all that is held: each looks at all servers.
     fn gather(&self) -> Time {
-        (TOGETHER * (self.held * self.servers.len().min(self.whole_list)) as Time).min(2 * LOOK_AGAIN)
+        (TOGETHER * (self.held * self.servers.len().min(self.whole_list)) as Time)
+            .min(2 * LOOK_AGAIN)
     }
 
     /// Whether we have started lately, from nothing: all that we hold was made since.
@@ -679,12 +865,20 @@
 
     /// The probe interval: as long as keeps probes within their worth, by how many of our flows come to them.
     fn probe_every(&self, now: Time, servers: usize) -> Time {
-        let settled = self.settled.iter().filter(|(at, _)| at + RATE_SPAN >= now).count();
+        let settled = self
+            .settled
+            .iter()
+            .filter(|(at, _)| at + RATE_SPAN >= now)
+            .count();
         // Until a span has passed, what was inherited tells: connections live for three. Where nothing was, our
         // part of what servers hold: guards against figures that stand for 10 s, and hundreds that expect eight.
         let young = self.began.is_none_or(|began| now < began + RATE_SPAN);
         let part = (FEWEST * (self.servers.len() as f64 / self.balancers).min(1.0)) as usize;
-        let expected = if self.afresh(now) { part } else { self.book.own.len() / 3 };
+        let expected = if self.afresh(now) {
+            part
+        } else {
+            self.book.own.len() / 3
+        };
         let flows = settled.max(if young { expected } else { 1 }).max(1);
         let probes = PROBES_WORTH * flows as f64 / self.probe_price.max(f64::MIN_POSITIVE);
         (RATE_SPAN as f64 * servers as f64 / probes) as Time
@@ -695,14 +889,27 @@
         if self.long.is_some() {
             return self.probes.then_some(now + ROUND);
         }
-        let ready = self.servers.values().filter(|s| self.probes && s.listed.state == State::Ready);
+        let ready = self
+            .servers
+            .values()
+            .filter(|s| self.probes && s.listed.state == State::Ready);
         // Probes that are nearly due go out together: each look walks all servers.
-        ready.map(|server| server.next_probe).min().map(|at| at.max(now + ROUND / 2))
+        ready
+            .map(|server| server.next_probe)
+            .min()
+            .map(|at| at.max(now + ROUND / 2))
     }
 
     fn service_type(&self, flow: &Flow) -> ServiceType {
-        let unknown = ServiceType { setup_target: 0, value: 0.0, repeat: Repeat::OnceOnly };
-        self.service_types.get(flow.service_type).copied().unwrap_or(unknown)
+        let unknown = ServiceType {
+            setup_target: 0,
+            value: 0.0,
+            repeat: Repeat::OnceOnly,
+        };
+        self.service_types
+            .get(flow.service_type)
+            .copied()
+            .unwrap_or(unknown)
     }
 
     /// Not yet, while the setup target may still be met and few wait; else never.
@@ -728,7 +935,10 @@
             if server.asked + LOST < now {
                 (server.asked, server.next_probe, self.next_probe) = (now, now, Some(now));
                 self.pending = now + LOOK_AGAIN;
-                self.long.as_mut().into_iter().for_each(|long| long.probes.want(*rs));
+                self.long
+                    .as_mut()
+                    .into_iter()
+                    .for_each(|long| long.probes.want(*rs));
             }
         }
         self.held += 1;
@@ -743,7 +953,14 @@
 
     /// What the others should know of this connection.
     fn tell(&mut self, now: Time, flow: FlowId, rs: Rs) -> Option<Holds> {
-        let group = hash_name(self.book.own.get(&flow)?.group.as_ref().filter(|_| self.tells)?) as u16;
+        let group = hash_name(
+            self.book
+                .own
+                .get(&flow)?
+                .group
+                .as_ref()
+                .filter(|_| self.tells)?,
+        ) as u16;
         let word = Holds { group, rs };
         if self.holders.fresh(now, word) {
             return None;
@@ -760,10 +977,23 @@
         let (mut load, mut value) = (0.0, 0.0);
         for (service_type, (count, sum)) in &self.book.told {
             load += sum;
-            value += self.service_types.get(*service_type).map_or(0.0, |known| known.value * count);
+            value += self
+                .service_types
+                .get(*service_type)
+                .map_or(0.0, |known| known.value * count);
         }
-        let (count, sum) = self.book.told.get(&flow.service_type).copied().unwrap_or((0.0, 0.0));
-        let held = self.book.by_customer.get(&flow.customer).copied().unwrap_or(0) as f64;
+        let (count, sum) = self
+            .book
+            .told
+            .get(&flow.service_type)
+            .copied()
+            .unwrap_or((0.0, 0.0));
+        let held = self
+            .book
+            .by_customer
+            .get(&flow.customer)
+            .copied()
+            .unwrap_or(0) as f64;
         let share = self.shares.get(flow.customer).copied().unwrap_or(1.0);
         let over = held > OVER * share * self.book.own.len() as f64;
         let own = self.service_type(flow).value * if over { self.surplus } else { 1.0 };
@@ -775,16 +1005,24 @@
     fn give_up(&mut self, now: Time, flow: &Flow) -> Place {
         let may_have_run = flow.connects.iter().any(|c| !c.never_ran);
         // Guards against a client that is sent back when servers have forgotten what it asked for.
-        let remembered = self.send_by(flow).saturating_sub(now + self.margin + HELD_UP);
+        let remembered = self
+            .send_by(flow)
+            .saturating_sub(now + self.margin + HELD_UP);
         match self.service_type(flow).repeat {
             Repeat::OnceOnly if may_have_run => return Place::Abort,
-            Repeat::Referenced(scope, _) if may_have_run && scope != Scope::All => return Place::Abort,
+            Repeat::Referenced(scope, _) if may_have_run && scope != Scope::All => {
+                return Place::Abort;
+            }
             Repeat::Referenced(..) if remembered == 0 => return Place::Abort,
             _ => {}
         }
         // Spread, lest clients rejected together come again together; in a jam as late as settings allow.
         Place::Reject(self.come_back.map(|most| {
-            let most = if self.window.width < self.window.calm { most } else { most.min(SEC) };
+            let most = if self.window.width < self.window.calm {
+                most
+            } else {
+                most.min(SEC)
+            };
             let most = most.min(remembered);
             self.rng.0.generate_range(most / 8..=most)
         }))
@@ -801,8 +1039,9 @@
             Repeat::OnceOnly => ran.next().is_none(),
             Repeat::Referenced(scope, _) => {
                 let first = |c: &Connect| self.servers.get(&c.rs).map(|first| first.listed);
-                let same =
-                    |c| scope == Scope::All || first(c).is_some_and(|l| scope.same(&l, &server.listed));
+                let same = |c| {
+                    scope == Scope::All || first(c).is_some_and(|l| scope.same(&l, &server.listed))
+                };
                 // The margin covers the way to the server.
                 now + self.margin + HELD_UP < self.send_by(flow) && ran.all(same)
             }
@@ -812,15 +1051,21 @@
     /// Until when a connect may be sent: a referenced flow's while servers know all that may have run. Guards
     /// against a repeat that is placed in time and whose connection comes up late.
     fn send_by(&self, flow: &Flow) -> Time {
-        let Repeat::Referenced(_, window) = self.service_type(flow).repeat else { return Time::MAX };
+        let Repeat::Referenced(_, window) = self.service_type(flow).repeat else {
+            return Time::MAX;
+        };
         let ran = flow.connects.iter().filter(|c| !c.never_ran);
-        ran.map(|c| c.at.saturating_add(window)).min().unwrap_or(Time::MAX)
+        ran.map(|c| c.at.saturating_add(window))
+            .min()
+            .unwrap_or(Time::MAX)
     }
 
     /// Whether a server answers: not resting after failed connects, nor silent to probes and flows alike.
     fn healthy(&self, now: Time, server: &Server) -> bool {
-        let resting =
-            server.failed.back().is_some_and(|last| now < last + (REST << server.failed.len().min(4)));
+        let resting = server
+            .failed
+            .back()
+            .is_some_and(|last| now < last + (REST << server.failed.len().min(4)));
         // A broken probe path alone tells nothing while flows are established.
         let silent = server.unprobed.len() >= 2 && server.last_established < server.unprobed[0];
         !resting && !silent
@@ -842,7 +1087,11 @@
         let (start, warm_up, _) = self.cold;
         let age = now.saturating_sub(server.listed.started);
         let warm = server.listed.started == 0 || age >= warm_up;
-        if warm { 1.0 } else { start + (1.0 - start) * age as f64 / warm_up as f64 }
+        if warm {
+            1.0
+        } else {
+            start + (1.0 - start) * age as f64 / warm_up as f64
+        }
     }
 
     /// For each kind of machine what a warm server takes of ours, in connects a nanosecond: half of what warm ones
@@ -850,31 +1099,51 @@
     /// establishes too few. Where one refuses, the lower of both: guards against a jam, in which the few warm ones
     /// hold all that there is, or take and drop the same clients again and again, and all turn to cold ones.
     fn pace(&self, now: Time) -> BTreeMap<u64, f64> {
-        let span = now.saturating_sub(self.began.unwrap_or(now)).clamp(SEC, RATE_SPAN);
+        let span = now
+            .saturating_sub(self.began.unwrap_or(now))
+            .clamp(SEC, RATE_SPAN);
         let mut kinds: BTreeMap<u64, (f64, f64, f64, bool)> = BTreeMap::new();
         let (mut sum, mut count) = (0.0, 0.0);
-        let is_warm =
-            |server: &Server| server.listed.state == State::Ready && self.warmth(now, server) >= 1.0;
+        let is_warm = |server: &Server| {
+            server.listed.state == State::Ready && self.warmth(now, server) >= 1.0
+        };
         for server in self.servers.values() {
             if is_warm(server) {
                 let (warm, held, _, refuses) = kinds.entry(server.listed.machine).or_default();
                 (*warm, *held) = (*warm + 1.0, *held + self.book.at(server.listed.rs));
                 *refuses |= server.refused.is_some_and(|at| now < at + span);
-                (sum, count) = self.beta(now, server).map_or((sum, count), |b| (sum + b, count + 1.0));
+                (sum, count) = self
+                    .beta(now, server)
+                    .map_or((sum, count), |b| (sum + b, count + 1.0));
             }
         }
         for (_, rs) in self.settled.iter().filter(|(at, _)| at + span >= now) {
             let warm = self.servers.get(rs).filter(|server| is_warm(server));
-            warm.into_iter()
-                .for_each(|server| kinds.entry(server.listed.machine).or_default().2 += 0.5 / span as f64);
+            warm.into_iter().for_each(|server| {
+                kinds.entry(server.listed.machine).or_default().2 += 0.5 / span as f64
+            });
         }
-        let load = if count > 0.0 { (sum / count).clamp(0.25, 1.0) } else { 1.0 };
-        let (out, time) = (self.book.out.len() as f64, self.cold.1.max(SEC) as f64 / FILLS);
+        let load = if count > 0.0 {
+            (sum / count).clamp(0.25, 1.0)
+        } else {
+            1.0
+        };
+        let (out, time) = (
+            self.book.out.len() as f64,
+            self.cold.1.max(SEC) as f64 / FILLS,
+        );
         let each = |(warm, held, settled, refuses): (f64, f64, f64, bool)| {
             let fills = (held - out).max(0.0) / load / time;
-            (if refuses { settled.min(fills) } else { settled.max(fills) }) / warm.max(1.0)
+            (if refuses {
+                settled.min(fills)
+            } else {
+                settled.max(fills)
+            }) / warm.max(1.0)
         };
-        kinds.into_iter().map(|(machine, kind)| (machine, each(kind))).collect()
+        kinds
+            .into_iter()
+            .map(|(machine, kind)| (machine, each(kind)))
+            .collect()
     }
 
     /// Connects that may still go to a cold server in this slot: on average what the pace gives, rounded up or down
@@ -898,7 +1167,10 @@
             total += weight;
         }
         let turn = |rs: &Rs| self.servers[rs].turn;
-        let first = among.iter().copied().reduce(|a, b| if turn(&b) > turn(&a) { b } else { a })?;
+        let first = among
+            .iter()
+            .copied()
+            .reduce(|a, b| if turn(&b) > turn(&a) { b } else { a })?;
         self.servers.get_mut(&first)?.turn -= total;
         Some(first)
     }
@@ -910,14 +1182,27 @@
         let cool = |server: &Server| self.beta(now, server).is_none_or(|beta| beta < NEW);
         let mut looked_at = self.servers.values().take(self.whole_list);
         let room = looked_at.any(|server| server.listed.state == State::Ready && cool(server));
-        let drains = self.draining.iter().filter(|_| !self.they_move).filter_map(|rs| self.servers.get(rs));
+        let drains = self
+            .draining
+            .iter()
+            .filter(|_| !self.they_move)
+            .filter_map(|rs| self.servers.get(rs));
         let stays = |flow: &&FlowId| self.book.own[flow].established && !self.book.own[flow].moved;
         let next = |server: &Server| {
             let mut held = self.book.by_rs.get(&server.listed.rs)?.iter().filter(stays);
             let (flow, more) = (*held.next()?, held.count());
-            let left = (server.drains + self.cold.1.max(2 * LEAVE)).saturating_sub(now).max(LOOK_AGAIN);
+            let left = (server.drains + self.cold.1.max(2 * LEAVE))
+                .saturating_sub(now)
+                .max(LOOK_AGAIN);
             let due = room && now >= server.drains + LEAVE;
-            Some((flow, if due { (more + 1) as f64 * LOOK_AGAIN as f64 / left as f64 } else { 0.0 }))
+            Some((
+                flow,
+                if due {
+                    (more + 1) as f64 * LOOK_AGAIN as f64 / left as f64
+                } else {
+                    0.0
+                },
+            ))
         };
         drains.filter_map(next).collect()
     }
@@ -925,7 +1210,9 @@
     /// Own connections to move off a hot server.
     fn shed(&mut self, now: Time, rs: Rs) -> Vec<FlowId> {
         let server = &self.servers[&rs];
-        let Some(beta) = self.beta(now, server) else { return Vec::new() };
+        let Some(beta) = self.beta(now, server) else {
+            return Vec::new();
+        };
         // Reports lag: a figure that can't show the last moves yet must not cause a second shedding.
         if beta <= T_H || server.shed.is_some_and(|at| now < at + SETTLE) {
             return Vec::new();
@@ -935,12 +1222,21 @@
         // message in time.
         let fraction = (beta - T_H) / beta;
         let flows = || self.book.by_rs.get(&rs).into_iter().flatten();
-        let here = || flows().map(|id| (id, &self.book.own[id])).filter(|(_, own)| own.established);
+        let here = || {
+            flows()
+                .map(|id| (id, &self.book.own[id]))
+                .filter(|(_, own)| own.established)
+        };
         let any_told = here().any(|(_, own)| own.load.is_some());
         let figure = |own: &Own| if any_told { own.load } else { own.estimate };
-        let mut mine: Vec<(FlowId, Option<f64>)> = here().map(|(id, own)| (*id, figure(own))).collect();
+        let mut mine: Vec<(FlowId, Option<f64>)> =
+            here().map(|(id, own)| (*id, figure(own))).collect();
         let told: Vec<f64> = mine.iter().filter_map(|m| m.1).collect();
-        let usual = if told.is_empty() { 1.0 } else { told.iter().sum::<f64>() / told.len() as f64 };
+        let usual = if told.is_empty() {
+            1.0
+        } else {
+            told.iter().sum::<f64>() / told.len() as f64
+        };
         let load = |m: &(FlowId, Option<f64>)| m.1.unwrap_or(usual);
         mine.sort_by(|a, b| load(b).total_cmp(&load(a)).then(a.0.cmp(&b.0)));
         let goal = fraction * mine.iter().map(load).sum::<f64>();
@@ -956,7 +1252,11 @@
             moves.push(m.0);
         }
         let server = self.servers.get_mut(&rs).expect("a listed server");
-        server.shed = if moves.is_empty() { server.shed } else { Some(now) };
+        server.shed = if moves.is_empty() {
+            server.shed
+        } else {
+            Some(now)
+        };
         moves
     }
 }
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -112,7 +112,11 @@
     pub fn to_bytes(self) -> Vec<u8> {
         let rs = self.rs.to_be_bytes();
         let zeros = rs.iter().take_while(|byte| **byte == 0).count();
-        self.group.to_be_bytes().into_iter().chain(rs[zeros..].iter().copied()).collect()
+        self.group
+            .to_be_bytes()
+            .into_iter()
+            .chain(rs[zeros..].iter().copied())
+            .collect()
     }
 
     /// None where these bytes are no such word.
@@ -120,7 +124,10 @@
         let (group, rs) = bytes.split_first_chunk::<2>()?;
         let short = rs.len() <= 8 && rs.first() != Some(&0);
         let rs = rs.iter().fold(0, |rs, byte| rs << 8 | Rs::from(*byte));
-        short.then_some(Holds { group: u16::from_be_bytes(*group), rs })
+        short.then_some(Holds {
+            group: u16::from_be_bytes(*group),
+            rs,
+        })
     }
 }
 
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -66,8 +66,13 @@
 impl Fleet {
     /// Requests that a server may get in `FALL` by the settings, at that age.
     fn allowed(&self, age: Time) -> f64 {
-        let present = START_CAPACITY + (1.0 - START_CAPACITY) * (age as f64 / WARM_UP as f64).min(1.0);
-        let set_up_in = if self.life > LONG { FILLED_IN } else { self.life };
+        let present =
+            START_CAPACITY + (1.0 - START_CAPACITY) * (age as f64 / WARM_UP as f64).min(1.0);
+        let set_up_in = if self.life > LONG {
+            FILLED_IN
+        } else {
+            self.life
+        };
         let capacity = self.rate / UTILIZATION * self.life as f64 / set_up_in as f64;
         MULTIPLE * present * capacity * (FALL as f64 / SEC as f64)
     }
@@ -94,7 +99,11 @@
             .probing(true, 0.0)
             .among(fleet.balancers as f64, false)
             .cold(START_CAPACITY, WARM_UP, MULTIPLE, FALL);
-        policy.list(BEGIN, &(0..fleet.servers).map(ready).collect::<Vec<_>>(), true);
+        policy.list(
+            BEGIN,
+            &(0..fleet.servers).map(ready).collect::<Vec<_>>(),
+            true,
+        );
         let probe_interval = PROBE_INTERVALS[usize::from(fleet.balancers > MANY_BALANCERS)];
         Balancer {
             policy,
@@ -112,14 +121,23 @@
             && at <= now
         {
             self.ends.pop();
-            self.policy.after(at, Outcome::Ended { flow, rs, end: End::Done, owed: None });
+            self.policy.after(
+                at,
+                Outcome::Ended {
+                    flow,
+                    rs,
+                    end: End::Done,
+                    owed: None,
+                },
+            );
         }
         if self.next_probe <= now {
             self.next_probe = now + self.probe_interval;
             self.probes += 1;
             // Reports that never change would be taken for stuck.
             let noise = (self.probes % 7) as f64 * 1e-4;
-            (0..servers).for_each(|rs| drop(probe(&mut self.policy, now, rs, utilization(rs) + noise)));
+            (0..servers)
+                .for_each(|rs| drop(probe(&mut self.policy, now, rs, utilization(rs) + noise)));
             self.policy.after(now, Outcome::Elapsed);
         }
     }
@@ -134,13 +152,31 @@
         while let Place::To(rs, ..) = place {
             servers.push(rs);
             if !refuses(rs) {
-                self.policy.after(now, Outcome::Established { flow: flow.id, took: MS });
+                self.policy.after(
+                    now,
+                    Outcome::Established {
+                        flow: flow.id,
+                        took: MS,
+                    },
+                );
                 self.ends.push(Reverse((now + life, flow.id, rs)));
                 break;
             }
-            flow.connects.push(Connect { rs, at: now, out: false, never_ran: true });
-            let refused = Outcome::Ended { flow: flow.id, rs, end: End::Full, owed: Some(&flow) };
-            let Some(next) = self.policy.after(now, refused).place else { break };
+            flow.connects.push(Connect {
+                rs,
+                at: now,
+                out: false,
+                never_ran: true,
+            });
+            let refused = Outcome::Ended {
+                flow: flow.id,
+                rs,
+                end: End::Full,
+                owed: Some(&flow),
+            };
+            let Some(next) = self.policy.after(now, refused).place else {
+                break;
+            };
             place = next;
         }
         servers
@@ -152,7 +188,15 @@
         let (lost, kept): (Vec<Due>, Vec<Due>) = ends.partition(|Reverse((_, _, rs))| crashed(*rs));
         self.ends = kept.into();
         for Reverse((_, flow, rs)) in lost {
-            self.policy.after(now, Outcome::Ended { flow, rs, end: End::Cut, owed: None });
+            self.policy.after(
+                now,
+                Outcome::Ended {
+                    flow,
+                    rs,
+                    end: End::Cut,
+                    owed: None,
+                },
+            );
         }
     }
 }
@@ -161,8 +205,13 @@
 fn play(fleet: &Fleet) -> (BTreeMap<Rs, Vec<Time>>, u64) {
     let jam = BEGIN + CALM_SPAN;
     let is_cold = |rs: Rs| rs < fleet.returning_cold;
-    let warm_utilization = if fleet.jam == Jam::Hot { HOT } else { UTILIZATION };
-    let calm_gap = (SEC as f64 * fleet.balancers as f64 / (fleet.rate * fleet.servers as f64)) as Time;
+    let warm_utilization = if fleet.jam == Jam::Hot {
+        HOT
+    } else {
+        UTILIZATION
+    };
+    let calm_gap =
+        (SEC as f64 * fleet.balancers as f64 / (fleet.rate * fleet.servers as f64)) as Time;
     let jam_gap = SEC * fleet.balancers / JAM_ATTEMPTS;
     let mut sent: BTreeMap<Rs, Vec<Time>> = BTreeMap::new();
     let mut placed = 0;
@@ -175,13 +224,19 @@
             now += calm_gap;
         }
         balancer.lose(jam, is_cold);
-        let restarted: Vec<Listed> =
-            (0..fleet.returning_cold).map(|rs| Listed { started: jam, ..ready(rs) }).collect();
+        let restarted: Vec<Listed> = (0..fleet.returning_cold)
+            .map(|rs| Listed {
+                started: jam,
+                ..ready(rs)
+            })
+            .collect();
         balancer.policy.list(jam, &restarted, false);
         balancer.next_probe = jam;
         now = jam + jam_gap * index / fleet.balancers;
         while now < jam + WARM_UP {
-            balancer.advance(now, fleet.servers, |rs| if is_cold(rs) { IDLE } else { warm_utilization });
+            balancer.advance(now, fleet.servers, |rs| {
+                if is_cold(rs) { IDLE } else { warm_utilization }
+            });
             let servers = balancer.attempt(now, fleet.life, |rs| !is_cold(rs));
             for rs in servers.into_iter().filter(|rs| is_cold(*rs)) {
                 sent.entry(rs).or_default().push(now - jam);
@@ -203,7 +258,9 @@
             (last + 1 - first, allowed + 2.0 * allowed.sqrt() + 2.0, *age)
         })
     });
-    windows.max_by(|one, other| excess(one).total_cmp(&excess(other))).unwrap_or((0, 0.0, 0))
+    windows
+        .max_by(|one, other| excess(one).total_cmp(&excess(other)))
+        .unwrap_or((0, 0.0, 0))
 }
 
 /// All rows of fleets of this size: how many return cold, how long requests last, how the warm servers are full.
@@ -212,7 +269,14 @@
     for returning_cold in [1, servers / 2, servers - 1] {
         for life in [2 * SEC, 8 * SEC, 30 * SEC] {
             for jam in [Jam::Hot, Jam::Refusing] {
-                rows.push(Fleet { balancers, servers, rate, life, returning_cold, jam });
+                rows.push(Fleet {
+                    balancers,
+                    servers,
+                    rate,
+                    life,
+                    returning_cold,
+                    jam,
+                });
             }
         }
     }
@@ -225,14 +289,23 @@
     for fleet in rows {
         let (sent, placed) = play(fleet);
         let wanted = fleet.rate * fleet.servers as f64 * (CALM_SPAN / SEC) as f64;
-        assert!(placed as f64 > 0.9 * wanted, "{fleet:?}: placed {placed} of {wanted} in the calm");
+        assert!(
+            placed as f64 > 0.9 * wanted,
+            "{fleet:?}: placed {placed} of {wanted} in the calm"
+        );
         let (count, most, age) = worst(fleet, &sent);
         let age = age as f64 / SEC as f64;
-        let told = format!("{fleet:?}: {count} sent, {most:.1} at most, {age:.1} s after the start");
+        let told =
+            format!("{fleet:?}: {count} sent, {most:.1} at most, {age:.1} s after the start");
         println!("{told}");
         broken.extend((count as f64 > most).then_some(told));
     }
-    assert!(broken.is_empty(), "a cold server falls in {} rows:\n{}", broken.len(), broken.join("\n"));
+    assert!(
+        broken.is_empty(),
+        "a cold server falls in {} rows:\n{}",
+        broken.len(),
+        broken.join("\n")
+    );
 }
 
 /// Few balancers and few requests: judged by the same budget, which is narrower under 30 requests than the operators'
@@ -240,7 +313,11 @@
 #[test]
 fn one_and_two_balancers_keep_a_cold_server_up_that_may_get_few() {
     let fleets = [(1, 3, 0.3), (2, 4, 1.0)];
-    check(&fleets.map(|(balancers, servers, rate)| rows(balancers, servers, rate)).concat());
+    check(
+        &fleets
+            .map(|(balancers, servers, rate)| rows(balancers, servers, rate))
+            .concat(),
+    );
 }
 
 #[test]
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -4,7 +4,11 @@
 use nettlemux_policy::*;
 
 pub fn repeat(repeat: Repeat) -> ServiceType {
-    ServiceType { setup_target: 100 * MS, value: 1.0, repeat }
+    ServiceType {
+        setup_target: 100 * MS,
+        value: 1.0,
+        repeat,
+    }
 }
 
 /// A balancer of hall 0 with one service type.
@@ -17,19 +21,40 @@
 }
 
 pub fn ready(rs: Rs) -> Listed {
-    Listed { rs, hall: 0, machine: 0, cell: 0, state: State::Ready, weight: 1.0, started: 0 }
+    Listed {
+        rs,
+        hall: 0,
+        machine: 0,
+        cell: 0,
+        state: State::Ready,
+        weight: 1.0,
+        started: 0,
+    }
 }
 
 pub fn flow(now: Time, id: FlowId) -> Flow {
-    Flow { id, taken: now, give_up: now + 2 * SEC, ..Flow::default() }
+    Flow {
+        id,
+        taken: now,
+        give_up: now + 2 * SEC,
+        ..Flow::default()
+    }
 }
 
 pub fn connect(rs: Rs, never_ran: bool) -> Connect {
-    Connect { rs, at: 0, out: false, never_ran }
+    Connect {
+        rs,
+        at: 0,
+        out: false,
+        never_ran,
+    }
 }
 
 pub fn beta(beta: f64) -> Report {
-    Report { beta: Some(beta), connections: None }
+    Report {
+        beta: Some(beta),
+        connections: None,
+    }
 }
 
 /// Places a flow and tells where.
@@ -42,5 +67,14 @@
 
 /// A report, and the moves that follow from it.
 pub fn probe(policy: &mut Policy, now: Time, rs: Rs, b: f64) -> Vec<FlowId> {
-    policy.after(now, Outcome::Probed { rs, passed: true, report: beta(b) }).shift
+    policy
+        .after(
+            now,
+            Outcome::Probed {
+                rs,
+                passed: true,
+                report: beta(b),
+            },
+        )
+        .shift
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -13,16 +13,34 @@
         (vec![1.0, 1.0, 1.0], 9, vec![3, 3, 3]),
         (vec![2.0, 1.0, 1.0], 8, vec![4, 2, 2]),
         // Absurd weights count as one.
-        (vec![f64::NAN, 0.0, -3.0, f64::INFINITY], 8, vec![2, 2, 2, 2]),
+        (
+            vec![f64::NAN, 0.0, -3.0, f64::INFINITY],
+            8,
+            vec![2, 2, 2, 2],
+        ),
     ] {
         let mut policy = balancer(Repeat::Repeatable);
-        let list: Vec<Listed> =
-            weights.iter().enumerate().map(|(i, w)| Listed { weight: *w, ..ready(i as Rs) }).collect();
+        let list: Vec<Listed> = weights
+            .iter()
+            .enumerate()
+            .map(|(i, w)| Listed {
+                weight: *w,
+                ..ready(i as Rs)
+            })
+            .collect();
         policy.list(T0, &list, true);
         let mut got = vec![0; weights.len()];
         for id in 0..turns {
             got[take(&mut policy, T0, id) as usize] += 1;
-            policy.after(T0, Outcome::Ended { flow: id, rs: 0, end: End::Done, owed: None });
+            policy.after(
+                T0,
+                Outcome::Ended {
+                    flow: id,
+                    rs: 0,
+                    end: End::Done,
+                    owed: None,
+                },
+            );
         }
         for (got, want) in got.iter().zip(&want) {
             assert!((got - want as &i32).abs() <= 1, "{weights:?}: {got:?}");
@@ -65,7 +83,10 @@
             policy.told_load(id as FlowId, *load);
         }
         let moved = probe(&mut policy, T0, 0, beta_now);
-        assert!((least..=most).contains(&moved.len()), "β {beta_now}: {moved:?}");
+        assert!(
+            (least..=most).contains(&moved.len()),
+            "β {beta_now}: {moved:?}"
+        );
         if moved.len() == 1 && loads.contains(&90.0) {
             assert_eq!(moved, [1]);
         }
@@ -104,8 +125,14 @@
     // All hot: what is over still goes, and nobody is let in (incident i2f9edf).
     (1..3).for_each(|rs| drop(probe(&mut policy, T0 + 6 * SEC, rs, 1.5)));
     assert!(!probe(&mut policy, T0 + 6 * SEC, 0, 1.5).is_empty());
-    let late = Flow { taken: T0, ..flow(T0 + 6 * SEC, 999) };
-    assert!(matches!(policy.place(T0 + 6 * SEC, &late), Place::Reject(Some(_))));
+    let late = Flow {
+        taken: T0,
+        ..flow(T0 + 6 * SEC, 999)
+    };
+    assert!(matches!(
+        policy.place(T0 + 6 * SEC, &late),
+        Place::Reject(Some(_))
+    ));
 }
 
 #[test]
@@ -113,8 +140,15 @@
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &[ready(0), ready(1), ready(2)], true);
     (1..3).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.0)));
-    let report = |b, count| Report { beta: Some(b), connections: count };
-    let probed = |report| Outcome::Probed { rs: 0, passed: true, report };
+    let report = |b, count| Report {
+        beta: Some(b),
+        connections: count,
+    };
+    let probed = |report| Outcome::Probed {
+        rs: 0,
+        passed: true,
+        report,
+    };
     policy.inherit(&flow(T0, 7), 0);
     policy.after(T0, probed(report(0.8, Some(2.0)))); // 0.4 each
     policy.inherit(&flow(T0, 3), 0);
@@ -138,7 +172,14 @@
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &[ready(0), ready(1)], true);
     for _ in 0..2 {
-        policy.after(T0, Outcome::Probed { rs: 0, passed: false, report: Report::default() });
+        policy.after(
+            T0,
+            Outcome::Probed {
+                rs: 0,
+                passed: false,
+                report: Report::default(),
+            },
+        );
     }
     (0..4).for_each(|id| assert_eq!(take(&mut policy, T0, id), 1));
 }
@@ -150,13 +191,26 @@
     policy.list(T0, &(0..6).map(ready).collect::<Vec<_>>(), true);
     (0..6).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.66)));
     (100..160).for_each(|id| policy.inherit(&flow(T0, id), id % 6));
-    policy.inherit(&Flow { group: Some("piste".into()), ..flow(T0, 160) }, 4);
+    policy.inherit(
+        &Flow {
+            group: Some("piste".into()),
+            ..flow(T0, 160)
+        },
+        4,
+    );
     for id in 0..2 {
-        let one = Flow { group: Some("piste".into()), ..flow(T0, id) };
+        let one = Flow {
+            group: Some("piste".into()),
+            ..flow(T0, id)
+        };
         assert!(matches!(policy.place(T0, &one), Place::To(4, ..)));
     }
     // One that nobody holds finds no room, and is answered at once when its target has passed.
-    let other = Flow { group: Some("lift".into()), taken: T0 - SEC, ..flow(T0, 9) };
+    let other = Flow {
+        group: Some("lift".into()),
+        taken: T0 - SEC,
+        ..flow(T0, 9)
+    };
     assert!(matches!(policy.place(T0, &other), Place::Reject(Some(_))));
 }
 
@@ -167,15 +221,29 @@
         (vec![], MS, false),
         (vec![connect(0, true); 1], 500 * MS, true),
         (vec![connect(0, true); 3], 500 * MS, false),
-        (vec![Connect { out: true, ..connect(0, false) }], 500 * MS, false),
+        (
+            vec![Connect {
+                out: true,
+                ..connect(0, false)
+            }],
+            500 * MS,
+            false,
+        ),
     ] {
         let mut policy = balancer(Repeat::Repeatable);
         policy.list(T0, &[ready(0), ready(1)], true);
-        let one = Flow { give_up: T0 + left, connects: connects.clone(), ..flow(T0, 1) };
+        let one = Flow {
+            give_up: T0 + left,
+            connects: connects.clone(),
+            ..flow(T0, 1)
+        };
         match policy.place(T0, &one) {
             Place::To(rs, limit, by) => {
                 assert!(want_send && limit < left && by == limit, "{connects:?}");
-                assert!(connects.iter().all(|c| c.rs != rs), "another server than before");
+                assert!(
+                    connects.iter().all(|c| c.rs != rs),
+                    "another server than before"
+                );
             }
             other => assert!(!want_send, "{connects:?}: {other:?}"),
         }
@@ -187,16 +255,31 @@
 #[test]
 fn a_reject_brings_nobody_back_after_the_window() {
     let window = 3 * SEC;
-    for (age, rejected) in
-        [(0, true), (SEC, true), (2 * SEC, true), (2900 * MS, false), (3 * SEC, false), (9 * SEC, false)]
-    {
+    for (age, rejected) in [
+        (0, true),
+        (SEC, true),
+        (2 * SEC, true),
+        (2900 * MS, false),
+        (3 * SEC, false),
+        (9 * SEC, false),
+    ] {
         let mut policy = balancer(Repeat::Referenced(Scope::All, window)).come_back(Some(2 * SEC));
-        let earlier = Connect { at: T0 - age, ..connect(0, false) };
+        let earlier = Connect {
+            at: T0 - age,
+            ..connect(0, false)
+        };
         // Waits for no server any more: its setup target has passed.
-        let one = Flow { connects: vec![earlier], taken: T0 - 10 * SEC, ..flow(T0, 1) };
+        let one = Flow {
+            connects: vec![earlier],
+            taken: T0 - 10 * SEC,
+            ..flow(T0, 1)
+        };
         match policy.place(T0, &one) {
             Place::Reject(Some(come_back)) => {
-                assert!(rejected && T0 + come_back < earlier.at + window, "{age}: {come_back}");
+                assert!(
+                    rejected && T0 + come_back < earlier.at + window,
+                    "{age}: {come_back}"
+                );
             }
             Place::Abort => assert!(!rejected, "{age}: aborted"),
             other => panic!("{age}: {other:?}"),
@@ -220,10 +303,20 @@
     ] {
         let mut policy = balancer(kind).connects(5, 10 * MS, false, true);
         policy.list(T0, &[ready(0), ready(1)], true);
-        let made = |(never_ran, age)| Connect { at: T0 - age * MS, ..connect(0, never_ran) };
+        let made = |(never_ran, age)| Connect {
+            at: T0 - age * MS,
+            ..connect(0, never_ran)
+        };
         let connects: Vec<Connect> = earlier.iter().copied().map(made).collect();
-        let one = Flow { connects, taken: T0 - SEC, give_up: T0 + 2 * SEC, ..flow(T0, 1) };
-        let Place::To(_, limit, by) = policy.place(T0, &one) else { panic!("{kind:?}: {earlier:?}") };
+        let one = Flow {
+            connects,
+            taken: T0 - SEC,
+            give_up: T0 + 2 * SEC,
+            ..flow(T0, 1)
+        };
+        let Place::To(_, limit, by) = policy.place(T0, &one) else {
+            panic!("{kind:?}: {earlier:?}")
+        };
         assert_eq!((limit / MS, by / MS), (1990, want), "{kind:?}: {earlier:?}");
     }
 }
@@ -231,29 +324,76 @@
 #[test]
 fn no_effect_twice() {
     let referenced = |scope| Repeat::Referenced(scope, SEC);
-    let far = Listed { hall: 1, cell: 1, ..ready(1) };
+    let far = Listed {
+        hall: 1,
+        cell: 1,
+        ..ready(1)
+    };
     // Kind, whether the earlier connect to server 0 ran, its age, servers ready, what may come.
     for (kind, never_ran, age, list, want) in [
         (Repeat::OnceOnly, true, 0, vec![ready(0), far], "to"),
         (Repeat::OnceOnly, false, 0, vec![ready(0), far], "abort"),
         (Repeat::Repeatable, false, 0, vec![ready(0), far], "to"),
         (referenced(Scope::All), false, 0, vec![ready(0), far], "to"),
-        (referenced(Scope::All), false, 2 * SEC, vec![ready(0), far], "abort"),
-        (referenced(Scope::Hall), false, 0, vec![ready(0), far], "to 0"),
-        (referenced(Scope::Hall), false, 2 * SEC, vec![ready(0), far], "abort"),
+        (
+            referenced(Scope::All),
+            false,
+            2 * SEC,
+            vec![ready(0), far],
+            "abort",
+        ),
+        (
+            referenced(Scope::Hall),
+            false,
+            0,
+            vec![ready(0), far],
+            "to 0",
+        ),
+        (
+            referenced(Scope::Hall),
+            false,
+            2 * SEC,
+            vec![ready(0), far],
+            "abort",
+        ),
         (
             referenced(Scope::Cell),
             false,
             0,
-            vec![Listed { state: State::Draining, ..ready(0) }, far],
+            vec![
+                Listed {
+                    state: State::Draining,
+                    ..ready(0)
+                },
+                far,
+            ],
             "abort",
         ),
-        (referenced(Scope::Cell), true, 0, vec![Listed { state: State::Draining, ..ready(0) }, far], "to"),
+        (
+            referenced(Scope::Cell),
+            true,
+            0,
+            vec![
+                Listed {
+                    state: State::Draining,
+                    ..ready(0)
+                },
+                far,
+            ],
+            "to",
+        ),
     ] {
         let mut policy = balancer(kind);
         policy.list(T0, &list, true);
-        let earlier = Connect { at: T0 - age, ..connect(0, never_ran) };
-        let one = Flow { connects: vec![earlier], taken: T0 - SEC, ..flow(T0, 1) };
+        let earlier = Connect {
+            at: T0 - age,
+            ..connect(0, never_ran)
+        };
+        let one = Flow {
+            connects: vec![earlier],
+            taken: T0 - SEC,
+            ..flow(T0, 1)
+        };
         let got = match policy.place(T0, &one) {
             Place::To(rs, ..) if want == "to 0" => format!("to {rs}"),
             Place::To(..) => "to".into(),
@@ -267,8 +407,14 @@
 
 #[test]
 fn clients_are_moved_before_their_server_goes() {
-    let drains = |rs| Listed { state: State::Draining, ..ready(rs) };
-    let gone = |rs| Listed { state: State::Gone, ..ready(rs) };
+    let drains = |rs| Listed {
+        state: State::Draining,
+        ..ready(rs)
+    };
+    let gone = |rs| Listed {
+        state: State::Gone,
+        ..ready(rs)
+    };
     // Guards against clients moved with nowhere to go, and against a list that loses servers which still serve.
     for (news, whole, expected) in [
         (vec![drains(1)], false, vec![1]),
@@ -279,19 +425,29 @@
         (vec![], true, vec![]),
         (vec![ready(1)], false, vec![]),
     ] {
-        let mut policy = balancer(Repeat::Repeatable).probing(false, 0.0).told(false, true);
+        let mut policy = balancer(Repeat::Repeatable)
+            .probing(false, 0.0)
+            .told(false, true);
         policy.list(0, &[ready(1), ready(2)], true);
         policy.inherit(&flow(0, 1), 1);
         policy.inherit(&flow(0, 2), 1);
         policy.inherit(&flow(0, 3), 2);
         policy.after(SEC, Outcome::Elapsed);
         policy.list(SEC, &news, whole);
-        assert_eq!(policy.after(3 * SEC - 1, Outcome::Elapsed).shift, [], "too early");
+        assert_eq!(
+            policy.after(3 * SEC - 1, Outcome::Elapsed).shift,
+            [],
+            "too early"
+        );
         // Looked at while any of ours stands on a server that drains, for room may come back.
         let drains = news.iter().any(|server| server.state == State::Draining);
         assert_eq!(policy.wait(3 * SEC) == Some(0), drains, "{news:?}");
         // Each once, one after the other, by the time in which a replacement is warm.
-        let tick = |tick: u64| policy.after(3 * SEC + tick * 60 * MS, Outcome::Elapsed).shift;
+        let tick = |tick: u64| {
+            policy
+                .after(3 * SEC + tick * 60 * MS, Outcome::Elapsed)
+                .shift
+        };
         let moved: Vec<FlowId> = (0..350).flat_map(tick).collect();
         assert_eq!(
             moved,
@@ -304,7 +460,15 @@
     policy.list(0, &[ready(1), ready(2)], true);
     (1..4).for_each(|id| policy.inherit(&flow(0, id), 1));
     policy.list(SEC, &[drains(1)], false);
-    policy.after(SEC, Outcome::Ended { flow: 1, rs: 1, end: End::CalledOff, owed: None });
+    policy.after(
+        SEC,
+        Outcome::Ended {
+            flow: 1,
+            rs: 1,
+            end: End::CalledOff,
+            owed: None,
+        },
+    );
     assert!(policy.after(4 * SEC, Outcome::Elapsed).shift.is_empty());
 }
 
@@ -326,19 +490,34 @@
 #[test]
 fn a_fleet_told_at_once_of_a_drain_does_not_move_all_at_once() {
     // Guards against 300 balancers that moved 204 clients within the second in which each was first due.
-    let at = |n| Listed { state: State::Draining, ..ready(n) };
+    let at = |n| Listed {
+        state: State::Draining,
+        ..ready(n)
+    };
     // A whole list comes where discovery has moved.
     for whole in [false, true] {
         let (mut seconds, news) = ([0; 9], T0 + 9 * SEC);
         for mut policy in fleet(60, 0.3) {
-            policy.list(news, &(0..40).map(at).chain([ready(40)]).collect::<Vec<_>>(), whole);
+            policy.list(
+                news,
+                &(0..40).map(at).chain([ready(40)]).collect::<Vec<_>>(),
+                whole,
+            );
             for now in (0..9 * SEC).step_by((60 * MS) as usize) {
-                seconds[(now / SEC) as usize] += policy.after(news + now, Outcome::Elapsed).shift.len();
+                seconds[(now / SEC) as usize] +=
+                    policy.after(news + now, Outcome::Elapsed).shift.len();
             }
         }
         // Two each, from 2 s after the news until a replacement is warm, at 8 s.
-        assert_eq!((seconds[..2].iter().sum::<usize>(), seconds.iter().sum()), (0, 120), "{seconds:?}");
-        assert!(seconds.iter().all(|moved| *moved < 40), "{whole}: {seconds:?}");
+        assert_eq!(
+            (seconds[..2].iter().sum::<usize>(), seconds.iter().sum()),
+            (0, 120),
+            "{seconds:?}"
+        );
+        assert!(
+            seconds.iter().all(|moved| *moved < 40),
+            "{whole}: {seconds:?}"
+        );
     }
 }
 
@@ -347,22 +526,45 @@
     // Guards against hundreds that each go by the few connects they lately made: cold servers got nothing.
     let mut sent = Vec::new();
     for (n, mut policy) in fleet(60, 0.7).enumerate() {
-        policy.list(T0, &[Listed { started: T0, ..ready(40) }], false);
+        policy.list(
+            T0,
+            &[Listed {
+                started: T0,
+                ..ready(40)
+            }],
+            false,
+        );
         for tick in 0..16 {
             let now = T0 + (tick * 500 + n as u64 * 8) * MS;
             (0..40).for_each(|rs| drop(probe(&mut policy, now, rs, 0.7 + tick as f64 * 1e-3)));
             probe(&mut policy, now, 40, 0.0);
             // Only the cold one has room.
-            let Place::To(rs, ..) = policy.place(now, &flow(now, 10 + tick)) else { continue };
-            policy.after(now, Outcome::Established { flow: 10 + tick, took: MS });
+            let Place::To(rs, ..) = policy.place(now, &flow(now, 10 + tick)) else {
+                continue;
+            };
+            policy.after(
+                now,
+                Outcome::Established {
+                    flow: 10 + tick,
+                    took: MS,
+                },
+            );
             sent.extend((rs == 40).then_some(now));
         }
     }
     // Three connections a warm server at 0.7: 4.3 fill one, four times that in eight seconds, times three, times
     // what a cold one has, 0.35 to 1: 35 in all and 17 in the last three seconds, and chance.
-    let most = |from: Time| sent.iter().filter(|at| (from..from + 3 * SEC).contains(at)).count();
+    let most = |from: Time| {
+        sent.iter()
+            .filter(|at| (from..from + 3 * SEC).contains(at))
+            .count()
+    };
     let most = sent.iter().map(|at| most(*at)).max();
-    assert!((20..=50).contains(&sent.len()) && most < Some(30), "{} in all, {most:?} in 3 s", sent.len());
+    assert!(
+        (20..=50).contains(&sent.len()) && most < Some(30),
+        "{} in all, {most:?} in 3 s",
+        sent.len()
+    );
 }
 
 #[test]
@@ -376,7 +578,10 @@
         policy.list(T0, &[ready(2)], true);
         (4..8).for_each(|id| assert_eq!(take(&mut policy, T0, id), 2));
         policy.list(T0, &[], true);
-        let late = Flow { taken: T0 - SEC, ..flow(T0, 9) };
+        let late = Flow {
+            taken: T0 - SEC,
+            ..flow(T0, 9)
+        };
         assert!(matches!(policy.place(T0, &late), Place::Reject(Some(_))));
     }
 }
@@ -395,7 +600,15 @@
             if establish {
                 policy.after(now, Outcome::Established { flow: id, took: MS });
             }
-            policy.after(now, Outcome::Ended { flow: id, rs, end: End::Cut, owed: None });
+            policy.after(
+                now,
+                Outcome::Ended {
+                    flow: id,
+                    rs,
+                    end: End::Cut,
+                    owed: None,
+                },
+            );
             rs
         };
         for _ in 0..60 {
@@ -403,7 +616,15 @@
             go(&mut policy, now, true);
         }
         let cold = if restart { 2 } else { 3 };
-        policy.list(now, &[Listed { started: now, weight: 50.0, ..ready(cold) }], false);
+        policy.list(
+            now,
+            &[Listed {
+                started: now,
+                weight: 50.0,
+                ..ready(cold)
+            }],
+            false,
+        );
         // Two a second over three servers; a cold one has 0.2 to 0.3 of its capacity in this span.
         let mut sent = 0;
         for _ in 0..if storm { 400 } else { 8 } {
@@ -420,12 +641,22 @@
     // saved up by each (roll+mass and join+mass of slate-quarry, seed 2: 5.0 times what the server could then do).
     let (mut sent, balancers) = (0, 300);
     for mut policy in fleet(balancers, 0.7) {
-        policy.list(T0, &[Listed { started: T0, ..ready(40) }], false);
+        policy.list(
+            T0,
+            &[Listed {
+                started: T0,
+                ..ready(40)
+            }],
+            false,
+        );
         let now = T0 + 6 * SEC;
         (0..40).for_each(|rs| drop(probe(&mut policy, now, rs, 0.79)));
         probe(&mut policy, now, 40, 0.0);
         for (id, later) in (10..).zip((0..SEC).step_by((100 * MS) as usize)) {
-            sent += i32::from(matches!(policy.place(now + later, &flow(now + later, id)), Place::To(40, ..)));
+            sent += i32::from(matches!(
+                policy.place(now + later, &flow(now + later, id)),
+                Place::To(40, ..)
+            ));
         }
     }
     // Fifteen connections on each fill them to 0.79. Four times that in 8 s, times three, times what the cold one has by
@@ -437,15 +668,33 @@
 fn a_jam_narrows_the_connects_in_flight() {
     // Guards against a store jammed by our own further connects (kandy-patrol, rough-2).
     let in_flight = |policy: &mut Policy, now, from: FlowId| {
-        (from..from + 40).take_while(|id| matches!(policy.place(now, &flow(now, *id)), Place::To(..))).count()
+        (from..from + 40)
+            .take_while(|id| matches!(policy.place(now, &flow(now, *id)), Place::To(..)))
+            .count()
     };
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
     let before = in_flight(&mut policy, T0, 0);
     for id in 0..before as FlowId {
         let now = T0 + id * 300 * MS;
-        policy.after(now, Outcome::Ended { flow: id, rs: 99, end: End::TimedOut, owed: None });
-        policy.after(now, Outcome::Ended { flow: id, rs: id % 9, end: End::TimedOut, owed: None });
+        policy.after(
+            now,
+            Outcome::Ended {
+                flow: id,
+                rs: 99,
+                end: End::TimedOut,
+                owed: None,
+            },
+        );
+        policy.after(
+            now,
+            Outcome::Ended {
+                flow: id,
+                rs: id % 9,
+                end: End::TimedOut,
+                owed: None,
+            },
+        );
     }
     let later = T0 + 20 * SEC;
     let jammed = in_flight(&mut policy, later, 100);
@@ -464,24 +713,52 @@
         let mut policy = balancer(Repeat::Repeatable).among(balancers, false);
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let latest = |policy: &mut Policy| {
-            let late = |id| Flow { taken: T0 - SEC, ..flow(T0, id) };
+            let late = |id| Flow {
+                taken: T0 - SEC,
+                ..flow(T0, id)
+            };
             let told = (100..200).filter_map(|id| match policy.place(T0, &late(id)) {
                 Place::Reject(told) => told,
                 _ => None,
             });
             told.max()
         };
-        let sent = (0..20).filter(|id| matches!(policy.place(T0, &flow(T0, *id)), Place::To(..))).count();
+        let sent = (0..20)
+            .filter(|id| matches!(policy.place(T0, &flow(T0, *id)), Place::To(..)))
+            .count();
         assert_eq!(sent, first, "{balancers}");
         assert!(latest(&mut policy).is_some_and(|told| told <= SEC));
-        policy.after(T0, Outcome::Ended { flow: 0, rs: 0, end: End::TimedOut, owed: None });
+        policy.after(
+            T0,
+            Outcome::Ended {
+                flow: 0,
+                rs: 0,
+                end: End::TimedOut,
+                owed: None,
+            },
+        );
         if first > 1 {
             (1..20).for_each(|id| {
-                drop(policy.after(T0, Outcome::Ended { flow: id, rs: 0, end: End::Done, owed: None }))
+                drop(policy.after(
+                    T0,
+                    Outcome::Ended {
+                        flow: id,
+                        rs: 0,
+                        end: End::Done,
+                        owed: None,
+                    },
+                ))
+            });
+            (0..first as u64 / 2).for_each(|id| {
+                assert!(matches!(
+                    policy.place(T0, &flow(T0, 50 + id)),
+                    Place::To(..)
+                ))
             });
-            (0..first as u64 / 2)
-                .for_each(|id| assert!(matches!(policy.place(T0, &flow(T0, 50 + id)), Place::To(..))));
-            assert!(latest(&mut policy).is_some_and(|told| (SEC..=2 * SEC).contains(&told)), "{balancers}");
+            assert!(
+                latest(&mut policy).is_some_and(|told| (SEC..=2 * SEC).contains(&told)),
+                "{balancers}"
+            );
         }
     }
 }
@@ -508,8 +785,13 @@
     let mut now = T0;
     for round in 0..10 {
         now += 2 * SEC;
-        let moved: usize = (0..2).map(|rs| probe(&mut policy, now, rs, 0.97).len()).sum();
-        let late = Flow { taken: now - SEC, ..flow(now, round) };
+        let moved: usize = (0..2)
+            .map(|rs| probe(&mut policy, now, rs, 0.97).len())
+            .sum();
+        let late = Flow {
+            taken: now - SEC,
+            ..flow(now, round)
+        };
         let placed = matches!(policy.place(now, &late), Place::To(..));
         assert_eq!(placed, round >= 7, "round {round}");
         assert!(moved == 0 || round < 7, "round {round}");
@@ -521,7 +803,13 @@
     // Guards against an answer after the connect timeout where a try is shorter than the setup target.
     for (left, waits) in [(90 * MS, true), (70 * MS, true), (60 * MS, false)] {
         let mut policy = balancer(Repeat::Repeatable);
-        let place = policy.place(T0, &Flow { give_up: T0 + left, ..flow(T0, 1) });
+        let place = policy.place(
+            T0,
+            &Flow {
+                give_up: T0 + left,
+                ..flow(T0, 1)
+            },
+        );
         assert_eq!(place == Place::NotYet, waits, "{left}");
         assert!(policy.wait(T0).is_none_or(|wait| T0 + wait < T0 + left));
     }
@@ -537,9 +825,20 @@
         let now = T0 + id * 100 * MS;
         if let Place::To(rs, ..) = policy.place(now, &flow(now, id)) {
             sent += 1;
-            let tried = Flow { connects: vec![connect(rs, false)], ..flow(now, id) };
-            let ended = Outcome::Ended { flow: id, rs, end: End::Error, owed: Some(&tried) };
-            assert!(matches!(policy.after(now, ended).place, Some(Place::Reject(_))));
+            let tried = Flow {
+                connects: vec![connect(rs, false)],
+                ..flow(now, id)
+            };
+            let ended = Outcome::Ended {
+                flow: id,
+                rs,
+                end: End::Error,
+                owed: Some(&tried),
+            };
+            assert!(matches!(
+                policy.after(now, ended).place,
+                Some(Place::Reject(_))
+            ));
         }
     }
     assert!((4..30).contains(&sent), "{sent} connects in 20 s");
@@ -549,7 +848,10 @@
 fn room_is_kept_for_value_and_for_customers_within_their_share() {
     // Loads told for types 0 and 1, values 1 and 5; customer 0 holds three quarters of a half share.
     for (service_type, customer, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
-        let types = [1.0, 5.0].map(|value| ServiceType { value, ..repeat(Repeat::Repeatable) });
+        let types = [1.0, 5.0].map(|value| ServiceType {
+            value,
+            ..repeat(Repeat::Repeatable)
+        });
         let mut policy = Policy::new(7, 0, types.to_vec())
             .connects(3, 4 * MS, false, true)
             .customers(vec![0.5, 0.5], 0.1)
@@ -565,7 +867,12 @@
             policy.told_load(1000 + id, 10.0);
         }
         (0..2).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.57)));
-        let one = Flow { service_type, customer, taken: T0 - SEC, ..flow(T0, 1) };
+        let one = Flow {
+            service_type,
+            customer,
+            taken: T0 - SEC,
+            ..flow(T0, 1)
+        };
         let placed = matches!(policy.place(T0, &one), Place::To(..));
         assert_eq!(placed, want, "type {service_type}, customer {customer}");
     }
@@ -574,7 +881,18 @@
 #[test]
 fn absurd_news_and_late_outcomes_do_no_harm() {
     let mut policy = balancer(Repeat::OnceOnly);
-    policy.list(T0, &[ready(0), Listed { hall: u64::MAX, machine: 77, ..ready(Rs::MAX) }], true);
+    policy.list(
+        T0,
+        &[
+            ready(0),
+            Listed {
+                hall: u64::MAX,
+                machine: 77,
+                ..ready(Rs::MAX)
+            },
+        ],
+        true,
+    );
     for b in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
         probe(&mut policy, T0, 0, b);
         probe(&mut policy, T0, 42, b);
@@ -582,13 +900,45 @@
         policy.inherit(&flow(T0, 7), 0);
         policy.told_load(7, b);
     }
-    for end in [End::Done, End::Error, End::Full, End::TimedOut, End::Cut, End::CalledOff, End::NotSent] {
-        policy.after(T0, Outcome::Ended { flow: 999, rs: 42, end, owed: None });
-        policy.after(T0, Outcome::Ended { flow: 7, rs: 0, end, owed: None });
+    for end in [
+        End::Done,
+        End::Error,
+        End::Full,
+        End::TimedOut,
+        End::Cut,
+        End::CalledOff,
+        End::NotSent,
+    ] {
+        policy.after(
+            T0,
+            Outcome::Ended {
+                flow: 999,
+                rs: 42,
+                end,
+                owed: None,
+            },
+        );
+        policy.after(
+            T0,
+            Outcome::Ended {
+                flow: 7,
+                rs: 0,
+                end,
+                owed: None,
+            },
+        );
     }
     policy.after(T0, Outcome::Established { flow: 999, took: 0 });
-    assert!(policy.after(T0, Outcome::Left { flow: 999 }).call_off.is_empty());
-    let unknown = Flow { service_type: 99, ..flow(T0, 5) };
+    assert!(
+        policy
+            .after(T0, Outcome::Left { flow: 999 })
+            .call_off
+            .is_empty()
+    );
+    let unknown = Flow {
+        service_type: 99,
+        ..flow(T0, 5)
+    };
     assert!(matches!(policy.place(T0, &unknown), Place::To(..)));
     assert_eq!(policy.after(T0, Outcome::Left { flow: 5 }).call_off, [5]);
 }
@@ -619,7 +969,10 @@
 #[test]
 fn balancers_agree_on_a_groups_home_and_own_holders_come_first() {
     // Guards against 163 balancers that spread each group over the fleet.
-    let of = |group: &str, id| Flow { group: Some(group.into()), ..flow(T0, id) };
+    let of = |group: &str, id| Flow {
+        group: Some(group.into()),
+        ..flow(T0, id)
+    };
     let placed = |seed, group: &str, holder: Option<Rs>| {
         let mut policy = Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)])
             .connects(3, MS, false, true)
@@ -634,11 +987,20 @@
             other => panic!("{other:?}"),
         }
     };
-    let homes: Vec<Rs> = ["a", "b", "c", "d", "e"].map(|group| placed(1, group, None)).to_vec();
+    let homes: Vec<Rs> = ["a", "b", "c", "d", "e"]
+        .map(|group| placed(1, group, None))
+        .to_vec();
     for (seed, group, home) in [(2, "a", homes[0]), (3, "b", homes[1]), (4, "c", homes[2])] {
-        assert_eq!(placed(seed, group, None), home, "seed {seed}, group {group}");
+        assert_eq!(
+            placed(seed, group, None),
+            home,
+            "seed {seed}, group {group}"
+        );
     }
-    assert!(homes.iter().any(|home| *home != homes[0]), "groups have homes of their own: {homes:?}");
+    assert!(
+        homes.iter().any(|home| *home != homes[0]),
+        "groups have homes of their own: {homes:?}"
+    );
     let elsewhere = (homes[0] + 1) % 20;
     assert_eq!(placed(5, "a", Some(elsewhere)), elsewhere);
 }
@@ -647,9 +1009,12 @@
 fn probes_are_paid_for_by_own_flows_within_ten_seconds() {
     // Guards against 33 probes a try on a large fleet (colombo-maps-later, big-1). Price of a probe, own
     // connections at the start, probes of one server in 60 s at least and at most.
-    for (price, own, least, most) in
-        [(0.0, 0, 28, 32), (0.002, 0, 0, 0), (0.002, 5000, 28, 32), (0.02, 50, 6, 8)]
-    {
+    for (price, own, least, most) in [
+        (0.0, 0, 28, 32),
+        (0.002, 0, 0, 0),
+        (0.002, 5000, 28, 32),
+        (0.02, 50, 6, 8),
+    ] {
         let mut policy = balancer(Repeat::Repeatable).probing(true, price);
         policy.list(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
         (0..own).for_each(|id| policy.inherit(&flow(T0, id), id % 50));
@@ -661,7 +1026,10 @@
                 probe(&mut policy, now, rs, 0.6 + (now % 97) as f64 / 1e4);
             }
         }
-        assert!((least..=most).contains(&count), "price {price}, {own} own: {count}");
+        assert!(
+            (least..=most).contains(&count),
+            "price {price}, {own} own: {count}"
+        );
     }
 }
 
@@ -677,12 +1045,22 @@
         let mut on = [0; 5];
         for id in 0..30 {
             let now = T0 + SEC / 2 + id * 25 * MS;
-            if let Place::To(rs, ..) = policy.place(now, &Flow { returning, ..flow(now, id) }) {
+            if let Place::To(rs, ..) = policy.place(
+                now,
+                &Flow {
+                    returning,
+                    ..flow(now, id)
+                },
+            ) {
                 on[rs as usize] += 1;
                 policy.after(now, Outcome::Established { flow: id, took: MS });
             }
         }
-        assert_eq!(on.iter().sum::<u64>() == 30, all, "{own} own, returning {returning}: {on:?}");
+        assert_eq!(
+            on.iter().sum::<u64>() == 30,
+            all,
+            "{own} own, returning {returning}: {on:?}"
+        );
         assert!(!all || on.iter().all(|on| (5..=7).contains(on)), "{on:?}");
     }
 }
@@ -708,7 +1086,9 @@
     // Guards against 100 balancers that each probed 12 servers every 2.9 s for eight flows and got one. Balancers,
     // probes of one of them in its first 10 s at least and at most.
     for (balancers, least, most) in [(4.0, 36, 72), (12.0, 36, 72), (100.0, 0, 0), (300.0, 0, 0)] {
-        let mut policy = balancer(Repeat::Repeatable).probing(true, 0.0019).among(balancers, false);
+        let mut policy = balancer(Repeat::Repeatable)
+            .probing(true, 0.0019)
+            .among(balancers, false);
         policy.list(T0, &(0..12).map(ready).collect::<Vec<_>>(), true);
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 10 * SEC {
@@ -718,7 +1098,10 @@
                 probe(&mut policy, now, rs, 0.5 + (now % 97) as f64 / 1e4);
             }
         }
-        assert!((least..=most).contains(&count), "{balancers} balancers: {count} probes");
+        assert!(
+            (least..=most).contains(&count),
+            "{balancers} balancers: {count} probes"
+        );
     }
 }
 
@@ -727,18 +1110,37 @@
     // Guards against 47 probes a flow for figures of 15 s (four balancers to a server). What the probe brings,
     // whether the flow then goes to that server.
     for (load, goes) in [(Some(0.1), true), (None, true), (Some(0.9), false)] {
-        let mut policy = balancer(Repeat::Repeatable).probing(true, 1.0).among(1.0, true);
+        let mut policy = balancer(Repeat::Repeatable)
+            .probing(true, 1.0)
+            .among(1.0, true);
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let mut now = T0 + 3 * SEC;
-        assert_eq!(policy.after(now, Outcome::Elapsed).probe, [], "none holds a connection of ours");
-        let one = Flow { group: Some("a".into()), ..flow(now, 1) };
+        assert_eq!(
+            policy.after(now, Outcome::Elapsed).probe,
+            [],
+            "none holds a connection of ours"
+        );
+        let one = Flow {
+            group: Some("a".into()),
+            ..flow(now, 1)
+        };
         assert_eq!(policy.place(now, &one), Place::NotYet);
         now += MS;
         let asked = policy.after(now, Outcome::Elapsed).probe;
         assert!((1..=4).contains(&asked.len()), "{asked:?}");
         for rs in &asked {
-            let report = Report { beta: load, connections: None };
-            policy.after(now, Outcome::Probed { rs: *rs, passed: true, report });
+            let report = Report {
+                beta: load,
+                connections: None,
+            };
+            policy.after(
+                now,
+                Outcome::Probed {
+                    rs: *rs,
+                    passed: true,
+                    report,
+                },
+            );
         }
         now += policy.wait(now).expect("a look at the flow").min(5 * MS);
         policy.after(now, Outcome::Elapsed);
@@ -753,9 +1155,17 @@
 fn groups_go_where_others_say_that_they_are_held() {
     // Guards against a group on as many servers as there are balancers. Whether words are allowed, their age in
     // seconds, whether the group follows them into the other hall.
-    for (tells, age, follows) in [(true, 1, true), (true, 39, true), (true, 41, false), (false, 1, false)] {
+    for (tells, age, follows) in [
+        (true, 1, true),
+        (true, 39, true),
+        (true, 41, false),
+        (false, 1, false),
+    ] {
         let mut policy = balancer(Repeat::Repeatable).among(1.0, tells);
-        let list = |rs| Listed { hall: u64::from(rs > 3), ..ready(rs) };
+        let list = |rs| Listed {
+            hall: u64::from(rs > 3),
+            ..ready(rs)
+        };
         policy.list(T0, &(0..9).map(list).collect::<Vec<_>>(), true);
         let group = Some("a".to_string());
         // Whoever places one says so, once.
@@ -763,17 +1173,35 @@
         teller.list(T0, &[list(7)], true);
         let mut words = Vec::new();
         for id in 0..5 {
-            let one = Flow { group: group.clone(), ..flow(T0 + id * SEC, id) };
+            let one = Flow {
+                group: group.clone(),
+                ..flow(T0 + id * SEC, id)
+            };
             assert!(matches!(teller.place(one.taken, &one), Place::To(7, ..)));
-            words.extend(teller.after(one.taken, Outcome::Established { flow: id, took: MS }).tell);
+            words.extend(
+                teller
+                    .after(one.taken, Outcome::Established { flow: id, took: MS })
+                    .tell,
+            );
         }
         assert_eq!(words.len(), 1, "{words:?}");
         let bytes = words[0].to_bytes();
-        assert_eq!((bytes.len(), Holds::from_bytes(&bytes)), (3, Some(words[0])));
+        assert_eq!(
+            (bytes.len(), Holds::from_bytes(&bytes)),
+            (3, Some(words[0]))
+        );
         policy.heard(T0, words[0]);
         policy.heard(T0, Holds { rs: 99, ..words[0] });
         let now = T0 + age * SEC;
-        let Place::To(rs, ..) = policy.place(now, &Flow { group, ..flow(now, 9) }) else { panic!("room") };
+        let Place::To(rs, ..) = policy.place(
+            now,
+            &Flow {
+                group,
+                ..flow(now, 9)
+            },
+        ) else {
+            panic!("room")
+        };
         assert_eq!(rs == 7, follows, "telling {tells}, {age} s: {rs}");
     }
     for bad in [&b""[..], b"\x01", b"\x00\x01\x00\x07", b"\x00\x01123456789"] {
@@ -791,13 +1219,31 @@
         let mut words = 0;
         for id in 0..100 {
             let now = T0 + id * SEC / 10;
-            let one = Flow { group: Some(format!("group {id}")), ..flow(now, id) };
+            let one = Flow {
+                group: Some(format!("group {id}")),
+                ..flow(now, id)
+            };
             policy.place(now, &one);
-            words +=
-                usize::from(policy.after(now, Outcome::Established { flow: id, took: MS }).tell.is_some());
-            policy.after(now, Outcome::Ended { flow: id, rs: 0, end: End::Done, owed: None });
+            words += usize::from(
+                policy
+                    .after(now, Outcome::Established { flow: id, took: MS })
+                    .tell
+                    .is_some(),
+            );
+            policy.after(
+                now,
+                Outcome::Ended {
+                    flow: id,
+                    rs: 0,
+                    end: End::Done,
+                    owed: None,
+                },
+            );
         }
-        assert!((1..=most).contains(&words), "{balancers} balancers: {words}");
+        assert!(
+            (1..=most).contains(&words),
+            "{balancers} balancers: {words}"
+        );
     }
 }
 
@@ -806,20 +1252,59 @@
     // Guards against a switch that forgets connections, drains or failures, and one that can't be taken back.
     let made = |tells| balancer(Repeat::Repeatable).among(1.0, tells);
     let mut policy = made(false);
-    policy.list(T0, &[ready(0), ready(1), Listed { state: State::Draining, ..ready(2) }], true);
-    (0..4).for_each(|id| policy.inherit(&Flow { group: Some("a".into()), ..flow(T0, id) }, 1));
-    policy.after(T0, Outcome::Ended { flow: 9, rs: 2, end: End::Error, owed: None });
+    policy.list(
+        T0,
+        &[
+            ready(0),
+            ready(1),
+            Listed {
+                state: State::Draining,
+                ..ready(2)
+            },
+        ],
+        true,
+    );
+    (0..4).for_each(|id| {
+        policy.inherit(
+            &Flow {
+                group: Some("a".into()),
+                ..flow(T0, id)
+            },
+            1,
+        )
+    });
+    policy.after(
+        T0,
+        Outcome::Ended {
+            flow: 9,
+            rs: 2,
+            end: End::Error,
+            owed: None,
+        },
+    );
     for tells in [true, false, true, false] {
         policy.change(made(tells));
         policy.heard(T0, Holds { group: 1, rs: 0 });
         for id in 10..20 {
-            let one = Flow { group: (!tells).then(|| "a".into()), ..flow(T0, id) };
+            let one = Flow {
+                group: (!tells).then(|| "a".into()),
+                ..flow(T0, id)
+            };
             let placed = policy.place(T0, &one);
             assert!(
-                matches!(placed, Place::To(0 | 1, ..)) && (tells || matches!(placed, Place::To(1, ..))),
+                matches!(placed, Place::To(0 | 1, ..))
+                    && (tells || matches!(placed, Place::To(1, ..))),
                 "{placed:?}"
             );
-            policy.after(T0, Outcome::Ended { flow: id, rs: 1, end: End::Done, owed: None });
+            policy.after(
+                T0,
+                Outcome::Ended {
+                    flow: id,
+                    rs: 1,
+                    end: End::Done,
+                    owed: None,
+                },
+            );
         }
     }
     let moved = (0..40).any(|second| {
@@ -839,8 +1324,18 @@
     for second in 1..=12 {
         let now = T0 + second * SEC;
         policy.after(now, Outcome::Elapsed);
-        policy.after(now, Outcome::Probed { rs: 0, passed: false, report: Report::default() });
-        let late = Flow { taken: now - SEC, ..flow(now, second) };
+        policy.after(
+            now,
+            Outcome::Probed {
+                rs: 0,
+                passed: false,
+                report: Report::default(),
+            },
+        );
+        let late = Flow {
+            taken: now - SEC,
+            ..flow(now, second)
+        };
         open.push(matches!(policy.place(now, &late), Place::To(..)));
     }
     assert!(!open[2] && open[11], "{open:?}");
@@ -849,9 +1344,16 @@
 #[test]
 fn large_lists_that_turn_over_within_one_moment_and_reports_absurd_on_a_part_do_no_harm() {
     // Guards against panics, and against sends to servers that came and went, at twice the largest size seen.
-    let mut policy = balancer(Repeat::Repeatable).among(1000.0, false).probing(true, 0.002);
+    let mut policy = balancer(Repeat::Repeatable)
+        .among(1000.0, false)
+        .probing(true, 0.002);
     let list = |from: Rs, state| -> Vec<Listed> {
-        let one = |rs| Listed { state, started: if rs % 7 == 0 { T0 } else { 0 }, hall: rs % 3, ..ready(rs) };
+        let one = |rs| Listed {
+            state,
+            started: if rs % 7 == 0 { T0 } else { 0 },
+            hall: rs % 3,
+            ..ready(rs)
+        };
         (from..from + 500).map(one).collect()
     };
     let mut placed = 0;
@@ -867,11 +1369,23 @@
         policy.after(now, Outcome::Elapsed);
         for id in 0..20 {
             let group = Some(format!("group {}", id % 4));
-            let one = Flow { group, ..flow(now, round * 100 + id) };
+            let one = Flow {
+                group,
+                ..flow(now, round * 100 + id)
+            };
             if let Place::To(rs, limit, _) = policy.place(now, &one) {
                 let listed = round * 250 + 500..round * 250 + 750;
-                assert!(listed.contains(&rs) && limit < 2 * SEC, "round {round}: {rs}");
-                policy.after(now, Outcome::Established { flow: one.id, took: MS });
+                assert!(
+                    listed.contains(&rs) && limit < 2 * SEC,
+                    "round {round}: {rs}"
+                );
+                policy.after(
+                    now,
+                    Outcome::Established {
+                        flow: one.id,
+                        took: MS,
+                    },
+                );
                 placed += 1;
             }
         }
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -24,15 +24,28 @@
 }
 
 fn servers(count: u64) -> Vec<Listed> {
-    (0..count).map(|rs| Listed { hall: rs % 31, ..ready(rs) }).collect()
+    (0..count)
+        .map(|rs| Listed {
+            hall: rs % 31,
+            ..ready(rs)
+        })
+        .collect()
 }
 
 fn of_group(now: Time, id: FlowId, group: &str) -> Flow {
-    Flow { group: Some(group.to_owned()), ..flow(now, id) }
+    Flow {
+        group: Some(group.to_owned()),
+        ..flow(now, id)
+    }
 }
 
 /// Places a flow, lets servers answer what they are asked, and tells where it went and who was asked.
-fn place(policy: &mut Policy, mut now: Time, flow: &Flow, figure: impl Fn(Rs) -> f64) -> (Place, Vec<Rs>) {
+fn place(
+    policy: &mut Policy,
+    mut now: Time,
+    flow: &Flow,
+    figure: impl Fn(Rs) -> f64,
+) -> (Place, Vec<Rs>) {
     let mut asked = Vec::new();
     loop {
         let answer = policy.place(now, flow);
@@ -41,7 +54,14 @@
         }
         let probes = policy.after(now, Outcome::Elapsed).probe;
         for rs in &probes {
-            policy.after(now, Outcome::Probed { rs: *rs, passed: true, report: beta(figure(*rs)) });
+            policy.after(
+                now,
+                Outcome::Probed {
+                    rs: *rs,
+                    passed: true,
+                    report: beta(figure(*rs)),
+                },
+            );
         }
         asked.extend(probes);
         now += 60 * MS;
@@ -56,8 +76,18 @@
     for (id, group) in groups.iter().enumerate() {
         let (now, id) = (T0 + id as Time * SEC, id as FlowId);
         let (answer, _) = place(&mut policy, now, &of_group(now, id, group), |_| 0.3);
-        let Place::To(rs, ..) = answer else { panic!("{group}: {answer:?}") };
-        policy.after(now, Outcome::Ended { flow: id, rs, end: End::Done, owed: None });
+        let Place::To(rs, ..) = answer else {
+            panic!("{group}: {answer:?}")
+        };
+        policy.after(
+            now,
+            Outcome::Ended {
+                flow: id,
+                rs,
+                end: End::Done,
+                owed: None,
+            },
+        );
         homes.push(rs);
     }
     homes
@@ -71,7 +101,9 @@
 fn a_groups_flows_go_to_a_bounded_number_of_servers_however_long_the_list() {
     for count in [WHOLE + 1, 600, 12_000] {
         let list = servers(count);
-        let went: BTreeSet<Rs> = (0..15).flat_map(|seed| homes(&list, seed, &names(1))).collect();
+        let went: BTreeSet<Rs> = (0..15)
+            .flat_map(|seed| homes(&list, seed, &names(1)))
+            .collect();
         assert!(went.len() <= FEW, "{count} servers: {went:?}");
     }
 }
@@ -87,7 +119,9 @@
         for id in 0..200 {
             let now = T0 + id * 200 * MS;
             let (answer, _) = place(&mut policy, now, &flow(now, id), |_| 0.3);
-            let Place::To(rs, ..) = answer else { panic!("flow {id}: {answer:?}") };
+            let Place::To(rs, ..) = answer else {
+                panic!("flow {id}: {answer:?}")
+            };
             policy.after(now, Outcome::Established { flow: id, took: MS });
             *went.entry(rs).or_default() += 1;
         }
@@ -95,13 +129,21 @@
     assert!(went.keys().all(|rs| rs % 31 == 3), "{went:?}");
     // Some ten flows each; a fixed subset of 36 servers for each balancer left many with none or thirty.
     let most = went.values().max().expect("some");
-    assert!(went.len() >= 190 && *most <= 20, "{} servers, {most} at most", went.len());
+    assert!(
+        went.len() >= 190 && *most <= 20,
+        "{} servers, {most} at most",
+        went.len()
+    );
 }
 
 #[test]
 fn balancers_agree_where_a_group_goes_though_their_lists_differ_by_some_entries() {
     let list = servers(6_000);
-    let other: Vec<Listed> = list.iter().filter(|server| server.rs % 200 != 17).copied().collect();
+    let other: Vec<Listed> = list
+        .iter()
+        .filter(|server| server.rs % 200 != 17)
+        .copied()
+        .collect();
     let (one, two) = (homes(&list, 1, &names(100)), homes(&other, 2, &names(100)));
     let same = one.iter().zip(&two).filter(|(one, two)| one == two).count();
     assert!(same >= 95, "{same} of 100");
@@ -111,18 +153,31 @@
 fn candidates_that_are_all_full_let_the_whole_list_be_looked_at_but_seldom() {
     let list = servers(600);
     let mut long = nettlemux_candidates::LongList::default();
-    list.iter().for_each(|server| long.update(server.rs, server.hall, server.weight, true));
+    list.iter()
+        .for_each(|server| long.update(server.rs, server.hall, server.weight, true));
     // Few other balancers, as each of ours is taken for one of each of them.
     let mut policy = balancer(1, 3).among(4.0, false);
     policy.list(T0, &list, true);
     let roomy = |rs: &Rs| (500..510).contains(rs);
     for rs in 0..600 {
         let figure = beta(if roomy(&rs) { 0.1 } else { 0.79 });
-        policy.after(T0, Outcome::Probed { rs, passed: true, report: figure });
+        policy.after(
+            T0,
+            Outcome::Probed {
+                rs,
+                passed: true,
+                report: figure,
+            },
+        );
     }
     // Groups that have none of those with room among their candidates.
     let key = |name: &String| nettlemux_candidates::hash_name(name);
-    let away = |name: &String| !long.scope(key(name), 3, true, [].into_iter()).iter().any(roomy);
+    let away = |name: &String| {
+        !long
+            .scope(key(name), 3, true, [].into_iter())
+            .iter()
+            .any(roomy)
+    };
     let groups: Vec<String> = names(200).into_iter().filter(away).take(20).collect();
     assert_eq!(groups.len(), 20);
     let mut placed = Vec::new();
@@ -134,7 +189,11 @@
         }
     }
     assert!(placed.iter().all(roomy), "{placed:?}");
-    assert_eq!(placed.len(), 2, "as often as the whole list may be looked at: {placed:?}");
+    assert_eq!(
+        placed.len(),
+        2,
+        "as often as the whole list may be looked at: {placed:?}"
+    );
 }
 
 #[test]
@@ -150,22 +209,44 @@
             let now = T0 + step * 10 * MS;
             // Nobody waits: these are for servers of ours, all of them hot, which are to be asked again soon.
             for rs in policy.after(now, Outcome::Elapsed).probe {
-                policy.after(now, Outcome::Probed { rs, passed: true, report: beta(0.9) });
+                policy.after(
+                    now,
+                    Outcome::Probed {
+                        rs,
+                        passed: true,
+                        report: beta(0.9),
+                    },
+                );
                 unasked += 1;
             }
             if step % 20 == 0 {
                 let flow = of_group(now, step, &format!("h{step}"));
                 let (answer, asked) = place(&mut policy, now, &flow, |_| 0.3);
                 assert!(matches!(answer, Place::To(..)), "{answer:?}");
-                policy.after(now, Outcome::Established { flow: step, took: MS });
+                policy.after(
+                    now,
+                    Outcome::Established {
+                        flow: step,
+                        took: MS,
+                    },
+                );
                 probes += asked.len();
             }
         }
         probes += unasked;
-        assert!(unasked > 20, "{count} servers: {unasked} probes that no flow waits for");
+        assert!(
+            unasked > 20,
+            "{count} servers: {unasked} probes that no flow waits for"
+        );
         // 20 s of ten a second, and ten at once at the start; flows alone get half of it at most.
-        assert!(probes > 20 * 5 + 5, "{count} servers: {probes} probes in 20 s");
-        assert!(probes <= 20 * 10 + 10, "{count} servers: {probes} probes in 20 s");
+        assert!(
+            probes > 20 * 5 + 5,
+            "{count} servers: {probes} probes in 20 s"
+        );
+        assert!(
+            probes <= 20 * 10 + 10,
+            "{count} servers: {probes} probes in 20 s"
+        );
     }
 }
 
@@ -178,16 +259,35 @@
     }
     let hot = |rs: Rs| if rs == 77 { 1.2 } else { 0.3 };
     let (mut times, mut shed) = (0, 0);
-    policy.after(T0, Outcome::Probed { rs: 77, passed: true, report: beta(1.2) });
+    policy.after(
+        T0,
+        Outcome::Probed {
+            rs: 77,
+            passed: true,
+            report: beta(1.2),
+        },
+    );
     for tick in 1..80 {
         let now = T0 + tick * 250 * MS;
         for rs in policy.after(now, Outcome::Elapsed).probe {
             times += usize::from(rs == 77);
-            shed +=
-                policy.after(now, Outcome::Probed { rs, passed: true, report: beta(hot(rs)) }).shift.len();
+            shed += policy
+                .after(
+                    now,
+                    Outcome::Probed {
+                        rs,
+                        passed: true,
+                        report: beta(hot(rs)),
+                    },
+                )
+                .shift
+                .len();
         }
     }
-    assert!((7..=10).contains(&times), "every 2 s for 20 s: {times} times");
+    assert!(
+        (7..=10).contains(&times),
+        "every 2 s for 20 s: {times} times"
+    );
     assert!(shed > 0);
 }
 
@@ -198,13 +298,33 @@
         let mut policy = balancer(1, 3);
         policy.list(T0, &list, true);
         let first = place(&mut policy, T0, &of_group(T0, 1, "one"), |_| 0.3).0;
-        let Place::To(first, ..) = first else { panic!("{first:?}") };
-        policy.after(T0, Outcome::Ended { flow: 1, rs: first, end: End::Done, owed: None });
-        policy.list(T0, &[Listed { state, ..list[first as usize] }], false);
+        let Place::To(first, ..) = first else {
+            panic!("{first:?}")
+        };
+        policy.after(
+            T0,
+            Outcome::Ended {
+                flow: 1,
+                rs: first,
+                end: End::Done,
+                owed: None,
+            },
+        );
+        policy.list(
+            T0,
+            &[Listed {
+                state,
+                ..list[first as usize]
+            }],
+            false,
+        );
         for id in 2..40 {
             let now = T0 + id * SEC;
             let place = place(&mut policy, now, &of_group(now, id, "one"), |_| 0.3).0;
-            assert!(matches!(place, Place::To(rs, ..) if rs != first), "{state:?}: {place:?}");
+            assert!(
+                matches!(place, Place::To(rs, ..) if rs != first),
+                "{state:?}: {place:?}"
+            );
             policy.after(now, Outcome::Established { flow: id, took: MS });
         }
     }
@@ -221,7 +341,10 @@
         let now = T0 + id * 20 * MS;
         let flow = of_group(now, id, &format!("g{}", id % 50));
         let figure = |rs: Rs| 0.3 + (rs % 7) as f64 * 0.05;
-        let (a, b) = (place(&mut one, now, &flow, figure), place(&mut other, now, &flow, figure));
+        let (a, b) = (
+            place(&mut one, now, &flow, figure),
+            place(&mut other, now, &flow, figure),
+        );
         assert_eq!(a, b, "flow {id}");
         let ends = Outcome::Established { flow: id, took: MS };
         assert_eq!(one.after(now, ends), other.after(now, ends), "flow {id}");
@@ -237,8 +360,16 @@
         for id in 0..20 {
             let now = now + id * 100 * MS;
             let id = step as u64 * 100 + id;
-            let (place, _) = place(&mut policy, now, &of_group(now, id, &format!("g{id}")), |_| 0.2);
-            assert!(matches!(place, Place::To(rs, ..) if rs < count), "{count} servers: {place:?}");
+            let (place, _) = place(
+                &mut policy,
+                now,
+                &of_group(now, id, &format!("g{id}")),
+                |_| 0.2,
+            );
+            assert!(
+                matches!(place, Place::To(rs, ..) if rs < count),
+                "{count} servers: {place:?}"
+            );
             policy.after(now, Outcome::Established { flow: id, took: MS });
         }
     }
@@ -252,7 +383,9 @@
     for id in 0..300 {
         let now = T0 + id * 200 * MS;
         let (place, _) = place(&mut policy, now, &of_group(now, id, "largest"), |_| 0.3);
-        let Place::To(rs, ..) = place else { panic!("flow {id}: {place:?}") };
+        let Place::To(rs, ..) = place else {
+            panic!("flow {id}: {place:?}")
+        };
         policy.after(now, Outcome::Established { flow: id, took: MS });
         *went.entry(rs).or_default() += 1;
     }
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -13,17 +13,23 @@
     names: impl IntoIterator<Item = &'a str>,
     known: &[&str],
 ) -> impl Iterator<Item = (String, String)> {
-    names.into_iter().filter(|name| !known.contains(name)).map(|name| {
-        let why = match nearest(name, known.iter().copied()) {
-            Some(near) => format!("unknown; is '{near}' meant?"),
-            None => format!("unknown; there are {}", known.join(", ")),
-        };
-        (name.to_string(), why)
-    })
+    names
+        .into_iter()
+        .filter(|name| !known.contains(name))
+        .map(|name| {
+            let why = match nearest(name, known.iter().copied()) {
+                Some(near) => format!("unknown; is '{near}' meant?"),
+                None => format!("unknown; there are {}", known.join(", ")),
+            };
+            (name.to_string(), why)
+        })
 }
 
 /// Passes if each name is known; else says which one isn't.
-pub fn known<'a>(names: impl IntoIterator<Item = &'a str>, known: &[&str]) -> Result<(), (String, String)> {
+pub fn known<'a>(
+    names: impl IntoIterator<Item = &'a str>,
+    known: &[&str],
+) -> Result<(), (String, String)> {
     unknown(names, known).next().map_or(Ok(()), Err)
 }
 
@@ -35,8 +41,15 @@
     fn the_nearest_name_is_told() {
         let names = ["limits", "listen", "settings"];
         assert_eq!(known(["limits", "listen"], &names), Ok(()));
-        for (slip, near) in [("limts", "limits"), ("lsiten", "listen"), ("setings", "settings")] {
-            assert_eq!(known([slip], &names), Err((slip.into(), format!("unknown; is '{near}' meant?"))));
+        for (slip, near) in [
+            ("limts", "limits"),
+            ("lsiten", "listen"),
+            ("setings", "settings"),
+        ] {
+            assert_eq!(
+                known([slip], &names),
+                Err((slip.into(), format!("unknown; is '{near}' meant?")))
+            );
         }
         assert_eq!(
             known(["frobnicate"], &names).unwrap_err().1,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -35,7 +35,10 @@
 
 impl Malformed {
     pub fn new(field: &str, why: impl Into<String>) -> Self {
-        Malformed { field: field.into(), why: why.into() }
+        Malformed {
+            field: field.into(),
+            why: why.into(),
+        }
     }
 }
 
@@ -53,9 +56,13 @@
 
 impl Settings {
     pub fn parse(text: &str) -> Read<Self> {
-        let value: Value =
-            serde_json::from_str(text).map_err(|e| Malformed::new("conf", format!("no JSON: {e}")))?;
-        if value.is_object() { Ok(Settings(value)) } else { Err(Malformed::new("conf", "no object")) }
+        let value: Value = serde_json::from_str(text)
+            .map_err(|e| Malformed::new("conf", format!("no JSON: {e}")))?;
+        if value.is_object() {
+            Ok(Settings(value))
+        } else {
+            Err(Malformed::new("conf", "no object"))
+        }
     }
 
     /// The settings that stand inside another object.
@@ -92,7 +99,10 @@
             .among(self.number_or("replicas-of-me", 1.0)?, self.may_tell()?)
             .customers(self.shares()?, self.number_or("surplus-value", 1.0)?)
             .come_back(self.come_back()?)
-            .probing(self.allowed("limits/probes")?, self.number_or("costs/probe", 0.0)?)
+            .probing(
+                self.allowed("limits/probes")?,
+                self.number_or("costs/probe", 0.0)?,
+            )
             .told(self.asked()?.is_some(), warn)
             .cold(start, warm_up, multiple, window))
     }
@@ -124,13 +134,20 @@
     /// The longest that clients of each service type wait, where the settings have a limit.
     pub fn longest_waits(&self) -> Vec<Option<Time>> {
         let list = self.maybe("service-types").and_then(Value::as_array);
-        let limits = list.into_iter().flatten().map(|one| one.get("hard-limit").and_then(Value::as_f64));
+        let limits = list
+            .into_iter()
+            .flatten()
+            .map(|one| one.get("hard-limit").and_then(Value::as_f64));
         limits.map(|us| us.map(span)).collect()
     }
 
     /// The longest that any client waits; without a limit in the settings, as long as a time can be.
     pub fn longest_wait(&self) -> Time {
-        self.longest_waits().into_iter().map(|wait| wait.unwrap_or(Time::MAX)).max().unwrap_or(Time::MAX)
+        self.longest_waits()
+            .into_iter()
+            .map(|wait| wait.unwrap_or(Time::MAX))
+            .max()
+            .unwrap_or(Time::MAX)
     }
 
     /// Whether balancers may tell one another anything; not where nothing is said of it.
@@ -155,15 +172,23 @@
     pub fn following(&self, old: &Settings) -> Read<Settings> {
         let mut merged = self.clone();
         for list in ["service-types", "accounts"] {
-            let entries =
-                |of: &Settings| of.maybe(list).and_then(Value::as_array).cloned().unwrap_or_default();
+            let entries = |of: &Settings| {
+                of.maybe(list)
+                    .and_then(Value::as_array)
+                    .cloned()
+                    .unwrap_or_default()
+            };
             let name = |one: &Value| one.get("name").and_then(Value::as_str).map(String::from);
             let mut all: Vec<Value> = entries(old);
             let mut seen = Vec::new();
             for new in entries(self) {
                 let known = name(&new).filter(|name| !seen.contains(name));
-                let known = known.ok_or_else(|| Malformed::new(list, "a name is missing or comes twice"))?;
-                match all.iter_mut().find(|one| name(one).as_ref() == Some(&known)) {
+                let known = known
+                    .ok_or_else(|| Malformed::new(list, "a name is missing or comes twice"))?;
+                match all
+                    .iter_mut()
+                    .find(|one| name(one).as_ref() == Some(&known))
+                {
                     Some(one) => *one = new,
                     None => all.push(new),
                 }
@@ -182,7 +207,9 @@
 
     /// The name of the own hall, where halls have names.
     pub fn hall_name(&self) -> Option<String> {
-        self.names("areas").into_iter().nth(self.hall().ok()? as usize)
+        self.names("areas")
+            .into_iter()
+            .nth(self.hall().ok()? as usize)
     }
 
     fn hall(&self) -> Read<u64> {
@@ -192,24 +219,40 @@
 
     /// How this deployment's load reports are read.
     pub fn reports(&self) -> Reports {
-        let x0 = self.maybe("specifics/report-x0").and_then(Value::as_str).unwrap_or_default();
-        Reports { x0_is_load: x0.contains("over what it can do") }
+        let x0 = self
+            .maybe("specifics/report-x0")
+            .and_then(Value::as_str)
+            .unwrap_or_default();
+        Reports {
+            x0_is_load: x0.contains("over what it can do"),
+        }
     }
 
     /// The names in one of the lists that places refer to; none where it is missing.
     pub fn names(&self, list: &str) -> Vec<String> {
         let list = self.maybe(list).and_then(Value::as_array);
-        let name = |one: &Value| one.as_str().or_else(|| one.get("name")?.as_str()).map(String::from);
-        list.into_iter().flatten().map(|one| name(one).unwrap_or_default()).collect()
+        let name = |one: &Value| {
+            one.as_str()
+                .or_else(|| one.get("name")?.as_str())
+                .map(String::from)
+        };
+        list.into_iter()
+            .flatten()
+            .map(|one| name(one).unwrap_or_default())
+            .collect()
     }
 
     /// What stands there; `null` is nothing.
     pub fn maybe(&self, path: &str) -> Option<&Value> {
-        path.split('/').try_fold(&self.0, |value, key| value.get(key)).filter(|value| !value.is_null())
+        path.split('/')
+            .try_fold(&self.0, |value, key| value.get(key))
+            .filter(|value| !value.is_null())
     }
 
     fn needed<T>(&self, path: &str, read: impl Fn(&Value) -> Option<T>) -> Read<T> {
-        let value = self.maybe(path).ok_or_else(|| Malformed::new(path, "missing setting"))?;
+        let value = self
+            .maybe(path)
+            .ok_or_else(|| Malformed::new(path, "missing setting"))?;
         read(value).ok_or_else(|| Malformed::new(path, format!("can't use {value}")))
     }
 
@@ -246,13 +289,20 @@
     pub fn shares(&self) -> Read<Vec<f64>> {
         let none = Value::Array(Vec::new());
         let list = self.maybe("accounts").unwrap_or(&none);
-        let list = list.as_array().ok_or_else(|| Malformed::new("accounts", "is no list"))?;
-        list.iter().map(|one| Settings(one.clone()).number_or("fraction", 1.0)).collect()
+        let list = list
+            .as_array()
+            .ok_or_else(|| Malformed::new("accounts", "is no list"))?;
+        list.iter()
+            .map(|one| Settings(one.clone()).number_or("fraction", 1.0))
+            .collect()
     }
 
     pub fn service_types(&self) -> Read<Vec<ServiceType>> {
         let list = self.needed("service-types", |value| value.as_array().cloned())?;
-        list.into_iter().map(Settings).map(|one| one.service_type()).collect()
+        list.into_iter()
+            .map(Settings)
+            .map(|one| one.service_type())
+            .collect()
     }
 
     fn service_type(self) -> Read<ServiceType> {
@@ -266,7 +316,9 @@
                     "all" => Scope::All,
                     "zone" => Scope::Hall,
                     "cell" => Scope::Cell,
-                    other => return Err(Malformed::new("group", format!("unknown scope '{other}'"))),
+                    other => {
+                        return Err(Malformed::new("group", format!("unknown scope '{other}'")));
+                    }
                 };
                 Repeat::Referenced(scope, self.time_or("window", 0)?)
             }
@@ -274,15 +326,26 @@
         };
         // Without a target any answer in time will do.
         let longest = self.time_or("hard-limit", LONGEST)?;
-        let (setup_target, value) = (self.time_or("setup-target", longest)?, self.number_or("value", 1.0)?);
-        Ok(ServiceType { setup_target, value, repeat })
+        let (setup_target, value) = (
+            self.time_or("setup-target", longest)?,
+            self.number_or("value", 1.0)?,
+        );
+        Ok(ServiceType {
+            setup_target,
+            value,
+            repeat,
+        })
     }
 }
 
 /// A number as servers and clients tell it; guards against `nan`, `inf` and the like, which Rust reads as numbers too.
 pub fn figure(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'.' | b'-' | b'e'));
-    text.parse().ok().filter(|value: &f64| plain && value.is_finite())
+    let plain = text
+        .bytes()
+        .all(|byte| matches!(byte, b'0'..=b'9' | b'.' | b'-' | b'e'));
+    text.parse()
+        .ok()
+        .filter(|value: &f64| plain && value.is_finite())
 }
 
 /// What a load report's figures mean.
@@ -301,7 +364,9 @@
             let no_pair = || Malformed::new("report", format!("'{pair}' is no pair"));
             let (name, value) = pair.split_once(sign).ok_or_else(no_pair)?;
             // One figure that is none costs us that one only.
-            let Some(value) = figure(value).filter(|value| *value >= 0.0) else { continue };
+            let Some(value) = figure(value).filter(|value| *value >= 0.0) else {
+                continue;
+            };
             match name {
                 "x0" if self.x0_is_load => report.beta = Some(value),
                 "busy" | "util" => busy = Some(value),
