--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -40,11 +40,20 @@
 
 impl Peers {
     fn check(&self) -> Result<(), Faulty> {
-        let faulty = |key: &str, why: String| Err(Faulty { key: format!("peers.{key}"), why });
+        let faulty = |key: &str, why: String| {
+            Err(Faulty {
+                key: format!("peers.{key}"),
+                why,
+            })
+        };
         if self.to.len() > MOST_PEERS {
             return faulty("to", format!("{} are over {MOST_PEERS}", self.to.len()));
         }
-        match self.to.iter().find(|to| to.is_ipv4() != self.listen.is_ipv4() || to.port() == 0) {
+        match self
+            .to
+            .iter()
+            .find(|to| to.is_ipv4() != self.listen.is_ipv4() || to.port() == 0)
+        {
             Some(to) => faulty("to", format!("{to} can't be reached from {}", self.listen)),
             None => Ok(()),
         }
@@ -115,7 +124,10 @@
 impl Door {
     /// The door's own configuration; `key` turns a customer's name into its key, or leaves its weight out.
     pub fn config(&self, longest: Time, key: impl Fn(&str) -> Option<u64>) -> Config {
-        let weights = self.weights.iter().filter_map(|(name, weight)| Some((key(name)?, *weight)));
+        let weights = self
+            .weights
+            .iter()
+            .filter_map(|(name, weight)| Some((key(name)?, *weight)));
         Config {
             waiting: self.waiting,
             waiting_each: self.waiting_each,
@@ -133,7 +145,12 @@
 
     /// What the form alone can't check: the key at fault and why.
     fn check(&self) -> Result<(), Faulty> {
-        let faulty = |key: &str, why: String| Err(Faulty { key: format!("door.{key}"), why });
+        let faulty = |key: &str, why: String| {
+            Err(Faulty {
+                key: format!("door.{key}"),
+                why,
+            })
+        };
         let counts = [
             ("waiting", self.waiting, 1, 1_000_000),
             ("waiting_each", self.waiting_each, 1, 10_000),
@@ -145,17 +162,25 @@
                 return faulty(key, format!("{count} is not from {least} to {most}"));
             }
         }
-        for (key, value) in
-            [("rate", self.rate), ("burst", self.burst), ("retries", self.retries), ("saved", self.saved)]
-        {
+        for (key, value) in [
+            ("rate", self.rate),
+            ("burst", self.burst),
+            ("retries", self.retries),
+            ("saved", self.saved),
+        ] {
             if !value.is_finite() || value < 0.0 {
                 return faulty(key, format!("{value} is not from 0 up"));
             }
         }
-        match self.weights.iter().find(|(_, weight)| !(0.001..=1000.0).contains(*weight)) {
-            Some((name, weight)) => {
-                faulty(&format!("weights.{name}"), format!("{weight} is not from 0.001 to 1000"))
-            }
+        match self
+            .weights
+            .iter()
+            .find(|(_, weight)| !(0.001..=1000.0).contains(*weight))
+        {
+            Some((name, weight)) => faulty(
+                &format!("weights.{name}"),
+                format!("{weight} is not from 0.001 to 1000"),
+            ),
             None if !self.weights.is_empty() && self.by == By::Client => {
                 faulty("weights", "there are none where turns are by client".into())
             }
@@ -219,8 +244,13 @@
 /// Names the key at fault; an unknown one with the nearest known one.
 pub fn parse(text: &str) -> Result<Operator, Faulty> {
     let place = |e: &toml::de::Error| {
-        let line = e.span().map_or(1, |span| text[..span.start.min(text.len())].matches('\n').count() + 1);
-        Faulty { key: format!("(line {line})"), why: e.message().to_string() }
+        let line = e.span().map_or(1, |span| {
+            text[..span.start.min(text.len())].matches('\n').count() + 1
+        });
+        Faulty {
+            key: format!("(line {line})"),
+            why: e.message().to_string(),
+        }
     };
     let table: toml::Table = text.parse().map_err(|e| place(&e))?;
     let schema = schema();
@@ -233,22 +263,46 @@
 
 /// Walks what the file says beside the schema, so that every table to come is checked alike.
 fn unknown(value: &toml::Value, schema: &Value, whole: &Value, path: &str) -> Result<(), Faulty> {
-    let schema = match schema.get("$ref").and_then(Value::as_str).and_then(|at| at.strip_prefix('#')) {
+    let schema = match schema
+        .get("$ref")
+        .and_then(Value::as_str)
+        .and_then(|at| at.strip_prefix('#'))
+    {
         Some(at) => whole.pointer(at).unwrap_or(schema),
         None => schema,
     };
     // A table that may be missing stands beside `null`.
-    let either = schema.get("anyOf").and_then(Value::as_array).into_iter().flatten();
+    let either = schema
+        .get("anyOf")
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten();
     if let Some(one) = either.clone().find(|one| one.get("$ref").is_some()) {
         return unknown(value, one, whole, path);
     }
-    let (Some(table), Some(properties)) = (value.as_table(), schema.get("properties")) else { return Ok(()) };
-    let names: Vec<&str> =
-        properties.as_object().into_iter().flatten().map(|(name, _)| name.as_str()).collect();
-    let full = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
-    keys::known(table.keys().map(String::as_str), &names)
-        .map_err(|(key, why)| Faulty { key: full(&key), why })?;
-    table.iter().try_for_each(|(key, inner)| unknown(inner, &properties[key.as_str()], whole, &full(key)))
+    let (Some(table), Some(properties)) = (value.as_table(), schema.get("properties")) else {
+        return Ok(());
+    };
+    let names: Vec<&str> = properties
+        .as_object()
+        .into_iter()
+        .flatten()
+        .map(|(name, _)| name.as_str())
+        .collect();
+    let full = |key: &str| {
+        if path.is_empty() {
+            key.to_string()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
+    keys::known(table.keys().map(String::as_str), &names).map_err(|(key, why)| Faulty {
+        key: full(&key),
+        why,
+    })?;
+    table
+        .iter()
+        .try_for_each(|(key, inner)| unknown(inner, &properties[key.as_str()], whole, &full(key)))
 }
 
 #[cfg(test)]
@@ -259,23 +313,45 @@
     fn files_are_read_and_faults_named() {
         assert_eq!(parse("").unwrap(), Operator::default());
         let read = parse("[log]\nformat = \"json\"\nlevel = \"debug\"").unwrap();
-        assert_eq!(read.log, Log { format: Format::Json, level: Level::Debug });
+        assert_eq!(
+            read.log,
+            Log {
+                format: Format::Json,
+                level: Level::Debug
+            }
+        );
         for (text, key, why) in [
             ("[lgo]", "lgo", "is 'log' meant?"),
-            ("[log]\nfromat = \"json\"", "log.fromat", "is 'format' meant?"),
+            (
+                "[log]\nfromat = \"json\"",
+                "log.fromat",
+                "is 'format' meant?",
+            ),
             ("\n[log]\nformat = \"jsn\"", "(line 3)", "json"),
             ("\n\n[log", "(line 3)", ""),
             ("[log]\nlevel = 3", "(line 2)", ""),
             ("log = 3", "(line 1)", ""),
-            ("[peers]\nlisten = \"127.0.0.1:7200\"\nt = []", "peers.t", "is 'to' meant?"),
+            (
+                "[peers]\nlisten = \"127.0.0.1:7200\"\nt = []",
+                "peers.t",
+                "is 'to' meant?",
+            ),
             ("[peers]\nlisten = \"here\"", "(line 2)", "address"),
             ("[peers]\nto = []", "(line 1)", "listen"),
-            ("[peers]\nlisten = \"127.0.0.1:7200\"\nto = [\"[::1]:7200\"]", "peers.to", "can't be reached"),
+            (
+                "[peers]\nlisten = \"127.0.0.1:7200\"\nto = [\"[::1]:7200\"]",
+                "peers.to",
+                "can't be reached",
+            ),
             ("[door]\nwaitng = 3", "door.waitng", "is 'waiting' meant?"),
             ("[door]\nwaiting = 0", "door.waiting", "is not from 1 to"),
             ("[door]\nrate = -1.0", "door.rate", "from 0 up"),
             ("[door.weights]\ngold = 0.0", "door.weights.gold", "0.001"),
-            ("[door]\nby = \"client\"\nweights = { gold = 2.0 }", "door.weights", "by client"),
+            (
+                "[door]\nby = \"client\"\nweights = { gold = 2.0 }",
+                "door.weights",
+                "by client",
+            ),
         ] {
             let faulty = parse(text).unwrap_err();
             assert_eq!(faulty.key, key, "{text}: {faulty}");
--- a/crates/world/src/crowd.rs
+++ b/crates/world/src/crowd.rs
@@ -44,7 +44,12 @@
 impl Client {
     /// What it is to a server that it connects to.
     pub fn guest(&self) -> Guest {
-        Guest { load: self.load, group: self.group, service_type: self.service_type, value: self.value }
+        Guest {
+            load: self.load,
+            group: self.group,
+            service_type: self.service_type,
+            value: self.value,
+        }
     }
 }
 
@@ -58,7 +63,12 @@
 
 impl Crowd {
     pub fn new(seed: u64) -> Self {
-        Crowd { clients: BTreeMap::new(), next: 1, dice: Dice::new(seed, 2), wanted: 0.0 }
+        Crowd {
+            clients: BTreeMap::new(),
+            next: 1,
+            dice: Dice::new(seed, 2),
+            wanted: 0.0,
+        }
     }
 
     pub fn get(&self, id: u64) -> Option<&Client> {
@@ -73,7 +83,11 @@
             None => 0.0,
         };
         let rate = clients.rate * (world.surge + extra.max(0.0));
-        if rate <= 0.0 { SEC } else { seconds(self.dice.exponential(1.0 / rate)).max(1) }
+        if rate <= 0.0 {
+            SEC
+        } else {
+            seconds(self.dice.exponential(1.0 / rate)).max(1)
+        }
     }
 
     /// A new client, who wants what it wants from now on.
@@ -83,7 +97,9 @@
         let of = &scenario.types[service_type];
         let shares = &scenario.clients.customers;
         // What a customer brings beyond its share is worth less.
-        let extra = shares.first().map_or(0.0, |share| share * (world.customer_surge - 1.0).max(0.0));
+        let extra = shares
+            .first()
+            .map_or(0.0, |share| share * (world.customer_surge - 1.0).max(0.0));
         let surplus = extra > 0.0 && self.dice.unit() < extra / (world.surge + extra);
         let customer = match surplus {
             true => 0,
@@ -99,7 +115,12 @@
             group,
             zone: self.dice.below(scenario.zones.number),
             load: self.dice.around(of.load, scenario.clients.spread),
-            value: of.value * if surplus { scenario.clients.surplus } else { 1.0 },
+            value: of.value
+                * if surplus {
+                    scenario.clients.surplus
+                } else {
+                    1.0
+                },
             ends: now + seconds(self.dice.exponential(scenario.clients.life)).max(50 * MS),
             tries: 0,
             returning: false,
@@ -117,14 +138,21 @@
     /// It wants nothing more: the one place where it is given back.
     pub fn over(&mut self, id: u64) {
         if let Some(client) = self.clients.remove(&id) {
-            self.wanted = if self.clients.is_empty() { 0.0 } else { (self.wanted - client.value).max(0.0) };
+            self.wanted = if self.clients.is_empty() {
+                0.0
+            } else {
+                (self.wanted - client.value).max(0.0)
+            };
         }
     }
 
     /// A connection's load changes: what it is now, and how long until the next change.
     pub fn change_load(&mut self, id: u64, scenario: &Scenario) -> Option<(f64, Time)> {
         let client = self.clients.get_mut(&id)?;
-        client.load = self.dice.around(scenario.types[client.service_type].load, scenario.clients.spread);
+        client.load = self.dice.around(
+            scenario.types[client.service_type].load,
+            scenario.clients.spread,
+        );
         let wait = seconds(self.dice.exponential(scenario.clients.changes)).max(MS);
         Some((client.load, wait))
     }
@@ -135,7 +163,9 @@
     }
 
     pub fn kind(&self, id: u64, scenario: &Scenario) -> Kind {
-        self.clients.get(&id).map_or(Kind::Repeatable, |c| scenario.types[c.service_type].kind())
+        self.clients
+            .get(&id)
+            .map_or(Kind::Repeatable, |c| scenario.types[c.service_type].kind())
     }
 
     /// It is served.
@@ -150,7 +180,12 @@
     }
 
     /// It was turned away, with a time to come back where it was told one; when it tries again.
-    pub fn rejected(&mut self, id: u64, come_back: Option<Time>, scenario: &Scenario) -> Option<Time> {
+    pub fn rejected(
+        &mut self,
+        id: u64,
+        come_back: Option<Time>,
+        scenario: &Scenario,
+    ) -> Option<Time> {
         let own = seconds(scenario.clients.again);
         let own = self.spread([own, 2 * own]);
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
@@ -194,7 +229,11 @@
 impl Front {
     pub fn new(balancers: usize, zones: usize) -> Self {
         let of = |zone: usize| (0..balancers).filter(|b| b % zones == zone).collect();
-        Front { zones: (0..zones).map(of).collect(), notices: vec![None; balancers], turns: vec![0; zones] }
+        Front {
+            zones: (0..zones).map(of).collect(),
+            notices: vec![None; balancers],
+            turns: vec![0; zones],
+        }
     }
 
     /// The balancer for a client of that zone; another zone's where its own has none; none where there is none at all.
--- a/crates/world/src/dice.rs
+++ b/crates/world/src/dice.rs
@@ -26,7 +26,11 @@
 
     /// One of so many, the first being 0; 0 where there are none.
     pub fn below(&mut self, count: usize) -> usize {
-        if count == 0 { 0 } else { self.0.random_range(0..count) }
+        if count == 0 {
+            0
+        } else {
+            self.0.random_range(0..count)
+        }
     }
 
     pub fn number(&mut self) -> u64 {
--- a/crates/world/src/fault.rs
+++ b/crates/world/src/fault.rs
@@ -101,9 +101,12 @@
 impl Fault {
     pub fn check(&self, scenario: &Scenario) -> Result<(), (String, String)> {
         let bad = |key: &str, why: String| Err((key.to_string(), why));
-        for (key, value) in
-            [("at", self.at), ("for", self.lasts), ("share", self.share), ("amount", self.amount)]
-        {
+        for (key, value) in [
+            ("at", self.at),
+            ("for", self.lasts),
+            ("share", self.share),
+            ("amount", self.amount),
+        ] {
             if !value.is_finite() || value < 0.0 {
                 return bad(key, format!("{value} is under 0"));
             }
@@ -124,8 +127,14 @@
         if let Some(who) = self.who.iter().find(|who| **who >= number) {
             return bad("who", format!("there is no number {who}"));
         }
-        let needs_amount =
-            [What::Slow, What::Neighbour, What::ZoneFlaps, What::StoreSlow, What::Surge, What::CustomerSurge];
+        let needs_amount = [
+            What::Slow,
+            What::Neighbour,
+            What::ZoneFlaps,
+            What::StoreSlow,
+            What::Surge,
+            What::CustomerSurge,
+        ];
         if needs_amount.contains(&self.what) && self.amount <= 0.0 {
             return bad("amount", "this kind of fault needs one above 0".into());
         }
@@ -152,7 +161,11 @@
         if !self.who.is_empty() {
             return self.who.clone();
         }
-        let count = if self.share > 0.0 { ((of as f64 * self.share).round() as usize).max(1) } else { of };
+        let count = if self.share > 0.0 {
+            ((of as f64 * self.share).round() as usize).max(1)
+        } else {
+            of
+        };
         let mut all: Vec<usize> = (0..of).collect();
         for i in 0..count.min(of) {
             let other = i + dice.below(of - i);
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -79,7 +79,9 @@
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = Dice::new(seed, RNG_STREAM);
         let count = scenario.fleet.servers;
-        let servers = (0..count).map(|index| new_server(&scenario, index, &mut rng)).collect();
+        let servers = (0..count)
+            .map(|index| new_server(&scenario, index, &mut rng))
+            .collect();
         let mut world = World {
             store: Store::new(scenario.store.rate, scenario.store.alone),
             surge: 1.0,
@@ -115,7 +117,11 @@
         match task {
             Task::BeginFault { fault } => self.begin_fault(now, fault),
             Task::EndFault { fault } => self.end_fault(now, fault),
-            Task::Drain { server, leaving, until } => self.drain(now, server, leaving, until),
+            Task::Drain {
+                server,
+                leaving,
+                until,
+            } => self.drain(now, server, leaving, until),
             Task::SendAway { server, steps_left } => self.send_away(now, server, steps_left),
             Task::Leave { server } => self.leave(server),
             Task::Start { server } => self.start(now, server),
@@ -144,22 +150,40 @@
     /// it has none, the one with the lower utilization.
     pub fn stood_at(&self, zone: usize, dice: &mut Dice) -> usize {
         let all = 0..self.servers.len();
-        let local: Vec<usize> = all.clone().filter(|server| self.servers[*server].zone == zone).collect();
-        let candidates = if local.is_empty() { all.collect() } else { local };
+        let local: Vec<usize> = all
+            .clone()
+            .filter(|server| self.servers[*server].zone == zone)
+            .collect();
+        let candidates = if local.is_empty() {
+            all.collect()
+        } else {
+            local
+        };
         let first = candidates[dice.below(candidates.len())];
         let second = candidates[dice.below(candidates.len())];
         let utilization = |server: usize| self.servers[server].beta(&self.scenario.fleet, 0);
-        if utilization(first) <= utilization(second) { first } else { second }
+        if utilization(first) <= utilization(second) {
+            first
+        } else {
+            second
+        }
     }
 
     /// The worth of the messages that are answered in time now, each second.
     pub fn served(&self, now: Time) -> f64 {
-        self.servers.iter().map(|server| self.served_by(server, now)).sum()
+        self.servers
+            .iter()
+            .map(|server| self.served_by(server, now))
+            .sum()
     }
 
     fn served_by(&self, server: &Server, now: Time) -> f64 {
         let types = &self.scenario.types;
-        let worth = server.worth.iter().zip(types).filter(|(worth, _)| **worth > 0.0);
+        let worth = server
+            .worth
+            .iter()
+            .zip(types)
+            .filter(|(worth, _)| **worth > 0.0);
         worth
             .map(|(worth, service_type)| {
                 worth * server.in_time(&self.scenario.fleet, now, service_type.message_target)
@@ -169,7 +193,10 @@
 
     /// The utilization of each running server that does not drain.
     pub fn betas(&self, now: Time) -> impl Iterator<Item = f64> + '_ {
-        let up = self.servers.iter().filter(|server| server.life == Life::Up && !server.draining);
+        let up = self
+            .servers
+            .iter()
+            .filter(|server| server.life == Life::Up && !server.draining);
         up.map(move |server| server.beta(&self.scenario.fleet, now))
     }
 }
--- a/crates/world/src/fleet/degradation.rs
+++ b/crates/world/src/fleet/degradation.rs
@@ -28,7 +28,13 @@
         self.change_targets(fault, |server| server.speed *= factor);
         if step < DECAY_STEPS {
             let interval = seconds(lasts) / (DECAY_STEPS + 1);
-            self.schedule.add(now + interval, Task::Decay { fault, step: step + 1 });
+            self.schedule.add(
+                now + interval,
+                Task::Decay {
+                    fault,
+                    step: step + 1,
+                },
+            );
         }
     }
 
@@ -39,9 +45,16 @@
             return;
         }
         active.acting = present;
-        let taken = if present { active.fault.amount.min(NEIGHBOUR_SHARE_MAX) } else { 0.0 };
+        let taken = if present {
+            active.fault.amount.min(NEIGHBOUR_SHARE_MAX)
+        } else {
+            0.0
+        };
         self.change_targets(fault, |server| server.neighbour = taken);
-        let next = Task::Neighbour { fault, present: !present };
+        let next = Task::Neighbour {
+            fault,
+            present: !present,
+        };
         self.schedule.add(now + NEIGHBOUR_PERIOD, next);
     }
 
@@ -54,14 +67,16 @@
         active.acting = cut;
         let (zone, period) = (active.fault.zone, seconds(active.fault.amount));
         self.set_zone_cut(zone, cut);
-        self.schedule.add(now + period, Task::FlapZone { fault, cut: !cut });
+        self.schedule
+            .add(now + period, Task::FlapZone { fault, cut: !cut });
     }
 
     /// Lists all servers anew with their weights as they are now.
     pub(super) fn refresh_weights(&mut self, now: Time) {
         self.list.touch_all();
         self.happened.push(Happening::Listed);
-        self.schedule.add(now + WEIGHT_INTERVAL, Task::RefreshWeights);
+        self.schedule
+            .add(now + WEIGHT_INTERVAL, Task::RefreshWeights);
     }
 }
 
--- a/crates/world/src/fleet/faults.rs
+++ b/crates/world/src/fleet/faults.rs
@@ -29,9 +29,15 @@
     /// Schedules the beginning and the end of all faults.
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.scenario.faults.clone().into_iter().enumerate() {
-            self.schedule.add(fault.begins(), Task::BeginFault { fault: index });
-            self.schedule.add(fault.ends(), Task::EndFault { fault: index });
-            self.faults.push(ActiveFault { fault, targets: Vec::new(), acting: false });
+            self.schedule
+                .add(fault.begins(), Task::BeginFault { fault: index });
+            self.schedule
+                .add(fault.ends(), Task::EndFault { fault: index });
+            self.faults.push(ActiveFault {
+                fault,
+                targets: Vec::new(),
+                acting: false,
+            });
         }
     }
 
@@ -55,7 +61,9 @@
             What::Decay => self.decay(now, index, 1),
             What::Neighbour => self.set_neighbour(now, index, true),
             What::StuckReports => self.change_targets(index, |server| server.stuck = true),
-            What::AbsurdReports => self.change_targets(index, |server| server.absurd = Some(amount)),
+            What::AbsurdReports => {
+                self.change_targets(index, |server| server.absurd = Some(amount))
+            }
             What::FastErrors => self.change_targets(index, |server| server.fast_errors = true),
             What::ProbesFail => self.change_targets(index, |server| server.probes_fail = true),
             What::ZoneCut => self.set_zone_cut(fault.zone, true),
@@ -150,13 +158,25 @@
     /// Schedules the drains of servers one after another over the fault's time, with their return where they are rolled.
     fn schedule_drains(&mut self, now: Time, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
-        let drain_time = seconds(if fault.amount > 0.0 { fault.amount } else { DRAIN_SECONDS });
+        let drain_time = seconds(if fault.amount > 0.0 {
+            fault.amount
+        } else {
+            DRAIN_SECONDS
+        });
         for (position, server) in targets.iter().copied().enumerate() {
             let at = now + seconds(fault.lasts) * position as u64 / targets.len() as u64;
             let until = at + drain_time;
-            self.schedule.add(at, Task::Drain { server, leaving: fault.leaving, until });
+            self.schedule.add(
+                at,
+                Task::Drain {
+                    server,
+                    leaving: fault.leaving,
+                    until,
+                },
+            );
             if fault.what == What::Roll {
-                self.schedule.add(until + ROLL_DOWNTIME, Task::Start { server });
+                self.schedule
+                    .add(until + ROLL_DOWNTIME, Task::Start { server });
             }
         }
     }
@@ -166,12 +186,20 @@
     fn restart_targets(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let away = seconds(fault.amount);
-        self.happened.extend(targets.iter().map(|balancer| Happening::Restart { balancer: *balancer, away }));
+        self.happened
+            .extend(targets.iter().map(|balancer| Happening::Restart {
+                balancer: *balancer,
+                away,
+            }));
     }
 
     fn kill_balancers(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let away = seconds(fault.lasts);
-        self.happened.extend(targets.iter().map(|balancer| Happening::Kill { balancer: *balancer, away }));
+        self.happened
+            .extend(targets.iter().map(|balancer| Happening::Kill {
+                balancer: *balancer,
+                away,
+            }));
     }
 }
--- a/crates/world/src/fleet/lifecycle.rs
+++ b/crates/world/src/fleet/lifecycle.rs
@@ -46,10 +46,19 @@
             Leaving::Keeps => {}
             Leaving::BitByBit => {
                 let steps_left = (until.saturating_sub(now) / SEND_AWAY_INTERVAL).max(1);
-                self.schedule.add(now + SEND_AWAY_INTERVAL, Task::SendAway { server, steps_left });
+                self.schedule.add(
+                    now + SEND_AWAY_INTERVAL,
+                    Task::SendAway { server, steps_left },
+                );
             }
             Leaving::AllAtOnce => {
-                self.schedule.add(now + SEND_AWAY_DELAY, Task::SendAway { server, steps_left: 1 });
+                self.schedule.add(
+                    now + SEND_AWAY_DELAY,
+                    Task::SendAway {
+                        server,
+                        steps_left: 1,
+                    },
+                );
             }
         }
         self.schedule.add(until, Task::Leave { server });
@@ -67,7 +76,10 @@
             self.happened.push(Happening::SentAway { server, ids });
         }
         if steps_left > 1 && self.servers[server].draining {
-            let next = Task::SendAway { server, steps_left: steps_left - 1 };
+            let next = Task::SendAway {
+                server,
+                steps_left: steps_left - 1,
+            };
             self.schedule.add(now + SEND_AWAY_INTERVAL, next);
         }
     }
--- a/crates/world/src/fleet/list.rs
+++ b/crates/world/src/fleet/list.rs
@@ -24,8 +24,17 @@
 impl ServerList {
     /// A list of so many ready servers, at version 1.
     pub(super) fn new(servers: usize) -> Self {
-        let entry = |_| Entry { state: State::Ready, version: 1, hidden_by: 0 };
-        ServerList { entries: (0..servers).map(entry).collect(), version: 1, outages: 0, extra_delay: 0.0 }
+        let entry = |_| Entry {
+            state: State::Ready,
+            version: 1,
+            hidden_by: 0,
+        };
+        ServerList {
+            entries: (0..servers).map(entry).collect(),
+            version: 1,
+            outages: 0,
+            extra_delay: 0.0,
+        }
     }
 
     /// The current version.
@@ -35,7 +44,11 @@
 
     /// Adds a server that has not been listed yet.
     pub(super) fn add(&mut self) {
-        self.entries.push(Entry { state: State::Gone, version: 0, hidden_by: 0 });
+        self.entries.push(Entry {
+            state: State::Gone,
+            version: 0,
+            hidden_by: 0,
+        });
     }
 
     /// Sets a server's state. Returns whether it was another one.
@@ -71,12 +84,22 @@
     /// The state that discovery tells of a server.
     pub(super) fn visible_state(&self, server: usize) -> State {
         let entry = &self.entries[server];
-        if entry.hidden_by > 0 { State::Gone } else { entry.state }
+        if entry.hidden_by > 0 {
+            State::Gone
+        } else {
+            entry.state
+        }
     }
 
     /// The servers whose entries changed after one version and up to another.
-    pub(super) fn changed_between(&self, after: u64, up_to: u64) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn changed_between(
+        &self,
+        after: u64,
+        up_to: u64,
+    ) -> impl Iterator<Item = usize> + '_ {
         let versions = self.entries.iter().map(|entry| entry.version).enumerate();
-        versions.filter(move |(_, version)| (after + 1..=up_to).contains(version)).map(|(server, _)| server)
+        versions
+            .filter(move |(_, version)| (after + 1..=up_to).contains(version))
+            .map(|(server, _)| server)
     }
 }
--- a/crates/world/src/fleet/listing.rs
+++ b/crates/world/src/fleet/listing.rs
@@ -16,7 +16,9 @@
             return None;
         }
         let delay = self.scenario.discovery.delay;
-        Some(seconds(self.rng.between(delay / 2.0, delay) + self.list.extra_delay))
+        Some(seconds(
+            self.rng.between(delay / 2.0, delay) + self.list.extra_delay,
+        ))
     }
 
     /// The version of the list.
@@ -35,7 +37,10 @@
 
     /// The entries that changed after one version and up to another, as they are now.
     pub fn between(&self, version: u64, upto: u64) -> Vec<Listed> {
-        self.list.changed_between(version, upto).map(|server| self.entry(server)).collect()
+        self.list
+            .changed_between(version, upto)
+            .map(|server| self.entry(server))
+            .collect()
     }
 
     fn entry(&self, index: usize) -> Listed {
@@ -55,7 +60,9 @@
     fn weight(&self, server: &Server) -> f64 {
         match self.scenario.discovery.weights {
             Weights::Nominal => 1.0,
-            Weights::Live => HALF_WEIGHT_CONNECTIONS / (HALF_WEIGHT_CONNECTIONS + server.guests.len() as f64),
+            Weights::Live => {
+                HALF_WEIGHT_CONNECTIONS / (HALF_WEIGHT_CONNECTIONS + server.guests.len() as f64)
+            }
         }
     }
 
--- a/crates/world/src/fleet/network.rs
+++ b/crates/world/src/fleet/network.rs
@@ -17,7 +17,11 @@
     /// How long a message takes from one zone to another.
     pub fn way(&self, from: usize, to: usize) -> Time {
         let zones = &self.scenario.zones;
-        seconds(if from == to { zones.inside } else { zones.between })
+        seconds(if from == to {
+            zones.inside
+        } else {
+            zones.between
+        })
     }
 
     /// An attempt arrives at a server, from a balancer in that zone. Returns what the server makes of it, and what has
@@ -41,14 +45,19 @@
     fn fall(&mut self, now: Time, server: usize) {
         self.happened.push(Happening::Fell { server });
         self.kill(server, Life::Down);
-        self.schedule.add(now + CRASH_NOTICE, Task::ListDeath { server });
+        self.schedule
+            .add(now + CRASH_NOTICE, Task::ListDeath { server });
     }
 
     /// One more fault, or one fault less, cuts a zone off. Drivers are told when that makes a difference.
     pub(super) fn set_zone_cut(&mut self, zone: usize, cut: bool) {
         let cuts = &mut self.cuts[zone];
         let was_cut = *cuts > 0;
-        *cuts = if cut { *cuts + 1 } else { cuts.saturating_sub(1) };
+        *cuts = if cut {
+            *cuts + 1
+        } else {
+            cuts.saturating_sub(1)
+        };
         if was_cut != (*cuts > 0) {
             self.happened.push(Happening::Zone { zone, cut });
         }
--- a/crates/world/src/fleet/tests.rs
+++ b/crates/world/src/fleet/tests.rs
@@ -14,7 +14,9 @@
 }
 
 fn until(world: &mut World, end: f64) -> Vec<Happening> {
-    (0..=(end * 10.0) as u64).flat_map(|k| world.tick(k * 100 * MS)).collect()
+    (0..=(end * 10.0) as u64)
+        .flat_map(|k| world.tick(k * 100 * MS))
+        .collect()
 }
 
 #[test]
@@ -22,7 +24,10 @@
     let mut world = world(r#"[{"what": "crash", "at": 5, "for": 1, "who": [2]}]"#);
     until(&mut world, 10.0);
     let told = world.since(1);
-    assert_eq!((told.len(), told[0].rs, told[0].state, told[0].started), (1, 2, State::Ready, 6 * SEC));
+    assert_eq!(
+        (told.len(), told[0].rs, told[0].state, told[0].started),
+        (1, 2, State::Ready, 6 * SEC)
+    );
 }
 
 #[test]
@@ -34,7 +39,10 @@
     assert_eq!(world.since(1)[0].state, State::Gone);
     assert_eq!(world.since(0).len(), 3, "a whole list leaves it out");
     until(&mut world, 15.0);
-    assert_eq!((world.since(1)[0].state, world.servers[1].life), (State::Ready, Life::Up));
+    assert_eq!(
+        (world.since(1)[0].state, world.servers[1].life),
+        (State::Ready, Life::Up)
+    );
 }
 
 #[test]
@@ -60,17 +68,24 @@
 
 #[test]
 fn drains_are_of_three_kinds() {
-    for (leaving, sent_away, cut) in [("keeps", 0, 6), ("bit-by-bit", 6, 0), ("all-at-once", 6, 0)] {
+    for (leaving, sent_away, cut) in [("keeps", 0, 6), ("bit-by-bit", 6, 0), ("all-at-once", 6, 0)]
+    {
         let fault = format!(
             r#"[{{"what": "shrink", "at": 2, "for": 1, "who": [0], "amount": 4, "leaving": "{leaving}"}}]"#
         );
         let mut world = world(&fault);
         for id in 0..6 {
-            let guest = crate::server::Guest { load: 0.1, group: None, service_type: 0, value: 1.0 };
+            let guest = crate::server::Guest {
+                load: 0.1,
+                group: None,
+                service_type: 0,
+                value: 1.0,
+            };
             world.servers[0].seat(id, guest);
         }
         let happened = until(&mut world, 10.0);
-        let count = |pick: fn(&Happening) -> Option<usize>| happened.iter().filter_map(pick).sum::<usize>();
+        let count =
+            |pick: fn(&Happening) -> Option<usize>| happened.iter().filter_map(pick).sum::<usize>();
         let away = count(|h| match h {
             Happening::SentAway { ids, .. } => Some(ids.len()),
             _ => None,
--- a/crates/world/src/scenario.rs
+++ b/crates/world/src/scenario.rs
@@ -108,7 +108,10 @@
 
 impl Default for StoreKeys {
     fn default() -> Self {
-        StoreKeys { rate: 1e6, alone: 0.005 }
+        StoreKeys {
+            rate: 1e6,
+            alone: 0.005,
+        }
     }
 }
 
@@ -130,7 +133,10 @@
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { delay: 0.3, weights: Weights::Nominal }
+        Discovery {
+            delay: 0.3,
+            weights: Weights::Nominal,
+        }
     }
 }
 
@@ -145,7 +151,11 @@
 
 impl Default for Zones {
     fn default() -> Self {
-        Zones { number: 1, inside: 0.0005, between: 0.005 }
+        Zones {
+            number: 1,
+            inside: 0.0005,
+            between: 0.005,
+        }
     }
 }
 
@@ -233,9 +243,18 @@
         let window = seconds(self.window);
         match self.repeat {
             Repeat::Repeatable => Kind::Repeatable,
-            Repeat::ReferencedAll => Kind::Referenced { scope: Scope::All, window },
-            Repeat::ReferencedZone => Kind::Referenced { scope: Scope::Zone, window },
-            Repeat::ReferencedCell => Kind::Referenced { scope: Scope::Cell, window },
+            Repeat::ReferencedAll => Kind::Referenced {
+                scope: Scope::All,
+                window,
+            },
+            Repeat::ReferencedZone => Kind::Referenced {
+                scope: Scope::Zone,
+                window,
+            },
+            Repeat::ReferencedCell => Kind::Referenced {
+                scope: Scope::Cell,
+                window,
+            },
             Repeat::OnceOnly => Kind::OnceOnly,
         }
     }
@@ -368,10 +387,16 @@
         };
         positive("seconds", self.seconds)?;
         if self.seconds > MOST_SECONDS {
-            return Err(("seconds".into(), format!("{} is over {MOST_SECONDS}", self.seconds)));
+            return Err((
+                "seconds".into(),
+                format!("{} is over {MOST_SECONDS}", self.seconds),
+            ));
         }
         if !(0.0..self.seconds).contains(&self.settle) {
-            return Err(("settle".into(), format!("{} is not from 0 to the run's end", self.settle)));
+            return Err((
+                "settle".into(),
+                format!("{} is not from 0 to the run's end", self.settle),
+            ));
         }
         count("balancers.number", self.balancers.number)?;
         count("fleet.servers", self.fleet.servers)?;
@@ -379,7 +404,10 @@
         count("halls.number", self.zones.number)?;
         count("limits.connects", self.limits.connects)?;
         if self.clients.standing > MOST {
-            return Err(("clients.standing".into(), format!("{} is over {MOST}", self.clients.standing)));
+            return Err((
+                "clients.standing".into(),
+                format!("{} is over {MOST}", self.clients.standing),
+            ));
         }
         for (key, value) in [
             ("fleet.capacity", self.fleet.capacity),
@@ -419,17 +447,25 @@
             return Err(("types".into(), "there is none".into()));
         }
         for (i, one) in self.types.iter().enumerate() {
-            for (key, value) in
-                [("share", one.share), ("load", one.load), ("target", one.target), ("wait", one.wait)]
-            {
+            for (key, value) in [
+                ("share", one.share),
+                ("load", one.load),
+                ("target", one.target),
+                ("wait", one.wait),
+            ] {
                 positive(&format!("types[{i}].{key}"), value)?;
             }
             if seconds(one.wait) < 50 * MS {
-                return Err((format!("types[{i}].wait"), "under 0.05 s nothing can be answered".into()));
+                return Err((
+                    format!("types[{i}].wait"),
+                    "under 0.05 s nothing can be answered".into(),
+                ));
             }
         }
         for (i, fault) in self.faults.iter().enumerate() {
-            fault.check(self).map_err(|(key, why)| (format!("faults[{i}].{key}"), why))?;
+            fault
+                .check(self)
+                .map_err(|(key, why)| (format!("faults[{i}].{key}"), why))?;
         }
         Ok(())
     }
--- a/crates/world/src/server.rs
+++ b/crates/world/src/server.rs
@@ -123,7 +123,10 @@
 
     /// The part of its capacity that a start leaves it now.
     pub fn warmth(&self, fleet: &Fleet, now: Time) -> f64 {
-        let (age, warm_up) = (now.saturating_sub(self.started) as f64, fleet.warm_up * SEC as f64);
+        let (age, warm_up) = (
+            now.saturating_sub(self.started) as f64,
+            fleet.warm_up * SEC as f64,
+        );
         if self.started == 0 || age >= warm_up {
             return 1.0;
         }
@@ -169,7 +172,11 @@
         if self.pile < PILE {
             return Vec::new();
         }
-        let mut heaviest: Vec<(u64, f64)> = self.guests.iter().map(|(id, guest)| (*id, guest.load)).collect();
+        let mut heaviest: Vec<(u64, f64)> = self
+            .guests
+            .iter()
+            .map(|(id, guest)| (*id, guest.load))
+            .collect();
         heaviest.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         heaviest.truncate((heaviest.len() as f64 * DROPPED).ceil() as usize);
         self.pile = PILE / 2.0;
@@ -191,7 +198,11 @@
             Life::Up => {}
         }
         self.offers.push_back(now);
-        while self.offers.front().is_some_and(|at| at + seconds(fleet.fall) < now) {
+        while self
+            .offers
+            .front()
+            .is_some_and(|at| at + seconds(fleet.fall) < now)
+        {
             self.offers.pop_front();
         }
         if self.overrun(fleet, now) {
@@ -210,7 +221,10 @@
             return (Offer::Busy, false);
         }
         self.newcomers = (left - 1.0, now);
-        (Offer::Up(fleet.setup / (1.0 - self.beta(fleet, now).min(BUSIEST)) + self.pile), false)
+        (
+            Offer::Up(fleet.setup / (1.0 - self.beta(fleet, now).min(BUSIEST)) + self.pile),
+            false,
+        )
     }
 
     pub fn seat(&mut self, id: u64, guest: Guest) {
@@ -225,11 +239,21 @@
 
     /// A connection goes; false if it wasn't there.
     pub fn rise(&mut self, id: u64) -> bool {
-        let Some(guest) = self.guests.remove(&id) else { return false };
+        let Some(guest) = self.guests.remove(&id) else {
+            return false;
+        };
         // Rounding must not leave a load on an empty server.
-        self.load = if self.guests.is_empty() { 0.0 } else { (self.load - guest.load).max(0.0) };
+        self.load = if self.guests.is_empty() {
+            0.0
+        } else {
+            (self.load - guest.load).max(0.0)
+        };
         let worth = &mut self.worth[guest.service_type];
-        *worth = if self.guests.is_empty() { 0.0 } else { (*worth - guest.value).max(0.0) };
+        *worth = if self.guests.is_empty() {
+            0.0
+        } else {
+            (*worth - guest.value).max(0.0)
+        };
         if let Some(group) = guest.group
             && let Some(count) = self.groups.get_mut(&group)
         {
@@ -256,11 +280,17 @@
         let (at, old) = self.report;
         if old.beta.is_none() || !self.stuck && at + seconds(fleet.refresh) <= now {
             let noisy = self.beta(fleet, now) * (1.0 + dice.between(-fleet.noise, fleet.noise));
-            let report = Report { beta: Some(noisy), connections: Some(self.guests.len() as f64) };
+            let report = Report {
+                beta: Some(noisy),
+                connections: Some(self.guests.len() as f64),
+            };
             self.report = (now, report);
         }
         let (_, report) = self.report;
-        Some(Report { beta: self.absurd.or(report.beta), ..report })
+        Some(Report {
+            beta: self.absurd.or(report.beta),
+            ..report
+        })
     }
 
     /// It is down or silent from now on; its connections are given back.
--- a/crates/world/src/server/tests.rs
+++ b/crates/world/src/server/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 fn fleet() -> Fleet {
-    serde_json::from_str(r#"{"servers": 1, "capacity": 10, "newcomers": 4, "group_load": 2}"#).unwrap()
+    serde_json::from_str(r#"{"servers": 1, "capacity": 10, "newcomers": 4, "group_load": 2}"#)
+        .unwrap()
 }
 
 fn server() -> (Fleet, Server, Dice) {
@@ -13,7 +14,12 @@
 }
 
 fn guest(load: f64, group: Option<u32>) -> Guest {
-    Guest { load, group, service_type: 0, value: 1.0 }
+    Guest {
+        load,
+        group,
+        service_type: 0,
+        value: 1.0,
+    }
 }
 
 #[test]
@@ -45,7 +51,10 @@
 fn a_cold_one_falls_over_under_a_flood_and_a_warm_one_says_busy() {
     let (fleet, mut server, _) = server();
     let offers: Vec<Offer> = (0..60).map(|_| server.offer(&fleet, SEC).0).collect();
-    assert_eq!(offers.iter().filter(|offer| **offer == Offer::Busy).count(), 56);
+    assert_eq!(
+        offers.iter().filter(|offer| **offer == Offer::Busy).count(),
+        56
+    );
     server.dies(Life::Down);
     assert_eq!(server.offer(&fleet, 2 * SEC).0, Offer::Refused);
     assert!(server.starts(10 * SEC));
@@ -63,11 +72,20 @@
     let first = server.report(&fleet, 0, &mut dice).unwrap().beta.unwrap();
     assert!((first - 0.5).abs() < 0.02);
     server.set_load(1, 8.0);
-    assert_eq!(server.report(&fleet, SEC / 4, &mut dice).unwrap().beta, Some(first));
+    assert_eq!(
+        server.report(&fleet, SEC / 4, &mut dice).unwrap().beta,
+        Some(first)
+    );
     server.stuck = true;
-    assert_eq!(server.report(&fleet, 9 * SEC, &mut dice).unwrap().beta, Some(first));
+    assert_eq!(
+        server.report(&fleet, 9 * SEC, &mut dice).unwrap().beta,
+        Some(first)
+    );
     (server.stuck, server.absurd) = (false, Some(7.5));
-    assert_eq!(server.report(&fleet, 10 * SEC, &mut dice).unwrap().beta, Some(7.5));
+    assert_eq!(
+        server.report(&fleet, 10 * SEC, &mut dice).unwrap().beta,
+        Some(7.5)
+    );
     server.probes_fail = true;
     assert_eq!(server.report(&fleet, 11 * SEC, &mut dice), None);
 }
--- a/crates/world/src/store.rs
+++ b/crates/world/src/store.rs
@@ -19,7 +19,13 @@
 
 impl Store {
     pub fn new(rate: f64, alone: f64) -> Self {
-        Store { rate, alone, health: 1.0, waiting: 0.0, at: 0 }
+        Store {
+            rate,
+            alone,
+            health: 1.0,
+            waiting: 0.0,
+            at: 0,
+        }
     }
 
     fn pace(&self) -> f64 {
--- a/crates/world/tests/keys.rs
+++ b/crates/world/tests/keys.rs
@@ -14,8 +14,15 @@
         "faults": [{"what": "hall-cut", "at": 1, "hall": 1}, {"what": "hall-flaps", "at": 2, "hall": 1}]
     }))
     .unwrap();
-    assert_eq!((scenario.zones.number, scenario.types[0].repeat), (2, Repeat::ReferencedZone));
-    let faults: Vec<_> = scenario.faults.iter().map(|fault| (fault.what, fault.zone)).collect();
+    assert_eq!(
+        (scenario.zones.number, scenario.types[0].repeat),
+        (2, Repeat::ReferencedZone)
+    );
+    let faults: Vec<_> = scenario
+        .faults
+        .iter()
+        .map(|fault| (fault.what, fault.zone))
+        .collect();
     assert_eq!(faults, [(What::ZoneCut, 1), (What::ZoneFlaps, 1)]);
 }
 
@@ -43,10 +50,22 @@
 
 #[test]
 fn records_say_hall_for_a_zone() {
-    let server = Seen::Server { at: 1, server: 2, zone: 3, cell: 4, machine: 5 };
+    let server = Seen::Server {
+        at: 1,
+        server: 2,
+        zone: 3,
+        cell: 4,
+        machine: 5,
+    };
     let text = r#"{"what":"server","at":1,"server":2,"hall":3,"cell":4,"machine":5}"#;
     assert_eq!(serde_json::to_string(&server).unwrap(), text);
     assert_eq!(serde_json::from_str::<Seen>(text).unwrap(), server);
-    let kind = Kind::Referenced { scope: Scope::Zone, window: 6 };
-    assert_eq!(serde_json::to_string(&kind).unwrap(), r#"{"referenced":{"scope":"hall","window":6}}"#);
+    let kind = Kind::Referenced {
+        scope: Scope::Zone,
+        window: 6,
+    };
+    assert_eq!(
+        serde_json::to_string(&kind).unwrap(),
+        r#"{"referenced":{"scope":"hall","window":6}}"#
+    );
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -97,7 +97,11 @@
             if line == "PING" || line == "STATS" {
                 *self.asked.lock().unwrap() += 1;
                 let load = *self.load.lock().unwrap();
-                let report = if line == "STATS" { format!(" x0={load},util={load}") } else { String::new() };
+                let report = if line == "STATS" {
+                    format!(" x0={load},util={load}")
+                } else {
+                    String::new()
+                };
                 if mood != Mood::Silent {
                     write!(out, "PONG{report}\r\n").ok()?;
                 }
@@ -142,7 +146,12 @@
 
 impl Entry {
     fn to_json(&self, id: &str) -> String {
-        let Entry { address, lifecycle, started_ms, .. } = self;
+        let Entry {
+            address,
+            lifecycle,
+            started_ms,
+            ..
+        } = self;
         format!(
             r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"a","machineType":"m","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{started_ms}}}"#
         )
@@ -221,21 +230,36 @@
         let mut list = self.list.lock().unwrap();
         list.version += 1;
         let (version, lifecycle) = (list.version, lifecycle.into());
-        list.servers.insert(id.into(), Entry { version, address, lifecycle, started_ms });
+        list.servers.insert(
+            id.into(),
+            Entry {
+                version,
+                address,
+                lifecycle,
+                started_ms,
+            },
+        );
         self.changed.notify_all();
     }
 
     /// Begins to count its versions anew, as one that was started again does; whoever waits is answered.
     pub fn count_anew(&self) {
         let mut list = self.list.lock().unwrap();
-        list.servers.values_mut().zip(1..).for_each(|(server, version)| server.version = version);
+        list.servers
+            .values_mut()
+            .zip(1..)
+            .for_each(|(server, version)| server.version = version);
         list.version = list.servers.len() as u64;
         self.changed.notify_all();
     }
 
     /// Answers nothing while it is silent.
     pub fn hush(&self, silent: bool) {
-        self.set(if silent { Service::Silent } else { Service::Up(Duration::ZERO) });
+        self.set(if silent {
+            Service::Silent
+        } else {
+            Service::Up(Duration::ZERO)
+        });
     }
 
     pub fn set(&self, service: Service) {
@@ -260,7 +284,11 @@
     fn called(&self, from: Option<u64>) -> usize {
         let mut calls = self.calls.lock().unwrap();
         if calls.len() < CALLS_MAX {
-            calls.push(Call { from, at: Instant::now(), answered: None });
+            calls.push(Call {
+                from,
+                at: Instant::now(),
+                answered: None,
+            });
         }
         calls.len() - 1
     }
@@ -271,10 +299,15 @@
         loop {
             let request = lines.next()?.ok()?;
             while !lines.next()?.ok()?.is_empty() {}
-            let query = request.split(['?', '&', ' ']).filter_map(|pair| pair.split_once('='));
-            let query: BTreeMap<&str, u64> = query.filter_map(|(k, v)| Some((k, v.parse().ok()?))).collect();
+            let query = request
+                .split(['?', '&', ' '])
+                .filter_map(|pair| pair.split_once('='));
+            let query: BTreeMap<&str, u64> = query
+                .filter_map(|(k, v)| Some((k, v.parse().ok()?)))
+                .collect();
             let from = query.get("from").copied();
-            let hold = Duration::from_millis(query.get("hold_ms").copied().unwrap_or(0).min(60_000));
+            let hold =
+                Duration::from_millis(query.get("hold_ms").copied().unwrap_or(0).min(60_000));
             let call = self.called(from);
             match self.service() {
                 Service::Up(queue) => thread::sleep(queue),
@@ -282,7 +315,8 @@
                 Service::TurnsAway(queue) => {
                     thread::sleep(queue);
                     if !matches!(self.service(), Service::Up(_)) {
-                        out.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").ok()?;
+                        out.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+                            .ok()?;
                         continue;
                     }
                 }
@@ -292,7 +326,11 @@
                 }
             }
             let list = self.list.lock().unwrap();
-            let list = self.changed.wait_timeout_while(list, hold, |l| Some(l.version) == from).unwrap().0;
+            let list = self
+                .changed
+                .wait_timeout_while(list, hold, |l| Some(l.version) == from)
+                .unwrap()
+                .0;
             let told = |entry: &Entry| match from {
                 Some(from) => entry.version > from,
                 None => entry.lifecycle != "Gone",
@@ -300,11 +338,18 @@
             let told = list.servers.iter().filter(|(_, entry)| told(entry));
             let entries: Vec<String> = told.map(|(id, entry)| entry.to_json(id)).collect();
             let (version, reset) = (list.version, from.is_none());
-            let body =
-                format!(r#"{{"generation":{version},"reset":{reset},"instances":[{}]}}"#, entries.join(","));
+            let body = format!(
+                r#"{{"generation":{version},"reset":{reset},"instances":[{}]}}"#,
+                entries.join(",")
+            );
             drop(list);
             self.calls.lock().unwrap()[call].answered = Some(Instant::now());
-            write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
+            write!(
+                out,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
+            .ok()?;
         }
     }
 }
@@ -317,7 +362,10 @@
         agent.tell(port, toy.address, "Ready");
         toys.insert(port, toy);
     }
-    println!("discovery at {}, servers at ports 7101 to 7103", agent.address);
+    println!(
+        "discovery at {}, servers at ports 7101 to 7103",
+        agent.address
+    );
     for line in io::stdin().lines() {
         let line = line?;
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -331,7 +379,12 @@
             "err" => toy.set(Mood::Err),
             "silent" => toy.set(Mood::Silent),
             "cut" => toy.set(Mood::Cut),
-            "load" => toy.set_load(words.get(2).and_then(|load| load.parse().ok()).unwrap_or(0.01)),
+            "load" => toy.set_load(
+                words
+                    .get(2)
+                    .and_then(|load| load.parse().ok())
+                    .unwrap_or(0.01),
+            ),
             "drain" => agent.tell(words[1], toy.address, "Terminating"),
             "gone" => agent.tell(words[1], toy.address, "Gone"),
             "ready" => agent.tell(words[1], toy.address, "Ready"),
