--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use nettlemux_hand::{Act, Hand, Who};
+use nettlemux_flow_table::{Act, Hand, Who};
 use nettlemux_policy::{Flow, FlowId, Holds, Listed, Rs, Time};
 use nettlemux_settings::{Reports, Settings};
 
--- a/crates/door/benches/door.rs
+++ b/crates/admission/benches/admission.rs
@@ -1,7 +1,7 @@
 //! What a flow costs at the door: one comes, one has its turn, one is over, with so many keys that have someone waiting.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use nettlemux_door::{Config, Door, Ticket};
+use nettlemux_admission::{Config, Door, Ticket};
 use nettlemux_policy::SEC;
 
 fn ticket(flow: u64, key: u64) -> Ticket {
@@ -28,7 +28,7 @@
     (0..keys).for_each(|key| {
         door.arrives(
             2 * SEC,
-            ticket(key, nettlemux_door::key(1, &key.to_le_bytes())),
+            ticket(key, nettlemux_admission::key(1, &key.to_le_bytes())),
             &mut out,
         )
     });
@@ -45,10 +45,10 @@
                 Vec::new,
                 |mut out| {
                     flow += 1;
-                    let key = nettlemux_door::key(1, &(flow % keys).to_le_bytes());
+                    let key = nettlemux_admission::key(1, &(flow % keys).to_le_bytes());
                     one.arrives(2 * SEC, ticket(flow, key), &mut out);
                     one.turns(2 * SEC, &mut out);
-                    if let Some(nettlemux_door::Turn::Enters(entered)) = out.last() {
+                    if let Some(nettlemux_admission::Turn::Enters(entered)) = out.last() {
                         one.over(*entered);
                     }
                     out
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use nettlemux_core::discovery::{self, ListUpdate};
-use nettlemux_core::retry;
-use nettlemux_core::shared::Term;
-use nettlemux_door::Config as DoorConfig;
+use nettlemux_dataplane::discovery::{self, ListUpdate};
+use nettlemux_dataplane::retry;
+use nettlemux_dataplane::shared::Term;
+use nettlemux_admission::Config as DoorConfig;
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
 use nettlemux_settings::operator::{self, Operator};
@@ -169,7 +169,7 @@
 /// The door as the operator's file has it, its customers' names turned into keys of this run.
 pub fn door(keys: &operator::Door, seed: u64, longest: Time) -> DoorConfig {
     keys.config(longest, |name| {
-        Some(nettlemux_door::key(seed, name.as_bytes()))
+        Some(nettlemux_admission::key(seed, name.as_bytes()))
     })
 }
 
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -2,13 +2,13 @@
 
 use std::path::{Path, PathBuf};
 
-use nettlemux_lab::scale::Run;
-use nettlemux_lab::scale::limits::Limits;
-use nettlemux_lab::scale::measurement::{Figures, Line, LineWriter, Part, Varied};
-use nettlemux_lab::scale::scenario::ScaleScenario;
+use nettlemux_testbed::scale::Run;
+use nettlemux_testbed::scale::limits::Limits;
+use nettlemux_testbed::scale::measurement::{Figures, Line, LineWriter, Part, Varied};
+use nettlemux_testbed::scale::scenario::ScaleScenario;
 
 fn small() -> ScaleScenario {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scale/small.toml");
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testbed/scale/small.toml");
     ScaleScenario::load(&path).unwrap()
 }
 
--- a/crates/core/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use nettlemux_hand::{Act, Hand};
+use nettlemux_flow_table::{Act, Hand};
 use nettlemux_policy::{Flow, FlowId, Holds, Listed, MS, Rs, SEC, State, Time};
 use nettlemux_settings::Settings;
 use tracing::{error, info, warn};
--- a/crates/core/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use nettlemux_door::Config;
-use nettlemux_hand::Who;
+use nettlemux_admission::Config;
+use nettlemux_flow_table::Who;
 use nettlemux_policy::{End, Flow, FlowId, Report, Rs, State, Time};
 use nettlemux_settings::Settings;
 
--- a/crates/core/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use nettlemux_hand::Who;
+use nettlemux_flow_table::Who;
 use nettlemux_policy::{Flow, MS, Time};
 use tracing::error;
 
--- a/crates/core/src/shared.rs
+++ b/crates/dataplane/src/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use nettlemux_hand::Who;
+use nettlemux_flow_table::Who;
 use nettlemux_policy::{Flow, Time};
 use nettlemux_settings::Reports;
 
--- a/crates/world/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -1,8 +1,8 @@
 //! The keys of scenarios and records. They stay as they are, whatever the code calls what they name.
 
-use nettlemux_world::fault::{Fault, What};
-use nettlemux_world::scenario::{Repeat, Scenario};
-use nettlemux_world::seen::{Kind, Scope, Seen};
+use nettlemux_fleet_model::fault::{Fault, What};
+use nettlemux_fleet_model::scenario::{Repeat, Scenario};
+use nettlemux_fleet_model::seen::{Kind, Scope, Seen};
 use serde_json::json;
 
 #[test]
--- a/crates/hand/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use nettlemux_door::{Config, Door, LOOK_AGAIN, Ticket, Turn};
+use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
     Connect, End, Flow, FlowId, Holds, Listed, Outcome, Place, Policy, Report, Rs, Time, Todo,
 };
--- a/crates/front-lines/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -1,10 +1,10 @@
 //! The second stage: makes a flow of a client's first line. It owns nothing. It must never admit what it can't read in full, and never turn away on load, which is the
 //! module's to say; want of descriptors is ours.
 
-use nettlemux_core::clock;
-use nettlemux_core::net::LINGER;
-use nettlemux_core::shared::{Admitted, Core};
-use nettlemux_core::wire::{ABORTED, NO, PONG, rejected};
+use nettlemux_dataplane::clock;
+use nettlemux_dataplane::net::LINGER;
+use nettlemux_dataplane::shared::{Admitted, Core};
+use nettlemux_dataplane::wire::{ABORTED, NO, PONG, rejected};
 
 use nettlemux_policy::{Flow, MS, SEC, Time};
 use tracing::{debug, warn};
--- a/crates/front-lines/src/first.rs
+++ b/crates/line-protocol/src/first.rs
@@ -2,7 +2,7 @@
 //! touch a socket, a clock or a flow. Names of the wire end here.
 
 use arrayvec::ArrayVec;
-use nettlemux_hand::Who;
+use nettlemux_flow_table::Who;
 use nettlemux_policy::{MS, Time};
 use nettlemux_settings::operator::By;
 use nettlemux_settings::{Read, Settings, figure};
@@ -143,7 +143,7 @@
             return Who::default();
         };
         // A client is its group where it tells one, else the flow's key.
-        let client = nettlemux_door::key(seed, open.group.unwrap_or(open.key).as_bytes());
+        let client = nettlemux_admission::key(seed, open.group.unwrap_or(open.key).as_bytes());
         let key = match by {
             By::Client => client,
             By::Customer => self.key_of(open.customer.unwrap_or_default(), seed),
@@ -160,7 +160,7 @@
     /// A customer's key, the same for its name and its number.
     fn key_of(&self, name: &str, seed: u64) -> u64 {
         let number = self.customer(name).unwrap_or(usize::MAX);
-        nettlemux_door::key(
+        nettlemux_admission::key(
             seed,
             self.customers
                 .get(number)
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use nettlemux_door::Config;
+use nettlemux_admission::Config;
 use nettlemux_policy::Time;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/lab/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-use nettlemux_hand::Brain;
+use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
     Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Rs, Scope, ServiceType, State, Time,
     Todo,
 };
 use nettlemux_settings::Settings;
-use nettlemux_world::dice::Dice;
+use nettlemux_fleet_model::dice::Dice;
 
 /// How long before a connect timeout a balancer answers in virtual time, as one on sockets does.
 pub const MARGIN: Time = 15 * MS;
--- a/crates/lab/src/capacity/mechanism.rs
+++ b/crates/testbed/src/capacity/mechanism.rs
@@ -41,15 +41,15 @@
 );
 /// Bounds how many balancers keep a connection for probes to one server.
 pub const PROBE_CONNECTIONS: Mechanism = Mechanism::Missing(
-    "fewer balancers that keep a connection to each server, crates/core/src/probe.rs",
+    "fewer balancers that keep a connection to each server, crates/dataplane/src/probe.rs",
 );
 /// Bounds memory for probes.
 pub const STACK_PER_PROBE: Mechanism = Mechanism::Missing(
-    "fewer servers that are probed; each open probe has a stack, crates/core/src/probe.rs",
+    "fewer servers that are probed; each open probe has a stack, crates/dataplane/src/probe.rs",
 );
 /// Brings a whole list within the budget.
 pub const WHOLE_LIST: Mechanism = Mechanism::Missing(
-    "a whole list in parts, or from a neighbour; crates/core/src/discovery.rs reads it in one answer",
+    "a whole list in parts, or from a neighbour; crates/dataplane/src/discovery.rs reads it in one answer",
 );
 /// Bounds whole lists that are asked for at once.
 pub const WHOLE_LISTS_OF_ALL: Mechanism = Mechanism::Missing(
@@ -57,7 +57,7 @@
 );
 /// Tells changes of the list.
 pub const LIST_CHANGES: Mechanism =
-    Mechanism::Present("only what has changed is told, crates/core/src/discovery.rs");
+    Mechanism::Present("only what has changed is told, crates/dataplane/src/discovery.rs");
 /// Brings changes of the configuration into force.
 pub const CONFIGURATION: Mechanism = Mechanism::Missing(
     "a way from the control machines; SIGHUP reads a whole file, crates/balancer/src/signals.rs",
@@ -67,7 +67,7 @@
     Mechanism::Missing("nothing of ours runs there; SIGHUP reads a file that others bring");
 /// Tells other balancers which servers hold a group.
 pub const PEER_MESSAGES: Mechanism =
-    Mechanism::Partial("off today; bounded, so it tells of few groups; crates/core/src/peers.rs");
+    Mechanism::Partial("off today; bounded, so it tells of few groups; crates/dataplane/src/peers.rs");
 /// Spreads a large topic.
 pub const LARGE_TOPICS: Mechanism = Mechanism::Partial(
     "one home that grows server by server; `place` in crates/policy/src/policy.rs",
@@ -81,8 +81,8 @@
     Mechanism::Present("`pace`, `credit` and FILLS in crates/policy/src/policy.rs");
 /// The platform's discovery.
 pub const AGENTS: Mechanism =
-    Mechanism::Outside("the platform's agents; crates/core/src/discovery.rs calls one");
+    Mechanism::Outside("the platform's agents; crates/dataplane/src/discovery.rs calls one");
 /// Passes clients' and servers' lines on.
-pub const RELAY: Mechanism = Mechanism::Present("one worker, crates/core/src/relay.rs");
+pub const RELAY: Mechanism = Mechanism::Present("one worker, crates/dataplane/src/relay.rs");
 /// Shares descriptors and memory out.
-pub const SHARES: Mechanism = Mechanism::Present("crates/core/src/pool.rs `Shares`");
+pub const SHARES: Mechanism = Mechanism::Present("crates/dataplane/src/pool.rs `Shares`");
--- a/crates/lab/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -54,7 +54,7 @@
             "bytes",
             probe_bytes_basis(inputs),
             |_| Some(probe_bytes(inputs)),
-            Mechanism::Present("one line each way, crates/core/src/probe.rs"),
+            Mechanism::Present("one line each way, crates/dataplane/src/probe.rs"),
         ),
         row(
             "probes of the module with the operators' own connections",
@@ -172,7 +172,7 @@
             "MB",
             format!("{} x own connections", in_table.describe()),
             move |f| Some(in_table.at(f.own_connections())? * f.own_connections() / BYTES_PER_MB),
-            Mechanism::Present("crates/hand/src/lib.rs"),
+            Mechanism::Present("crates/flow-table/src/lib.rs"),
         )
         .within(memory_budget),
         Row::new(
@@ -234,7 +234,7 @@
             "a second",
             "connections / balancers / life (three lives)",
             |f| Some(f.own_placements_per_second()),
-            Mechanism::Present("crates/core/src/desk.rs"),
+            Mechanism::Present("crates/dataplane/src/desk.rs"),
         )
         .over(Unknown::ConnectionLife),
         Row::new(
@@ -333,7 +333,7 @@
                 number(code.watch_hold_s.value)
             ),
             |_| Some(watch_bytes(inputs) / inputs.assumptions.code.watch_hold_s.value),
-            Mechanism::Present("held calls, crates/core/src/discovery.rs"),
+            Mechanism::Present("held calls, crates/dataplane/src/discovery.rs"),
         )
         .within(bytes),
         Row::new(
@@ -388,7 +388,7 @@
             "ms",
             seen_over_servers.describe(),
             move |f| seen_over_servers.at(f.servers),
-            Mechanism::Present("crates/core/src/discovery.rs, crates/core/src/desk.rs"),
+            Mechanism::Present("crates/dataplane/src/discovery.rs, crates/dataplane/src/desk.rs"),
         )
         .over(Unknown::Servers)
         .within(change_known_within * 1e3),
@@ -397,7 +397,7 @@
             "ms",
             seen.describe(),
             move |f| seen.at(list_changes_per_day(inputs, f) / SECONDS_PER_DAY),
-            Mechanism::Present("crates/core/src/discovery.rs, crates/core/src/desk.rs"),
+            Mechanism::Present("crates/dataplane/src/discovery.rs, crates/dataplane/src/desk.rs"),
         )
         .within(change_known_within * 1e3),
     ]
@@ -446,7 +446,7 @@
             "",
             "connections / balancers",
             |f| Some(f.own_connections()),
-            Mechanism::Present("crates/hand/src/lib.rs, crates/core/src/chain.rs"),
+            Mechanism::Present("crates/flow-table/src/lib.rs, crates/dataplane/src/chain.rs"),
         ),
         Row::new(
             "memory of flows, as bounded",
@@ -483,7 +483,7 @@
                 let part = inputs.assumptions.code.probe_descriptor_part.value;
                 Some(descriptors_needed(inputs, f) / part / f.servers_held())
             },
-            Mechanism::Present("probes in turn where there are too few, crates/core/src/probe.rs"),
+            Mechanism::Present("probes in turn where there are too few, crates/dataplane/src/probe.rs"),
         )
         .over(Unknown::Servers),
         Row::new(
@@ -491,7 +491,7 @@
             "% of a core",
             "new connections x the ratio of slopes of processor and connects over connections (measured, sockets)",
             |f| Some(percent_per_set_up(inputs)? * f.own_placements_per_second()),
-            Mechanism::Present("crates/core/src/chain.rs"),
+            Mechanism::Present("crates/dataplane/src/chain.rs"),
         )
         .over(Unknown::ConnectionLife),
         Row::new(
@@ -519,7 +519,7 @@
             "ms",
             "*not measured*: the scale run carries no lines of clients",
             |_| None,
-            Mechanism::Present("lines go on as they come, crates/core/src/relay.rs"),
+            Mechanism::Present("lines go on as they come, crates/dataplane/src/relay.rs"),
         )
         .within(inputs.assumptions.requirements.delivery_limit_ms.value),
     ]
--- a/crates/lab/src/capacity/roles/clients.rs
+++ b/crates/testbed/src/capacity/roles/clients.rs
@@ -16,7 +16,7 @@
             "connections / life (three lives)",
             |f| Some(f.placements_per_second()),
             Mechanism::Present(
-                "admission, crates/door/src/lib.rs where it is on; windows, crates/policy/src/policy.rs",
+                "admission, crates/admission/src/lib.rs where it is on; windows, crates/policy/src/policy.rs",
             ),
         )
         .over(Unknown::ConnectionLife),
@@ -25,7 +25,7 @@
             "a second",
             format!("connections / {} s (code)", number(code.idle_client_s.value)),
             |f| Some(f.connections / inputs.assumptions.code.idle_client_s.value),
-            Mechanism::Partial("a listener that sends nothing is told to move; crates/core/src/relay.rs"),
+            Mechanism::Partial("a listener that sends nothing is told to move; crates/dataplane/src/relay.rs"),
         ),
         Row::new(
             "bytes of those lines",
--- a/crates/lab/src/capacity_command.rs
+++ b/crates/testbed/src/capacity_command.rs
@@ -1,11 +1,11 @@
-//! `nettlemux-lab capacity`: its arguments, and what is printed.
+//! `nettlemux-testbed capacity`: its arguments, and what is printed.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
-use nettlemux_lab::capacity::{self, Files};
+use nettlemux_testbed::capacity::{self, Files};
 
-/// Arguments of `nettlemux-lab capacity`.
+/// Arguments of `nettlemux-testbed capacity`.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(arguments))]
 pub struct Arguments {
@@ -55,7 +55,7 @@
                 stale.join(", ")
             );
             Ok((
-                text + "nettlemux-lab capacity --write writes it anew\n",
+                text + "nettlemux-testbed capacity --write writes it anew\n",
                 false,
             ))
         }
--- a/crates/lab/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use nettlemux_policy::MS;
-use nettlemux_world::scenario::Scenario;
+use nettlemux_fleet_model::scenario::Scenario;
 
 use crate::brains::Kind;
 use crate::file;
@@ -15,12 +15,12 @@
 use crate::sockets::{self, Program};
 
 const SCENARIO: (&str, &str) = (
-    "lab/scenarios/self-check.toml",
-    include_str!("../../../lab/scenarios/self-check.toml"),
+    "testbed/scenarios/self-check.toml",
+    include_str!("../../../testbed/scenarios/self-check.toml"),
 );
 const ON_SOCKETS: (&str, &str) = (
-    "lab/scenarios/self-check-sockets.toml",
-    include_str!("../../../lab/scenarios/self-check-sockets.toml"),
+    "testbed/scenarios/self-check-sockets.toml",
+    include_str!("../../../testbed/scenarios/self-check-sockets.toml"),
 );
 
 /// Results so far, and how many were not as they must be.
--- a/crates/lab/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-use nettlemux_world::dice::Dice;
-use nettlemux_world::fault::{Fault, Leaving, What};
-use nettlemux_world::scenario::Scenario;
+use nettlemux_fleet_model::dice::Dice;
+use nettlemux_fleet_model::fault::{Fault, Leaving, What};
+use nettlemux_fleet_model::scenario::Scenario;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 use crate::brains::Kind;
--- a/crates/lab/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -6,9 +6,9 @@
 
 use hdrhistogram::Histogram;
 use nettlemux_policy::{SEC, Time};
-use nettlemux_world::crowd::Client;
-use nettlemux_world::scenario::{Expect, Scenario};
-use nettlemux_world::seen::Final;
+use nettlemux_fleet_model::crowd::Client;
+use nettlemux_fleet_model::scenario::{Expect, Scenario};
+use nettlemux_fleet_model::seen::Final;
 use serde_json::{Value, json};
 
 use crate::rules::Verdict;
--- a/crates/lab/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -4,10 +4,10 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use nettlemux_door::Config;
+use nettlemux_admission::Config;
 use nettlemux_policy::Time;
 use nettlemux_settings::{nearest, operator};
-use nettlemux_world::scenario::{Repeat, Scenario, Weights};
+use nettlemux_fleet_model::scenario::{Repeat, Scenario, Weights};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `nettlemux-lab`: the command line of the laboratory. It owns arguments, what is printed and the exit code, and nothing else.
+//! `nettlemux-testbed`: the command line of the laboratory. It owns arguments, what is printed and the exit code, and nothing else.
 
 mod capacity_command;
 
@@ -8,22 +8,22 @@
 use std::str::FromStr;
 
 use bpaf::{Bpaf, Parser};
-use nettlemux_lab::brains::Kind;
-use nettlemux_lab::experiment::{self, Estimate, Row};
-use nettlemux_lab::figures::{Figures, show};
-use nettlemux_lab::mischief::Mischief;
-use nettlemux_lab::record::{self, Writer};
-use nettlemux_lab::rules::{Rules, Verdict};
-use nettlemux_lab::scale::allocation::CountingAllocator;
-use nettlemux_lab::scale::limits::Limits;
-use nettlemux_lab::scale::measurement::LineWriter;
-use nettlemux_lab::scale::scenario::ScaleScenario;
-use nettlemux_lab::scale::{self, plot, table};
-use nettlemux_lab::simulate::{Who, simulate};
-use nettlemux_lab::sockets::Program;
-use nettlemux_lab::{check, file, sockets};
+use nettlemux_testbed::brains::Kind;
+use nettlemux_testbed::experiment::{self, Estimate, Row};
+use nettlemux_testbed::figures::{Figures, show};
+use nettlemux_testbed::mischief::Mischief;
+use nettlemux_testbed::record::{self, Writer};
+use nettlemux_testbed::rules::{Rules, Verdict};
+use nettlemux_testbed::scale::allocation::CountingAllocator;
+use nettlemux_testbed::scale::limits::Limits;
+use nettlemux_testbed::scale::measurement::LineWriter;
+use nettlemux_testbed::scale::scenario::ScaleScenario;
+use nettlemux_testbed::scale::{self, plot, table};
+use nettlemux_testbed::simulate::{Who, simulate};
+use nettlemux_testbed::sockets::Program;
+use nettlemux_testbed::{check, file, sockets};
 use nettlemux_policy::{MS, SEC};
-use nettlemux_world::scenario::Scenario;
+use nettlemux_fleet_model::scenario::Scenario;
 use serde_json::json;
 
 /// Counts what the decision module keeps, for scale runs.
@@ -195,7 +195,7 @@
             }
         }
         Err(why) => {
-            eprintln!("nettlemux-lab: {why}");
+            eprintln!("nettlemux-testbed: {why}");
             ExitCode::from(2)
         }
     }
@@ -553,7 +553,7 @@
 }
 
 fn breaks(verdict: &Verdict) -> String {
-    let at = |one: &nettlemux_lab::rules::Broken| one.at as f64 / SEC as f64;
+    let at = |one: &nettlemux_testbed::rules::Broken| one.at as f64 / SEC as f64;
     verdict
         .told
         .iter()
--- a/crates/lab/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -2,7 +2,7 @@
 //! by a [`Brain`] around the sound one; the rest is done by the driver where it carries acts out. It owns nothing else and is
 //! never part of a run that isn't asked for it.
 
-use nettlemux_hand::Brain;
+use nettlemux_flow_table::Brain;
 use nettlemux_policy::{Flow, FlowId, Listed, Outcome, Place, Rs, State, Time, Todo};
 use nettlemux_settings::Settings;
 use serde_json::Value;
--- a/crates/lab/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -5,7 +5,7 @@
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-use nettlemux_world::seen::{Seen, VERSION};
+use nettlemux_fleet_model::seen::{Seen, VERSION};
 
 /// Writes a record; its first fact must be the header.
 pub struct Writer(BufWriter<File>);
--- a/crates/lab/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use nettlemux_policy::{MS, SEC, Time};
-use nettlemux_world::scenario::{Scenario, seconds};
-use nettlemux_world::seen::{Ender, Final, Kind, Scope, Seen};
-use nettlemux_world::server::SLACK;
+use nettlemux_fleet_model::scenario::{Scenario, seconds};
+use nettlemux_fleet_model::seen::{Ender, Final, Kind, Scope, Seen};
+use nettlemux_fleet_model::server::SLACK;
 use serde::Serialize;
 
 /// How long after a flow's end a further answer or connect is still noticed.
--- a/crates/lab/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use nettlemux_world::dice::Dice;
+use nettlemux_fleet_model::dice::Dice;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -8,12 +8,12 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use nettlemux_hand::{Act, Brain, Hand, Who};
+use nettlemux_flow_table::{Act, Brain, Hand, Who};
 use nettlemux_policy::{
     Flow, FlowId, Holds, Listed, MS, Outcome, Place, Policy, Report, Rs, SEC, State, Time, Todo,
 };
 use nettlemux_settings::Settings;
-use nettlemux_world::dice::Dice;
+use nettlemux_fleet_model::dice::Dice;
 
 use super::allocation::held_bytes;
 use super::looked_at::{Note, servers_per_placement};
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use nettlemux_world::dice::Dice;
+use nettlemux_fleet_model::dice::Dice;
 use serde::Deserialize;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpSocket, TcpStream};
--- a/crates/lab/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -26,7 +26,7 @@
 
 use std::io;
 
-use nettlemux_world::scenario::Scenario;
+use nettlemux_fleet_model::scenario::Scenario;
 
 use crate::brains;
 use crate::figures::Figures;
--- a/crates/lab/src/simulate/balancer.rs
+++ b/crates/testbed/src/simulate/balancer.rs
@@ -1,6 +1,6 @@
 //! The state of one simulated balancer.
 
-use nettlemux_hand::{Brain, Hand};
+use nettlemux_flow_table::{Brain, Hand};
 use nettlemux_policy::Time;
 
 /// The flow table of a simulated balancer, with any policy.
--- a/crates/lab/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -1,8 +1,8 @@
 //! Calls into a balancer's flow table, and the actions that it answers with.
 
-use nettlemux_hand::Act;
+use nettlemux_flow_table::Act;
 use nettlemux_policy::{MS, Time};
-use nettlemux_world::seen::Final;
+use nettlemux_fleet_model::seen::Final;
 
 use super::balancer::{FlowTable, Incarnation};
 use super::event::Event;
--- a/crates/lab/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,7 +1,7 @@
 //! Delivery of the list of servers from discovery to the balancers.
 
 use nettlemux_policy::State;
-use nettlemux_world::seen::Seen;
+use nettlemux_fleet_model::seen::Seen;
 
 use super::balancer::Incarnation;
 use super::event::Event;
--- a/crates/lab/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -2,8 +2,8 @@
 //! passes through these functions unchanged.
 
 use nettlemux_policy::{FlowId, MS, Time};
-use nettlemux_world::scenario::seconds;
-use nettlemux_world::seen::{Final, Seen};
+use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::seen::{Final, Seen};
 
 use super::Who;
 use super::clients::PATIENCE;
--- a/crates/lab/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -1,8 +1,8 @@
 //! Probes of servers by balancers.
 
 use nettlemux_policy::{MS, Report, Time};
-use nettlemux_world::scenario::seconds;
-use nettlemux_world::server::Life;
+use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::server::Life;
 
 use super::balancer::Incarnation;
 use super::event::Event;
--- a/crates/lab/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -4,11 +4,11 @@
 use std::io;
 
 use nettlemux_policy::{FlowId, MS, Time};
-use nettlemux_world::crowd::{Crowd, Front};
-use nettlemux_world::dice::Dice;
-use nettlemux_world::fleet::World;
-use nettlemux_world::scenario::{Scenario, seconds};
-use nettlemux_world::seen::Seen;
+use nettlemux_fleet_model::crowd::{Crowd, Front};
+use nettlemux_fleet_model::dice::Dice;
+use nettlemux_fleet_model::fleet::World;
+use nettlemux_fleet_model::scenario::{Scenario, seconds};
+use nettlemux_fleet_model::seen::Seen;
 use serde_json::Value;
 
 use super::balancer::{Balancer, Incarnation};
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use nettlemux_policy::{MS, SEC, Time};
-use nettlemux_world::scenario::Scenario;
-use nettlemux_world::seen::{Seen, VERSION};
+use nettlemux_fleet_model::scenario::Scenario;
+use nettlemux_fleet_model::seen::{Seen, VERSION};
 use tokio::time::Instant;
 
 use crate::figures::Figures;
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -9,9 +9,9 @@
 
 use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_settings::operator::Operator;
-use nettlemux_world::fleet::Happening;
-use nettlemux_world::scenario::seconds;
-use nettlemux_world::seen::Seen;
+use nettlemux_fleet_model::fleet::Happening;
+use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::seen::Seen;
 use rustix::process::{Pid, Resource, Rlimit, Signal};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -89,7 +89,7 @@
             Some(folder) => (folder.to_path_buf(), false),
             None => {
                 let name = format!(
-                    "nettlemux-lab-{}-{}",
+                    "nettlemux-testbed-{}-{}",
                     std::process::id(),
                     stage.balancer(0).ip()
                 );
--- a/crates/lab/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use nettlemux_policy::Time;
-use nettlemux_world::scenario::seconds;
-use nettlemux_world::seen::Seen;
-use nettlemux_world::server::{Life, Offer};
+use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::seen::Seen;
+use nettlemux_fleet_model::server::{Life, Offer};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -8,12 +8,12 @@
 use std::time::{Instant, SystemTime};
 
 use nettlemux_policy::{MS, State, Time};
-use nettlemux_world::crowd::{Crowd, Front};
-use nettlemux_world::dice::Dice;
-use nettlemux_world::fleet::{Happening, World};
-use nettlemux_world::scenario::{Scenario, seconds};
-use nettlemux_world::seen::{Ender, Seen};
-use nettlemux_world::server::Life;
+use nettlemux_fleet_model::crowd::{Crowd, Front};
+use nettlemux_fleet_model::dice::Dice;
+use nettlemux_fleet_model::fleet::{Happening, World};
+use nettlemux_fleet_model::scenario::{Scenario, seconds};
+use nettlemux_fleet_model::seen::{Ender, Seen};
+use nettlemux_fleet_model::server::Life;
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 
--- a/crates/lab/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -5,10 +5,10 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use nettlemux_lab::capacity::assumptions::Assumptions;
-use nettlemux_lab::capacity::markdown::{NOT_MEASURED, number};
-use nettlemux_lab::capacity::stored_run::{Part, StoredRun, Varied};
-use nettlemux_lab::capacity::{self, Files};
+use nettlemux_testbed::capacity::assumptions::Assumptions;
+use nettlemux_testbed::capacity::markdown::{NOT_MEASURED, number};
+use nettlemux_testbed::capacity::stored_run::{Part, StoredRun, Varied};
+use nettlemux_testbed::capacity::{self, Files};
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -68,7 +68,7 @@
     }
 
     fn command(&self, more: &[&str]) -> Output {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
         command.arg("capacity").arg("--run").arg(&self.files.run);
         command
             .arg("--assumptions")
@@ -94,7 +94,7 @@
     let stale = capacity::check(&committed()).unwrap();
     assert!(
         stale.is_empty(),
-        "stale: {stale:?}; `nettlemux-lab capacity --write` writes them anew"
+        "stale: {stale:?}; `nettlemux-testbed capacity --write` writes them anew"
     );
 }
 
--- a/crates/lab/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -7,20 +7,20 @@
 use std::time::{Duration, Instant};
 
 use nettlemux_candidates::{MOST_CANDIDATES, PROBES_A_SECOND, WHOLE_LIST};
-use nettlemux_lab::scale::allocation::CountingAllocator;
-use nettlemux_lab::scale::fit::{LinearFit, least_squares};
-use nettlemux_lab::scale::limits::{self, Exceeded, Limits, Need, Resources};
-use nettlemux_lab::scale::measurement::{
+use nettlemux_testbed::scale::allocation::CountingAllocator;
+use nettlemux_testbed::scale::fit::{LinearFit, least_squares};
+use nettlemux_testbed::scale::limits::{self, Exceeded, Limits, Need, Resources};
+use nettlemux_testbed::scale::measurement::{
     self, Figures, Fixed, Line, LineWriter, Machine, Part, Varied,
 };
-use nettlemux_lab::scale::scenario::{Counts, ModulePart, ScaleScenario, Sizes};
-use nettlemux_lab::scale::{decisions, plot, table};
+use nettlemux_testbed::scale::scenario::{Counts, ModulePart, ScaleScenario, Sizes};
+use nettlemux_testbed::scale::{decisions, plot, table};
 
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn folder() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scale")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testbed/scale")
 }
 
 fn small() -> String {
@@ -59,7 +59,7 @@
         file.0.with_extension("jsonl"),
     );
     std::fs::write(&toml, scenario).unwrap();
-    let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
     command
         .args(["scale", "--program", "/nowhere/nettlemux", "--out"])
         .arg(&lines)
@@ -645,7 +645,7 @@
     )
     .unwrap();
     for lines_before in [1, 3, 9] {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
         command.arg("scale").arg("--out").arg(&path).arg(&toml);
         let _ = std::fs::remove_file(&path);
         let mut child = command.spawn().unwrap();
--- a/crates/lab/tests/lab.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -3,17 +3,17 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use nettlemux_lab::brains::Kind;
-use nettlemux_lab::record::{self, Writer};
-use nettlemux_lab::rules::Rules;
-use nettlemux_lab::simulate::{Who, simulate};
-use nettlemux_lab::{experiment, file};
+use nettlemux_testbed::brains::Kind;
+use nettlemux_testbed::record::{self, Writer};
+use nettlemux_testbed::rules::Rules;
+use nettlemux_testbed::simulate::{Who, simulate};
+use nettlemux_testbed::{experiment, file};
 use nettlemux_policy::SEC;
-use nettlemux_world::fault::What;
-use nettlemux_world::scenario::Scenario;
+use nettlemux_fleet_model::fault::What;
+use nettlemux_fleet_model::scenario::Scenario;
 
 fn scenarios() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scenarios")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testbed/scenarios")
 }
 
 fn load(name: &str) -> Scenario {
@@ -23,17 +23,17 @@
 }
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_nettlemux-lab"))
+    Command::new(env!("CARGO_BIN_EXE_nettlemux-testbed"))
         .args(args)
         .output()
         .unwrap()
 }
 
 fn temporary(name: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("nettlemux-lab-{}-{name}", std::process::id()))
+    std::env::temp_dir().join(format!("nettlemux-testbed-{}-{name}", std::process::id()))
 }
 
-fn module(scenario: &Scenario, seed: u64) -> nettlemux_lab::simulate::Outcome {
+fn module(scenario: &Scenario, seed: u64) -> nettlemux_testbed::simulate::Outcome {
     simulate(scenario, seed, Who::Brain(Kind::Module), None).unwrap()
 }
 
@@ -50,8 +50,8 @@
 /// The same where what crosses real sockets is all that the judge sees.
 #[test]
 fn the_judge_catches_each_mischief_on_sockets() {
-    let lab = Path::new(env!("CARGO_BIN_EXE_nettlemux-lab"));
-    let (text, good) = nettlemux_lab::check::on_sockets(lab, None).unwrap();
+    let lab = Path::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
+    let (text, good) = nettlemux_testbed::check::on_sockets(lab, None).unwrap();
     assert!(good && text.ends_with("10 passed, 0 failed\n"), "{text}");
 }
 
