--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use nettlemux_flow_table::{Act, Hand, Who};
-use nettlemux_policy::{Flow, FlowId, Holds, Listed, Rs, Time};
+use nettlemux_policy::{Flow, FlowId, Holds, Listed, ServerId, Time};
 use nettlemux_settings::{Reports, Settings};
 
 use crate::wire::{self, Malformed, Parts, Read};
@@ -91,15 +91,15 @@
         flow.customer = parts.maybe("client-group")?.unwrap_or(0);
         flow.service_type = parts.maybe("category")?.unwrap_or(0);
         let _effort: Option<f64> = parts.maybe("effort")?;
-        let rs: Rs = parts.get("server")?;
-        self.hand.inherit(flow, rs);
+        let server_id: ServerId = parts.get("server")?;
+        self.hand.inherit(flow, server_id);
         Ok(())
     }
 
     pub fn flowing(&mut self, now: Time, parts: &mut Parts, out: &mut String) -> Read<()> {
         let flow = parts.get("ref")?;
         parts.get::<u32>("send-no")?;
-        parts.get::<Rs>("server")?;
+        parts.get::<ServerId>("server")?;
         let took = parts.time("time-taken")?;
         self.acts(out, |hand, acts| hand.established(now, flow, took, acts));
         Ok(())
@@ -107,7 +107,7 @@
 
     pub fn signal(&mut self, parts: &mut Parts) -> Read<()> {
         let flow = parts.get("ref")?;
-        parts.get::<Rs>("server")?;
+        parts.get::<ServerId>("server")?;
         let topic: u64 = parts.get("topic")?;
         parts.maybe::<u32>("send-no")?;
         let x: f64 = parts.get("x")?;
@@ -120,7 +120,7 @@
     pub fn result(&mut self, now: Time, parts: &mut Parts, out: &mut String) -> Read<()> {
         let flow: FlowId = parts.get("ref")?;
         let number: usize = parts.get("send-no")?;
-        let rs: Rs = parts.get("server")?;
+        let server_id: ServerId = parts.get("server")?;
         let (end, never_ran) = wire::end(parts.word("reason")?)?;
         parts.time("time-taken")?;
         let closed = parts.flag("closed")?;
@@ -129,7 +129,14 @@
             self.hand.settle(flow);
         }
         self.acts(out, |hand, acts| {
-            hand.ended(now, (flow, number), rs, (end, never_ran), report, acts)
+            hand.ended(
+                now,
+                (flow, number),
+                server_id,
+                (end, never_ran),
+                report,
+                acts,
+            )
         });
         self.give_back(flow);
         Ok(())
@@ -144,11 +151,13 @@
 
     pub fn pong(&mut self, now: Time, parts: &mut Parts, out: &mut String) -> Read<()> {
         parts.time("time-taken")?;
-        let rs = parts.get("server")?;
+        let server_id = parts.get("server")?;
         let (end, _) = wire::end(parts.word("reason")?)?;
         let report = wire::report(parts.word("report")?, &self.reports)?;
         let passed = end == nettlemux_policy::End::Done;
-        self.acts(out, |hand, acts| hand.probed(now, rs, passed, report, acts));
+        self.acts(out, |hand, acts| {
+            hand.probed(now, server_id, passed, report, acts)
+        });
         Ok(())
     }
 
@@ -192,9 +201,12 @@
         for act in acts {
             let write = match act {
                 Act::Connect {
-                    flow, rs, limit, ..
+                    flow,
+                    server_id,
+                    limit,
+                    ..
                 } => {
-                    writeln!(out, "SUBMIT_TO {flow} {rs} {}", wire::micros(limit))
+                    writeln!(out, "SUBMIT_TO {flow} {server_id} {}", wire::micros(limit))
                 }
                 Act::Reject { flow, come_back } => {
                     self.give_back(flow);
@@ -208,7 +220,7 @@
                     self.give_back(flow);
                     writeln!(out, "REPORT_FAILURE {flow}")
                 }
-                Act::Probe { rs } => writeln!(out, "PROBE {rs}"),
+                Act::Probe { server_id } => writeln!(out, "PROBE {server_id}"),
                 Act::Move { flow } => writeln!(out, "GO_AWAY {flow}"),
                 Act::CallOff { flow, number } if self.hand.out(flow) => {
                     writeln!(out, "RECALL {flow} {number}")
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -134,7 +134,7 @@
             format!("'{word}' is no list entry"),
         ));
     }
-    let rs = parts.get("server")?;
+    let server_id = parts.get("server")?;
     let hall = parts.maybe("locality")?.unwrap_or(0);
     let machine = parts.maybe("machine")?.unwrap_or(0);
     let cell = parts.maybe("stripe")?.unwrap_or(0);
@@ -153,7 +153,7 @@
     let started = parts.time("up-since")?;
     parts.end()?;
     Ok(Listed {
-        rs,
+        server_id,
         hall,
         machine,
         cell,
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use nettlemux_admission::Config as DoorConfig;
 use nettlemux_dataplane::discovery::{self, ListUpdate};
 use nettlemux_dataplane::retry;
 use nettlemux_dataplane::shared::Term;
-use nettlemux_admission::Config as DoorConfig;
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
 use nettlemux_settings::operator::{self, Operator};
--- a/crates/balancer/tests/testbed.rs
+++ b/crates/balancer/tests/testbed.rs
@@ -2,13 +2,13 @@
 
 use std::path::{Path, PathBuf};
 
+use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_testbed::file;
 use nettlemux_testbed::sockets::{Outcome, Program, run};
-use nettlemux_fleet_model::scenario::Scenario;
 
 fn scenario(change: &str) -> Scenario {
-    let path =
-        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testbed/scenarios/self-check-sockets.toml");
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../testbed/scenarios/self-check-sockets.toml");
     let text = std::fs::read_to_string(&path).unwrap();
     let head = text.split("[[faults]]").next().unwrap();
     let table: toml::Table = (head.to_string() + change).parse().unwrap();
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -108,7 +108,7 @@
         );
         self.tell(Ask::Ended {
             flow: self.id,
-            rs: target.rs,
+            server_id: target.server_id,
             number: target.number,
             end,
             never_ran,
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use nettlemux_flow_table::{Act, Hand};
-use nettlemux_policy::{Flow, FlowId, Holds, Listed, MS, Rs, SEC, State, Time};
+use nettlemux_policy::{Flow, FlowId, Holds, Listed, MS, SEC, ServerId, State, Time};
 use nettlemux_settings::Settings;
 use tracing::{error, info, warn};
 
@@ -25,7 +25,7 @@
 struct Client {
     mail: Sender<Event>,
     /// Where it was open before the run, until it is open there again.
-    inherited: Option<(Flow, Rs)>,
+    inherited: Option<(Flow, ServerId)>,
 }
 
 /// Names of the wire and the numbers that the module has for them.
@@ -94,7 +94,7 @@
     hand: Hand,
     asks: Mailbox<Ask>,
     clients: BTreeMap<FlowId, Client>,
-    servers: BTreeMap<Rs, Arc<Server>>,
+    servers: BTreeMap<ServerId, Arc<Server>>,
     starts: StartTimes,
     ids: Names,
     halls: Names,
@@ -214,13 +214,13 @@
                 self.acts(now, |hand, acts| hand.take(now, flow, who, acts));
             }
             Ask::Inherit { flow, at, mail } => {
-                let rs = self.ids.lasting(&at);
+                let server_id = self.ids.lasting(&at);
                 let (until, by) = (flow.give_up, flow.give_up);
-                let order = match self.servers.get(&rs) {
+                let order = match self.servers.get(&server_id) {
                     // Nobody is waited for any more.
                     _ if self.last_answer_passed => Order::Abort,
                     Some(server) => Order::Connect(Target {
-                        rs,
+                        server_id,
                         number: 0,
                         server: server.clone(),
                         until,
@@ -233,7 +233,7 @@
                     flow.id,
                     Client {
                         mail,
-                        inherited: Some((flow, rs)),
+                        inherited: Some((flow, server_id)),
                     },
                 );
             }
@@ -242,13 +242,13 @@
                     return;
                 };
                 match client.inherited.take() {
-                    Some((flow, rs)) => self.hand.inherit(flow, rs),
+                    Some((flow, server_id)) => self.hand.inherit(flow, server_id),
                     None => self.acts(now, |hand, acts| hand.established(now, flow, took, acts)),
                 }
             }
             Ask::Ended {
                 flow,
-                rs,
+                server_id,
                 number,
                 end,
                 never_ran,
@@ -257,7 +257,7 @@
                 let how = (end, never_ran);
                 if self.clients.contains_key(&flow) {
                     self.acts(now, |hand, acts| {
-                        hand.ended(now, (flow, number), rs, how, report, acts)
+                        hand.ended(now, (flow, number), server_id, how, report, acts)
                     });
                 }
             }
@@ -267,8 +267,14 @@
                 self.acts(now, |hand, acts| hand.over(now, flow, acts));
                 self.clients.remove(&flow);
             }
-            Ask::Probed { rs, passed, report } => {
-                self.acts(now, |hand, acts| hand.probed(now, rs, passed, report, acts));
+            Ask::Probed {
+                server_id,
+                passed,
+                report,
+            } => {
+                self.acts(now, |hand, acts| {
+                    hand.probed(now, server_id, passed, report, acts)
+                });
             }
             Ask::StoredList(entries) => self.list(now, entries, true),
             Ask::List { entries, whole } => {
@@ -278,16 +284,16 @@
             Ask::ListFailed => self.hand.list_failed(now),
             Ask::Heard(word) => {
                 // One that our list doesn't name is none of ours.
-                if let Some(rs) = self
+                if let Some(server_id) = self
                     .ids
                     .known(&word.server)
-                    .filter(|rs| self.servers.contains_key(rs))
+                    .filter(|server_id| self.servers.contains_key(server_id))
                 {
                     self.hand.heard(
                         now,
                         Holds {
                             group: word.group,
-                            rs,
+                            server_id,
                         },
                     );
                 }
@@ -325,19 +331,19 @@
         let mut listed = Vec::new();
         let mut told = Vec::new();
         for entry in entries {
-            let rs = self.ids.lasting(&entry.name);
-            told.push(rs);
+            let server_id = self.ids.lasting(&entry.name);
+            told.push(server_id);
             listed.push(Listed {
-                rs,
+                server_id,
                 hall: self.halls.number(&entry.zone),
                 machine: self.machines.number(&entry.machine),
                 cell: self.cells.number(&entry.cell),
                 state: entry.state,
                 weight: entry.weight,
-                started: self.starts.of(now, rs, entry.started),
+                started: self.starts.of(now, server_id, entry.started),
             });
             let ready = entry.state == State::Ready;
-            match self.servers.get(&rs) {
+            match self.servers.get(&server_id) {
                 // Without an address it is where it was.
                 Some(server) if server.address == entry.address || entry.address.port() == 0 => {
                     if server.ready.swap(ready, Ordering::AcqRel) != ready {
@@ -355,13 +361,13 @@
                         address: entry.address,
                         ready: AtomicBool::new(ready),
                     };
-                    self.servers.insert(rs, Arc::new(server));
+                    self.servers.insert(server_id, Arc::new(server));
                 }
             }
         }
         if whole {
-            self.servers.retain(|rs, server| {
-                let stays = told.contains(rs);
+            self.servers.retain(|server_id, server| {
+                let stays = told.contains(server_id);
                 if !stays {
                     info!(server = server.name, "list: gone");
                     server.ready.store(false, Ordering::Release);
@@ -370,12 +376,13 @@
             });
         }
         for gone in listed.iter().filter(|entry| entry.state == State::Gone) {
-            self.servers.remove(&gone.rs);
+            self.servers.remove(&gone.server_id);
         }
         let servers = &self.servers;
-        self.prober.keep(|rs| servers.contains_key(&rs));
+        self.prober
+            .keep(|server_id| servers.contains_key(&server_id));
         self.starts
-            .keep(servers.len(), |rs| servers.contains_key(&rs));
+            .keep(servers.len(), |server_id| servers.contains_key(&server_id));
         self.hand.list(now, &listed, whole);
     }
 
@@ -399,17 +406,17 @@
         match act {
             Act::Connect {
                 flow,
-                rs,
+                server_id,
                 number,
                 limit,
                 by,
-            } => match self.servers.get(&rs) {
+            } => match self.servers.get(&server_id) {
                 Some(server) => {
                     let (server, until, by) = (server.clone(), now + limit, now + by);
                     self.order(
                         flow,
                         Order::Connect(Target {
-                            rs,
+                            server_id,
                             number,
                             server,
                             until,
@@ -420,7 +427,7 @@
                 None => {
                     warn!(
                         id = flow,
-                        rs, "the module names a server without an address"
+                        server_id, "the module names a server without an address"
                     );
                     self.hand.settle(flow);
                     self.order(flow, Order::Abort);
@@ -430,15 +437,15 @@
             Act::Abort { flow } => self.order(flow, Order::Abort),
             Act::Move { flow } => self.order(flow, Order::Move(now + LINE_END)),
             Act::CallOff { flow, .. } => self.order(flow, Order::CallOff),
-            Act::Probe { rs } => {
-                if let Some(server) = self.servers.get(&rs) {
-                    self.prober.probe(rs, server.clone());
+            Act::Probe { server_id } => {
+                if let Some(server) = self.servers.get(&server_id) {
+                    self.prober.probe(server_id, server.clone());
                 }
             }
             // The watch always runs, so there is nothing to ask for.
             Act::AskList => {}
-            Act::Tell(Holds { group, rs }) => {
-                if let (Some(words), Some(server)) = (&self.words, self.servers.get(&rs)) {
+            Act::Tell(Holds { group, server_id }) => {
+                if let (Some(words), Some(server)) = (&self.words, self.servers.get(&server_id)) {
                     words.send(Word {
                         group,
                         server: server.name.clone(),
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_admission::Config;
 use nettlemux_flow_table::Who;
-use nettlemux_policy::{End, Flow, FlowId, Report, Rs, State, Time};
+use nettlemux_policy::{End, Flow, FlowId, Report, ServerId, State, Time};
 use nettlemux_settings::Settings;
 
 use crate::mail::Sender;
@@ -60,7 +60,7 @@
     },
     Ended {
         flow: FlowId,
-        rs: Rs,
+        server_id: ServerId,
         number: usize,
         end: End,
         never_ran: bool,
@@ -79,7 +79,7 @@
         flow: FlowId,
     },
     Probed {
-        rs: Rs,
+        server_id: ServerId,
         passed: bool,
         report: Report,
     },
@@ -120,7 +120,7 @@
 
 /// Where a connect goes, how long it is waited for, and when its line has to be out or isn't sent at all.
 pub struct Target {
-    pub rs: Rs,
+    pub server_id: ServerId,
     pub number: usize,
     pub server: Arc<Server>,
     pub until: Time,
--- a/crates/dataplane/src/probe.rs
+++ b/crates/dataplane/src/probe.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use may::sync::mpsc::{Receiver, Sender as Line, channel};
-use nettlemux_policy::{MS, Report, Rs, Time};
+use nettlemux_policy::{MS, Report, ServerId, Time};
 use tracing::{debug, warn};
 
 use crate::clock;
@@ -37,9 +37,9 @@
 pub struct Prober {
     means: Means,
     /// Those that are being asked, or whose connection stays open.
-    lines: BTreeMap<Rs, Line<Arc<Server>>>,
+    lines: BTreeMap<ServerId, Line<Arc<Server>>>,
     /// Those that no descriptor was left for, in order.
-    queue: VecDeque<(Rs, Arc<Server>)>,
+    queue: VecDeque<(ServerId, Arc<Server>)>,
 }
 
 impl Prober {
@@ -52,17 +52,21 @@
     }
 
     /// Asks it now, or once there is a descriptor.
-    pub fn probe(&mut self, rs: Rs, server: Arc<Server>) {
+    pub fn probe(&mut self, server_id: ServerId, server: Arc<Server>) {
         if self
             .lines
-            .get(&rs)
+            .get(&server_id)
             .is_some_and(|line| line.send(server.clone()).is_ok())
         {
             return;
         }
-        match self.queue.iter_mut().find(|(waiting, _)| *waiting == rs) {
+        match self
+            .queue
+            .iter_mut()
+            .find(|(waiting, _)| *waiting == server_id)
+        {
             Some((_, waiting)) => *waiting = server,
-            None => self.queue.push_back((rs, server)),
+            None => self.queue.push_back((server_id, server)),
         }
         self.go_on();
     }
@@ -74,13 +78,13 @@
             let Some(slot) = self.means.descriptors.take(WATCH) else {
                 return;
             };
-            let Some((rs, server)) = self.queue.pop_front() else {
+            let Some((server_id, server)) = self.queue.pop_front() else {
                 return;
             };
             let (line, asked) = channel();
             let means = self.means.clone();
-            may::go!(move || serve(rs, server, slot, &asked, &means));
-            self.lines.insert(rs, line);
+            may::go!(move || serve(server_id, server, slot, &asked, &means));
+            self.lines.insert(server_id, line);
         }
     }
 
@@ -90,15 +94,15 @@
     }
 
     /// Lets go of servers that are no longer listed, and of the connections to them.
-    pub fn keep(&mut self, listed: impl Fn(Rs) -> bool) {
-        self.lines.retain(|rs, _| listed(*rs));
-        self.queue.retain(|(rs, _)| listed(*rs));
+    pub fn keep(&mut self, listed: impl Fn(ServerId) -> bool) {
+        self.lines.retain(|server_id, _| listed(*server_id));
+        self.queue.retain(|(server_id, _)| listed(*server_id));
     }
 }
 
 /// Asks one server, and again when told to, for as long as its connection may stay open.
 fn serve(
-    rs: Rs,
+    server_id: ServerId,
     mut server: Arc<Server>,
     slot: Slot,
     asked: &Receiver<Arc<Server>>,
@@ -127,7 +131,11 @@
                 open = caller
                     .filter(|_| means.descriptors.room(IN_TURN))
                     .map(|caller| (server.clone(), caller));
-                means.desk.send(Ask::Probed { rs, passed, report });
+                means.desk.send(Ask::Probed {
+                    server_id,
+                    passed,
+                    report,
+                });
             }
             // Our own want must not count against the server: it is asked when it is due again.
             Err(ProbeError::NoDescriptor) => {
@@ -136,7 +144,7 @@
             Err(ProbeError::Failed(e)) => {
                 debug!(server = server.name, error = %e, "probe fails");
                 means.desk.send(Ask::Probed {
-                    rs,
+                    server_id,
                     passed: false,
                     report: Report::default(),
                 });
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -60,10 +60,10 @@
                 "connection ended"
             );
             let never_ran = false;
-            let (flow, rs, number) = (book.id, target.rs, target.number);
+            let (flow, server_id, number) = (book.id, target.server_id, target.number);
             book.tell(Ask::Ended {
                 flow,
-                rs,
+                server_id,
                 number,
                 end,
                 never_ran,
--- a/crates/dataplane/src/send.rs
+++ b/crates/dataplane/src/send.rs
@@ -212,7 +212,7 @@
     );
     book.tell(Ask::Ended {
         flow: book.id,
-        rs: target.rs,
+        server_id: target.server_id,
         number: target.number,
         end,
         never_ran: unsent,
--- a/crates/dataplane/src/send/tests.rs
+++ b/crates/dataplane/src/send/tests.rs
@@ -64,7 +64,7 @@
         });
         let until = clock::now() + SEC / 5;
         let target = Target {
-            rs: 1,
+            server_id: 1,
             number: 0,
             server,
             until,
--- a/crates/dataplane/src/starts.rs
+++ b/crates/dataplane/src/starts.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use nettlemux_policy::{Rs, Time};
+use nettlemux_policy::{ServerId, Time};
 
 /// Starts of servers that are no longer listed are kept for so many at least: one that is listed again by mistake has not
 /// started anew.
@@ -20,7 +20,7 @@
 /// The starts of all servers that we were told of.
 #[derive(Default)]
 pub struct StartTimes {
-    starts: HashMap<Rs, Start>,
+    starts: HashMap<ServerId, Start>,
     /// We have had the list from discovery, so what it tells from now on has come to pass since.
     watching: bool,
 }
@@ -30,15 +30,19 @@
     ///
     /// On the first list nothing but the wall clock tells how long ago a start was. What lies in its future shows that the
     /// clock is behind; such a server counts as started now. Of a clock that is ahead nothing shows.
-    pub fn of(&mut self, now: Time, rs: Rs, told: Time) -> Time {
+    pub fn of(&mut self, now: Time, server_id: ServerId, told: Time) -> Time {
         if told == 0 {
             return 0;
         }
-        if let Some(start) = self.starts.get(&rs).filter(|start| start.told == told) {
+        if let Some(start) = self
+            .starts
+            .get(&server_id)
+            .filter(|start| start.told == told)
+        {
             return start.ours;
         }
         let ours = if self.watching { now } else { told.min(now) };
-        self.starts.insert(rs, Start { told, ours });
+        self.starts.insert(server_id, Start { told, ours });
         ours
     }
 
@@ -48,9 +52,9 @@
     }
 
     /// Forgets servers that are no longer listed, once there are many of them.
-    pub fn keep(&mut self, listed: usize, is_listed: impl Fn(Rs) -> bool) {
+    pub fn keep(&mut self, listed: usize, is_listed: impl Fn(ServerId) -> bool) {
         if self.starts.len() > listed + UNLISTED_MAX {
-            self.starts.retain(|rs, _| is_listed(*rs));
+            self.starts.retain(|server_id, _| is_listed(*server_id));
         }
     }
 }
--- a/crates/dataplane/src/starts/tests.rs
+++ b/crates/dataplane/src/starts/tests.rs
@@ -37,9 +37,9 @@
 #[test]
 fn starts_of_servers_that_are_gone_are_bounded() {
     let mut starts = StartTimes::default();
-    (0..2 * UNLISTED_MAX as Rs).for_each(|rs| _ = starts.of(NOW, rs, SEC));
+    (0..2 * UNLISTED_MAX as ServerId).for_each(|server_id| _ = starts.of(NOW, server_id, SEC));
     starts.keep(UNLISTED_MAX, |_| false);
     assert_eq!(starts.starts.len(), 2 * UNLISTED_MAX);
-    starts.keep(1, |rs| rs == 7);
+    starts.keep(1, |server_id| server_id == 7);
     assert_eq!(starts.starts.len(), 1);
 }
--- a/crates/fleet-model/src/fleet/listing.rs
+++ b/crates/fleet-model/src/fleet/listing.rs
@@ -46,7 +46,7 @@
     fn entry(&self, index: usize) -> Listed {
         let server = &self.servers[index];
         Listed {
-            rs: index as u64,
+            server_id: index as u64,
             hall: server.zone as u64,
             machine: server.machine as u64,
             cell: server.cell as u64,
--- a/crates/fleet-model/src/fleet/tests.rs
+++ b/crates/fleet-model/src/fleet/tests.rs
@@ -25,7 +25,12 @@
     until(&mut world, 10.0);
     let told = world.since(1);
     assert_eq!(
-        (told.len(), told[0].rs, told[0].state, told[0].started),
+        (
+            told.len(),
+            told[0].server_id,
+            told[0].state,
+            told[0].started
+        ),
         (1, 2, State::Ready, 6 * SEC)
     );
 }
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,7 +8,7 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Connect, End, Flow, FlowId, Holds, Listed, Outcome, Place, Policy, Report, Rs, Time, Todo,
+    Connect, End, Flow, FlowId, Holds, Listed, Outcome, Place, Policy, Report, ServerId, Time, Todo,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
@@ -19,7 +19,7 @@
     fn wait(&self, now: Time) -> Option<Time>;
     fn list(&mut self, now: Time, entries: &[Listed], whole: bool);
     fn list_failed(&mut self, now: Time);
-    fn inherit(&mut self, flow: &Flow, rs: Rs);
+    fn inherit(&mut self, flow: &Flow, server_id: ServerId);
     fn told_load(&mut self, flow: FlowId, load: f64);
     /// Other settings from now on; only the module that serves takes any.
     fn change(&mut self, _new: Policy) {}
@@ -43,8 +43,8 @@
     fn list_failed(&mut self, now: Time) {
         Policy::list_failed(self, now);
     }
-    fn inherit(&mut self, flow: &Flow, rs: Rs) {
-        Policy::inherit(self, flow, rs);
+    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+        Policy::inherit(self, flow, server_id);
     }
     fn told_load(&mut self, flow: FlowId, load: f64) {
         Policy::told_load(self, flow, load);
@@ -73,8 +73,8 @@
     fn list_failed(&mut self, now: Time) {
         (**self).list_failed(now);
     }
-    fn inherit(&mut self, flow: &Flow, rs: Rs) {
-        (**self).inherit(flow, rs);
+    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+        (**self).inherit(flow, server_id);
     }
     fn told_load(&mut self, flow: FlowId, load: f64) {
         (**self).told_load(flow, load);
@@ -93,7 +93,7 @@
     /// Make this flow's connect of that number, and wait for it so long; it is not made if it isn't sent within `by`.
     Connect {
         flow: FlowId,
-        rs: Rs,
+        server_id: ServerId,
         number: usize,
         limit: Time,
         by: Time,
@@ -115,7 +115,7 @@
         number: usize,
     },
     Probe {
-        rs: Rs,
+        server_id: ServerId,
     },
     /// Ask for the list.
     AskList,
@@ -263,8 +263,8 @@
     }
 
     /// A connection that was open at that server before the balancer started.
-    pub fn inherit(&mut self, flow: Flow, rs: Rs) {
-        self.brain.inherit(&flow, rs);
+    pub fn inherit(&mut self, flow: Flow, server_id: ServerId) {
+        self.brain.inherit(&flow, server_id);
         self.flows.insert(flow.id, InHand { flow, owed: false });
     }
 
@@ -285,14 +285,14 @@
         &mut self,
         now: Time,
         (flow, number): (FlowId, usize),
-        rs: Rs,
+        server_id: ServerId,
         (end, never_ran): (End, bool),
         report: Report,
         acts: &mut Vec<Act>,
     ) {
         // A load report that came with an answer counts like a probe's: it is the server's own word.
         if report.beta.is_some() {
-            self.probed(now, rs, true, report, acts);
+            self.probed(now, server_id, true, report, acts);
         }
         let mut owed = None;
         if let Some(in_hand) = self.flows.get_mut(&flow) {
@@ -305,7 +305,7 @@
             now,
             Outcome::Ended {
                 flow,
-                rs,
+                server_id,
                 end,
                 owed,
             },
@@ -330,10 +330,22 @@
         self.carry_out(todo, acts);
     }
 
-    pub fn probed(&mut self, now: Time, rs: Rs, passed: bool, report: Report, acts: &mut Vec<Act>) {
-        let todo = self
-            .brain
-            .after(now, Outcome::Probed { rs, passed, report });
+    pub fn probed(
+        &mut self,
+        now: Time,
+        server_id: ServerId,
+        passed: bool,
+        report: Report,
+        acts: &mut Vec<Act>,
+    ) {
+        let todo = self.brain.after(
+            now,
+            Outcome::Probed {
+                server_id,
+                passed,
+                report,
+            },
+        );
         self.carry_out(todo, acts);
     }
 
@@ -412,12 +424,12 @@
                 .into_iter()
                 .find(|connect| connect.out)
         });
-        if let Some(Connect { rs, .. }) = out {
+        if let Some(Connect { server_id, .. }) = out {
             let todo = self.brain.after(
                 now,
                 Outcome::Ended {
                     flow,
-                    rs,
+                    server_id,
                     end: End::NotSent,
                     owed: None,
                 },
@@ -448,16 +460,16 @@
             return;
         };
         acts.push(match place {
-            Place::To(rs, limit, by) => {
+            Place::To(server_id, limit, by) => {
                 in_hand.flow.connects.push(Connect {
-                    rs,
+                    server_id,
                     at: now,
                     out: true,
                     never_ran: false,
                 });
                 Act::Connect {
                     flow: id,
-                    rs,
+                    server_id,
                     number: in_hand.flow.connects.len() - 1,
                     limit,
                     by,
@@ -482,7 +494,11 @@
     }
 
     fn carry_out(&mut self, todo: Todo, acts: &mut Vec<Act>) {
-        acts.extend(todo.probe.into_iter().map(|rs| Act::Probe { rs }));
+        acts.extend(
+            todo.probe
+                .into_iter()
+                .map(|server_id| Act::Probe { server_id }),
+        );
         acts.extend(todo.shift.into_iter().map(|flow| Act::Move { flow }));
         let number = |flow| {
             self.flow(flow)
@@ -520,7 +536,9 @@
                     todo.place = owed.map(|flow| self.place(now, flow));
                 }
                 Outcome::Left { flow } => todo.call_off.push(flow),
-                Outcome::Probed { rs, .. } => (todo.probe, todo.shift) = (vec![rs], vec![9]),
+                Outcome::Probed { server_id, .. } => {
+                    (todo.probe, todo.shift) = (vec![server_id], vec![9])
+                }
                 _ => {}
             }
             todo
@@ -530,7 +548,7 @@
         }
         fn list(&mut self, _: Time, _: &[Listed], _: bool) {}
         fn list_failed(&mut self, _: Time) {}
-        fn inherit(&mut self, _: &Flow, _: Rs) {}
+        fn inherit(&mut self, _: &Flow, _: ServerId) {}
         fn told_load(&mut self, _: FlowId, _: f64) {}
     }
 
@@ -577,16 +595,16 @@
             [
                 Act::Connect {
                     flow: 7,
-                    rs: 4,
+                    server_id: 4,
                     number: 0,
                     limit: 70,
                     by: 70
                 },
-                Act::Probe { rs: 4 },
+                Act::Probe { server_id: 4 },
                 Act::Move { flow: 9 },
                 Act::Connect {
                     flow: 7,
-                    rs: 5,
+                    server_id: 5,
                     number: 1,
                     limit: 60,
                     by: 30
@@ -673,7 +691,7 @@
                 Act::CallOff { flow: 1, number: 0 },
                 Act::Connect {
                     flow: 2,
-                    rs: 4,
+                    server_id: 4,
                     number: 0,
                     limit: 9,
                     by: 9
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -40,12 +40,12 @@
     }
 }
 
-fn listed(rs: Rs, zones: u64) -> Listed {
+fn listed(server_id: ServerId, zones: u64) -> Listed {
     Listed {
-        rs,
-        hall: rs % zones,
+        server_id,
+        hall: server_id % zones,
         machine: 0,
-        cell: rs,
+        cell: server_id,
         state: State::Ready,
         weight: 1.0,
         started: 0,
@@ -72,9 +72,9 @@
     rng: WyRand,
     now: Time,
     /// Answers of servers that are under way, soonest first.
-    answers: BinaryHeap<std::cmp::Reverse<(Time, Rs)>>,
+    answers: BinaryHeap<std::cmp::Reverse<(Time, ServerId)>>,
     held: VecDeque<(Flow, u128)>,
-    established: VecDeque<(FlowId, Rs)>,
+    established: VecDeque<(FlowId, ServerId)>,
     next_id: FlowId,
     /// Nanoseconds of all looks at a flow until it was placed, and of each single look.
     per_flow: Vec<u128>,
@@ -88,7 +88,9 @@
     fn new(servers: u64, whole: bool) -> Self {
         let zones = servers.div_ceil(SERVERS_IN_ZONE);
         let mut policy = balancer(7, 0, BALANCERS, whole);
-        let list: Vec<Listed> = (0..servers).map(|rs| listed(rs, zones)).collect();
+        let list: Vec<Listed> = (0..servers)
+            .map(|server_id| listed(server_id, zones))
+            .collect();
         policy.list(T0, &list, true);
         let mut driver = Driver {
             policy,
@@ -105,9 +107,9 @@
             outcomes: (0, 0),
         };
         for _ in 0..OWN.min(servers as usize * 220 / 3) {
-            let (flow, rs) = (driver.flow(), driver.rng.generate_range(0..servers));
-            driver.policy.inherit(&flow, rs);
-            driver.established.push_back((flow.id, rs));
+            let (flow, server_id) = (driver.flow(), driver.rng.generate_range(0..servers));
+            driver.policy.inherit(&flow, server_id);
+            driver.established.push_back((flow.id, server_id));
         }
         driver
     }
@@ -130,9 +132,9 @@
         self.outcomes.0 += began.elapsed().as_nanos();
         self.outcomes.1 += 1;
         self.probes += todo.probe.len();
-        for rs in todo.probe {
+        for server_id in todo.probe {
             self.answers
-                .push(std::cmp::Reverse((self.now + 2 * MS, rs)));
+                .push(std::cmp::Reverse((self.now + 2 * MS, server_id)));
         }
     }
 
@@ -142,18 +144,18 @@
         let took = began.elapsed().as_nanos();
         match place {
             Place::NotYet => self.held.push_back((flow, spent + took)),
-            Place::To(rs, ..) => {
+            Place::To(server_id, ..) => {
                 self.per_look.push(took);
                 self.per_flow.push(spent + took);
                 self.outcome(Outcome::Established {
                     flow: flow.id,
                     took: MS,
                 });
-                self.established.push_back((flow.id, rs));
-                let (flow, rs) = self.established.pop_front().expect("one at least");
+                self.established.push_back((flow.id, server_id));
+                let (flow, server_id) = self.established.pop_front().expect("one at least");
                 self.outcome(Outcome::Ended {
                     flow,
-                    rs,
+                    server_id,
                     end: End::Done,
                     owed: None,
                 });
@@ -177,14 +179,14 @@
             };
             self.now = self.now.max(next);
             if answer == Some(next) {
-                let rs = self.answers.pop().expect("seen").0.1;
+                let server_id = self.answers.pop().expect("seen").0.1;
                 let beta = 0.42 + 0.06 * self.rng.generate::<f64>();
                 let report = Report {
                     beta: Some(beta),
                     connections: Some(10_000.0),
                 };
                 self.outcome(Outcome::Probed {
-                    rs,
+                    server_id,
                     passed: true,
                     report,
                 });
@@ -220,7 +222,9 @@
     let before = resident();
     let mut policy = balancer(7, 0, BALANCERS, whole);
     let zones = servers.div_ceil(SERVERS_IN_ZONE);
-    let list: Vec<Listed> = (0..servers).map(|rs| listed(rs, zones)).collect();
+    let list: Vec<Listed> = (0..servers)
+        .map(|server_id| listed(server_id, zones))
+        .collect();
     policy.list(T0, &list, true);
     let listed = resident();
     for id in 0..OWN as FlowId {
@@ -284,7 +288,9 @@
     for grouped in [true, false] {
         for whole in [true, false] {
             let mut rng = WyRand::new_seed(5);
-            let list: Vec<Listed> = (0..servers).map(|rs| listed(rs, zones)).collect();
+            let list: Vec<Listed> = (0..servers)
+                .map(|server_id| listed(server_id, zones))
+                .collect();
             let mut fleet: Vec<Policy> = (0..balancers)
                 .map(|seed| balancer(seed, seed % zones, balancers as f64, whole))
                 .collect();
@@ -292,7 +298,7 @@
                 .iter_mut()
                 .for_each(|policy| policy.list(T0, &list, true));
             let mut held = vec![0.0; servers as usize];
-            let mut of_group: BTreeMap<u64, std::collections::BTreeSet<Rs>> = BTreeMap::new();
+            let mut of_group: BTreeMap<u64, std::collections::BTreeSet<ServerId>> = BTreeMap::new();
             let (mut now, mut lost) = (T0, 0);
             // At the end the mean server is asked for 0.4 of what it can do.
             let each = 0.4 * servers as f64 / connections as f64;
@@ -312,18 +318,18 @@
                 let placed = loop {
                     answer(policy, at, &held, each);
                     match policy.place(at, &flow) {
-                        Place::To(rs, ..) => break Some(rs),
+                        Place::To(server_id, ..) => break Some(server_id),
                         Place::NotYet => at += 60 * MS,
                         _ => break None,
                     }
                 };
-                let Some(rs) = placed else {
+                let Some(server_id) = placed else {
                     lost += 1;
                     continue;
                 };
                 policy.after(at, Outcome::Established { flow: id, took: MS });
-                held[rs as usize] += 1.0;
-                of_group.entry(group).or_default().insert(rs);
+                held[server_id as usize] += 1.0;
+                of_group.entry(group).or_default().insert(server_id);
             }
             let mean = held.iter().sum::<f64>() / servers as f64;
             let most = held.iter().copied().fold(0.0, f64::max);
@@ -348,8 +354,8 @@
 /// The wait elapses, and what is asked of servers then is answered with what they hold at this moment.
 fn answer(policy: &mut Policy, now: Time, held: &[f64], each: f64) {
     let mut asked = policy.after(now, Outcome::Elapsed).probe;
-    while let Some(rs) = asked.pop() {
-        let count = held[rs as usize];
+    while let Some(server_id) = asked.pop() {
+        let count = held[server_id as usize];
         let report = Report {
             beta: Some(count * each),
             connections: Some(count),
@@ -359,7 +365,7 @@
                 .after(
                     now,
                     Outcome::Probed {
-                        rs,
+                        server_id,
                         passed: true,
                         report,
                     },
--- a/crates/policy/src/book.rs
+++ b/crates/policy/src/book.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::types::{Flow, FlowId, Rs, Time};
+use crate::types::{Flow, FlowId, ServerId, Time};
 
 /// A connection of ours, or a connect in flight.
 pub(crate) struct Own {
-    pub(crate) rs: Rs,
+    pub(crate) server_id: ServerId,
     pub(crate) service_type: usize,
     pub(crate) customer: usize,
     pub(crate) group: Option<String>,
@@ -23,31 +23,31 @@
 #[derive(Default)]
 pub(crate) struct Book {
     pub(crate) own: BTreeMap<FlowId, Own>,
-    pub(crate) by_rs: BTreeMap<Rs, BTreeSet<FlowId>>,
-    pub(crate) by_group: BTreeMap<String, BTreeMap<Rs, usize>>,
+    pub(crate) by_server: BTreeMap<ServerId, BTreeSet<FlowId>>,
+    pub(crate) by_group: BTreeMap<String, BTreeMap<ServerId, usize>>,
     pub(crate) by_customer: BTreeMap<usize, usize>,
     /// For each service type how many loads were told and their sum.
     pub(crate) told: BTreeMap<usize, (f64, f64)>,
     /// Connects in flight: where, and since when.
-    pub(crate) out: BTreeMap<FlowId, (Rs, Time)>,
+    pub(crate) out: BTreeMap<FlowId, (ServerId, Time)>,
 }
 
 impl Book {
-    pub(crate) fn enter(&mut self, now: Time, flow: &Flow, rs: Rs, established: bool) {
+    pub(crate) fn enter(&mut self, now: Time, flow: &Flow, server_id: ServerId, established: bool) {
         self.strike(flow.id);
         let group = flow.group.clone();
         *self.by_customer.entry(flow.customer).or_default() += 1;
-        self.by_rs.entry(rs).or_default().insert(flow.id);
+        self.by_server.entry(server_id).or_default().insert(flow.id);
         if let Some(group) = &group {
             *self
                 .by_group
                 .entry(group.clone())
                 .or_default()
-                .entry(rs)
+                .entry(server_id)
                 .or_default() += 1;
         }
         if !established {
-            self.out.insert(flow.id, (rs, now));
+            self.out.insert(flow.id, (server_id, now));
         }
         let (
             &Flow {
@@ -62,7 +62,7 @@
         self.own.insert(
             flow.id,
             Own {
-                rs,
+                server_id,
                 service_type,
                 customer,
                 group,
@@ -83,22 +83,22 @@
         *sum += load - own.load.replace(load).unwrap_or(0.0);
     }
 
-    pub(crate) fn established(&mut self, flow: FlowId) -> Option<Rs> {
+    pub(crate) fn established(&mut self, flow: FlowId) -> Option<ServerId> {
         let own = self.own.get_mut(&flow).filter(|own| !own.established)?;
         own.established = true;
         self.out.remove(&flow);
-        Some(own.rs)
+        Some(own.server_id)
     }
 
     pub(crate) fn strike(&mut self, flow: FlowId) -> Option<Own> {
         let own = self.own.remove(&flow)?;
         self.out.remove(&flow);
         if self
-            .by_rs
-            .get_mut(&own.rs)
+            .by_server
+            .get_mut(&own.server_id)
             .is_some_and(|here| here.remove(&flow) && here.is_empty())
         {
-            self.by_rs.remove(&own.rs);
+            self.by_server.remove(&own.server_id);
         }
         less(&mut self.by_customer, &own.customer);
         if let (Some(load), Some((count, sum))) = (own.load, self.told.get_mut(&own.service_type)) {
@@ -107,7 +107,7 @@
         if let Some(group) = &own.group
             && let Some(holders) = self.by_group.get_mut(group)
         {
-            less(holders, &own.rs);
+            less(holders, &own.server_id);
             if holders.is_empty() {
                 self.by_group.remove(group);
             }
@@ -115,8 +115,8 @@
         Some(own)
     }
 
-    pub(crate) fn at(&self, rs: Rs) -> f64 {
-        self.by_rs.get(&rs).map_or(0, BTreeSet::len) as f64
+    pub(crate) fn at(&self, server_id: ServerId) -> f64 {
+        self.by_server.get(&server_id).map_or(0, BTreeSet::len) as f64
     }
 }
 
--- a/crates/policy/src/holders.rs
+++ b/crates/policy/src/holders.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::types::{Holds, Rs, SEC, Time};
+use crate::types::{Holds, SEC, ServerId, Time};
 
 /// A message that a server holds a group is repeated after so long and holds for twice that: 10 s cost more.
 const REPEAT_AFTER: Time = 20 * SEC;
@@ -15,7 +15,7 @@
 /// The servers that hold each group, and when that was last told.
 #[derive(Default)]
 pub(crate) struct GroupHolders {
-    told: BTreeMap<u16, BTreeMap<Rs, Time>>,
+    told: BTreeMap<u16, BTreeMap<ServerId, Time>>,
     /// Messages that may go out now, as of the time beside it.
     tokens: (f64, Time),
 }
@@ -27,8 +27,11 @@
     }
 
     /// Whether the server holds the group, as last told.
-    pub(crate) fn holds(&self, now: Time, group: u16, rs: Rs) -> bool {
-        let at = self.told.get(&group).and_then(|servers| servers.get(&rs));
+    pub(crate) fn holds(&self, now: Time, group: u16, server_id: ServerId) -> bool {
+        let at = self
+            .told
+            .get(&group)
+            .and_then(|servers| servers.get(&server_id));
         at.is_some_and(|at| now < at + 2 * REPEAT_AFTER)
     }
 
@@ -37,7 +40,7 @@
         self.told
             .entry(word.group)
             .or_default()
-            .insert(word.rs, now);
+            .insert(word.server_id, now);
     }
 
     /// Drops what isn't told again, so that groups that are no more take no room.
@@ -53,7 +56,7 @@
         let at = self
             .told
             .get(&word.group)
-            .and_then(|servers| servers.get(&word.rs));
+            .and_then(|servers| servers.get(&word.server_id));
         at.is_some_and(|at| now < at + REPEAT_AFTER)
     }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -164,10 +164,10 @@
     /// When the last of the servers is warm, and our pace for cold ones when a flow was last placed.
     cold_until: Time,
     paced: (Time, BTreeMap<u64, f64>),
-    servers: BTreeMap<Rs, Server>,
+    servers: BTreeMap<ServerId, Server>,
     book: Book,
     /// When our last connects were established, and where.
-    settled: VecDeque<(Time, Rs)>,
+    settled: VecDeque<(Time, ServerId)>,
     began: Option<Time>,
     window: Window,
     /// Flows told «not yet» since the last wait.
@@ -183,13 +183,13 @@
     long: Option<LongList>,
     /// Sets our flows without a group apart from others'.
     salt: u64,
-    draining: BTreeSet<Rs>,
+    draining: BTreeSet<ServerId>,
 }
 
 /// Where a flow may go: servers to ask before, servers to turn among, and the least expected β of all.
 struct Choice {
-    ask: Vec<Rs>,
-    among: Vec<Rs>,
+    ask: Vec<ServerId>,
+    among: Vec<ServerId>,
     least: f64,
 }
 
@@ -361,21 +361,22 @@
                 phase: self.rng.0.generate_range(0..SEC << 20),
                 ..Server::default()
             };
-            match self.servers.get_mut(&entry.rs) {
+            match self.servers.get_mut(&entry.server_id) {
                 Some(known) if known.listed.started == entry.started => known.listed = *entry,
                 // A restart under the same id: nothing measured holds any more.
-                _ => drop(self.servers.insert(entry.rs, fresh)),
+                _ => drop(self.servers.insert(entry.server_id, fresh)),
             }
         }
         self.follow(entries, whole);
         let book = &self.book;
-        self.servers
-            .retain(|rs, server| server.listed.state != State::Gone || book.at(*rs) > 0.0);
+        self.servers.retain(|server_id, server| {
+            server.listed.state != State::Gone || book.at(*server_id) > 0.0
+        });
         let draining = self
             .servers
             .values()
             .filter(|server| server.listed.state == State::Draining);
-        self.draining = draining.map(|server| server.listed.rs).collect();
+        self.draining = draining.map(|server| server.listed.server_id).collect();
         let drains = !self.drained(now).is_empty();
         self.leaving = self.leaving.or(drains.then_some(now + LEAVE));
         // Not put off: guards against a list that changes many times a second and probes that never come due.
@@ -399,7 +400,7 @@
         let mut long = known.unwrap_or_default();
         for entry in news {
             long.update(
-                entry.rs,
+                entry.server_id,
                 entry.hall,
                 entry.weight,
                 entry.state == State::Ready,
@@ -409,7 +410,7 @@
     }
 
     /// On a long list the servers that this flow may go to: its group's candidates and holders, or its own.
-    fn scope(&self, flow: &Flow, far: bool) -> Option<Vec<Rs>> {
+    fn scope(&self, flow: &Flow, far: bool) -> Option<Vec<ServerId>> {
         let long = self.long.as_ref()?;
         let group = flow.group.as_ref();
         let holders = group
@@ -426,8 +427,8 @@
     }
 
     /// A connection that flowed through this balancer before it started.
-    pub fn inherit(&mut self, flow: &Flow, rs: Rs) {
-        self.book.enter(0, flow, rs, true);
+    pub fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+        self.book.enter(0, flow, server_id, true);
     }
 
     /// A connection's load now.
@@ -439,7 +440,7 @@
 
     /// Another balancer has placed a connection of this group there.
     pub fn heard(&mut self, now: Time, word: Holds) {
-        if self.tells && self.servers.contains_key(&word.rs) {
+        if self.tells && self.servers.contains_key(&word.server_id) {
             self.holders.note(now, word);
         }
     }
@@ -503,17 +504,17 @@
         {
             return self.ask(now, &ask);
         }
-        let Some(rs) = self.turn(&among) else {
+        let Some(server_id) = self.turn(&among) else {
             return self.hold(now, flow);
         };
-        let server = self.servers.get_mut(&rs).expect("a listed server");
+        let server = self.servers.get_mut(&server_id).expect("a listed server");
         let (slot, sent) = server.sent_as_cold(now);
         server.sent_cold = (slot, sent + 1);
         server.placed.push_back(now);
-        self.book.enter(now, flow, rs, false);
+        self.book.enter(now, flow, server_id, false);
         // All the time that is left: a connect that was given up has cost the store its call all the same.
         Place::To(
-            rs,
+            server_id,
             left,
             left.min(
                 self.send_by(flow)
@@ -523,8 +524,13 @@
     }
 
     /// Looks at these servers, or at all, for where the flow may go.
-    fn choose(&self, now: Time, flow: &Flow, worth: f64, scope: Option<&[Rs]>) -> Choice {
-        let of_scope = |scope: &[Rs]| scope.iter().filter_map(|rs| self.servers.get(rs)).collect();
+    fn choose(&self, now: Time, flow: &Flow, worth: f64, scope: Option<&[ServerId]>) -> Choice {
+        let of_scope = |scope: &[ServerId]| {
+            scope
+                .iter()
+                .filter_map(|server_id| self.servers.get(server_id))
+                .collect()
+        };
         let listed: Vec<&Server> = scope.map_or_else(|| self.servers.values().collect(), of_scope);
         let part = listed.len() as f64 / self.servers.len().max(1) as f64;
         // Rules 2 and 3: only ready servers, and only where a repeat can do no harm.
@@ -540,16 +546,18 @@
         // Guards against one server that answers nothing and soon holds all connects that may be in flight.
         let target = self.service_type(flow).setup_target;
         let late = self.book.out.values().filter(|(_, at)| at + target < now);
-        let overdue: BTreeSet<Rs> = late.map(|(rs, _)| *rs).collect();
-        let answers = |rs: Rs| !flow.connects.iter().any(|c| c.rs == rs) && !overdue.contains(&rs);
+        let overdue: BTreeSet<ServerId> = late.map(|(server_id, _)| *server_id).collect();
+        let answers = |server_id: ServerId| {
+            !flow.connects.iter().any(|c| c.server_id == server_id) && !overdue.contains(&server_id)
+        };
         let healthy = prefer(warm, |server| {
-            self.healthy(now, server) && answers(server.listed.rs)
+            self.healthy(now, server) && answers(server.listed.server_id)
         });
         let number = healthy.len().max(1) as f64;
         let own_there = |_| {
             healthy
                 .iter()
-                .map(|(server, _)| self.book.at(server.listed.rs))
+                .map(|(server, _)| self.book.at(server.listed.server_id))
                 .sum()
         };
         let mean_own = scope.map_or(self.book.own.len() as f64, own_there) / number;
@@ -593,24 +601,27 @@
         // holders of the flow's group take more, against common work that is paid for on every server.
         let name = flow.group.as_ref().map_or(0, |group| hash_name(group));
         let told = self.tells && flow.group.is_some() && self.holders.knows(name as u16);
-        let ours = |rs: Rs| !self.tells && holders.is_some_and(|holders| holders.contains_key(&rs));
-        let others = |rs: Rs| told && self.holders.holds(now, name as u16, rs);
-        let holds = |server: &Server| ours(server.listed.rs) || others(server.listed.rs);
+        let ours = |server_id: ServerId| {
+            !self.tells && holders.is_some_and(|holders| holders.contains_key(&server_id))
+        };
+        let others = |server_id: ServerId| told && self.holders.holds(now, name as u16, server_id);
+        let holds =
+            |server: &Server| ours(server.listed.server_id) || others(server.listed.server_id);
         let is_near = |server: &Server| server.listed.hall == self.hall;
         // Guards against many balancers that each hold few of a group and spread it: they agree on an order
         // of servers for it, whose first is its home, with room but for a few more on the same figure.
-        let rank = |server: &Server| hash(name ^ server.listed.rs);
+        let rank = |server: &Server| hash(name ^ server.listed.server_id);
         let alone = flow.group.is_some() && holders.is_none() && !told;
         let homes = healthy
             .iter()
             .filter(|(server, _)| alone && is_near(server));
         let home = homes
             .min_by_key(|(server, _)| rank(server))
-            .map(|(server, _)| server.listed.rs);
+            .map(|(server, _)| server.listed.server_id);
         let room = |server: &Server| match () {
             () if returns => T_H.min(worth + mean.clamp(NEW, FULL)),
             () if holds(server) => T_H.min(worth + FULL),
-            () if home == Some(server.listed.rs) => {
+            () if home == Some(server.listed.server_id) => {
                 T_H.min(worth + (T_H - SPARE * each).clamp(NEW, FULL))
             }
             // Where no loads are told nothing brings more for its load than the rest.
@@ -632,7 +643,7 @@
             1.5
         };
         let mut kin = prefer(open, |server| {
-            self.book.at(server.listed.rs) <= times * mean_own + slack
+            self.book.at(server.listed.server_id) <= times * mean_own + slack
         });
         // A crossing is paid for once, a group's common work on each server as long as it holds any.
         kin = if self.tells { prefer(kin, holds) } else { kin };
@@ -660,8 +671,11 @@
             );
         }
         ask.retain(|(server, _)| self.stale(now, server, FRESH));
-        let [ask, among] =
-            [ask, kin].map(|of| of.iter().map(|(s, _)| s.listed.rs).collect::<Vec<Rs>>());
+        let [ask, among] = [ask, kin].map(|of| {
+            of.iter()
+                .map(|(s, _)| s.listed.server_id)
+                .collect::<Vec<ServerId>>()
+        });
         Choice { ask, among, least }
     }
 
@@ -670,17 +684,17 @@
         let mut todo = Todo::default();
         match outcome {
             Outcome::Established { flow, .. } => {
-                if let Some(rs) = self.book.established(flow) {
-                    todo.tell = self.tell(now, flow, rs);
+                if let Some(server_id) = self.book.established(flow) {
+                    todo.tell = self.tell(now, flow, server_id);
                     self.window.widen();
                     let warm = self
                         .servers
-                        .get(&rs)
+                        .get(&server_id)
                         .is_some_and(|server| self.warmth(now, server) >= 1.0);
-                    if let Some(server) = self.servers.get_mut(&rs) {
+                    if let Some(server) = self.servers.get_mut(&server_id) {
                         server.failed.clear();
                         server.last_established = now;
-                        self.settled.extend(warm.then_some((now, rs)));
+                        self.settled.extend(warm.then_some((now, server_id)));
                     }
                     let old = self.settled.partition_point(|(at, _)| at + RATE_SPAN < now);
                     self.settled.drain(..old);
@@ -688,7 +702,7 @@
             }
             Outcome::Ended {
                 flow,
-                rs,
+                server_id,
                 end,
                 owed,
             } => {
@@ -700,12 +714,12 @@
                 if shared
                     && self
                         .servers
-                        .get(&rs)
+                        .get(&server_id)
                         .is_some_and(|server| self.healthy(now, server))
                 {
                     self.window.narrow(now);
                 }
-                if let Some(server) = self.servers.get_mut(&rs).filter(|_| setting_up) {
+                if let Some(server) = self.servers.get_mut(&server_id).filter(|_| setting_up) {
                     server.placed.pop_back();
                     server.refused = if end == End::Full {
                         Some(now)
@@ -723,13 +737,17 @@
                 todo.call_off
                     .extend((self.may_call_off && in_flight).then_some(flow));
             }
-            Outcome::Probed { rs, passed, report } => {
+            Outcome::Probed {
+                server_id,
+                passed,
+                report,
+            } => {
                 self.pending = 0;
                 let waits = self.sparse && self.held > 0;
                 self.look = self
                     .look
                     .or(waits.then_some(now + self.gather().min(LOOK_AGAIN)));
-                if let Some(server) = self.servers.get_mut(&rs) {
+                if let Some(server) = self.servers.get_mut(&server_id) {
                     server.answered = now;
                     if passed {
                         server.unprobed.clear();
@@ -740,7 +758,7 @@
                     }
                     let hot = report.beta.is_some_and(|beta| beta > T_H);
                     if let Some(long) = self.long.as_mut().filter(|_| hot || !passed) {
-                        long.probes.watch(now, rs);
+                        long.probes.watch(now, server_id);
                     }
                     if let Some(beta) = report.beta.filter(|beta| passed && SANE.contains(beta)) {
                         server.reports.truncate(SAMPLES - 1);
@@ -750,11 +768,11 @@
                             .connections
                             .filter(|count| *count >= 1.0)
                             .map(|count| beta / count);
-                        for flow in self.book.by_rs.get(&rs).into_iter().flatten() {
+                        for flow in self.book.by_server.get(&server_id).into_iter().flatten() {
                             let own = self.book.own.get_mut(flow).expect("our connection");
                             own.estimate = own.estimate.or(each);
                         }
-                        todo.shift = self.shed(now, rs);
+                        todo.shift = self.shed(now, server_id);
                     }
                 }
             }
@@ -787,12 +805,12 @@
     }
 
     /// All servers whose probe is due.
-    fn probe_due(&mut self, now: Time) -> Vec<Rs> {
+    fn probe_due(&mut self, now: Time) -> Vec<ServerId> {
         let mut probes = Vec::new();
         let paid = self.probe_every(now, self.servers.len());
         self.sparse = self.probes && paid > SPARSE;
         let paid = if self.sparse {
-            self.probe_every(now, self.book.by_rs.len())
+            self.probe_every(now, self.book.by_server.len())
         } else {
             paid
         };
@@ -803,9 +821,9 @@
                 let cool = server.reports.first().is_some_and(|(_, beta)| *beta < COOL);
                 let times = if cool && 2 * paid > PROBE_EVERY { 2 } else { 1 };
                 server.next_probe = now + PROBE_BOUND.min(times * self.every);
-                let ours = self.book.by_rs.contains_key(&server.listed.rs);
+                let ours = self.book.by_server.contains_key(&server.listed.server_id);
                 if !self.sparse || ours || now < server.asked + LOST {
-                    probes.push(server.listed.rs);
+                    probes.push(server.listed.server_id);
                 }
             }
         }
@@ -813,23 +831,24 @@
     }
 
     /// On a long list: as many as the budget allows.
-    fn probe_some(&mut self, now: Time) -> Vec<Rs> {
+    fn probe_some(&mut self, now: Time) -> Vec<ServerId> {
         let Some(long) = self.long.as_mut() else {
             return Vec::new();
         };
-        let ready = |rs| {
+        let ready = |server_id| {
             self.servers
-                .get(&rs)
+                .get(&server_id)
                 .filter(|server| server.listed.state == State::Ready)
         };
-        let last_figure = |rs| ready(rs).map(|server| server.answered.max(server.asked));
+        let last_figure =
+            |server_id| ready(server_id).map(|server| server.answered.max(server.asked));
         let probes = long
             .probes
-            .next(now, &self.book.by_rs, BTreeSet::len, last_figure);
-        probes.iter().for_each(|rs| {
+            .next(now, &self.book.by_server, BTreeSet::len, last_figure);
+        probes.iter().for_each(|server_id| {
             _ = self
                 .servers
-                .entry(*rs)
+                .entry(*server_id)
                 .and_modify(|server| server.asked = now)
         });
         probes
@@ -929,16 +948,16 @@
     }
 
     /// Holds a flow until these have told their load.
-    fn ask(&mut self, now: Time, ask: &[Rs]) -> Place {
-        for rs in ask {
-            let server = self.servers.get_mut(rs).expect("a listed server");
+    fn ask(&mut self, now: Time, ask: &[ServerId]) -> Place {
+        for server_id in ask {
+            let server = self.servers.get_mut(server_id).expect("a listed server");
             if server.asked + LOST < now {
                 (server.asked, server.next_probe, self.next_probe) = (now, now, Some(now));
                 self.pending = now + LOOK_AGAIN;
                 self.long
                     .as_mut()
                     .into_iter()
-                    .for_each(|long| long.probes.want(*rs));
+                    .for_each(|long| long.probes.want(*server_id));
             }
         }
         self.held += 1;
@@ -952,7 +971,7 @@
     }
 
     /// What the others should know of this connection.
-    fn tell(&mut self, now: Time, flow: FlowId, rs: Rs) -> Option<Holds> {
+    fn tell(&mut self, now: Time, flow: FlowId, server_id: ServerId) -> Option<Holds> {
         let group = hash_name(
             self.book
                 .own
@@ -961,7 +980,7 @@
                 .as_ref()
                 .filter(|_| self.tells)?,
         ) as u16;
-        let word = Holds { group, rs };
+        let word = Holds { group, server_id };
         if self.holders.fresh(now, word) {
             return None;
         }
@@ -1038,7 +1057,7 @@
             Repeat::Repeatable => true,
             Repeat::OnceOnly => ran.next().is_none(),
             Repeat::Referenced(scope, _) => {
-                let first = |c: &Connect| self.servers.get(&c.rs).map(|first| first.listed);
+                let first = |c: &Connect| self.servers.get(&c.server_id).map(|first| first.listed);
                 let same = |c| {
                     scope == Scope::All || first(c).is_some_and(|l| scope.same(&l, &server.listed))
                 };
@@ -1110,15 +1129,15 @@
         for server in self.servers.values() {
             if is_warm(server) {
                 let (warm, held, _, refuses) = kinds.entry(server.listed.machine).or_default();
-                (*warm, *held) = (*warm + 1.0, *held + self.book.at(server.listed.rs));
+                (*warm, *held) = (*warm + 1.0, *held + self.book.at(server.listed.server_id));
                 *refuses |= server.refused.is_some_and(|at| now < at + span);
                 (sum, count) = self
                     .beta(now, server)
                     .map_or((sum, count), |b| (sum + b, count + 1.0));
             }
         }
-        for (_, rs) in self.settled.iter().filter(|(at, _)| at + span >= now) {
-            let warm = self.servers.get(rs).filter(|server| is_warm(server));
+        for (_, server_id) in self.settled.iter().filter(|(at, _)| at + span >= now) {
+            let warm = self.servers.get(server_id).filter(|server| is_warm(server));
             warm.into_iter().for_each(|server| {
                 kinds.entry(server.listed.machine).or_default().2 += 0.5 / span as f64
             });
@@ -1158,15 +1177,15 @@
     }
 
     /// The rotation: smooth weighted round robin over these servers.
-    fn turn(&mut self, among: &[Rs]) -> Option<Rs> {
+    fn turn(&mut self, among: &[ServerId]) -> Option<ServerId> {
         let mut total = 0.0;
-        for rs in among {
-            let server = self.servers.get_mut(rs)?;
+        for server_id in among {
+            let server = self.servers.get_mut(server_id)?;
             let weight = usable_weight(server.listed.weight);
             server.turn += weight;
             total += weight;
         }
-        let turn = |rs: &Rs| self.servers[rs].turn;
+        let turn = |server_id: &ServerId| self.servers[server_id].turn;
         let first = among
             .iter()
             .copied()
@@ -1186,10 +1205,15 @@
             .draining
             .iter()
             .filter(|_| !self.they_move)
-            .filter_map(|rs| self.servers.get(rs));
+            .filter_map(|server_id| self.servers.get(server_id));
         let stays = |flow: &&FlowId| self.book.own[flow].established && !self.book.own[flow].moved;
         let next = |server: &Server| {
-            let mut held = self.book.by_rs.get(&server.listed.rs)?.iter().filter(stays);
+            let mut held = self
+                .book
+                .by_server
+                .get(&server.listed.server_id)?
+                .iter()
+                .filter(stays);
             let (flow, more) = (*held.next()?, held.count());
             let left = (server.drains + self.cold.1.max(2 * LEAVE))
                 .saturating_sub(now)
@@ -1208,8 +1232,8 @@
     }
 
     /// Own connections to move off a hot server.
-    fn shed(&mut self, now: Time, rs: Rs) -> Vec<FlowId> {
-        let server = &self.servers[&rs];
+    fn shed(&mut self, now: Time, server_id: ServerId) -> Vec<FlowId> {
+        let server = &self.servers[&server_id];
         let Some(beta) = self.beta(now, server) else {
             return Vec::new();
         };
@@ -1221,7 +1245,7 @@
         // load, and those that stay are served. Guards against a fleet held at full load that serves no
         // message in time.
         let fraction = (beta - T_H) / beta;
-        let flows = || self.book.by_rs.get(&rs).into_iter().flatten();
+        let flows = || self.book.by_server.get(&server_id).into_iter().flatten();
         let here = || {
             flows()
                 .map(|id| (id, &self.book.own[id]))
@@ -1251,7 +1275,7 @@
             covered += load(m);
             moves.push(m.0);
         }
-        let server = self.servers.get_mut(&rs).expect("a listed server");
+        let server = self.servers.get_mut(&server_id).expect("a listed server");
         server.shed = if moves.is_empty() {
             server.shed
         } else {
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -1,10 +1,10 @@
 //! The plain values that the decision module is asked with and answers with.
 
+pub use nettlemux_candidates::ServerId;
+
 /// Whole nanoseconds: a moment on the caller's clock, or a span.
 pub type Time = u64;
 pub type FlowId = u64;
-/// A server (real server, rs) by the id that the list gives it.
-pub type Rs = u64;
 
 pub const MS: Time = 1_000_000;
 pub const SEC: Time = 1_000 * MS;
@@ -46,7 +46,7 @@
 /// One connect that was already made for a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connect {
-    pub rs: Rs,
+    pub server_id: ServerId,
     pub at: Time,
     /// Still in flight.
     pub out: bool,
@@ -81,7 +81,7 @@
 /// A server as the list tells of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Listed {
-    pub rs: Rs,
+    pub server_id: ServerId,
     pub hall: u64,
     pub machine: u64,
     pub cell: u64,
@@ -104,29 +104,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holds {
     pub group: u16,
-    pub rs: Rs,
+    pub server_id: ServerId,
 }
 
 impl Holds {
     /// Short, as each byte is paid for by every receiver: the group, and the server without leading zeros.
     pub fn to_bytes(self) -> Vec<u8> {
-        let rs = self.rs.to_be_bytes();
-        let zeros = rs.iter().take_while(|byte| **byte == 0).count();
+        let server_id = self.server_id.to_be_bytes();
+        let zeros = server_id.iter().take_while(|byte| **byte == 0).count();
         self.group
             .to_be_bytes()
             .into_iter()
-            .chain(rs[zeros..].iter().copied())
+            .chain(server_id[zeros..].iter().copied())
             .collect()
     }
 
     /// None where these bytes are no such word.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        let (group, rs) = bytes.split_first_chunk::<2>()?;
-        let short = rs.len() <= 8 && rs.first() != Some(&0);
-        let rs = rs.iter().fold(0, |rs, byte| rs << 8 | Rs::from(*byte));
+        let (group, server_id) = bytes.split_first_chunk::<2>()?;
+        let short = server_id.len() <= 8 && server_id.first() != Some(&0);
+        let server_id = server_id
+            .iter()
+            .fold(0, |server_id, byte| server_id << 8 | ServerId::from(*byte));
         short.then_some(Holds {
             group: u16::from_be_bytes(*group),
-            rs,
+            server_id,
         })
     }
 }
@@ -154,7 +156,7 @@
     /// `owed` is the flow, where it still waits for an answer.
     Ended {
         flow: FlowId,
-        rs: Rs,
+        server_id: ServerId,
         end: End,
         owed: Option<&'a Flow>,
     },
@@ -163,7 +165,7 @@
         flow: FlowId,
     },
     Probed {
-        rs: Rs,
+        server_id: ServerId,
         passed: bool,
         report: Report,
     },
@@ -175,7 +177,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
     /// To this server, waiting for it so long, and only if the connect is sent within the second span.
-    To(Rs, Time, Time),
+    To(ServerId, Time, Time),
     /// Hold the flow and ask again after the wait.
     NotYet,
     /// Never: rejected, with a time to come back where that may be told.
@@ -190,7 +192,7 @@
     /// The flow that was still owed an answer.
     pub place: Option<Place>,
     /// Servers to probe.
-    pub probe: Vec<Rs>,
+    pub probe: Vec<ServerId>,
     /// Own connections to move.
     pub shift: Vec<FlowId>,
     /// Flows whose connect is to be called off.
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -79,7 +79,7 @@
 }
 
 /// A connection's end, the earliest first in a heap.
-type Due = Reverse<(Time, FlowId, Rs)>;
+type Due = Reverse<(Time, FlowId, ServerId)>;
 
 /// One balancer with the connections that it holds.
 struct Balancer {
@@ -116,8 +116,8 @@
     }
 
     /// Ends what is due and takes in reports, by what each server's utilization is.
-    fn advance(&mut self, now: Time, servers: u64, utilization: impl Fn(Rs) -> f64) {
-        while let Some(Reverse((at, flow, rs))) = self.ends.peek().copied()
+    fn advance(&mut self, now: Time, servers: u64, utilization: impl Fn(ServerId) -> f64) {
+        while let Some(Reverse((at, flow, server_id))) = self.ends.peek().copied()
             && at <= now
         {
             self.ends.pop();
@@ -125,7 +125,7 @@
                 at,
                 Outcome::Ended {
                     flow,
-                    rs,
+                    server_id,
                     end: End::Done,
                     owed: None,
                 },
@@ -136,22 +136,33 @@
             self.probes += 1;
             // Reports that never change would be taken for stuck.
             let noise = (self.probes % 7) as f64 * 1e-4;
-            (0..servers)
-                .for_each(|rs| drop(probe(&mut self.policy, now, rs, utilization(rs) + noise)));
+            (0..servers).for_each(|server_id| {
+                drop(probe(
+                    &mut self.policy,
+                    now,
+                    server_id,
+                    utilization(server_id) + noise,
+                ))
+            });
             self.policy.after(now, Outcome::Elapsed);
         }
     }
 
     /// One client comes, and is placed again where a server refuses; tells where its connects went, the last one
     /// being established.
-    fn attempt(&mut self, now: Time, life: Time, refuses: impl Fn(Rs) -> bool) -> Vec<Rs> {
+    fn attempt(
+        &mut self,
+        now: Time,
+        life: Time,
+        refuses: impl Fn(ServerId) -> bool,
+    ) -> Vec<ServerId> {
         let mut flow = common::flow(now, self.next_flow);
         self.next_flow += 1;
         let mut servers = Vec::new();
         let mut place = self.policy.place(now, &flow);
-        while let Place::To(rs, ..) = place {
-            servers.push(rs);
-            if !refuses(rs) {
+        while let Place::To(server_id, ..) = place {
+            servers.push(server_id);
+            if !refuses(server_id) {
                 self.policy.after(
                     now,
                     Outcome::Established {
@@ -159,18 +170,18 @@
                         took: MS,
                     },
                 );
-                self.ends.push(Reverse((now + life, flow.id, rs)));
+                self.ends.push(Reverse((now + life, flow.id, server_id)));
                 break;
             }
             flow.connects.push(Connect {
-                rs,
+                server_id,
                 at: now,
                 out: false,
                 never_ran: true,
             });
             let refused = Outcome::Ended {
                 flow: flow.id,
-                rs,
+                server_id,
                 end: End::Full,
                 owed: Some(&flow),
             };
@@ -183,16 +194,17 @@
     }
 
     /// These servers crash with all that they held.
-    fn lose(&mut self, now: Time, crashed: impl Fn(Rs) -> bool) {
+    fn lose(&mut self, now: Time, crashed: impl Fn(ServerId) -> bool) {
         let ends = std::mem::take(&mut self.ends).into_iter();
-        let (lost, kept): (Vec<Due>, Vec<Due>) = ends.partition(|Reverse((_, _, rs))| crashed(*rs));
+        let (lost, kept): (Vec<Due>, Vec<Due>) =
+            ends.partition(|Reverse((_, _, server_id))| crashed(*server_id));
         self.ends = kept.into();
-        for Reverse((_, flow, rs)) in lost {
+        for Reverse((_, flow, server_id)) in lost {
             self.policy.after(
                 now,
                 Outcome::Ended {
                     flow,
-                    rs,
+                    server_id,
                     end: End::Cut,
                     owed: None,
                 },
@@ -202,9 +214,9 @@
 }
 
 /// When each cold server was sent requests by all balancers, and how many were placed in the calm before.
-fn play(fleet: &Fleet) -> (BTreeMap<Rs, Vec<Time>>, u64) {
+fn play(fleet: &Fleet) -> (BTreeMap<ServerId, Vec<Time>>, u64) {
     let jam = BEGIN + CALM_SPAN;
-    let is_cold = |rs: Rs| rs < fleet.returning_cold;
+    let is_cold = |server_id: ServerId| server_id < fleet.returning_cold;
     let warm_utilization = if fleet.jam == Jam::Hot {
         HOT
     } else {
@@ -213,7 +225,7 @@
     let calm_gap =
         (SEC as f64 * fleet.balancers as f64 / (fleet.rate * fleet.servers as f64)) as Time;
     let jam_gap = SEC * fleet.balancers / JAM_ATTEMPTS;
-    let mut sent: BTreeMap<Rs, Vec<Time>> = BTreeMap::new();
+    let mut sent: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
     let mut placed = 0;
     for index in 0..fleet.balancers {
         let mut balancer = Balancer::new(fleet, index);
@@ -225,21 +237,25 @@
         }
         balancer.lose(jam, is_cold);
         let restarted: Vec<Listed> = (0..fleet.returning_cold)
-            .map(|rs| Listed {
+            .map(|server_id| Listed {
                 started: jam,
-                ..ready(rs)
+                ..ready(server_id)
             })
             .collect();
         balancer.policy.list(jam, &restarted, false);
         balancer.next_probe = jam;
         now = jam + jam_gap * index / fleet.balancers;
         while now < jam + WARM_UP {
-            balancer.advance(now, fleet.servers, |rs| {
-                if is_cold(rs) { IDLE } else { warm_utilization }
+            balancer.advance(now, fleet.servers, |server_id| {
+                if is_cold(server_id) {
+                    IDLE
+                } else {
+                    warm_utilization
+                }
             });
-            let servers = balancer.attempt(now, fleet.life, |rs| !is_cold(rs));
-            for rs in servers.into_iter().filter(|rs| is_cold(*rs)) {
-                sent.entry(rs).or_default().push(now - jam);
+            let servers = balancer.attempt(now, fleet.life, |server_id| !is_cold(server_id));
+            for server_id in servers.into_iter().filter(|server_id| is_cold(*server_id)) {
+                sent.entry(server_id).or_default().push(now - jam);
             }
             now += jam_gap;
         }
@@ -249,7 +265,7 @@
 }
 
 /// The worst window of all: how many were sent, how many were allowed with chance, and at what age.
-fn worst(fleet: &Fleet, sent: &BTreeMap<Rs, Vec<Time>>) -> (usize, f64, Time) {
+fn worst(fleet: &Fleet, sent: &BTreeMap<ServerId, Vec<Time>>) -> (usize, f64, Time) {
     let excess = |(count, most, _): &(usize, f64, Time)| *count as f64 / most;
     let windows = sent.values().flat_map(|times| {
         times.iter().enumerate().map(move |(last, age)| {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -20,9 +20,9 @@
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
 }
 
-pub fn ready(rs: Rs) -> Listed {
+pub fn ready(server_id: ServerId) -> Listed {
     Listed {
-        rs,
+        server_id,
         hall: 0,
         machine: 0,
         cell: 0,
@@ -41,9 +41,9 @@
     }
 }
 
-pub fn connect(rs: Rs, never_ran: bool) -> Connect {
+pub fn connect(server_id: ServerId, never_ran: bool) -> Connect {
     Connect {
-        rs,
+        server_id,
         at: 0,
         out: false,
         never_ran,
@@ -58,20 +58,20 @@
 }
 
 /// Places a flow and tells where.
-pub fn take(policy: &mut Policy, now: Time, id: FlowId) -> Rs {
+pub fn take(policy: &mut Policy, now: Time, id: FlowId) -> ServerId {
     match policy.place(now, &flow(now, id)) {
-        Place::To(rs, ..) => rs,
+        Place::To(server_id, ..) => server_id,
         other => panic!("flow {id}: {other:?}"),
     }
 }
 
 /// A report, and the moves that follow from it.
-pub fn probe(policy: &mut Policy, now: Time, rs: Rs, b: f64) -> Vec<FlowId> {
+pub fn probe(policy: &mut Policy, now: Time, server_id: ServerId, b: f64) -> Vec<FlowId> {
     policy
         .after(
             now,
             Outcome::Probed {
-                rs,
+                server_id,
                 passed: true,
                 report: beta(b),
             },
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -25,7 +25,7 @@
             .enumerate()
             .map(|(i, w)| Listed {
                 weight: *w,
-                ..ready(i as Rs)
+                ..ready(i as ServerId)
             })
             .collect();
         policy.list(T0, &list, true);
@@ -36,7 +36,7 @@
                 T0,
                 Outcome::Ended {
                     flow: id,
-                    rs: 0,
+                    server_id: 0,
                     end: End::Done,
                     owed: None,
                 },
@@ -50,7 +50,7 @@
 
 #[test]
 fn rotation_starts_anywhere() {
-    let firsts: std::collections::BTreeSet<Rs> = (0..40)
+    let firsts: std::collections::BTreeSet<ServerId> = (0..40)
         .map(|seed| {
             let mut policy =
                 Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)]).connects(3, MS, false, true);
@@ -75,8 +75,8 @@
     ] {
         let mut policy = balancer(Repeat::Repeatable);
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
-        for rs in 1..9 {
-            probe(&mut policy, T0, rs, 0.2);
+        for server_id in 1..9 {
+            probe(&mut policy, T0, server_id, 0.2);
         }
         for (id, load) in loads.iter().enumerate() {
             policy.inherit(&flow(T0, id as FlowId), 0);
@@ -98,12 +98,12 @@
     // Guards against each of several balancers rounding up: a fifth of the load is one move in five figures.
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &[ready(0), ready(1), ready(2)], true);
-    (1..3).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.1)));
+    (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.1)));
     policy.inherit(&flow(T0, 1), 0);
     policy.told_load(1, 10.0);
     let moved = (0..200u64).filter(|i| {
         let now = T0 + i * 3 * SEC;
-        (1..3).for_each(|rs| drop(probe(&mut policy, now, rs, 0.1)));
+        (1..3).for_each(|server_id| drop(probe(&mut policy, now, server_id, 0.1)));
         !probe(&mut policy, now, 0, 1.0 + (i % 2) as f64 * 0.01).is_empty()
     });
     let moved = moved.count();
@@ -117,13 +117,13 @@
     for id in 0..100 {
         policy.inherit(&flow(T0, id), 0);
     }
-    (1..3).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.1)));
+    (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.1)));
     assert!(!probe(&mut policy, T0, 0, 1.5).is_empty());
     // Guards against a second shedding on a report that can't show the first.
     assert!(probe(&mut policy, T0 + SEC, 0, 1.5).is_empty());
     assert!(!probe(&mut policy, T0 + 3 * SEC, 0, 1.5).is_empty());
     // All hot: what is over still goes, and nobody is let in (incident i2f9edf).
-    (1..3).for_each(|rs| drop(probe(&mut policy, T0 + 6 * SEC, rs, 1.5)));
+    (1..3).for_each(|server_id| drop(probe(&mut policy, T0 + 6 * SEC, server_id, 1.5)));
     assert!(!probe(&mut policy, T0 + 6 * SEC, 0, 1.5).is_empty());
     let late = Flow {
         taken: T0,
@@ -139,13 +139,13 @@
 fn without_told_loads_estimates_and_counts_decide() {
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &[ready(0), ready(1), ready(2)], true);
-    (1..3).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.0)));
+    (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.0)));
     let report = |b, count| Report {
         beta: Some(b),
         connections: count,
     };
     let probed = |report| Outcome::Probed {
-        rs: 0,
+        server_id: 0,
         passed: true,
         report,
     };
@@ -175,7 +175,7 @@
         policy.after(
             T0,
             Outcome::Probed {
-                rs: 0,
+                server_id: 0,
                 passed: false,
                 report: Report::default(),
             },
@@ -189,7 +189,7 @@
     // Guards against a group's common work on every server (incident i51578f).
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &(0..6).map(ready).collect::<Vec<_>>(), true);
-    (0..6).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.66)));
+    (0..6).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.66)));
     (100..160).for_each(|id| policy.inherit(&flow(T0, id), id % 6));
     policy.inherit(
         &Flow {
@@ -238,10 +238,10 @@
             ..flow(T0, 1)
         };
         match policy.place(T0, &one) {
-            Place::To(rs, limit, by) => {
+            Place::To(server_id, limit, by) => {
                 assert!(want_send && limit < left && by == limit, "{connects:?}");
                 assert!(
-                    connects.iter().all(|c| c.rs != rs),
+                    connects.iter().all(|c| c.server_id != server_id),
                     "another server than before"
                 );
             }
@@ -395,7 +395,7 @@
             ..flow(T0, 1)
         };
         let got = match policy.place(T0, &one) {
-            Place::To(rs, ..) if want == "to 0" => format!("to {rs}"),
+            Place::To(server_id, ..) if want == "to 0" => format!("to {server_id}"),
             Place::To(..) => "to".into(),
             Place::NotYet => "not yet".into(),
             Place::Reject(_) => "reject".into(),
@@ -407,13 +407,13 @@
 
 #[test]
 fn clients_are_moved_before_their_server_goes() {
-    let drains = |rs| Listed {
+    let drains = |server_id| Listed {
         state: State::Draining,
-        ..ready(rs)
+        ..ready(server_id)
     };
-    let gone = |rs| Listed {
+    let gone = |server_id| Listed {
         state: State::Gone,
-        ..ready(rs)
+        ..ready(server_id)
     };
     // Guards against clients moved with nowhere to go, and against a list that loses servers which still serve.
     for (news, whole, expected) in [
@@ -464,7 +464,7 @@
         SEC,
         Outcome::Ended {
             flow: 1,
-            rs: 1,
+            server_id: 1,
             end: End::CalledOff,
             owed: None,
         },
@@ -482,7 +482,7 @@
             .told(false, true);
         policy.list(T0, &(0..40).map(ready).collect::<Vec<_>>(), true);
         (0..2).for_each(|id| policy.inherit(&flow(T0, id), (2 * seed + id) % 40));
-        (0..40).for_each(|rs| drop(probe(&mut policy, T0, rs, beta)));
+        (0..40).for_each(|server_id| drop(probe(&mut policy, T0, server_id, beta)));
         policy
     })
 }
@@ -536,10 +536,12 @@
         );
         for tick in 0..16 {
             let now = T0 + (tick * 500 + n as u64 * 8) * MS;
-            (0..40).for_each(|rs| drop(probe(&mut policy, now, rs, 0.7 + tick as f64 * 1e-3)));
+            (0..40).for_each(|server_id| {
+                drop(probe(&mut policy, now, server_id, 0.7 + tick as f64 * 1e-3))
+            });
             probe(&mut policy, now, 40, 0.0);
             // Only the cold one has room.
-            let Place::To(rs, ..) = policy.place(now, &flow(now, 10 + tick)) else {
+            let Place::To(server_id, ..) = policy.place(now, &flow(now, 10 + tick)) else {
                 continue;
             };
             policy.after(
@@ -549,7 +551,7 @@
                     took: MS,
                 },
             );
-            sent.extend((rs == 40).then_some(now));
+            sent.extend((server_id == 40).then_some(now));
         }
     }
     // Three connections a warm server at 0.7: 4.3 fill one, four times that in eight seconds, times three, times
@@ -596,7 +598,7 @@
         let mut id = 0;
         let mut go = |policy: &mut Policy, now, establish: bool| {
             id += 1;
-            let rs = take(policy, now, id);
+            let server_id = take(policy, now, id);
             if establish {
                 policy.after(now, Outcome::Established { flow: id, took: MS });
             }
@@ -604,12 +606,12 @@
                 now,
                 Outcome::Ended {
                     flow: id,
-                    rs,
+                    server_id,
                     end: End::Cut,
                     owed: None,
                 },
             );
-            rs
+            server_id
         };
         for _ in 0..60 {
             now += SEC / 2;
@@ -650,7 +652,7 @@
             false,
         );
         let now = T0 + 6 * SEC;
-        (0..40).for_each(|rs| drop(probe(&mut policy, now, rs, 0.79)));
+        (0..40).for_each(|server_id| drop(probe(&mut policy, now, server_id, 0.79)));
         probe(&mut policy, now, 40, 0.0);
         for (id, later) in (10..).zip((0..SEC).step_by((100 * MS) as usize)) {
             sent += i32::from(matches!(
@@ -681,7 +683,7 @@
             now,
             Outcome::Ended {
                 flow: id,
-                rs: 99,
+                server_id: 99,
                 end: End::TimedOut,
                 owed: None,
             },
@@ -690,7 +692,7 @@
             now,
             Outcome::Ended {
                 flow: id,
-                rs: id % 9,
+                server_id: id % 9,
                 end: End::TimedOut,
                 owed: None,
             },
@@ -732,7 +734,7 @@
             T0,
             Outcome::Ended {
                 flow: 0,
-                rs: 0,
+                server_id: 0,
                 end: End::TimedOut,
                 owed: None,
             },
@@ -743,7 +745,7 @@
                     T0,
                     Outcome::Ended {
                         flow: id,
-                        rs: 0,
+                        server_id: 0,
                         end: End::Done,
                         owed: None,
                     },
@@ -786,7 +788,7 @@
     for round in 0..10 {
         now += 2 * SEC;
         let moved: usize = (0..2)
-            .map(|rs| probe(&mut policy, now, rs, 0.97).len())
+            .map(|server_id| probe(&mut policy, now, server_id, 0.97).len())
             .sum();
         let late = Flow {
             taken: now - SEC,
@@ -823,15 +825,15 @@
     let mut sent = 0;
     for id in 0..200 {
         let now = T0 + id * 100 * MS;
-        if let Place::To(rs, ..) = policy.place(now, &flow(now, id)) {
+        if let Place::To(server_id, ..) = policy.place(now, &flow(now, id)) {
             sent += 1;
             let tried = Flow {
-                connects: vec![connect(rs, false)],
+                connects: vec![connect(server_id, false)],
                 ..flow(now, id)
             };
             let ended = Outcome::Ended {
                 flow: id,
-                rs,
+                server_id,
                 end: End::Error,
                 owed: Some(&tried),
             };
@@ -866,7 +868,7 @@
             policy.inherit(&held, id % 2);
             policy.told_load(1000 + id, 10.0);
         }
-        (0..2).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.57)));
+        (0..2).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.57)));
         let one = Flow {
             service_type,
             customer,
@@ -888,7 +890,7 @@
             Listed {
                 hall: u64::MAX,
                 machine: 77,
-                ..ready(Rs::MAX)
+                ..ready(ServerId::MAX)
             },
         ],
         true,
@@ -913,7 +915,7 @@
             T0,
             Outcome::Ended {
                 flow: 999,
-                rs: 42,
+                server_id: 42,
                 end,
                 owed: None,
             },
@@ -922,7 +924,7 @@
             T0,
             Outcome::Ended {
                 flow: 7,
-                rs: 0,
+                server_id: 0,
                 end,
                 owed: None,
             },
@@ -973,21 +975,21 @@
         group: Some(group.into()),
         ..flow(T0, id)
     };
-    let placed = |seed, group: &str, holder: Option<Rs>| {
+    let placed = |seed, group: &str, holder: Option<ServerId>| {
         let mut policy = Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)])
             .connects(3, MS, false, true)
             .among(100.0, false)
             .probing(true, 0.0);
         policy.list(T0, &(0..20).map(ready).collect::<Vec<_>>(), true);
-        if let Some(rs) = holder {
-            policy.inherit(&of(group, 1), rs);
+        if let Some(server_id) = holder {
+            policy.inherit(&of(group, 1), server_id);
         }
         match policy.place(T0, &of(group, 2)) {
-            Place::To(rs, ..) => rs,
+            Place::To(server_id, ..) => server_id,
             other => panic!("{other:?}"),
         }
     };
-    let homes: Vec<Rs> = ["a", "b", "c", "d", "e"]
+    let homes: Vec<ServerId> = ["a", "b", "c", "d", "e"]
         .map(|group| placed(1, group, None))
         .to_vec();
     for (seed, group, home) in [(2, "a", homes[0]), (3, "b", homes[1]), (4, "c", homes[2])] {
@@ -1021,9 +1023,9 @@
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 60 * SEC {
             now += policy.wait(now).expect("a probe is due").max(MS);
-            for rs in policy.after(now, Outcome::Elapsed).probe {
-                count += usize::from(rs == 7);
-                probe(&mut policy, now, rs, 0.6 + (now % 97) as f64 / 1e4);
+            for server_id in policy.after(now, Outcome::Elapsed).probe {
+                count += usize::from(server_id == 7);
+                probe(&mut policy, now, server_id, 0.6 + (now % 97) as f64 / 1e4);
             }
         }
         assert!(
@@ -1041,18 +1043,18 @@
         let mut policy = balancer(Repeat::Repeatable).among(2.0, false);
         policy.list(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
         (100..100 + own).for_each(|id| policy.inherit(&flow(T0, id), id % 5));
-        (0..5).for_each(|rs| drop(probe(&mut policy, T0, rs, 0.45)));
+        (0..5).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.45)));
         let mut on = [0; 5];
         for id in 0..30 {
             let now = T0 + SEC / 2 + id * 25 * MS;
-            if let Place::To(rs, ..) = policy.place(
+            if let Place::To(server_id, ..) = policy.place(
                 now,
                 &Flow {
                     returning,
                     ..flow(now, id)
                 },
             ) {
-                on[rs as usize] += 1;
+                on[server_id as usize] += 1;
                 policy.after(now, Outcome::Established { flow: id, took: MS });
             }
         }
@@ -1073,9 +1075,9 @@
     let (mut now, mut count) = (T0, 0);
     while now < T0 + 8 * SEC {
         now += policy.wait(now).expect("a probe is due").max(MS);
-        for rs in policy.after(now, Outcome::Elapsed).probe {
-            count += usize::from(rs == 3);
-            probe(&mut policy, now, rs, 0.5);
+        for server_id in policy.after(now, Outcome::Elapsed).probe {
+            count += usize::from(server_id == 3);
+            probe(&mut policy, now, server_id, 0.5);
         }
     }
     assert!(count >= 3, "{count} probes in 8 s");
@@ -1093,9 +1095,9 @@
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 10 * SEC {
             now += policy.wait(now).expect("a probe is due").max(MS);
-            for rs in policy.after(now, Outcome::Elapsed).probe {
+            for server_id in policy.after(now, Outcome::Elapsed).probe {
                 count += 1;
-                probe(&mut policy, now, rs, 0.5 + (now % 97) as f64 / 1e4);
+                probe(&mut policy, now, server_id, 0.5 + (now % 97) as f64 / 1e4);
             }
         }
         assert!(
@@ -1128,7 +1130,7 @@
         now += MS;
         let asked = policy.after(now, Outcome::Elapsed).probe;
         assert!((1..=4).contains(&asked.len()), "{asked:?}");
-        for rs in &asked {
+        for server_id in &asked {
             let report = Report {
                 beta: load,
                 connections: None,
@@ -1136,7 +1138,7 @@
             policy.after(
                 now,
                 Outcome::Probed {
-                    rs: *rs,
+                    server_id: *server_id,
                     passed: true,
                     report,
                 },
@@ -1145,7 +1147,9 @@
         now += policy.wait(now).expect("a look at the flow").min(5 * MS);
         policy.after(now, Outcome::Elapsed);
         match policy.place(now, &one) {
-            Place::To(rs, ..) => assert!(goes && asked.contains(&rs), "{load:?}: {rs}"),
+            Place::To(server_id, ..) => {
+                assert!(goes && asked.contains(&server_id), "{load:?}: {server_id}")
+            }
             other => assert!(!goes, "{load:?}: {other:?}"),
         }
     }
@@ -1162,9 +1166,9 @@
         (false, 1, false),
     ] {
         let mut policy = balancer(Repeat::Repeatable).among(1.0, tells);
-        let list = |rs| Listed {
-            hall: u64::from(rs > 3),
-            ..ready(rs)
+        let list = |server_id| Listed {
+            hall: u64::from(server_id > 3),
+            ..ready(server_id)
         };
         policy.list(T0, &(0..9).map(list).collect::<Vec<_>>(), true);
         let group = Some("a".to_string());
@@ -1191,9 +1195,15 @@
             (3, Some(words[0]))
         );
         policy.heard(T0, words[0]);
-        policy.heard(T0, Holds { rs: 99, ..words[0] });
+        policy.heard(
+            T0,
+            Holds {
+                server_id: 99,
+                ..words[0]
+            },
+        );
         let now = T0 + age * SEC;
-        let Place::To(rs, ..) = policy.place(
+        let Place::To(server_id, ..) = policy.place(
             now,
             &Flow {
                 group,
@@ -1202,7 +1212,11 @@
         ) else {
             panic!("room")
         };
-        assert_eq!(rs == 7, follows, "telling {tells}, {age} s: {rs}");
+        assert_eq!(
+            server_id == 7,
+            follows,
+            "telling {tells}, {age} s: {server_id}"
+        );
     }
     for bad in [&b""[..], b"\x01", b"\x00\x01\x00\x07", b"\x00\x01123456789"] {
         assert_eq!(Holds::from_bytes(bad), None, "{bad:?}");
@@ -1234,7 +1248,7 @@
                 now,
                 Outcome::Ended {
                     flow: id,
-                    rs: 0,
+                    server_id: 0,
                     end: End::Done,
                     owed: None,
                 },
@@ -1277,14 +1291,20 @@
         T0,
         Outcome::Ended {
             flow: 9,
-            rs: 2,
+            server_id: 2,
             end: End::Error,
             owed: None,
         },
     );
     for tells in [true, false, true, false] {
         policy.change(made(tells));
-        policy.heard(T0, Holds { group: 1, rs: 0 });
+        policy.heard(
+            T0,
+            Holds {
+                group: 1,
+                server_id: 0,
+            },
+        );
         for id in 10..20 {
             let one = Flow {
                 group: (!tells).then(|| "a".into()),
@@ -1300,7 +1320,7 @@
                 T0,
                 Outcome::Ended {
                     flow: id,
-                    rs: 1,
+                    server_id: 1,
                     end: End::Done,
                     owed: None,
                 },
@@ -1327,7 +1347,7 @@
         policy.after(
             now,
             Outcome::Probed {
-                rs: 0,
+                server_id: 0,
                 passed: false,
                 report: Report::default(),
             },
@@ -1347,12 +1367,12 @@
     let mut policy = balancer(Repeat::Repeatable)
         .among(1000.0, false)
         .probing(true, 0.002);
-    let list = |from: Rs, state| -> Vec<Listed> {
-        let one = |rs| Listed {
+    let list = |from: ServerId, state| -> Vec<Listed> {
+        let one = |server_id| Listed {
             state,
-            started: if rs % 7 == 0 { T0 } else { 0 },
-            hall: rs % 3,
-            ..ready(rs)
+            started: if server_id % 7 == 0 { T0 } else { 0 },
+            hall: server_id % 3,
+            ..ready(server_id)
         };
         (from..from + 500).map(one).collect()
     };
@@ -1362,9 +1382,14 @@
         policy.list(now, &list(round * 250, State::Ready), false);
         policy.list(now, &list(round * 250 + 250, State::Ready), round % 5 == 4);
         policy.list(now, &list(round * 250, State::Gone), false);
-        for rs in (0..6000).step_by(3) {
+        for server_id in (0..6000).step_by(3) {
             let absurd = [f64::NAN, -1.0, f64::INFINITY, 1e300, 0.3];
-            probe(&mut policy, now, rs, absurd[(rs % 5) as usize]);
+            probe(
+                &mut policy,
+                now,
+                server_id,
+                absurd[(server_id % 5) as usize],
+            );
         }
         policy.after(now, Outcome::Elapsed);
         for id in 0..20 {
@@ -1373,11 +1398,11 @@
                 group,
                 ..flow(now, round * 100 + id)
             };
-            if let Place::To(rs, limit, _) = policy.place(now, &one) {
+            if let Place::To(server_id, limit, _) = policy.place(now, &one) {
                 let listed = round * 250 + 500..round * 250 + 750;
                 assert!(
-                    listed.contains(&rs) && limit < 2 * SEC,
-                    "round {round}: {rs}"
+                    listed.contains(&server_id) && limit < 2 * SEC,
+                    "round {round}: {server_id}"
                 );
                 policy.after(
                     now,
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -25,9 +25,9 @@
 
 fn servers(count: u64) -> Vec<Listed> {
     (0..count)
-        .map(|rs| Listed {
-            hall: rs % 31,
-            ..ready(rs)
+        .map(|server_id| Listed {
+            hall: server_id % 31,
+            ..ready(server_id)
         })
         .collect()
 }
@@ -44,8 +44,8 @@
     policy: &mut Policy,
     mut now: Time,
     flow: &Flow,
-    figure: impl Fn(Rs) -> f64,
-) -> (Place, Vec<Rs>) {
+    figure: impl Fn(ServerId) -> f64,
+) -> (Place, Vec<ServerId>) {
     let mut asked = Vec::new();
     loop {
         let answer = policy.place(now, flow);
@@ -53,13 +53,13 @@
             return (answer, asked);
         }
         let probes = policy.after(now, Outcome::Elapsed).probe;
-        for rs in &probes {
+        for server_id in &probes {
             policy.after(
                 now,
                 Outcome::Probed {
-                    rs: *rs,
+                    server_id: *server_id,
                     passed: true,
-                    report: beta(figure(*rs)),
+                    report: beta(figure(*server_id)),
                 },
             );
         }
@@ -69,26 +69,26 @@
 }
 
 /// Where these groups go at a balancer that holds nothing else.
-fn homes(list: &[Listed], seed: u64, groups: &[String]) -> Vec<Rs> {
+fn homes(list: &[Listed], seed: u64, groups: &[String]) -> Vec<ServerId> {
     let mut policy = balancer(seed, 3);
     policy.list(T0, list, true);
     let mut homes = Vec::new();
     for (id, group) in groups.iter().enumerate() {
         let (now, id) = (T0 + id as Time * SEC, id as FlowId);
         let (answer, _) = place(&mut policy, now, &of_group(now, id, group), |_| 0.3);
-        let Place::To(rs, ..) = answer else {
+        let Place::To(server_id, ..) = answer else {
             panic!("{group}: {answer:?}")
         };
         policy.after(
             now,
             Outcome::Ended {
                 flow: id,
-                rs,
+                server_id,
                 end: End::Done,
                 owed: None,
             },
         );
-        homes.push(rs);
+        homes.push(server_id);
     }
     homes
 }
@@ -101,7 +101,7 @@
 fn a_groups_flows_go_to_a_bounded_number_of_servers_however_long_the_list() {
     for count in [WHOLE + 1, 600, 12_000] {
         let list = servers(count);
-        let went: BTreeSet<Rs> = (0..15)
+        let went: BTreeSet<ServerId> = (0..15)
             .flat_map(|seed| homes(&list, seed, &names(1)))
             .collect();
         assert!(went.len() <= FEW, "{count} servers: {went:?}");
@@ -112,21 +112,21 @@
 fn flows_without_a_group_spread_evenly_over_the_own_zone() {
     let list = servers(6_000);
     // Zone 3 has 194 servers.
-    let mut went: BTreeMap<Rs, usize> = BTreeMap::new();
+    let mut went: BTreeMap<ServerId, usize> = BTreeMap::new();
     for seed in 0..10 {
         let mut policy = balancer(seed, 3);
         policy.list(T0, &list, true);
         for id in 0..200 {
             let now = T0 + id * 200 * MS;
             let (answer, _) = place(&mut policy, now, &flow(now, id), |_| 0.3);
-            let Place::To(rs, ..) = answer else {
+            let Place::To(server_id, ..) = answer else {
                 panic!("flow {id}: {answer:?}")
             };
             policy.after(now, Outcome::Established { flow: id, took: MS });
-            *went.entry(rs).or_default() += 1;
+            *went.entry(server_id).or_default() += 1;
         }
     }
-    assert!(went.keys().all(|rs| rs % 31 == 3), "{went:?}");
+    assert!(went.keys().all(|server_id| server_id % 31 == 3), "{went:?}");
     // Some ten flows each; a fixed subset of 36 servers for each balancer left many with none or thirty.
     let most = went.values().max().expect("some");
     assert!(
@@ -141,7 +141,7 @@
     let list = servers(6_000);
     let other: Vec<Listed> = list
         .iter()
-        .filter(|server| server.rs % 200 != 17)
+        .filter(|server| server.server_id % 200 != 17)
         .copied()
         .collect();
     let (one, two) = (homes(&list, 1, &names(100)), homes(&other, 2, &names(100)));
@@ -154,17 +154,17 @@
     let list = servers(600);
     let mut long = nettlemux_candidates::LongList::default();
     list.iter()
-        .for_each(|server| long.update(server.rs, server.hall, server.weight, true));
+        .for_each(|server| long.update(server.server_id, server.hall, server.weight, true));
     // Few other balancers, as each of ours is taken for one of each of them.
     let mut policy = balancer(1, 3).among(4.0, false);
     policy.list(T0, &list, true);
-    let roomy = |rs: &Rs| (500..510).contains(rs);
-    for rs in 0..600 {
-        let figure = beta(if roomy(&rs) { 0.1 } else { 0.79 });
+    let roomy = |server_id: &ServerId| (500..510).contains(server_id);
+    for server_id in 0..600 {
+        let figure = beta(if roomy(&server_id) { 0.1 } else { 0.79 });
         policy.after(
             T0,
             Outcome::Probed {
-                rs,
+                server_id,
                 passed: true,
                 report: figure,
             },
@@ -183,9 +183,9 @@
     let mut placed = Vec::new();
     for (id, group) in groups.iter().enumerate() {
         let (id, now) = (id as FlowId, T0 + (1 + id as Time) * MS);
-        if let Place::To(rs, ..) = policy.place(now, &of_group(now, id, group)) {
+        if let Place::To(server_id, ..) = policy.place(now, &of_group(now, id, group)) {
             policy.after(now, Outcome::Established { flow: id, took: MS });
-            placed.push(rs);
+            placed.push(server_id);
         }
     }
     assert!(placed.iter().all(roomy), "{placed:?}");
@@ -208,11 +208,11 @@
         for step in 0..2_000 {
             let now = T0 + step * 10 * MS;
             // Nobody waits: these are for servers of ours, all of them hot, which are to be asked again soon.
-            for rs in policy.after(now, Outcome::Elapsed).probe {
+            for server_id in policy.after(now, Outcome::Elapsed).probe {
                 policy.after(
                     now,
                     Outcome::Probed {
-                        rs,
+                        server_id,
                         passed: true,
                         report: beta(0.9),
                     },
@@ -257,27 +257,27 @@
     for id in 0..6_000 {
         policy.inherit(&of_group(T0, id, &format!("g{id}")), id % 600);
     }
-    let hot = |rs: Rs| if rs == 77 { 1.2 } else { 0.3 };
+    let hot = |server_id: ServerId| if server_id == 77 { 1.2 } else { 0.3 };
     let (mut times, mut shed) = (0, 0);
     policy.after(
         T0,
         Outcome::Probed {
-            rs: 77,
+            server_id: 77,
             passed: true,
             report: beta(1.2),
         },
     );
     for tick in 1..80 {
         let now = T0 + tick * 250 * MS;
-        for rs in policy.after(now, Outcome::Elapsed).probe {
-            times += usize::from(rs == 77);
+        for server_id in policy.after(now, Outcome::Elapsed).probe {
+            times += usize::from(server_id == 77);
             shed += policy
                 .after(
                     now,
                     Outcome::Probed {
-                        rs,
+                        server_id,
                         passed: true,
-                        report: beta(hot(rs)),
+                        report: beta(hot(server_id)),
                     },
                 )
                 .shift
@@ -305,7 +305,7 @@
             T0,
             Outcome::Ended {
                 flow: 1,
-                rs: first,
+                server_id: first,
                 end: End::Done,
                 owed: None,
             },
@@ -322,7 +322,7 @@
             let now = T0 + id * SEC;
             let place = place(&mut policy, now, &of_group(now, id, "one"), |_| 0.3).0;
             assert!(
-                matches!(place, Place::To(rs, ..) if rs != first),
+                matches!(place, Place::To(server_id, ..) if server_id != first),
                 "{state:?}: {place:?}"
             );
             policy.after(now, Outcome::Established { flow: id, took: MS });
@@ -340,7 +340,7 @@
     for id in 0..500 {
         let now = T0 + id * 20 * MS;
         let flow = of_group(now, id, &format!("g{}", id % 50));
-        let figure = |rs: Rs| 0.3 + (rs % 7) as f64 * 0.05;
+        let figure = |server_id: ServerId| 0.3 + (server_id % 7) as f64 * 0.05;
         let (a, b) = (
             place(&mut one, now, &flow, figure),
             place(&mut other, now, &flow, figure),
@@ -367,7 +367,7 @@
                 |_| 0.2,
             );
             assert!(
-                matches!(place, Place::To(rs, ..) if rs < count),
+                matches!(place, Place::To(server_id, ..) if server_id < count),
                 "{count} servers: {place:?}"
             );
             policy.after(now, Outcome::Established { flow: id, took: MS });
@@ -379,15 +379,15 @@
 fn a_topic_with_many_connections_here_spreads_over_more_servers() {
     let mut policy = balancer(1, 3);
     policy.list(T0, &servers(6_000), true);
-    let mut went: BTreeMap<Rs, usize> = BTreeMap::new();
+    let mut went: BTreeMap<ServerId, usize> = BTreeMap::new();
     for id in 0..300 {
         let now = T0 + id * 200 * MS;
         let (place, _) = place(&mut policy, now, &of_group(now, id, "largest"), |_| 0.3);
-        let Place::To(rs, ..) = place else {
+        let Place::To(server_id, ..) = place else {
             panic!("flow {id}: {place:?}")
         };
         policy.after(now, Outcome::Established { flow: id, took: MS });
-        *went.entry(rs).or_default() += 1;
+        *went.entry(server_id).or_default() += 1;
     }
     assert!(went.len() > 1 && went.len() <= MOST, "{went:?}");
 }
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
+use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Rs, Scope, ServiceType, State, Time,
-    Todo,
+    Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Scope, ServerId, ServiceType, State,
+    Time, Todo,
 };
 use nettlemux_settings::Settings;
-use nettlemux_fleet_model::dice::Dice;
 
 /// How long before a connect timeout a balancer answers in virtual time, as one on sockets does.
 pub const MARGIN: Time = 15 * MS;
@@ -78,10 +78,10 @@
     dice: Dice,
     types: Vec<ServiceType>,
     connects: usize,
-    servers: BTreeMap<Rs, Listed>,
+    servers: BTreeMap<ServerId, Listed>,
     /// Our connections and connects on each.
-    own: BTreeMap<Rs, usize>,
-    flows: BTreeMap<FlowId, Rs>,
+    own: BTreeMap<ServerId, usize>,
+    flows: BTreeMap<FlowId, ServerId>,
     turn: usize,
 }
 
@@ -106,7 +106,7 @@
             Repeat::Repeatable => true,
             Repeat::OnceOnly => ran.next().is_none(),
             Repeat::Referenced(scope, window) => ran.all(|c| {
-                let first = self.servers.get(&c.rs);
+                let first = self.servers.get(&c.server_id);
                 let same = match scope {
                     Scope::All => true,
                     Scope::Hall => first.is_some_and(|first| first.hall == server.hall),
@@ -128,19 +128,19 @@
         }
     }
 
-    fn held(&self, rs: Rs) -> usize {
-        self.own.get(&rs).copied().unwrap_or(0)
+    fn held(&self, server_id: ServerId) -> usize {
+        self.own.get(&server_id).copied().unwrap_or(0)
     }
 
-    fn enter(&mut self, flow: FlowId, rs: Rs) {
+    fn enter(&mut self, flow: FlowId, server_id: ServerId) {
         self.strike(flow);
-        self.flows.insert(flow, rs);
-        *self.own.entry(rs).or_default() += 1;
+        self.flows.insert(flow, server_id);
+        *self.own.entry(server_id).or_default() += 1;
     }
 
     fn strike(&mut self, flow: FlowId) {
-        if let Some(rs) = self.flows.remove(&flow)
-            && let Some(count) = self.own.get_mut(&rs)
+        if let Some(server_id) = self.flows.remove(&flow)
+            && let Some(count) = self.own.get_mut(&server_id)
         {
             *count -= 1;
         }
@@ -158,11 +158,11 @@
             .servers
             .values()
             .filter(|s| s.state == State::Ready && self.safe(now, flow, s));
-        let all: Vec<Rs> = ready.map(|server| server.rs).collect();
-        let fresh: Vec<Rs> = all
+        let all: Vec<ServerId> = ready.map(|server| server.server_id).collect();
+        let fresh: Vec<ServerId> = all
             .iter()
             .copied()
-            .filter(|rs| flow.connects.iter().all(|c| c.rs != *rs))
+            .filter(|server_id| flow.connects.iter().all(|c| c.server_id != *server_id))
             .collect();
         let among = if fresh.is_empty() { all } else { fresh };
         if among.is_empty() {
@@ -170,25 +170,27 @@
         }
         self.turn += 1;
         let start = self.dice.below(among.len());
-        let rs = match self.kind {
+        let server_id = match self.kind {
             Kind::Random | Kind::Module => among[start],
             Kind::RoundRobin => among[self.turn % among.len()],
             // Ties fall anywhere, so that balancers don't fill the first server together.
             Kind::LeastConnections => {
                 let order = (0..among.len()).map(|i| among[(start + i) % among.len()]);
-                order.min_by_key(|rs| self.held(*rs)).expect("not empty")
+                order
+                    .min_by_key(|server_id| self.held(*server_id))
+                    .expect("not empty")
             }
             Kind::PowerOfTwo => {
                 let two = [among[start], among[self.dice.below(among.len())]];
                 two.into_iter()
-                    .min_by_key(|rs| self.held(*rs))
+                    .min_by_key(|server_id| self.held(*server_id))
                     .expect("two")
             }
         };
-        self.enter(flow.id, rs);
+        self.enter(flow.id, server_id);
         // Each try gets its part of the time that is left.
         let tries = (self.connects - flow.connects.len()) as u64;
-        Place::To(rs, left / tries.max(1), left)
+        Place::To(server_id, left / tries.max(1), left)
     }
 
     fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
@@ -215,13 +217,13 @@
             self.servers.clear();
         }
         self.servers
-            .extend(entries.iter().map(|entry| (entry.rs, *entry)));
+            .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
     }
 
     fn list_failed(&mut self, _: Time) {}
 
-    fn inherit(&mut self, flow: &Flow, rs: Rs) {
-        self.enter(flow.id, rs);
+    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+        self.enter(flow.id, server_id);
     }
 
     fn told_load(&mut self, _: FlowId, _: f64) {}
--- a/crates/testbed/src/capacity/mechanism.rs
+++ b/crates/testbed/src/capacity/mechanism.rs
@@ -66,8 +66,9 @@
 pub const CONTROL_MACHINES: Mechanism =
     Mechanism::Missing("nothing of ours runs there; SIGHUP reads a file that others bring");
 /// Tells other balancers which servers hold a group.
-pub const PEER_MESSAGES: Mechanism =
-    Mechanism::Partial("off today; bounded, so it tells of few groups; crates/dataplane/src/peers.rs");
+pub const PEER_MESSAGES: Mechanism = Mechanism::Partial(
+    "off today; bounded, so it tells of few groups; crates/dataplane/src/peers.rs",
+);
 /// Spreads a large topic.
 pub const LARGE_TOPICS: Mechanism = Mechanism::Partial(
     "one home that grows server by server; `place` in crates/policy/src/policy.rs",
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use nettlemux_policy::MS;
 use nettlemux_fleet_model::scenario::Scenario;
+use nettlemux_policy::MS;
 
 use crate::brains::Kind;
 use crate::file;
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -5,10 +5,10 @@
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
-use nettlemux_policy::{SEC, Time};
 use nettlemux_fleet_model::crowd::Client;
 use nettlemux_fleet_model::scenario::{Expect, Scenario};
 use nettlemux_fleet_model::seen::Final;
+use nettlemux_policy::{SEC, Time};
 use serde_json::{Value, json};
 
 use crate::rules::Verdict;
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 
 use nettlemux_admission::Config;
+use nettlemux_fleet_model::scenario::{Repeat, Scenario, Weights};
 use nettlemux_policy::Time;
 use nettlemux_settings::{nearest, operator};
-use nettlemux_fleet_model::scenario::{Repeat, Scenario, Weights};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -8,6 +8,8 @@
 use std::str::FromStr;
 
 use bpaf::{Bpaf, Parser};
+use nettlemux_fleet_model::scenario::Scenario;
+use nettlemux_policy::{MS, SEC};
 use nettlemux_testbed::brains::Kind;
 use nettlemux_testbed::experiment::{self, Estimate, Row};
 use nettlemux_testbed::figures::{Figures, show};
@@ -22,8 +24,6 @@
 use nettlemux_testbed::simulate::{Who, simulate};
 use nettlemux_testbed::sockets::Program;
 use nettlemux_testbed::{check, file, sockets};
-use nettlemux_policy::{MS, SEC};
-use nettlemux_fleet_model::scenario::Scenario;
 use serde_json::json;
 
 /// Counts what the decision module keeps, for scale runs.
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -3,7 +3,7 @@
 //! never part of a run that isn't asked for it.
 
 use nettlemux_flow_table::Brain;
-use nettlemux_policy::{Flow, FlowId, Listed, Outcome, Place, Rs, State, Time, Todo};
+use nettlemux_policy::{Flow, FlowId, Listed, Outcome, Place, ServerId, State, Time, Todo};
 use nettlemux_settings::Settings;
 use serde_json::Value;
 
@@ -98,14 +98,14 @@
     inner: Box<dyn Brain>,
     mischief: Mischief,
     /// The server that started last.
-    youngest: Option<(Time, Rs)>,
+    youngest: Option<(Time, ServerId)>,
 }
 
 impl Bent {
     fn bend(&self, place: Place, flow: &Flow) -> Place {
         match (place, self.mischief, self.youngest) {
-            (Place::To(_, limit, by), Mischief::FloodsCold, Some((_, rs))) => {
-                Place::To(rs, limit, by)
+            (Place::To(_, limit, by), Mischief::FloodsCold, Some((_, server_id))) => {
+                Place::To(server_id, limit, by)
             }
             (Place::Abort, Mischief::RejectsWhatMayHaveRun, _) if !flow.connects.is_empty() => {
                 Place::Reject(None)
@@ -146,7 +146,7 @@
                 entry.state = State::Ready;
             }
             if self.mischief == Mischief::FloodsCold && entry.started > 0 {
-                self.youngest = self.youngest.max(Some((entry.started, entry.rs)));
+                self.youngest = self.youngest.max(Some((entry.started, entry.server_id)));
                 entry.started = 0;
             }
         }
@@ -157,8 +157,8 @@
         self.inner.list_failed(now);
     }
 
-    fn inherit(&mut self, flow: &Flow, rs: Rs) {
-        self.inner.inherit(flow, rs);
+    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+        self.inner.inherit(flow, server_id);
     }
 
     fn told_load(&mut self, flow: FlowId, load: f64) {
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -4,10 +4,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
 use nettlemux_fleet_model::seen::{Ender, Final, Kind, Scope, Seen};
 use nettlemux_fleet_model::server::SLACK;
+use nettlemux_policy::{MS, SEC, Time};
 use serde::Serialize;
 
 /// How long after a flow's end a further answer or connect is still noticed.
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -8,12 +8,13 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
+use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::{Act, Brain, Hand, Who};
 use nettlemux_policy::{
-    Flow, FlowId, Holds, Listed, MS, Outcome, Place, Policy, Report, Rs, SEC, State, Time, Todo,
+    Flow, FlowId, Holds, Listed, MS, Outcome, Place, Policy, Report, SEC, ServerId, State, Time,
+    Todo,
 };
 use nettlemux_settings::Settings;
-use nettlemux_fleet_model::dice::Dice;
 
 use super::allocation::held_bytes;
 use super::looked_at::{Note, servers_per_placement};
@@ -120,9 +121,9 @@
         let took = began.elapsed().as_nanos() as u64;
         let mut calls = self.calls.borrow_mut();
         (calls.number, calls.nanoseconds) = (calls.number + 1, calls.nanoseconds + took);
-        if let Place::To(rs, ..) = place {
+        if let Place::To(server_id, ..) = place {
             calls.placing.saturating_record(took);
-            calls.note(|| Note::Placed(group_of(flow), rs));
+            calls.note(|| Note::Placed(group_of(flow), server_id));
         }
         drop(calls);
         place
@@ -142,12 +143,12 @@
     fn list_failed(&mut self, now: Time) {
         self.policy.list_failed(now);
     }
-    fn inherit(&mut self, flow: &Flow, rs: Rs) {
+    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
         let before = held_bytes();
-        self.policy.inherit(flow, rs);
+        self.policy.inherit(flow, server_id);
         let mut calls = self.calls.borrow_mut();
         calls.inherited_bytes += held_bytes() - before;
-        calls.note(|| Note::Held(group_of(flow), rs));
+        calls.note(|| Note::Held(group_of(flow), server_id));
     }
     fn told_load(&mut self, flow: FlowId, load: f64) {
         self.policy.told_load(flow, load);
@@ -164,7 +165,7 @@
 /// What comes to pass at a virtual time.
 enum Event {
     Arrival,
-    ProbeAnswered(Rs),
+    ProbeAnswered(ServerId),
     Connected(FlowId),
     /// A server is replaced.
     ListChange,
@@ -184,7 +185,7 @@
     groups: u64,
     servers: u64,
     /// The longest listed server; those from here on are listed, as many as there are.
-    first_server: Rs,
+    first_server: ServerId,
     last_arrival: Time,
     probes: u64,
     placed: u64,
@@ -225,8 +226,8 @@
 
     /// The whole list; returns the bytes that are kept of it.
     fn list(&mut self, servers: u64) -> f64 {
-        let listed = |rs| Listed {
-            rs,
+        let listed = |server_id| Listed {
+            server_id,
             state: State::Ready,
             weight: 1.0,
             ..Listed::default()
@@ -247,8 +248,8 @@
         let before = self.module_bytes();
         for _ in 0..counts.connections {
             let flow = self.new_flow(0);
-            let rs = self.rng.below(counts.servers as usize) as Rs;
-            self.flow_table.inherit(flow, rs);
+            let server_id = self.rng.below(counts.servers as usize) as ServerId;
+            self.flow_table.inherit(flow, server_id);
         }
         let all = (self.module_bytes() - before) as f64;
         let module = self.calls.borrow().inherited_bytes as f64;
@@ -339,22 +340,23 @@
                 let flow = self.new_flow(now);
                 self.flow_table.take(now, flow, Who::default(), &mut acts);
             }
-            Event::ProbeAnswered(rs) => {
+            Event::ProbeAnswered(server_id) => {
                 let load = self.rng.between(LEAST_LOAD, MOST_LOAD);
                 let report = Report {
                     beta: Some(load),
                     connections: None,
                 };
-                self.flow_table.probed(now, rs, true, report, &mut acts);
+                self.flow_table
+                    .probed(now, server_id, true, report, &mut acts);
             }
             Event::ListChange => {
                 let gone = Listed {
-                    rs: self.first_server,
+                    server_id: self.first_server,
                     ..Listed::default()
                 };
-                let rs = self.first_server + self.servers;
+                let server_id = self.first_server + self.servers;
                 let ready = Listed {
-                    rs,
+                    server_id,
                     state: State::Ready,
                     weight: 1.0,
                     started: now,
@@ -377,9 +379,9 @@
                     self.placed += 1;
                     self.plan(self.now + CONNECT_TIME, Event::Connected(flow));
                 }
-                Act::Probe { rs } => {
+                Act::Probe { server_id } => {
                     self.probes += 1;
-                    self.plan(self.now + PROBE_ROUND_TRIP, Event::ProbeAnswered(rs));
+                    self.plan(self.now + PROBE_ROUND_TRIP, Event::ProbeAnswered(server_id));
                 }
                 Act::Reject { .. } | Act::Abort { .. } | Act::Move { .. } => {}
                 Act::CallOff { .. } | Act::AskList | Act::Tell(_) => {}
--- a/crates/testbed/src/scale/looked_at.rs
+++ b/crates/testbed/src/scale/looked_at.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use nettlemux_candidates::{LongList, WHOLE_LIST, hash_name};
-use nettlemux_policy::{Listed, Rs, State};
+use nettlemux_policy::{Listed, ServerId, State};
 
 /// The zone of the measured balancer, as [`super::settings`] has it.
 const OWN_ZONE: u64 = 0;
@@ -16,9 +16,9 @@
     /// Entries of the list, new or changed.
     List(Vec<Listed>),
     /// An own connection of a group, from before.
-    Held(String, Rs),
+    Held(String, ServerId),
     /// A flow of a group was given this server.
-    Placed(String, Rs),
+    Placed(String, ServerId),
 }
 
 /// The mean of servers looked at for a placement, or none where nothing was placed. `tells` is whether balancers tell one
@@ -47,19 +47,19 @@
 #[derive(Default)]
 struct Known {
     tells: bool,
-    servers: BTreeMap<Rs, Listed>,
+    servers: BTreeMap<ServerId, Listed>,
     /// None while the list is looked at whole.
     long: Option<LongList>,
     /// Own connections of each group, and of each server.
-    holders: BTreeMap<String, BTreeMap<Rs, usize>>,
-    held: BTreeMap<Rs, usize>,
+    holders: BTreeMap<String, BTreeMap<ServerId, usize>>,
+    held: BTreeMap<ServerId, usize>,
 }
 
 impl Known {
     /// As the module does: a server that has gone stays known while it holds own connections.
     fn list(&mut self, entries: &[Listed]) {
         self.servers
-            .extend(entries.iter().map(|entry| (entry.rs, *entry)));
+            .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
         if self.servers.len() > WHOLE_LIST {
             let known = self.long.is_some();
             let long = self.long.get_or_insert_default();
@@ -67,7 +67,7 @@
             let news: Vec<Listed> = if known { entries.to_vec() } else { all() };
             for entry in news {
                 long.update(
-                    entry.rs,
+                    entry.server_id,
                     entry.hall,
                     entry.weight,
                     entry.state == State::Ready,
@@ -81,7 +81,7 @@
             .retain(|server, entry| entry.state != State::Gone || held.contains_key(server));
     }
 
-    fn hold(&mut self, group: &str, server: Rs) {
+    fn hold(&mut self, group: &str, server: ServerId) {
         *self
             .holders
             .entry(group.to_owned())
@@ -93,7 +93,7 @@
 
     /// Servers looked at for a flow that went there: near candidates and holders; far ones as well where it went to none
     /// of those; and the whole list where it went to none of these either.
-    fn looked_at(&self, group: &str, went_to: Rs) -> usize {
+    fn looked_at(&self, group: &str, went_to: ServerId) -> usize {
         let Some(long) = &self.long else {
             return self.servers.len();
         };
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -1,8 +1,8 @@
 //! A balancer's answers to clients, and the close of a flow.
 
-use nettlemux_policy::{FlowId, Time};
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Final, Seen};
+use nettlemux_policy::{FlowId, Time};
 
 use super::flow::FlowPhase;
 use super::simulation::Simulation;
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -1,9 +1,9 @@
 //! Attempts to connect a flow to a server, from the dial to their end.
 
-use nettlemux_policy::{End, FlowId, Report, Time};
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Final, Seen};
 use nettlemux_fleet_model::server::Offer;
+use nettlemux_policy::{End, FlowId, Report, Time};
 
 use super::event::{Ending, Event, ServerResponse};
 use super::flow::{Attempt, FlowPhase};
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -1,11 +1,11 @@
 //! What clients do: arrive, try to be served, give up, leave, and change their load.
 
-use nettlemux_flow_table::Who as Requester;
-use nettlemux_policy::{End, Flow, FlowId, MS, Time};
-use nettlemux_settings::operator::By;
 use nettlemux_fleet_model::crowd::Client;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Ender, Seen};
+use nettlemux_flow_table::Who as Requester;
+use nettlemux_policy::{End, Flow, FlowId, MS, Time};
+use nettlemux_settings::operator::By;
 
 use super::connections::Closure;
 use super::event::{Ending, Event};
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -1,8 +1,8 @@
 //! Calls into a balancer's flow table, and the actions that it answers with.
 
+use nettlemux_fleet_model::seen::Final;
 use nettlemux_flow_table::Act;
 use nettlemux_policy::{MS, Time};
-use nettlemux_fleet_model::seen::Final;
 
 use super::balancer::{FlowTable, Incarnation};
 use super::event::Event;
@@ -36,14 +36,14 @@
         match action {
             Act::Connect {
                 flow,
-                rs,
+                server_id,
                 number,
                 limit,
                 ..
             } => {
                 let attempt = Attempt {
                     number,
-                    server: rs as usize,
+                    server: server_id as usize,
                 };
                 self.start_attempt(flow, attempt, limit);
             }
@@ -51,7 +51,7 @@
             Act::Abort { flow } => self.send_answer(flow, Final::Aborted, None),
             Act::Move { flow } => self.move_client(flow),
             Act::CallOff { flow, .. } => self.cancel_attempt(flow),
-            Act::Probe { rs } => self.start_probe(balancer, rs as usize),
+            Act::Probe { server_id } => self.start_probe(balancer, server_id as usize),
             // The list is delivered whenever it changes, and nothing is simulated between balancers.
             Act::AskList | Act::Tell(_) => {}
         }
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -1,7 +1,7 @@
 //! Established connections: how they begin, and how a client, a server or a balancer ends them.
 
-use nettlemux_policy::{End, FlowId};
 use nettlemux_fleet_model::seen::{Ender, Seen};
+use nettlemux_policy::{End, FlowId};
 
 use super::event::{Ending, Event, ServerResponse};
 use super::flow::ClientId;
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,7 +1,7 @@
 //! Delivery of the list of servers from discovery to the balancers.
 
-use nettlemux_policy::State;
 use nettlemux_fleet_model::seen::Seen;
+use nettlemux_policy::State;
 
 use super::balancer::Incarnation;
 use super::event::Event;
@@ -37,7 +37,7 @@
         }
         self.balancers[balancer].list_version = self.model.version();
         for entry in &entries {
-            let (server, ready) = (entry.rs as usize, entry.state == State::Ready);
+            let (server, ready) = (entry.server_id as usize, entry.state == State::Ready);
             self.observe(Seen::Told {
                 at: self.now,
                 balancer,
--- a/crates/testbed/src/simulate/event.rs
+++ b/crates/testbed/src/simulate/event.rs
@@ -1,7 +1,7 @@
 //! The events of the simulation and the values that they carry.
 
-use nettlemux_policy::{End, FlowId, Time};
 use nettlemux_fleet_model::seen::Final;
+use nettlemux_policy::{End, FlowId, Time};
 
 use super::balancer::Incarnation;
 use super::flow::ClientId;
--- a/crates/testbed/src/simulate/faults.rs
+++ b/crates/testbed/src/simulate/faults.rs
@@ -1,8 +1,8 @@
 //! What happens in the model, faults above all, carried out on connections and balancers.
 
-use nettlemux_policy::{FlowId, SEC, Time};
 use nettlemux_fleet_model::fleet::Happening;
 use nettlemux_fleet_model::seen::Seen;
+use nettlemux_policy::{FlowId, SEC, Time};
 
 use super::event::{Event, ServerResponse};
 use super::flow::{FlowPhase, FlowState};
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -1,9 +1,9 @@
 //! Faults that a mutant balancer commits where its actions are executed, rather than in its decisions. A sound balancer
 //! passes through these functions unchanged.
 
-use nettlemux_policy::{FlowId, MS, Time};
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Final, Seen};
+use nettlemux_policy::{FlowId, MS, Time};
 
 use super::Who;
 use super::clients::PATIENCE;
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -1,8 +1,8 @@
 //! Probes of servers by balancers.
 
-use nettlemux_policy::{MS, Report, Time};
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::server::Life;
+use nettlemux_policy::{MS, Report, Time};
 
 use super::balancer::Incarnation;
 use super::event::Event;
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -1,8 +1,8 @@
 //! The end of a balancer's process, planned or not, and its return.
 
-use nettlemux_policy::{FlowId, MS, SEC, Time};
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Kind, Seen};
+use nettlemux_policy::{FlowId, MS, SEC, Time};
 
 use super::balancer::Incarnation;
 use super::event::Event;
--- a/crates/testbed/src/simulate/sampling.rs
+++ b/crates/testbed/src/simulate/sampling.rs
@@ -1,7 +1,7 @@
 //! The model's regular step, and the figures that are taken at regular times.
 
-use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_fleet_model::server::Life;
+use nettlemux_policy::{MS, SEC, Time};
 
 use super::event::Event;
 use super::simulation::Simulation;
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use nettlemux_policy::{FlowId, MS, Time};
 use nettlemux_fleet_model::crowd::{Crowd, Front};
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_fleet_model::fleet::World;
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
 use nettlemux_fleet_model::seen::Seen;
+use nettlemux_policy::{FlowId, MS, Time};
 use serde_json::Value;
 
 use super::balancer::{Balancer, Incarnation};
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -1,11 +1,11 @@
 //! The state at time 0, and the start of a balancer's process.
 
 use nettlemux_admission::Door;
+use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::seen::{Seen, VERSION};
 use nettlemux_flow_table::{Brain, Hand};
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
-use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Seen, VERSION};
 
 use super::Who;
 use super::balancer::FlowTable;
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_fleet_model::crowd::Client;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Ender, Final, Kind, Seen};
+use nettlemux_policy::{MS, SEC, Time};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -14,9 +14,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_fleet_model::seen::{Seen, VERSION};
+use nettlemux_policy::{MS, SEC, Time};
 use tokio::time::Instant;
 
 use crate::figures::Figures;
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_policy::{MS, SEC, Time};
-use nettlemux_settings::operator::Operator;
 use nettlemux_fleet_model::fleet::Happening;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::Seen;
+use nettlemux_policy::{MS, SEC, Time};
+use nettlemux_settings::operator::Operator;
 use rustix::process::{Pid, Resource, Rlimit, Signal};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_policy::Time;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::Seen;
 use nettlemux_fleet_model::server::{Life, Offer};
+use nettlemux_policy::Time;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Instant, SystemTime};
 
-use nettlemux_policy::{MS, State, Time};
 use nettlemux_fleet_model::crowd::{Crowd, Front};
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_fleet_model::fleet::{Happening, World};
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
 use nettlemux_fleet_model::seen::{Ender, Seen};
 use nettlemux_fleet_model::server::Life;
+use nettlemux_policy::{MS, State, Time};
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 
@@ -342,7 +342,7 @@
         let at = self.now();
         let mut instances = Vec::new();
         for entry in entries {
-            let server = entry.rs as usize;
+            let server = entry.server_id as usize;
             inner.see(Seen::Told {
                 at,
                 balancer,
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -3,14 +3,14 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
+use nettlemux_fleet_model::fault::What;
+use nettlemux_fleet_model::scenario::Scenario;
+use nettlemux_policy::SEC;
 use nettlemux_testbed::brains::Kind;
 use nettlemux_testbed::record::{self, Writer};
 use nettlemux_testbed::rules::Rules;
 use nettlemux_testbed::simulate::{Who, simulate};
 use nettlemux_testbed::{experiment, file};
-use nettlemux_policy::SEC;
-use nettlemux_fleet_model::fault::What;
-use nettlemux_fleet_model::scenario::Scenario;
 
 fn scenarios() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testbed/scenarios")
