--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -135,7 +135,7 @@
         ));
     }
     let server_id = parts.get("server")?;
-    let hall = parts.maybe("locality")?.unwrap_or(0);
+    let zone = parts.maybe("locality")?.unwrap_or(0);
     let machine = parts.maybe("machine")?.unwrap_or(0);
     let cell = parts.maybe("stripe")?.unwrap_or(0);
     let state = match parts.word("availability")? {
@@ -154,7 +154,7 @@
     parts.end()?;
     Ok(Listed {
         server_id,
-        hall,
+        zone,
         machine,
         cell,
         state,
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -239,7 +239,7 @@
     let listener = listener.map_err(|e| format!("can't listen at {}: {e}", config.listen))?;
     let (flows, waiting) = (core.shares.flows.limit(), core.shares.waiting.limit());
     info!(name = config.name, listen = %config.listen, sockets = config.sockets, flows, waiting, "serving");
-    let (halls, machines) = (settings.names("areas"), settings.names("models"));
+    let (zones, machines) = (settings.names("areas"), settings.names("models"));
     let answer_deadline = AnswerDeadline::new(settings.longest_wait());
     let (peers, words) = match operator.peers {
         Some(keys) => {
@@ -258,7 +258,7 @@
         answer_deadline,
         lobby,
     };
-    let whole_desk = Desk::new(hand, asks, halls, machines, prober, words, given);
+    let whole_desk = Desk::new(hand, asks, zones, machines, prober, words, given);
     let running = may::go!(move || whole_desk.run());
     let agent = Agent::new(config.discovery);
     let in_file = config.settings.clone();
--- a/crates/balancer/tests/starts.rs
+++ b/crates/balancer/tests/starts.rs
@@ -93,7 +93,7 @@
             vec![("discovery", json!("ask"))],
         ),
         (
-            "halls that the list doesn't name".into(),
+            "zones that the list doesn't name".into(),
             vec![("areas", json!(["x", "y"])), ("zone", json!(1))],
         ),
         (
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -97,7 +97,7 @@
     servers: BTreeMap<ServerId, Arc<Server>>,
     starts: StartTimes,
     ids: Names,
-    halls: Names,
+    zones: Names,
     machines: Names,
     cells: Names,
     prober: Prober,
@@ -118,7 +118,7 @@
     pub fn new(
         hand: Hand,
         asks: Mailbox<Ask>,
-        halls: Vec<String>,
+        zones: Vec<String>,
         machines: Vec<String>,
         prober: Prober,
         words: Option<Sender<Word>>,
@@ -131,7 +131,7 @@
             servers: BTreeMap::new(),
             starts: StartTimes::default(),
             ids: Names::default(),
-            halls: Names::of(halls),
+            zones: Names::of(zones),
             machines: Names::of(machines),
             cells: Names::default(),
             prober,
@@ -311,9 +311,9 @@
 
     /// Goes on under other settings. Flows in hand, connects that are out and connections stay as they are.
     fn change(&mut self, settings: Settings) {
-        // The list may have named halls before the settings did.
-        let settings = match settings.hall_name() {
-            Some(name) => settings.in_hall(self.halls.number(&name)),
+        // The list may have named zones before the settings did.
+        let settings = match settings.zone_name() {
+            Some(name) => settings.with_zone(self.zones.number(&name)),
             None => settings,
         };
         match settings.policy(self.given.seed, self.given.margin, true) {
@@ -335,7 +335,7 @@
             told.push(server_id);
             listed.push(Listed {
                 server_id,
-                hall: self.halls.number(&entry.zone),
+                zone: self.zones.number(&entry.zone),
                 machine: self.machines.number(&entry.machine),
                 cell: self.cells.number(&entry.cell),
                 state: entry.state,
@@ -354,8 +354,8 @@
                     if let Some(old) = old {
                         old.ready.store(false, Ordering::Release);
                     }
-                    let hall = self.halls.number(&entry.zone);
-                    info!(server = entry.name, address = %entry.address, state = ?entry.state, zone = entry.zone, hall, "list: new");
+
+                    info!(server = entry.name, address = %entry.address, state = ?entry.state, zone = entry.zone, "list: new");
                     let server = Server {
                         name: entry.name,
                         address: entry.address,
--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -28,11 +28,11 @@
     FastErrors,
     /// Probes of servers fail; all else works.
     ProbesFail,
-    /// A zone (key `hall`) can't be reached from other zones, nor reach them.
-    #[serde(rename = "hall-cut")]
+    /// A zone (key `zone`) can't be reached from other zones, nor reach them.
+    #[serde(alias = "hall-cut")]
     ZoneCut,
     /// The same, on and off every `amount` seconds.
-    #[serde(rename = "hall-flaps")]
+    #[serde(alias = "hall-flaps")]
     ZoneFlaps,
     /// The store serves only `amount` of its calls.
     StoreSlow,
@@ -86,7 +86,7 @@
     /// Those that it meets, by number, in place of a share.
     #[serde(default)]
     pub who: Vec<usize>,
-    #[serde(default, rename = "hall")]
+    #[serde(default, alias = "hall")]
     pub zone: usize,
     #[serde(default)]
     pub amount: f64,
@@ -118,7 +118,7 @@
             return bad("share", format!("{} is over 1", self.share));
         }
         if self.zone >= scenario.zones.number {
-            return bad("hall", format!("there are {} halls", scenario.zones.number));
+            return bad("zone", format!("there are {} zones", scenario.zones.number));
         }
         let number = match self.of_balancers() {
             true => scenario.balancers.number,
--- a/crates/fleet-model/src/fleet/listing.rs
+++ b/crates/fleet-model/src/fleet/listing.rs
@@ -47,7 +47,7 @@
         let server = &self.servers[index];
         Listed {
             server_id: index as u64,
-            hall: server.zone as u64,
+            zone: server.zone as u64,
             machine: server.machine as u64,
             cell: server.cell as u64,
             state: self.list.visible_state(index),
--- a/crates/fleet-model/src/fleet/tests.rs
+++ b/crates/fleet-model/src/fleet/tests.rs
@@ -6,7 +6,7 @@
 
 fn world(faults: &str) -> World {
     let text = format!(
-        r#"{{"name": "t", "seconds": 60, "balancers": {{"number": 1}}, "halls": {{"number": 2}},
+        r#"{{"name": "t", "seconds": 60, "balancers": {{"number": 1}}, "zones": {{"number": 2}},
         "fleet": {{"servers": 4, "capacity": 10}}, "clients": {{"rate": 1, "life": 9}},
         "types": [{{"name": "chat"}}], "faults": {faults}}}"#
     );
@@ -59,8 +59,8 @@
         {"what": "store-slow", "at": 3, "for": 10, "amount": 0.5},
         {"what": "list-wrong", "at": 2, "for": 3, "who": [3]},
         {"what": "list-wrong", "at": 3, "for": 4, "who": [3]},
-        {"what": "hall-cut", "at": 1, "for": 4, "hall": 1},
-        {"what": "hall-flaps", "at": 2, "for": 9, "hall": 1, "amount": 1}]"#,
+        {"what": "zone-cut", "at": 1, "for": 4, "zone": 1},
+        {"what": "zone-flaps", "at": 2, "for": 9, "zone": 1, "amount": 1}]"#,
     );
     until(&mut world, 5.5);
     assert!((world.store.health - 0.05).abs() < 1e-9 && world.servers[0].speed < 0.5);
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -32,7 +32,7 @@
     pub store: StoreKeys,
     #[serde(default)]
     pub discovery: Discovery,
-    #[serde(default, rename = "halls")]
+    #[serde(default, alias = "halls")]
     pub zones: Zones,
     pub clients: Clients,
     pub types: Vec<Type>,
@@ -232,7 +232,7 @@
 pub enum Repeat {
     Repeatable,
     ReferencedAll,
-    #[serde(rename = "referenced-hall")]
+    #[serde(alias = "referenced-hall")]
     ReferencedZone,
     ReferencedCell,
     OnceOnly,
@@ -401,7 +401,7 @@
         count("balancers.number", self.balancers.number)?;
         count("fleet.servers", self.fleet.servers)?;
         count("fleet.slots", self.fleet.slots)?;
-        count("halls.number", self.zones.number)?;
+        count("zones.number", self.zones.number)?;
         count("limits.connects", self.limits.connects)?;
         if self.clients.standing > MOST {
             return Err((
@@ -435,8 +435,8 @@
             ("clients.again", self.clients.again),
             ("fleet.group_load", self.fleet.group_load),
             ("discovery.delay", self.discovery.delay),
-            ("halls.inside", self.zones.inside),
-            ("halls.between", self.zones.between),
+            ("zones.inside", self.zones.inside),
+            ("zones.between", self.zones.between),
             ("limits.grace", self.limits.grace),
         ] {
             if !value.is_finite() || value < 0.0 {
--- a/crates/fleet-model/src/seen.rs
+++ b/crates/fleet-model/src/seen.rs
@@ -24,7 +24,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
     All,
-    #[serde(rename = "hall")]
+    #[serde(alias = "hall")]
     Zone,
     Cell,
 }
@@ -60,7 +60,7 @@
     Server {
         at: Time,
         server: usize,
-        #[serde(rename = "hall")]
+        #[serde(alias = "hall")]
         zone: usize,
         cell: usize,
         machine: usize,
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of scenarios and records. They stay as they are, whatever the code calls what they name.
+//! The keys of scenarios and records: what is written now, and what earlier versions have written and is still read.
 
 use nettlemux_fleet_model::fault::{Fault, What};
 use nettlemux_fleet_model::scenario::{Repeat, Scenario};
@@ -6,50 +6,60 @@
 use serde_json::json;
 
 #[test]
-fn scenarios_say_hall_for_a_zone() {
-    let scenario: Scenario = serde_json::from_value(json!({
-        "name": "keys", "seconds": 60, "balancers": {"number": 1}, "halls": {"number": 2},
-        "fleet": {"servers": 4, "capacity": 10}, "clients": {"rate": 1, "life": 9},
-        "types": [{"name": "chat", "repeat": "referenced-hall"}],
-        "faults": [{"what": "hall-cut", "at": 1, "hall": 1}, {"what": "hall-flaps", "at": 2, "hall": 1}]
-    }))
-    .unwrap();
-    assert_eq!(
-        (scenario.zones.number, scenario.types[0].repeat),
-        (2, Repeat::ReferencedZone)
-    );
-    let faults: Vec<_> = scenario
-        .faults
-        .iter()
-        .map(|fault| (fault.what, fault.zone))
-        .collect();
-    assert_eq!(faults, [(What::ZoneCut, 1), (What::ZoneFlaps, 1)]);
+fn scenarios_of_earlier_versions_say_hall_for_a_zone() {
+    for (zones, cut, flaps, zone, repeat) in [
+        ("zones", "zone-cut", "zone-flaps", "zone", "referenced-zone"),
+        ("halls", "hall-cut", "hall-flaps", "hall", "referenced-hall"),
+    ] {
+        let scenario: Scenario = serde_json::from_value(json!({
+            "name": "keys", "seconds": 60, "balancers": {"number": 1}, zones: {"number": 2},
+            "fleet": {"servers": 4, "capacity": 10}, "clients": {"rate": 1, "life": 9},
+            "types": [{"name": "chat", "repeat": repeat}],
+            "faults": [{"what": cut, "at": 1, zone: 1}, {"what": flaps, "at": 2, zone: 1}]
+        }))
+        .unwrap();
+        assert_eq!(
+            (scenario.zones.number, scenario.types[0].repeat),
+            (2, Repeat::ReferencedZone),
+            "{zones}"
+        );
+        let faults: Vec<_> = scenario
+            .faults
+            .iter()
+            .map(|fault| (fault.what, fault.zone))
+            .collect();
+        assert_eq!(
+            faults,
+            [(What::ZoneCut, 1), (What::ZoneFlaps, 1)],
+            "{zones}"
+        );
+    }
 }
 
 /// A hunt writes the faults that it has found into a scenario.
 #[test]
 fn faults_are_written_under_the_keys_that_are_read() {
-    let text = json!({"what": "hall-flaps", "at": 1.0, "for": 2.0, "share": 0.0, "who": [], "hall": 1,
+    let text = json!({"what": "zone-flaps", "at": 1.0, "for": 2.0, "share": 0.0, "who": [], "zone": 1,
         "amount": 0.5, "leaving": "keeps"});
     let fault: Fault = serde_json::from_value(text.clone()).unwrap();
     assert_eq!(serde_json::to_value(&fault).unwrap(), text);
 }
 
 #[test]
-fn a_faulty_key_is_named_as_the_file_has_it() {
+fn a_faulty_key_is_named_as_it_is_called_now() {
     let mut scenario: Scenario = serde_json::from_value(json!({
-        "name": "keys", "seconds": 60, "balancers": {"number": 1}, "halls": {"number": 2},
+        "name": "keys", "seconds": 60, "balancers": {"number": 1}, "zones": {"number": 2},
         "fleet": {"servers": 4, "capacity": 10}, "clients": {"rate": 1, "life": 9},
-        "types": [{"name": "chat"}], "faults": [{"what": "hall-cut", "at": 1, "hall": 2}]
+        "types": [{"name": "chat"}], "faults": [{"what": "zone-cut", "at": 1, "zone": 2}]
     }))
     .unwrap();
-    assert_eq!(scenario.faults[0].check(&scenario).unwrap_err().0, "hall");
+    assert_eq!(scenario.faults[0].check(&scenario).unwrap_err().0, "zone");
     scenario.zones.number = 0;
-    assert_eq!(scenario.check().unwrap_err().0, "halls.number");
+    assert_eq!(scenario.check().unwrap_err().0, "zones.number");
 }
 
 #[test]
-fn records_say_hall_for_a_zone() {
+fn records_of_earlier_versions_say_hall_for_a_zone() {
     let server = Seen::Server {
         at: 1,
         server: 2,
@@ -57,15 +67,17 @@
         cell: 4,
         machine: 5,
     };
-    let text = r#"{"what":"server","at":1,"server":2,"hall":3,"cell":4,"machine":5}"#;
+    let text = r#"{"what":"server","at":1,"server":2,"zone":3,"cell":4,"machine":5}"#;
     assert_eq!(serde_json::to_string(&server).unwrap(), text);
     assert_eq!(serde_json::from_str::<Seen>(text).unwrap(), server);
+    let earlier = text.replace("zone", "hall");
+    assert_eq!(serde_json::from_str::<Seen>(&earlier).unwrap(), server);
     let kind = Kind::Referenced {
         scope: Scope::Zone,
         window: 6,
     };
-    assert_eq!(
-        serde_json::to_string(&kind).unwrap(),
-        r#"{"referenced":{"scope":"hall","window":6}}"#
-    );
+    let text = r#"{"referenced":{"scope":"zone","window":6}}"#;
+    assert_eq!(serde_json::to_string(&kind).unwrap(), text);
+    let earlier = text.replace("zone", "hall");
+    assert_eq!(serde_json::from_str::<Kind>(&earlier).unwrap(), kind);
 }
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -43,7 +43,7 @@
 fn listed(server_id: ServerId, zones: u64) -> Listed {
     Listed {
         server_id,
-        hall: server_id % zones,
+        zone: server_id % zones,
         machine: 0,
         cell: server_id,
         state: State::Ready,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -134,7 +134,7 @@
 pub struct Policy {
     rng: SeededRng,
     service_types: Vec<ServiceType>,
-    hall: u64,
+    zone: u64,
     balancers: f64,
     shares: Vec<f64>,
     surplus: f64,
@@ -231,11 +231,11 @@
 
 impl Policy {
     /// A balancer that knows no servers yet.
-    pub fn new(seed: u64, hall: u64, service_types: Vec<ServiceType>) -> Self {
+    pub fn new(seed: u64, zone: u64, service_types: Vec<ServiceType>) -> Self {
         Policy {
             rng: SeededRng(WyRand::new_seed(seed)),
             service_types,
-            hall,
+            zone,
             balancers: 1.0,
             surplus: 1.0,
             max_connects: 1,
@@ -401,7 +401,7 @@
         for entry in news {
             long.update(
                 entry.server_id,
-                entry.hall,
+                entry.zone,
                 entry.weight,
                 entry.state == State::Ready,
             );
@@ -418,7 +418,7 @@
             .into_iter()
             .flatten();
         let key = group.map_or_else(|| hash(self.salt ^ flow.id), |group| hash_name(group));
-        Some(long.scope(key, self.hall, far, holders))
+        Some(long.scope(key, self.zone, far, holders))
     }
 
     /// The list could not be had; it is asked for again after a while.
@@ -607,7 +607,7 @@
         let others = |server_id: ServerId| told && self.holders.holds(now, name as u16, server_id);
         let holds =
             |server: &Server| ours(server.listed.server_id) || others(server.listed.server_id);
-        let is_near = |server: &Server| server.listed.hall == self.hall;
+        let is_near = |server: &Server| server.listed.zone == self.zone;
         // Guards against many balancers that each hold few of a group and spread it: they agree on an order
         // of servers for it, whose first is its home, with room but for a few more on the same figure.
         let rank = |server: &Server| hash(name ^ server.listed.server_id);
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     All,
-    Hall,
+    Zone,
     Cell,
 }
 
@@ -22,7 +22,7 @@
     pub fn same(self, one: &Listed, other: &Listed) -> bool {
         match self {
             Scope::All => true,
-            Scope::Hall => one.hall == other.hall,
+            Scope::Zone => one.zone == other.zone,
             Scope::Cell => one.cell == other.cell,
         }
     }
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Listed {
     pub server_id: ServerId,
-    pub hall: u64,
+    pub zone: u64,
     pub machine: u64,
     pub cell: u64,
     pub state: State,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// A balancer of hall 0 with one service type.
+/// A balancer of zone 0 with one service type.
 pub fn balancer(kind: Repeat) -> Policy {
     Policy::new(7, 0, vec![repeat(kind)])
         .connects(3, 4 * MS, false, true)
@@ -23,7 +23,7 @@
 pub fn ready(server_id: ServerId) -> Listed {
     Listed {
         server_id,
-        hall: 0,
+        zone: 0,
         machine: 0,
         cell: 0,
         state: State::Ready,
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -325,7 +325,7 @@
 fn no_effect_twice() {
     let referenced = |scope| Repeat::Referenced(scope, SEC);
     let far = Listed {
-        hall: 1,
+        zone: 1,
         cell: 1,
         ..ready(1)
     };
@@ -343,14 +343,14 @@
             "abort",
         ),
         (
-            referenced(Scope::Hall),
+            referenced(Scope::Zone),
             false,
             0,
             vec![ready(0), far],
             "to 0",
         ),
         (
-            referenced(Scope::Hall),
+            referenced(Scope::Zone),
             false,
             2 * SEC,
             vec![ready(0), far],
@@ -888,7 +888,7 @@
         &[
             ready(0),
             Listed {
-                hall: u64::MAX,
+                zone: u64::MAX,
                 machine: 77,
                 ..ready(ServerId::MAX)
             },
@@ -1158,7 +1158,7 @@
 #[test]
 fn groups_go_where_others_say_that_they_are_held() {
     // Guards against a group on as many servers as there are balancers. Whether words are allowed, their age in
-    // seconds, whether the group follows them into the other hall.
+    // seconds, whether the group follows them into the other zone.
     for (tells, age, follows) in [
         (true, 1, true),
         (true, 39, true),
@@ -1167,7 +1167,7 @@
     ] {
         let mut policy = balancer(Repeat::Repeatable).among(1.0, tells);
         let list = |server_id| Listed {
-            hall: u64::from(server_id > 3),
+            zone: u64::from(server_id > 3),
             ..ready(server_id)
         };
         policy.list(T0, &(0..9).map(list).collect::<Vec<_>>(), true);
@@ -1371,7 +1371,7 @@
         let one = |server_id| Listed {
             state,
             started: if server_id % 7 == 0 { T0 } else { 0 },
-            hall: server_id % 3,
+            zone: server_id % 3,
             ..ready(server_id)
         };
         (from..from + 500).map(one).collect()
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -26,7 +26,7 @@
 fn servers(count: u64) -> Vec<Listed> {
     (0..count)
         .map(|server_id| Listed {
-            hall: server_id % 31,
+            zone: server_id % 31,
             ..ready(server_id)
         })
         .collect()
@@ -154,7 +154,7 @@
     let list = servers(600);
     let mut long = nettlemux_candidates::LongList::default();
     list.iter()
-        .for_each(|server| long.update(server.server_id, server.hall, server.weight, true));
+        .for_each(|server| long.update(server.server_id, server.zone, server.weight, true));
     // Few other balancers, as each of ours is taken for one of each of them.
     let mut policy = balancer(1, 3).among(4.0, false);
     policy.list(T0, &list, true);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -89,7 +89,7 @@
             ),
             None => (1.0, 0, 1.0, SHORTEST_FALL),
         };
-        Ok(Policy::new(seed, self.hall()?, self.service_types()?)
+        Ok(Policy::new(seed, self.zone()?, self.service_types()?)
             .connects(
                 self.number_or("limits/max-connects", 1.0)?.max(0.0) as usize,
                 margin,
@@ -199,21 +199,21 @@
         Ok(merged)
     }
 
-    /// The same with the own hall under this number.
-    pub fn in_hall(mut self, number: u64) -> Settings {
+    /// The same with the own zone under this number.
+    pub fn with_zone(mut self, number: u64) -> Settings {
         self.0["zone"] = number.into();
         self
     }
 
-    /// The name of the own hall, where halls have names.
-    pub fn hall_name(&self) -> Option<String> {
+    /// The name of the own zone, where zones have names.
+    pub fn zone_name(&self) -> Option<String> {
         self.names("areas")
             .into_iter()
-            .nth(self.hall().ok()? as usize)
+            .nth(self.zone().ok()? as usize)
     }
 
-    fn hall(&self) -> Read<u64> {
-        // Where there are no halls all are one.
+    fn zone(&self) -> Read<u64> {
+        // Where there are no zones all are one.
         Ok(self.number_or("zone", 0.0)?.max(0.0) as u64)
     }
 
@@ -314,7 +314,7 @@
             "guarded" => {
                 let scope = match word("group", "cell")?.as_str() {
                     "all" => Scope::All,
-                    "zone" => Scope::Hall,
+                    "zone" => Scope::Zone,
                     "cell" => Scope::Cell,
                     other => {
                         return Err(Malformed::new("group", format!("unknown scope '{other}'")));
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -109,7 +109,7 @@
                 let first = self.servers.get(&c.server_id);
                 let same = match scope {
                     Scope::All => true,
-                    Scope::Hall => first.is_some_and(|first| first.hall == server.hall),
+                    Scope::Zone => first.is_some_and(|first| first.zone == server.zone),
                     Scope::Cell => first.is_some_and(|first| first.cell == server.cell),
                 };
                 same && now + MARGIN < c.at + window
--- a/crates/testbed/src/scale/looked_at.rs
+++ b/crates/testbed/src/scale/looked_at.rs
@@ -68,7 +68,7 @@
             for entry in news {
                 long.update(
                     entry.server_id,
-                    entry.hall,
+                    entry.zone,
                     entry.weight,
                     entry.state == State::Ready,
                 );
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -352,7 +352,7 @@
             instances.push(json!({
                 "instanceId": format!("s{server}"),
                 "hostPort": self.server(server, zone).to_string(),
-                "zone": format!("h{}", entry.hall),
+                "zone": format!("h{}", entry.zone),
                 "machineType": "m0",
                 "cell": entry.cell,
                 "lifecycle": match entry.state {
