--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -65,7 +65,7 @@
             ..Flow::default()
         };
         flow.service_type = parts.get("category")?;
-        flow.customer = parts.maybe("client-group")?.unwrap_or(0);
+        flow.tenant = parts.maybe("client-group")?.unwrap_or(0);
         let _item: Option<String> = parts.maybe("item")?;
         flow.give_up = now + parts.time("ttl")?;
         let _effort: Option<f64> = parts.maybe("effort")?;
@@ -88,7 +88,7 @@
         parts.flag("rerouted")?;
         parts.time("ttl")?;
         parts.flag("resent")?;
-        flow.customer = parts.maybe("client-group")?.unwrap_or(0);
+        flow.tenant = parts.maybe("client-group")?.unwrap_or(0);
         flow.service_type = parts.maybe("category")?.unwrap_or(0);
         let _effort: Option<f64> = parts.maybe("effort")?;
         let server_id: ServerId = parts.get("server")?;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,5 @@
 //! The door: whose turn it is while more want in than the decision module takes. It owns the flows that wait for their turn, the
-//! limits of each key (a customer, a client or a tenant: whoever asks says which), the budget of clients' retries, and
+//! limits of each key (a tenant or a client: whoever asks says which), the budget of clients' retries, and
 //! what those that were sent away have been told. All of it is bounded by its configuration, however many distinct clients
 //! come. It has no I/O, clock, threads or hash order; its draws and its hashes come from one seed, which is new with each start.
 //!
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -166,7 +166,7 @@
     operator::parse(&text).map_err(|e| e.to_string())
 }
 
-/// The door as the operator's file has it, its customers' names turned into keys of this run.
+/// The door as the operator's file has it, its tenants' names turned into keys of this run.
 pub fn door(keys: &operator::Door, seed: u64, longest: Time) -> DoorConfig {
     keys.config(longest, |name| {
         Some(nettlemux_admission::key(seed, name.as_bytes()))
--- a/crates/balancer/tests/starts.rs
+++ b/crates/balancer/tests/starts.rs
@@ -97,7 +97,7 @@
             vec![("areas", json!(["x", "y"])), ("zone", json!(1))],
         ),
         (
-            "customers".into(),
+            "tenants".into(),
             vec![(
                 "accounts",
                 json!([{"name": "t", "fraction": 0.4}, {"name": "u"}]),
--- a/crates/fleet-model/src/crowd.rs
+++ b/crates/fleet-model/src/crowd.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Client {
     pub service_type: usize,
-    pub customer: usize,
+    pub tenant: usize,
     pub group: Option<u32>,
     pub zone: usize,
     pub load: f64,
@@ -78,8 +78,8 @@
     /// How long until the next client comes.
     pub fn next_arrival(&mut self, world: &World) -> Time {
         let clients = &world.scenario.clients;
-        let extra = match clients.customers.first() {
-            Some(share) => share * (world.customer_surge - 1.0),
+        let extra = match clients.tenants.first() {
+            Some(share) => share * (world.tenant_surge - 1.0),
             None => 0.0,
         };
         let rate = clients.rate * (world.surge + extra.max(0.0));
@@ -95,13 +95,13 @@
         let scenario = &world.scenario;
         let service_type = self.dice.weighted(scenario.types.iter().map(|t| t.share));
         let of = &scenario.types[service_type];
-        let shares = &scenario.clients.customers;
-        // What a customer brings beyond its share is worth less.
+        let shares = &scenario.clients.tenants;
+        // What a tenant brings beyond its share is worth less.
         let extra = shares
             .first()
-            .map_or(0.0, |share| share * (world.customer_surge - 1.0).max(0.0));
+            .map_or(0.0, |share| share * (world.tenant_surge - 1.0).max(0.0));
         let surplus = extra > 0.0 && self.dice.unit() < extra / (world.surge + extra);
-        let customer = match surplus {
+        let tenant = match surplus {
             true => 0,
             false if shares.is_empty() => 0,
             false => self.dice.weighted(shares.iter().copied()),
@@ -111,7 +111,7 @@
         let group = (groups > 0).then(|| (self.dice.unit().powi(2) * groups as f64) as u32);
         let client = Client {
             service_type,
-            customer,
+            tenant,
             group,
             zone: self.dice.below(scenario.zones.number),
             load: self.dice.around(of.load, scenario.clients.spread),
--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -54,8 +54,9 @@
     BalancersDie,
     /// New clients come at `amount` times their rate.
     Surge,
-    /// One customer's clients come at `amount` times their rate beside the others.
-    CustomerSurge,
+    /// One tenant's clients come at `amount` times their rate beside the others.
+    #[serde(alias = "customer-surge")]
+    TenantSurge,
 }
 
 /// How a draining server treats the connections that it has.
@@ -133,13 +134,13 @@
             What::ZoneFlaps,
             What::StoreSlow,
             What::Surge,
-            What::CustomerSurge,
+            What::TenantSurge,
         ];
         if needs_amount.contains(&self.what) && self.amount <= 0.0 {
             return bad("amount", "this kind of fault needs one above 0".into());
         }
-        if self.what == What::CustomerSurge && scenario.clients.customers.is_empty() {
-            return bad("what", "there are no customers".into());
+        if self.what == What::TenantSurge && scenario.clients.tenants.is_empty() {
+            return bad("what", "there are no tenants".into());
         }
         Ok(())
     }
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/fleet.rs
@@ -63,7 +63,7 @@
     /// The factor on the usual rate of new clients.
     pub surge: f64,
     /// The same for the first tenant's clients alone.
-    pub customer_surge: f64,
+    pub tenant_surge: f64,
     faults: Vec<ActiveFault>,
     schedule: Schedule,
     list: ServerList,
@@ -85,7 +85,7 @@
         let mut world = World {
             store: Store::new(scenario.store.rate, scenario.store.alone),
             surge: 1.0,
-            customer_surge: 1.0,
+            tenant_surge: 1.0,
             faults: Vec::new(),
             schedule: Schedule::default(),
             list: ServerList::new(count),
--- a/crates/fleet-model/src/fleet/faults.rs
+++ b/crates/fleet-model/src/fleet/faults.rs
@@ -77,7 +77,7 @@
             What::RestartInTurn => self.restart_targets(index),
             What::BalancersDie => self.kill_balancers(index),
             What::Surge => self.surge *= amount,
-            What::CustomerSurge => self.customer_surge *= amount,
+            What::TenantSurge => self.tenant_surge *= amount,
         }
     }
 
@@ -103,7 +103,7 @@
             What::ListLate => self.list.extra_delay -= amount,
             What::ListWrong => self.unhide_targets(index),
             What::Surge => self.surge /= amount,
-            What::CustomerSurge => self.customer_surge /= amount,
+            What::TenantSurge => self.tenant_surge /= amount,
             What::ZoneFlaps
             | What::Grow
             | What::Shrink
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -178,10 +178,10 @@
     /// Groups that clients belong to; 0: none.
     #[serde(default)]
     pub groups: usize,
-    /// Shares of the customers; none: there are no customers.
-    #[serde(default)]
-    pub customers: Vec<f64>,
-    /// What the part of a customer's flows that is over its share is worth.
+    /// Shares of the tenants; none: there are no tenants.
+    #[serde(default, alias = "customers")]
+    pub tenants: Vec<f64>,
+    /// What the part of a tenant's flows that is over its share is worth.
     #[serde(default = "unit")]
     pub surplus: f64,
     /// Tries that a client makes before it gives up for good.
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -3,6 +3,7 @@
 use nettlemux_fleet_model::fault::{Fault, What};
 use nettlemux_fleet_model::scenario::{Repeat, Scenario};
 use nettlemux_fleet_model::seen::{Kind, Scope, Seen};
+use nettlemux_settings::operator::By;
 use serde_json::json;
 
 #[test]
@@ -81,3 +82,24 @@
     let earlier = text.replace("zone", "hall");
     assert_eq!(serde_json::from_str::<Kind>(&earlier).unwrap(), kind);
 }
+
+#[test]
+fn scenarios_of_earlier_versions_say_customer_for_a_tenant() {
+    for (tenants, surge, by) in [
+        ("tenants", "tenant-surge", "tenant"),
+        ("customers", "customer-surge", "customer"),
+    ] {
+        let scenario: Scenario = serde_json::from_value(json!({
+            "name": "keys", "seconds": 60, "balancers": {"number": 1},
+            "fleet": {"servers": 4, "capacity": 10},
+            "clients": {"rate": 1, "life": 9, tenants: [0.5, 0.5]},
+            "types": [{"name": "chat"}], "door": {"by": by},
+            "faults": [{"what": surge, "at": 1, "amount": 2}]
+        }))
+        .unwrap();
+        assert_eq!(scenario.clients.tenants, [0.5, 0.5], "{tenants}");
+        assert_eq!(scenario.faults[0].what, What::TenantSurge, "{tenants}");
+        let door = scenario.door.as_ref().unwrap();
+        assert_eq!(door.by, By::Tenant, "{tenants}");
+    }
+}
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -126,7 +126,7 @@
 /// Who asks, for the door: whose turn a flow takes, and when it is too late for one. Nobody's where there is no door.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Who {
-    /// The customer, client or tenant whose turn it takes.
+    /// The tenant or client whose turn it takes.
     pub key: u64,
     /// The client, to be known again.
     pub client: u64,
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -39,9 +39,9 @@
                     Some(_) => return refuse(taken, "nobody waits so long"),
                     None => return refuse(taken, "no time to wait"),
                 };
-                let customer = match open.customer.map(|name| known.customer(name)) {
-                    Some(None) => return refuse(taken, "unknown customer"),
-                    Some(Some(customer)) => customer,
+                let tenant = match open.tenant.map(|name| known.tenant(name)) {
+                    Some(None) => return refuse(taken, "unknown tenant"),
+                    Some(Some(tenant)) => tenant,
                     None => 0,
                 };
                 // A client waits for its answer; guards against many commands at once.
@@ -54,7 +54,7 @@
                 let flow = Flow {
                     id: core.number(),
                     service_type,
-                    customer,
+                    tenant,
                     group: open.group.filter(|_| known.groups).map(String::from),
                     returning: open.returning,
                     taken: taken.at,
--- a/crates/line-protocol/src/first.rs
+++ b/crates/line-protocol/src/first.rs
@@ -23,7 +23,7 @@
     /// How long the client waits, in milliseconds.
     pub wait: Option<u64>,
     pub group: Option<&'a str>,
-    pub customer: Option<&'a str>,
+    pub tenant: Option<&'a str>,
     /// The flow's key.
     pub key: &'a str,
     /// The client says that it tries again.
@@ -79,7 +79,7 @@
             }
             "d" => return Err("d is no whole number"),
             "g" => open.group = Some(value),
-            "t" => open.customer = Some(value),
+            "t" => open.tenant = Some(value),
             "at" => open.at = Some(value),
             "r" | "again" if value != "1" => return Err("a mark is not 1"),
             "again" => open.returning = true,
@@ -110,7 +110,7 @@
     /// How the door tells clients apart, where there is one, and the seed of its keys.
     pub by: Option<(By, u64)>,
     pub classes: Vec<Class>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
     pub groups: bool,
 }
 
@@ -129,7 +129,7 @@
                 target: known.setup_target,
             })
             .collect(),
-            customers: settings.names("accounts"),
+            tenants: settings.names("accounts"),
             groups: settings
                 .maybe("specifics/groups")
                 .and_then(|v| v.as_bool())
@@ -146,7 +146,7 @@
         let client = nettlemux_admission::key(seed, open.group.unwrap_or(open.key).as_bytes());
         let key = match by {
             By::Client => client,
-            By::Customer => self.key_of(open.customer.unwrap_or_default(), seed),
+            By::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
         };
         let target = taken + self.classes[service_type].target;
         Who {
@@ -157,28 +157,28 @@
         }
     }
 
-    /// A customer's key, the same for its name and its number.
+    /// A tenant's key, the same for its name and its number.
     fn key_of(&self, name: &str, seed: u64) -> u64 {
-        let number = self.customer(name).unwrap_or(usize::MAX);
+        let number = self.tenant(name).unwrap_or(usize::MAX);
         nettlemux_admission::key(
             seed,
-            self.customers
+            self.tenants
                 .get(number)
                 .map_or(name, String::as_str)
                 .as_bytes(),
         )
     }
 
-    /// A customer's place among the settings', told by name or number; none for one that is unknown. Where there
-    /// are no customers all are alike.
-    pub fn customer(&self, name: &str) -> Option<usize> {
-        let by_name = self.customers.iter().position(|known| known == name);
+    /// A tenant's place among the settings', told by name or number; none for one that is unknown. Where there
+    /// are no tenants all are alike.
+    pub fn tenant(&self, name: &str) -> Option<usize> {
+        let by_name = self.tenants.iter().position(|known| known == name);
         let by_number = || {
             name.parse()
                 .ok()
-                .filter(|number| *number < self.customers.len())
+                .filter(|number| *number < self.tenants.len())
         };
-        if self.customers.is_empty() {
+        if self.tenants.is_empty() {
             Some(0)
         } else {
             by_name.or_else(by_number)
--- a/crates/policy/src/book.rs
+++ b/crates/policy/src/book.rs
@@ -8,7 +8,7 @@
 pub(crate) struct Own {
     pub(crate) server_id: ServerId,
     pub(crate) service_type: usize,
-    pub(crate) customer: usize,
+    pub(crate) tenant: usize,
     pub(crate) group: Option<String>,
     pub(crate) established: bool,
     /// Its client has been told to move.
@@ -25,7 +25,7 @@
     pub(crate) own: BTreeMap<FlowId, Own>,
     pub(crate) by_server: BTreeMap<ServerId, BTreeSet<FlowId>>,
     pub(crate) by_group: BTreeMap<String, BTreeMap<ServerId, usize>>,
-    pub(crate) by_customer: BTreeMap<usize, usize>,
+    pub(crate) by_tenant: BTreeMap<usize, usize>,
     /// For each service type how many loads were told and their sum.
     pub(crate) told: BTreeMap<usize, (f64, f64)>,
     /// Connects in flight: where, and since when.
@@ -36,7 +36,7 @@
     pub(crate) fn enter(&mut self, now: Time, flow: &Flow, server_id: ServerId, established: bool) {
         self.strike(flow.id);
         let group = flow.group.clone();
-        *self.by_customer.entry(flow.customer).or_default() += 1;
+        *self.by_tenant.entry(flow.tenant).or_default() += 1;
         self.by_server.entry(server_id).or_default().insert(flow.id);
         if let Some(group) = &group {
             *self
@@ -52,7 +52,7 @@
         let (
             &Flow {
                 service_type,
-                customer,
+                tenant,
                 ..
             },
             moved,
@@ -64,7 +64,7 @@
             Own {
                 server_id,
                 service_type,
-                customer,
+                tenant,
                 group,
                 established,
                 moved,
@@ -100,7 +100,7 @@
         {
             self.by_server.remove(&own.server_id);
         }
-        less(&mut self.by_customer, &own.customer);
+        less(&mut self.by_tenant, &own.tenant);
         if let (Some(load), Some((count, sum))) = (own.load, self.told.get_mut(&own.service_type)) {
             (*count, *sum) = (*count - 1.0, *sum - load);
         }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -30,7 +30,7 @@
 const SPARE: f64 = 4.0;
 /// Room kept for flows that bring more value for their load than ours do on the whole.
 const RESERVE: f64 = 0.16;
-/// A customer is well over its share from this many times it.
+/// A tenant is well over its share from this many times it.
 const OVER: f64 = 1.25;
 /// Answers are gathered so long for each flow held and server: a thousand times what one look takes.
 const TOGETHER: Time = 100_000;
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Goes on under other settings, which keep the places of service types and customers in hand.
+    /// Goes on under other settings, which keep the places of service types and tenants in hand.
     pub fn change(&mut self, new: Policy) {
         let old = std::mem::replace(self, new);
         (self.rng, self.servers, self.book) = (old.rng, old.servers, old.book);
@@ -292,8 +292,8 @@
         self
     }
 
-    /// Each customer's share, and the part of its value that a flow over it keeps.
-    pub fn customers(mut self, shares: Vec<f64>, surplus: f64) -> Self {
+    /// Each tenant's share, and the part of its value that a flow over it keeps.
+    pub fn tenants(mut self, shares: Vec<f64>, surplus: f64) -> Self {
         (self.shares, self.surplus) = (shares, surplus);
         self
     }
@@ -991,7 +991,7 @@
         may_send.then(|| self.heard(now, word)).map(|()| word)
     }
 
-    /// Whether the flow brings value for its load as ours do; a customer over its share brings the surplus.
+    /// Whether the flow brings value for its load as ours do; a tenant over its share brings the surplus.
     fn worthy(&self, flow: &Flow) -> bool {
         let (mut load, mut value) = (0.0, 0.0);
         for (service_type, (count, sum)) in &self.book.told {
@@ -1007,13 +1007,8 @@
             .get(&flow.service_type)
             .copied()
             .unwrap_or((0.0, 0.0));
-        let held = self
-            .book
-            .by_customer
-            .get(&flow.customer)
-            .copied()
-            .unwrap_or(0) as f64;
-        let share = self.shares.get(flow.customer).copied().unwrap_or(1.0);
+        let held = self.book.by_tenant.get(&flow.tenant).copied().unwrap_or(0) as f64;
+        let share = self.shares.get(flow.tenant).copied().unwrap_or(1.0);
         let over = held > OVER * share * self.book.own.len() as f64;
         let own = self.service_type(flow).value * if over { self.surplus } else { 1.0 };
         // Compared crosswise: no load told makes all alike.
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -59,7 +59,7 @@
 pub struct Flow {
     pub id: FlowId,
     pub service_type: usize,
-    pub customer: usize,
+    pub tenant: usize,
     /// Flows of one group cost a server their common work once.
     pub group: Option<String>,
     /// The client's connection broke or was moved: it comes back with the load that it had.
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -847,22 +847,22 @@
 }
 
 #[test]
-fn room_is_kept_for_value_and_for_customers_within_their_share() {
-    // Loads told for types 0 and 1, values 1 and 5; customer 0 holds three quarters of a half share.
-    for (service_type, customer, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
+fn room_is_kept_for_value_and_for_tenants_within_their_share() {
+    // Loads told for types 0 and 1, values 1 and 5; tenant 0 holds three quarters of a half share.
+    for (service_type, tenant, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
         let types = [1.0, 5.0].map(|value| ServiceType {
             value,
             ..repeat(Repeat::Repeatable)
         });
         let mut policy = Policy::new(7, 0, types.to_vec())
             .connects(3, 4 * MS, false, true)
-            .customers(vec![0.5, 0.5], 0.1)
+            .tenants(vec![0.5, 0.5], 0.1)
             .probing(true, 0.0);
         policy.list(T0, &[ready(0), ready(1)], true);
         for id in 0..40 {
             let held = Flow {
                 service_type: id as usize % 2,
-                customer: usize::from(id >= 30),
+                tenant: usize::from(id >= 30),
                 ..flow(T0, 1000 + id)
             };
             policy.inherit(&held, id % 2);
@@ -871,12 +871,12 @@
         (0..2).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.57)));
         let one = Flow {
             service_type,
-            customer,
+            tenant,
             taken: T0 - SEC,
             ..flow(T0, 1)
         };
         let placed = matches!(policy.place(T0, &one), Place::To(..));
-        assert_eq!(placed, want, "type {service_type}, customer {customer}");
+        assert_eq!(placed, want, "type {service_type}, tenant {tenant}");
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -97,7 +97,7 @@
                 self.allowed("limits/may-cancel")?,
             )
             .among(self.number_or("replicas-of-me", 1.0)?, self.may_tell()?)
-            .customers(self.shares()?, self.number_or("surplus-value", 1.0)?)
+            .tenants(self.shares()?, self.number_or("surplus-value", 1.0)?)
             .come_back(self.come_back()?)
             .probing(
                 self.allowed("limits/probes")?,
@@ -165,10 +165,10 @@
     }
 
     /// These settings in a balancer that has run under others: what flows in hand refer to by its place keeps it. Service
-    /// types and customers that are no longer named stay behind those that are, for what is left of them.
+    /// types and tenants that are no longer named stay behind those that are, for what is left of them.
     ///
     /// # Errors
-    /// Where a service type or a customer has no name, or two have the same.
+    /// Where a service type or a tenant has no name, or two have the same.
     pub fn following(&self, old: &Settings) -> Read<Settings> {
         let mut merged = self.clone();
         for list in ["service-types", "accounts"] {
@@ -285,7 +285,7 @@
         self.needed(path, |value| value.as_str().map(String::from))
     }
 
-    /// Each customer's share; none where there are no customers.
+    /// Each tenant's share; none where there are no tenants.
     pub fn shares(&self) -> Read<Vec<f64>> {
         let none = Value::Array(Vec::new());
         let list = self.maybe("accounts").unwrap_or(&none);
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -88,7 +88,7 @@
     /// Places in the tables of rates and promises, 24 bytes each.
     #[schemars(range(min = 16, max = 1000000))]
     pub table: usize,
-    /// Weights of customers by name, where they aren't 1; only where turns are by customer.
+    /// Weights of tenants by name, where they aren't 1; only where turns are by tenant.
     pub weights: std::collections::BTreeMap<String, f64>,
 }
 
@@ -96,9 +96,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum By {
-    /// The customer that a first line names.
+    /// The tenant that a first line names.
     #[default]
-    Customer,
+    #[serde(alias = "customer")]
+    Tenant,
     /// The client: the group that a first line names, else the flow's key.
     Client,
 }
@@ -106,7 +107,7 @@
 impl Default for Door {
     fn default() -> Self {
         Door {
-            by: By::Customer,
+            by: By::Tenant,
             waiting: 1024,
             waiting_each: 64,
             held: 4,
@@ -122,7 +123,7 @@
 }
 
 impl Door {
-    /// The door's own configuration; `key` turns a customer's name into its key, or leaves its weight out.
+    /// The door's own configuration; `key` turns a tenant's name into its key, or leaves its weight out.
     pub fn config(&self, longest: Time, key: impl Fn(&str) -> Option<u64>) -> Config {
         let weights = self
             .weights
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -68,7 +68,7 @@
     ("probes", "probes made"),
     (
         "quiet_p50",
-        "seconds from when a client of any customer but the first wants service until it has it, tries and all, median",
+        "seconds from when a client of any tenant but the first wants service until it has it, tries and all, median",
     ),
     ("quiet_p99", "the same, 99th percentile"),
     (
@@ -241,7 +241,7 @@
             self.told_answers += 1;
             self.told_served += u64::from(established);
         }
-        if client.customer > 0 {
+        if client.tenant > 0 {
             self.quiet_answers += 1;
             self.quiet_lost += u64::from(!established);
             if established {
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -159,7 +159,7 @@
                 "group": group, "hard-limit": us(t.wait), "window": us(t.window)})
         })
         .collect();
-    let customers: Vec<Value> = (scenario.clients.customers.iter().enumerate())
+    let tenants: Vec<Value> = (scenario.clients.tenants.iter().enumerate())
         .map(|(i, share)| json!({"name": format!("c{i}"), "fraction": share}))
         .collect();
     let (limits, fleet) = (&scenario.limits, &scenario.fleet);
@@ -170,7 +170,7 @@
         "discovery": "push",
         "weights": if scenario.discovery.weights == Weights::Live { "live" } else { "nominal" },
         "replicas-of-me": scenario.balancers.number,
-        "accounts": customers,
+        "accounts": tenants,
         "surplus-value": scenario.clients.surplus,
         "costs": {"probe": scenario.limits.probe_price},
         "contract": {"start-capacity": fleet.cold_share, "warm-up": us(fleet.warm_up),
@@ -187,7 +187,7 @@
     })
 }
 
-/// The door as a scenario has it: customers are told apart by number, and weights name them c0, c1 and so on.
+/// The door as a scenario has it: tenants are told apart by number, and weights name them c0, c1 and so on.
 pub fn door(keys: &operator::Door, longest: Time) -> Config {
     keys.config(longest, |name| {
         name.strip_prefix('c')
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -95,7 +95,7 @@
         Flow {
             id,
             service_type: known.service_type,
-            customer: known.customer,
+            tenant: known.tenant,
             group: known.group.map(|group| format!("g{group}")),
             returning: known.returning,
             taken: self.now,
@@ -107,7 +107,7 @@
     /// The key that admission control counts a flow under.
     fn admission_key(&self, id: ClientId, client: &Client) -> u64 {
         match self.model.scenario.door.as_ref().map(|door| door.by) {
-            Some(By::Customer) => client.customer as u64,
+            Some(By::Tenant) => client.tenant as u64,
             _ => id,
         }
     }
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -203,8 +203,8 @@
     if let Some(group) = client.group {
         line += &format!(",g=g{group}");
     }
-    if !stage.scenario.clients.customers.is_empty() {
-        line += &format!(",t=c{}", client.customer);
+    if !stage.scenario.clients.tenants.is_empty() {
+        line += &format!(",t=c{}", client.tenant);
     }
     if client.returning {
         line += ",again=1";
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -114,7 +114,7 @@
 fn every_fault_acts_and_breaks_no_rule() {
     let mut scenario = load("calm");
     (scenario.seconds, scenario.zones.number) = (45.0, 2);
-    scenario.clients.customers = vec![0.5, 0.5];
+    scenario.clients.tenants = vec![0.5, 0.5];
     scenario.expect.clear();
     let calm = module(&scenario, 1).figures;
     for (what, share, amount) in [
@@ -137,7 +137,7 @@
         (What::RestartInTurn, 0.0, 1.0),
         (What::BalancersDie, 0.4, 0.0),
         (What::Surge, 0.0, 3.0),
-        (What::CustomerSurge, 0.0, 4.0),
+        (What::TenantSurge, 0.0, 4.0),
     ] {
         let mut day = scenario.clone();
         let text = format!(
