--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -64,7 +64,7 @@
             taken: now,
             ..Flow::default()
         };
-        flow.service_type = parts.get("category")?;
+        flow.class = parts.get("category")?;
         flow.tenant = parts.maybe("client-group")?.unwrap_or(0);
         let _item: Option<String> = parts.maybe("item")?;
         flow.give_up = now + parts.time("ttl")?;
@@ -89,7 +89,7 @@
         parts.time("ttl")?;
         parts.flag("resent")?;
         flow.tenant = parts.maybe("client-group")?.unwrap_or(0);
-        flow.service_type = parts.maybe("category")?.unwrap_or(0);
+        flow.class = parts.maybe("category")?.unwrap_or(0);
         let _effort: Option<f64> = parts.maybe("effort")?;
         let server_id: ServerId = parts.get("server")?;
         self.hand.inherit(flow, server_id);
--- a/crates/balancer/tests/sockets.rs
+++ b/crates/balancer/tests/sockets.rs
@@ -737,7 +737,7 @@
 fn other_settings_are_taken_on_sighup_and_taken_back_by_the_same_step() {
     let mut stand = Stand::new(2);
     let first = stand.config.clone();
-    // Another shape: service types in another order, one of them new and one gone, balancers that may talk, one connect.
+    // Another shape: traffic classes in another order, one of them new and one gone, balancers that may talk, one connect.
     let mut other: serde_json::Value = serde_json::from_str(&first).unwrap();
     let settings = &mut other["settings"];
     settings["areas"] = serde_json::json!(["b", "a"]);
--- a/crates/balancer/tests/starts.rs
+++ b/crates/balancer/tests/starts.rs
@@ -31,7 +31,7 @@
     "specifics",
 ];
 
-/// Starts it with these settings, lets it serve a flow of each service type, and ends it.
+/// Starts it with these settings, lets it serve a flow of each traffic class, and ends it.
 fn serves_and_ends(what: &str, changes: &[(&str, Value)]) {
     let mut stand = Stand::with(2, |config| changed(&config, changes));
     for class in ["chat", "order"] {
--- a/crates/fleet-model/src/crowd.rs
+++ b/crates/fleet-model/src/crowd.rs
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Client {
-    pub service_type: usize,
+    pub class: usize,
     pub tenant: usize,
     pub group: Option<u32>,
     pub zone: usize,
@@ -47,7 +47,7 @@
         Guest {
             load: self.load,
             group: self.group,
-            service_type: self.service_type,
+            class: self.class,
             value: self.value,
         }
     }
@@ -93,8 +93,8 @@
     /// A new client, who wants what it wants from now on.
     pub fn arrive(&mut self, now: Time, world: &World) -> u64 {
         let scenario = &world.scenario;
-        let service_type = self.dice.weighted(scenario.types.iter().map(|t| t.share));
-        let of = &scenario.types[service_type];
+        let class = self.dice.weighted(scenario.types.iter().map(|t| t.share));
+        let of = &scenario.types[class];
         let shares = &scenario.clients.tenants;
         // What a tenant brings beyond its share is worth less.
         let extra = shares
@@ -110,7 +110,7 @@
         // Few groups are large: squared, so that the first tenth holds a third of the clients.
         let group = (groups > 0).then(|| (self.dice.unit().powi(2) * groups as f64) as u32);
         let client = Client {
-            service_type,
+            class,
             tenant,
             group,
             zone: self.dice.below(scenario.zones.number),
@@ -149,10 +149,9 @@
     /// A connection's load changes: what it is now, and how long until the next change.
     pub fn change_load(&mut self, id: u64, scenario: &Scenario) -> Option<(f64, Time)> {
         let client = self.clients.get_mut(&id)?;
-        client.load = self.dice.around(
-            scenario.types[client.service_type].load,
-            scenario.clients.spread,
-        );
+        client.load = self
+            .dice
+            .around(scenario.types[client.class].load, scenario.clients.spread);
         let wait = seconds(self.dice.exponential(scenario.clients.changes)).max(MS);
         Some((client.load, wait))
     }
@@ -165,7 +164,7 @@
     pub fn kind(&self, id: u64, scenario: &Scenario) -> Kind {
         self.clients
             .get(&id)
-            .map_or(Kind::Repeatable, |c| scenario.types[c.service_type].kind())
+            .map_or(Kind::Repeatable, |c| scenario.types[c.class].kind())
     }
 
     /// It is served.
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/fleet.rs
@@ -185,8 +185,8 @@
             .zip(types)
             .filter(|(worth, _)| **worth > 0.0);
         worth
-            .map(|(worth, service_type)| {
-                worth * server.in_time(&self.scenario.fleet, now, service_type.message_target)
+            .map(|(worth, class)| {
+                worth * server.in_time(&self.scenario.fleet, now, class.message_target)
             })
             .sum()
     }
--- a/crates/fleet-model/src/fleet/tests.rs
+++ b/crates/fleet-model/src/fleet/tests.rs
@@ -83,7 +83,7 @@
             let guest = crate::server::Guest {
                 load: 0.1,
                 group: None,
-                service_type: 0,
+                class: 0,
                 value: 1.0,
             };
             world.servers[0].seat(id, guest);
--- a/crates/fleet-model/src/seen.rs
+++ b/crates/fleet-model/src/seen.rs
@@ -7,7 +7,7 @@
 /// The version of the record's form; a reader refuses another.
 pub const VERSION: u32 = 1;
 
-/// How a flow may be repeated, as the scenario says of its service type.
+/// How a flow may be repeated, as the scenario says of its traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
--- a/crates/fleet-model/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -33,7 +33,7 @@
 pub struct Guest {
     pub load: f64,
     pub group: Option<u32>,
-    pub service_type: usize,
+    pub class: usize,
     /// Worth of a second of good service to it.
     pub value: f64,
 }
@@ -75,7 +75,7 @@
     full: f64,
     groups: BTreeMap<u32, usize>,
     load: f64,
-    /// Worth of a second of good service to all on it, by service type.
+    /// Worth of a second of good service to all on it, by traffic class.
     pub worth: Vec<f64>,
     /// Seconds of work that have piled up.
     pile: f64,
@@ -230,7 +230,7 @@
     pub fn seat(&mut self, id: u64, guest: Guest) {
         self.rise(id);
         self.load += guest.load;
-        self.worth[guest.service_type] += guest.value;
+        self.worth[guest.class] += guest.value;
         if let Some(group) = guest.group {
             *self.groups.entry(group).or_default() += 1;
         }
@@ -248,7 +248,7 @@
         } else {
             (self.load - guest.load).max(0.0)
         };
-        let worth = &mut self.worth[guest.service_type];
+        let worth = &mut self.worth[guest.class];
         *worth = if self.guests.is_empty() {
             0.0
         } else {
--- a/crates/fleet-model/src/server/tests.rs
+++ b/crates/fleet-model/src/server/tests.rs
@@ -17,7 +17,7 @@
     Guest {
         load,
         group,
-        service_type: 0,
+        class: 0,
         value: 1.0,
     }
 }
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -250,7 +250,7 @@
                     let place = self.brain.place(now, &in_hand.flow);
                     self.answer(now, id, place, acts);
                 }
-                // No connect was made, so coming again is safe whatever the service type.
+                // No connect was made, so coming again is safe whatever the traffic class.
                 Turn::SentAway(flow, _, wait) => {
                     self.settle(flow);
                     acts.push(Act::Reject {
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -28,14 +28,14 @@
                     .classes
                     .iter()
                     .position(|class| class.name == open.class);
-                let Some(service_type) = class else {
+                let Some(class) = class else {
                     return refuse(taken, "unknown class");
                 };
                 let at = open.at.map(String::from);
                 let wait = match open.wait {
                     _ if at.is_some() => INHERITED,
                     // Nobody waits longer than the settings say for the class.
-                    Some(ms) if ms > 0 && ms <= known.classes[service_type].longest / MS => ms * MS,
+                    Some(ms) if ms > 0 && ms <= known.classes[class].longest / MS => ms * MS,
                     Some(_) => return refuse(taken, "nobody waits so long"),
                     None => return refuse(taken, "no time to wait"),
                 };
@@ -53,7 +53,7 @@
                 };
                 let flow = Flow {
                     id: core.number(),
-                    service_type,
+                    class,
                     tenant,
                     group: open.group.filter(|_| known.groups).map(String::from),
                     returning: open.returning,
@@ -72,7 +72,7 @@
                 taken.caller.socket.hold(slot);
                 debug!(id = flow.id, line = %String::from_utf8_lossy(&taken.bytes[..length]), "taken");
                 let line = taken.bytes[..length].to_vec();
-                let who = known.who(&open, flow.service_type, flow.taken);
+                let who = known.who(&open, flow.class, flow.taken);
                 return Some(Admitted {
                     flow,
                     who,
--- a/crates/line-protocol/src/first.rs
+++ b/crates/line-protocol/src/first.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// A service type as first lines name it, and the longest that its clients wait.
+/// A traffic class as first lines name it, and the longest that its clients wait.
 pub struct Class {
     pub name: String,
     pub longest: Time,
@@ -122,7 +122,7 @@
                 .names("service-types")
                 .into_iter()
                 .zip(settings.longest_waits()))
-            .zip(settings.service_types()?)
+            .zip(settings.traffic_classes()?)
             .map(|((name, longest), known)| Class {
                 name,
                 longest: longest.unwrap_or(LONGEST),
@@ -138,7 +138,7 @@
     }
 
     /// Who asks, as the door tells clients apart; nobody in particular where there is none.
-    pub fn who(&self, open: &Open, service_type: usize, taken: Time) -> Who {
+    pub fn who(&self, open: &Open, class: usize, taken: Time) -> Who {
         let Some((by, seed)) = self.by else {
             return Who::default();
         };
@@ -148,7 +148,7 @@
             By::Client => client,
             By::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
         };
-        let target = taken + self.classes[service_type].target;
+        let target = taken + self.classes[class].target;
         Who {
             key,
             client,
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -32,8 +32,8 @@
     }
 }
 
-fn service_type() -> ServiceType {
-    ServiceType {
+fn class() -> TrafficClass {
+    TrafficClass {
         setup_target: 230 * MS,
         value: 1.0,
         repeat: Repeat::Repeatable,
@@ -53,7 +53,7 @@
 }
 
 fn balancer(seed: u64, zone: u64, balancers: f64, whole: bool) -> Policy {
-    let policy = Policy::new(seed, zone, vec![service_type()])
+    let policy = Policy::new(seed, zone, vec![class()])
         .connects(3, 4 * MS, false, true)
         .come_back(Some(2 * SEC))
         .probing(true, PROBE_PRICE)
--- a/crates/policy/src/book.rs
+++ b/crates/policy/src/book.rs
@@ -7,7 +7,7 @@
 /// A connection of ours, or a connect in flight.
 pub(crate) struct Own {
     pub(crate) server_id: ServerId,
-    pub(crate) service_type: usize,
+    pub(crate) class: usize,
     pub(crate) tenant: usize,
     pub(crate) group: Option<String>,
     pub(crate) established: bool,
@@ -26,7 +26,7 @@
     pub(crate) by_server: BTreeMap<ServerId, BTreeSet<FlowId>>,
     pub(crate) by_group: BTreeMap<String, BTreeMap<ServerId, usize>>,
     pub(crate) by_tenant: BTreeMap<usize, usize>,
-    /// For each service type how many loads were told and their sum.
+    /// For each traffic class how many loads were told and their sum.
     pub(crate) told: BTreeMap<usize, (f64, f64)>,
     /// Connects in flight: where, and since when.
     pub(crate) out: BTreeMap<FlowId, (ServerId, Time)>,
@@ -49,21 +49,12 @@
         if !established {
             self.out.insert(flow.id, (server_id, now));
         }
-        let (
-            &Flow {
-                service_type,
-                tenant,
-                ..
-            },
-            moved,
-            load,
-            estimate,
-        ) = (flow, false, None, None);
+        let (&Flow { class, tenant, .. }, moved, load, estimate) = (flow, false, None, None);
         self.own.insert(
             flow.id,
             Own {
                 server_id,
-                service_type,
+                class,
                 tenant,
                 group,
                 established,
@@ -78,7 +69,7 @@
         let Some(own) = self.own.get_mut(&flow) else {
             return;
         };
-        let (count, sum) = self.told.entry(own.service_type).or_default();
+        let (count, sum) = self.told.entry(own.class).or_default();
         *count += if own.load.is_none() { 1.0 } else { 0.0 };
         *sum += load - own.load.replace(load).unwrap_or(0.0);
     }
@@ -101,7 +92,7 @@
             self.by_server.remove(&own.server_id);
         }
         less(&mut self.by_tenant, &own.tenant);
-        if let (Some(load), Some((count, sum))) = (own.load, self.told.get_mut(&own.service_type)) {
+        if let (Some(load), Some((count, sum))) = (own.load, self.told.get_mut(&own.class)) {
             (*count, *sum) = (*count - 1.0, *sum - load);
         }
         if let Some(group) = &own.group
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -133,7 +133,7 @@
 #[derive(Default)]
 pub struct Policy {
     rng: SeededRng,
-    service_types: Vec<ServiceType>,
+    classes: Vec<TrafficClass>,
     zone: u64,
     balancers: f64,
     shares: Vec<f64>,
@@ -231,10 +231,10 @@
 
 impl Policy {
     /// A balancer that knows no servers yet.
-    pub fn new(seed: u64, zone: u64, service_types: Vec<ServiceType>) -> Self {
+    pub fn new(seed: u64, zone: u64, classes: Vec<TrafficClass>) -> Self {
         Policy {
             rng: SeededRng(WyRand::new_seed(seed)),
-            service_types,
+            classes,
             zone,
             balancers: 1.0,
             surplus: 1.0,
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Goes on under other settings, which keep the places of service types and tenants in hand.
+    /// Goes on under other settings, which keep the places of traffic classes and tenants in hand.
     pub fn change(&mut self, new: Policy) {
         let old = std::mem::replace(self, new);
         (self.rng, self.servers, self.book) = (old.rng, old.servers, old.book);
@@ -493,8 +493,7 @@
             self.least = (now, least);
         }
         // When many wait the figures that there are must do: looking at all of them again costs too much.
-        let waits =
-            now < flow.taken + self.service_type(flow).setup_target && left > 2 * LOOK_AGAIN;
+        let waits = now < flow.taken + self.class(flow).setup_target && left > 2 * LOOK_AGAIN;
         let asks = !ask.is_empty() && !self.crowded() && waits;
         if asks
             && self
@@ -544,7 +543,7 @@
             .map(|server| (server, self.beta(now, server)))
             .collect();
         // Guards against one server that answers nothing and soon holds all connects that may be in flight.
-        let target = self.service_type(flow).setup_target;
+        let target = self.class(flow).setup_target;
         let late = self.book.out.values().filter(|(_, at)| at + target < now);
         let overdue: BTreeSet<ServerId> = late.map(|(server_id, _)| *server_id).collect();
         let answers = |server_id: ServerId| {
@@ -919,16 +918,13 @@
             .map(|at| at.max(now + ROUND / 2))
     }
 
-    fn service_type(&self, flow: &Flow) -> ServiceType {
-        let unknown = ServiceType {
+    fn class(&self, flow: &Flow) -> TrafficClass {
+        let unknown = TrafficClass {
             setup_target: 0,
             value: 0.0,
             repeat: Repeat::OnceOnly,
         };
-        self.service_types
-            .get(flow.service_type)
-            .copied()
-            .unwrap_or(unknown)
+        self.classes.get(flow.class).copied().unwrap_or(unknown)
     }
 
     /// Not yet, while the setup target may still be met and few wait; else never.
@@ -936,7 +932,7 @@
         let waited = now.saturating_sub(flow.taken);
         // Guards against a short-lived try that is looked at again only when its time has run out.
         let short = flow.give_up <= now + self.margin + LOOK_AGAIN.max(self.gather());
-        if short || waited >= self.service_type(flow).setup_target || self.crowded() {
+        if short || waited >= self.class(flow).setup_target || self.crowded() {
             return self.give_up(now, flow);
         }
         self.held += 1;
@@ -994,23 +990,23 @@
     /// Whether the flow brings value for its load as ours do; a tenant over its share brings the surplus.
     fn worthy(&self, flow: &Flow) -> bool {
         let (mut load, mut value) = (0.0, 0.0);
-        for (service_type, (count, sum)) in &self.book.told {
+        for (class, (count, sum)) in &self.book.told {
             load += sum;
             value += self
-                .service_types
-                .get(*service_type)
+                .classes
+                .get(*class)
                 .map_or(0.0, |known| known.value * count);
         }
         let (count, sum) = self
             .book
             .told
-            .get(&flow.service_type)
+            .get(&flow.class)
             .copied()
             .unwrap_or((0.0, 0.0));
         let held = self.book.by_tenant.get(&flow.tenant).copied().unwrap_or(0) as f64;
         let share = self.shares.get(flow.tenant).copied().unwrap_or(1.0);
         let over = held > OVER * share * self.book.own.len() as f64;
-        let own = self.service_type(flow).value * if over { self.surplus } else { 1.0 };
+        let own = self.class(flow).value * if over { self.surplus } else { 1.0 };
         // Compared crosswise: no load told makes all alike.
         own * count * load >= value * sum
     }
@@ -1022,7 +1018,7 @@
         let remembered = self
             .send_by(flow)
             .saturating_sub(now + self.margin + HELD_UP);
-        match self.service_type(flow).repeat {
+        match self.class(flow).repeat {
             Repeat::OnceOnly if may_have_run => return Place::Abort,
             Repeat::Referenced(scope, _) if may_have_run && scope != Scope::All => {
                 return Place::Abort;
@@ -1048,7 +1044,7 @@
             return false;
         }
         let mut ran = flow.connects.iter().filter(|c| !c.never_ran);
-        match self.service_type(flow).repeat {
+        match self.class(flow).repeat {
             Repeat::Repeatable => true,
             Repeat::OnceOnly => ran.next().is_none(),
             Repeat::Referenced(scope, _) => {
@@ -1065,7 +1061,7 @@
     /// Until when a connect may be sent: a referenced flow's while servers know all that may have run. Guards
     /// against a repeat that is placed in time and whose connection comes up late.
     fn send_by(&self, flow: &Flow) -> Time {
-        let Repeat::Referenced(_, window) = self.service_type(flow).repeat else {
+        let Repeat::Referenced(_, window) = self.class(flow).repeat else {
             return Time::MAX;
         };
         let ran = flow.connects.iter().filter(|c| !c.never_ran);
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServiceType {
+pub struct TrafficClass {
     pub setup_target: Time,
     pub value: f64,
     pub repeat: Repeat,
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Flow {
     pub id: FlowId,
-    pub service_type: usize,
+    pub class: usize,
     pub tenant: usize,
     /// Flows of one group cost a server their common work once.
     pub group: Option<String>,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,15 +3,15 @@
 
 use nettlemux_policy::*;
 
-pub fn repeat(repeat: Repeat) -> ServiceType {
-    ServiceType {
+pub fn repeat(repeat: Repeat) -> TrafficClass {
+    TrafficClass {
         setup_target: 100 * MS,
         value: 1.0,
         repeat,
     }
 }
 
-/// A balancer of zone 0 with one service type.
+/// A balancer of zone 0 with one traffic class.
 pub fn balancer(kind: Repeat) -> Policy {
     Policy::new(7, 0, vec![repeat(kind)])
         .connects(3, 4 * MS, false, true)
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -849,8 +849,8 @@
 #[test]
 fn room_is_kept_for_value_and_for_tenants_within_their_share() {
     // Loads told for types 0 and 1, values 1 and 5; tenant 0 holds three quarters of a half share.
-    for (service_type, tenant, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
-        let types = [1.0, 5.0].map(|value| ServiceType {
+    for (class, tenant, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
+        let types = [1.0, 5.0].map(|value| TrafficClass {
             value,
             ..repeat(Repeat::Repeatable)
         });
@@ -861,7 +861,7 @@
         policy.list(T0, &[ready(0), ready(1)], true);
         for id in 0..40 {
             let held = Flow {
-                service_type: id as usize % 2,
+                class: id as usize % 2,
                 tenant: usize::from(id >= 30),
                 ..flow(T0, 1000 + id)
             };
@@ -870,13 +870,13 @@
         }
         (0..2).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.57)));
         let one = Flow {
-            service_type,
+            class,
             tenant,
             taken: T0 - SEC,
             ..flow(T0, 1)
         };
         let placed = matches!(policy.place(T0, &one), Place::To(..));
-        assert_eq!(placed, want, "type {service_type}, tenant {tenant}");
+        assert_eq!(placed, want, "type {class}, tenant {tenant}");
     }
 }
 
@@ -938,7 +938,7 @@
             .is_empty()
     );
     let unknown = Flow {
-        service_type: 99,
+        class: 99,
         ..flow(T0, 5)
     };
     assert!(matches!(policy.place(T0, &unknown), Place::To(..)));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 
 use std::fmt;
 
-use nettlemux_policy::{MS, Policy, Repeat, Report, SEC, Scope, ServiceType, Time};
+use nettlemux_policy::{MS, Policy, Repeat, Report, SEC, Scope, Time, TrafficClass};
 use serde_json::Value;
 
 pub use crate::keys::{known, nearest, unknown};
@@ -89,7 +89,7 @@
             ),
             None => (1.0, 0, 1.0, SHORTEST_FALL),
         };
-        Ok(Policy::new(seed, self.zone()?, self.service_types()?)
+        Ok(Policy::new(seed, self.zone()?, self.traffic_classes()?)
             .connects(
                 self.number_or("limits/max-connects", 1.0)?.max(0.0) as usize,
                 margin,
@@ -131,7 +131,7 @@
         self.time_or("limits/dial-timeout", LONGEST)
     }
 
-    /// The longest that clients of each service type wait, where the settings have a limit.
+    /// The longest that clients of each traffic class wait, where the settings have a limit.
     pub fn longest_waits(&self) -> Vec<Option<Time>> {
         let list = self.maybe("service-types").and_then(Value::as_array);
         let limits = list
@@ -168,7 +168,7 @@
     /// types and tenants that are no longer named stay behind those that are, for what is left of them.
     ///
     /// # Errors
-    /// Where a service type or a tenant has no name, or two have the same.
+    /// Where a traffic class or a tenant has no name, or two have the same.
     pub fn following(&self, old: &Settings) -> Read<Settings> {
         let mut merged = self.clone();
         for list in ["service-types", "accounts"] {
@@ -297,15 +297,15 @@
             .collect()
     }
 
-    pub fn service_types(&self) -> Read<Vec<ServiceType>> {
+    pub fn traffic_classes(&self) -> Read<Vec<TrafficClass>> {
         let list = self.needed("service-types", |value| value.as_array().cloned())?;
         list.into_iter()
             .map(Settings)
-            .map(|one| one.service_type())
+            .map(|one| one.traffic_class())
             .collect()
     }
 
-    fn service_type(self) -> Read<ServiceType> {
+    fn traffic_class(self) -> Read<TrafficClass> {
         // What isn't said to be repeatable is not repeated; without a window, nothing is after it.
         let word = |path, default: &str| self.or(path, default.into(), Settings::text);
         let repeat = match word("repeat", "single_shot")?.as_str() {
@@ -330,7 +330,7 @@
             self.time_or("setup-target", longest)?,
             self.number_or("value", 1.0)?,
         );
-        Ok(ServiceType {
+        Ok(TrafficClass {
             setup_target,
             value,
             repeat,
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -8,8 +8,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Scope, ServerId, ServiceType, State,
-    Time, Todo,
+    Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Scope, ServerId, State, Time, Todo,
+    TrafficClass,
 };
 use nettlemux_settings::Settings;
 
@@ -76,7 +76,7 @@
 struct Baseline {
     kind: Kind,
     dice: Dice,
-    types: Vec<ServiceType>,
+    types: Vec<TrafficClass>,
     connects: usize,
     servers: BTreeMap<ServerId, Listed>,
     /// Our connections and connects on each.
@@ -90,7 +90,9 @@
         Baseline {
             kind,
             dice: Dice::new(seed, 9),
-            types: settings.service_types().expect("settings made by the lab"),
+            types: settings
+                .traffic_classes()
+                .expect("settings made by the lab"),
             connects: settings.number("limits/max-connects").unwrap_or(1.0) as usize,
             servers: BTreeMap::new(),
             own: BTreeMap::new(),
@@ -102,7 +104,7 @@
     /// Whether a repeat there can do no harm.
     fn safe(&self, now: Time, flow: &Flow, server: &Listed) -> bool {
         let mut ran = flow.connects.iter().filter(|c| !c.never_ran);
-        match self.types[flow.service_type].repeat {
+        match self.types[flow.class].repeat {
             Repeat::Repeatable => true,
             Repeat::OnceOnly => ran.next().is_none(),
             Repeat::Referenced(scope, window) => ran.all(|c| {
@@ -119,7 +121,7 @@
 
     fn give_up(&mut self, flow: &Flow) -> Place {
         let ran = flow.connects.iter().any(|c| !c.never_ran);
-        match self.types[flow.service_type].repeat {
+        match self.types[flow.class].repeat {
             Repeat::OnceOnly if ran => Place::Abort,
             Repeat::Referenced(scope, _) if ran && scope != Scope::All => Place::Abort,
             _ => Place::Reject(Some(
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -40,9 +40,7 @@
         if let Some(client) = known {
             self.figures.of_client(self.now, client, answer);
         }
-        let target = known.map_or(0.0, |client| {
-            self.model.scenario.types[client.service_type].target
-        });
+        let target = known.map_or(0.0, |client| self.model.scenario.types[client.class].target);
         self.figures
             .answered(self.now, answer, took, seconds(target));
         self.observe(Seen::Answered {
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -54,9 +54,9 @@
         if known.returning {
             self.figures.returned(self.now);
         }
-        let service_type = &self.model.scenario.types[known.service_type];
-        let deadline = self.now + seconds(service_type.wait);
-        let target = self.now + seconds(service_type.target);
+        let class = &self.model.scenario.types[known.class];
+        let deadline = self.now + seconds(class.wait);
+        let target = self.now + seconds(class.target);
         let flow = self.new_flow(client, deadline);
         let id = flow.id;
         self.flows
@@ -94,7 +94,7 @@
         let known = self.clients.get(client).expect("it wants to be served");
         Flow {
             id,
-            service_type: known.service_type,
+            class: known.class,
             tenant: known.tenant,
             group: known.group.map(|group| format!("g{group}")),
             returning: known.returning,
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -49,9 +49,7 @@
             return;
         };
         let known = self.clients.get(state.client);
-        let wait = known.map_or(0.0, |client| {
-            self.model.scenario.types[client.service_type].wait
-        });
+        let wait = known.map_or(0.0, |client| self.model.scenario.types[client.class].wait);
         let late = state.accepted + seconds(wait) + LATENESS;
         self.schedule(
             late,
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -113,7 +113,7 @@
     let mut lines = BufReader::with_capacity(512, read).lines();
     let wait = match standing {
         Some(_) => STANDING,
-        None => seconds(stage.scenario.types[client.service_type].wait),
+        None => seconds(stage.scenario.types[client.class].wait),
     };
     let flow = stage.lock().number();
     let line = first_line(stage, (id, client), flow, wait, standing);
@@ -198,7 +198,7 @@
     wait: Time,
     standing: Option<usize>,
 ) -> String {
-    let of = &stage.scenario.types[client.service_type];
+    let of = &stage.scenario.types[client.class];
     let mut line = format!("OPEN {flow:016x} {id:016x} c={},d={}", of.name, wait / MS);
     if let Some(group) = client.group {
         line += &format!(",g=g{group}");
@@ -265,7 +265,7 @@
             _ => Final::Aborted,
         };
         if !standing {
-            let target = seconds(stage.scenario.types[client.service_type].target);
+            let target = seconds(stage.scenario.types[client.class].target);
             let mut inner = stage.lock();
             inner.gather.answered(now, with, now - self.taken, target);
             inner.gather.of_client(now, client, with);
@@ -327,7 +327,7 @@
     async fn open(&self, lines: &mut Lines, out: &mut OwnedWriteHalf, client: &Client) -> Came {
         let stage = self.stage;
         let every = seconds(stage.scenario.clients.lines);
-        let target = seconds(stage.scenario.types[client.service_type].message_target);
+        let target = seconds(stage.scenario.types[client.class].message_target);
         let mut next = stage.now() + (every as f64 * stage.lock().dice.unit()) as Time;
         let mut waiting = std::collections::VecDeque::new();
         let mut count = 0u64;
