--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -121,7 +121,7 @@
         let flow: FlowId = parts.get("ref")?;
         let number: usize = parts.get("send-no")?;
         let server_id: ServerId = parts.get("server")?;
-        let (end, never_ran) = wire::end(parts.word("reason")?)?;
+        let (end, known_unexecuted) = wire::end(parts.word("reason")?)?;
         parts.time("time-taken")?;
         let closed = parts.flag("closed")?;
         let report = wire::report(parts.word("report")?, &self.reports)?;
@@ -133,7 +133,7 @@
                 now,
                 (flow, number),
                 server_id,
-                (end, never_ran),
+                (end, known_unexecuted),
                 report,
                 acts,
             )
@@ -200,7 +200,7 @@
         ask(&mut self.hand, &mut acts);
         for act in acts {
             let write = match act {
-                Act::Connect {
+                Act::Attempt {
                     flow,
                     server_id,
                     limit,
@@ -222,7 +222,7 @@
                 }
                 Act::Probe { server_id } => writeln!(out, "PROBE {server_id}"),
                 Act::Move { flow } => writeln!(out, "GO_AWAY {flow}"),
-                Act::CallOff { flow, number } if self.hand.out(flow) => {
+                Act::CallOff { flow, number } if self.hand.has_attempt_in_flight(flow) => {
                     writeln!(out, "RECALL {flow} {number}")
                 }
                 Act::CallOff { .. } => Ok(()),
@@ -233,9 +233,9 @@
         }
     }
 
-    /// Lets go of a flow that is owed nothing and has no connect out: it has ended.
+    /// Lets go of a flow that is owed nothing and has no attempt in flight: it has ended.
     fn give_back(&mut self, flow: FlowId) {
-        if !self.hand.owed(flow) && !self.hand.out(flow) {
+        if !self.hand.owed(flow) && !self.hand.has_attempt_in_flight(flow) {
             // Nothing is out, so nothing is said.
             self.hand.over(0, flow, &mut Vec::new());
         }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -106,7 +106,7 @@
 }
 
 pub fn end(word: &str) -> Read<(End, bool)> {
-    // Beside each, whether it proves that the connect never ran.
+    // Beside each, whether it proves that the attempt never ran.
     Ok(match word {
         "pass" => (End::Done, false),
         "fault" => (End::Error, false),
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -596,7 +596,7 @@
         }
     }
 
-    /// Guards against memory that grows with the clients: 50,000 of them, one connect each, some of which hang up.
+    /// Guards against memory that grows with the clients: 50,000 of them, one attempt each, some of which hang up.
     #[test]
     fn memory_is_bounded_and_every_flow_leaves_once() {
         let mut door = paced(Config::default(), 100);
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -36,7 +36,7 @@
 
 use crate::config::Config;
 
-/// How long before a connect timeout we answer. Answers were measured up to 1.4 ms late, and up to 5.5 ms with another
+/// How long before an attempt timeout we answer. Answers were measured up to 1.4 ms late, and up to 5.5 ms with another
 /// program busy on the same core.
 const MARGIN: Time = 15 * MS;
 /// Words of 8 bytes on a coroutine's stack: 64 KB, of which the system gives only the pages that are touched. Flows
--- a/crates/balancer/tests/crossings.rs
+++ b/crates/balancer/tests/crossings.rs
@@ -183,7 +183,7 @@
     thread::sleep(CUT_AFTER - set_up_in);
     // Cut off: it may have run there.
     stand.toys[0].say("", true);
-    soon("the second connect", || late.dialled());
+    soon("the second attempt", || late.dialled());
     assert_eq!(late.let_in(), "", "sent again too late");
     // Nor is the client told that coming again is safe: servers have forgotten what it asked for.
     assert_eq!((client.line(), client.line()), ("ERR".into(), "end".into()));
@@ -321,7 +321,7 @@
     assert_eq!(stand.client("c=chat,d=900").line(), "UP 1");
 }
 
-/// A server that drains, goes, or returns at another address while a connect to it comes up gets nothing; the flow goes to
+/// A server that drains, goes, or returns at another address while an attempt to it comes up gets nothing; the flow goes to
 /// the next one.
 #[test]
 fn a_server_that_goes_while_it_is_dialled_gets_nothing() {
@@ -456,7 +456,7 @@
     }
 }
 
-/// `UP` that has come by the time a connect's time is up is the answer: the server holds the connection.
+/// `UP` that has come by the time an attempt's time is up is the answer: the server holds the connection.
 #[test]
 fn up_that_has_come_as_the_time_is_up_is_passed_on() {
     for _ in 0..5 {
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -1,4 +1,4 @@
-//! A small scale run with the balancer as it is run: it counts probes, bytes, list calls and connects, never times.
+//! A small scale run with the balancer as it is run: it counts probes, bytes, list calls and attempts, never times.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/balancer/tests/sockets.rs
+++ b/crates/balancer/tests/sockets.rs
@@ -59,7 +59,7 @@
         // Turned away: it never ran, so anything may be tried elsewhere and rejected in the end.
         ("chat", Mood::Busy, "BUSY", 2..=3),
         ("order", Mood::Busy, "BUSY", 2..=3),
-        // It may have run: once-only flows get no second connect and no word that trying again is safe.
+        // It may have run: once-only flows get no second attempt and no word that trying again is safe.
         ("order", Mood::Err, "ERR", 1..=1),
         ("order", Mood::Cut, "ERR", 1..=1),
         ("order", Mood::Silent, "ERR", 1..=1),
@@ -737,7 +737,7 @@
 fn other_settings_are_taken_on_sighup_and_taken_back_by_the_same_step() {
     let mut stand = Stand::new(2);
     let first = stand.config.clone();
-    // Another shape: traffic classes in another order, one of them new and one gone, balancers that may talk, one connect.
+    // Another shape: traffic classes in another order, one of them new and one gone, balancers that may talk, one attempt.
     let mut other: serde_json::Value = serde_json::from_str(&first).unwrap();
     let settings = &mut other["settings"];
     settings["areas"] = serde_json::json!(["b", "a"]);
@@ -760,7 +760,7 @@
     assert_eq!(stand.client("c=lab,d=900").line(), "ERR", "not known yet");
     let connects = |stand: &Stand| stand.toys.iter().map(|toy| toy.seen().len()).sum::<usize>();
     for round in 0..3 {
-        // Taken in before the switch, answered after it: its connect is out meanwhile, and is the only one.
+        // Taken in before the switch, answered after it: its attempt is out meanwhile, and is the only one.
         stand.toys.iter().for_each(|toy| toy.set(Mood::Silent));
         let mut waiting = stand.client("c=order,d=900");
         thread::sleep(Duration::from_millis(100));
@@ -777,7 +777,7 @@
         soon("the new service type", || {
             stand.client("c=lab,d=900").says("UP 1")
         });
-        // One connect only is allowed now.
+        // One attempt only is allowed now.
         stand.toys.iter().for_each(|toy| toy.set(Mood::Busy));
         let before = connects(&stand);
         assert!(stand.client("c=lab,d=900").line().starts_with("BUSY"));
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -1,4 +1,4 @@
-//! The last stage: the book of one flow, kept from its admission on. It owns the client's socket, gives the client its one final answer, tells the desk what came of each connect, and gives
+//! The last stage: the book of one flow, kept from its admission on. It owns the client's socket, gives the client its one final answer, tells the desk what came of each attempt, and gives
 //! everything back. It must never answer twice, and never let a flow go without an answer.
 
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use crate::shared::{Core, Id};
 use crate::wire;
 
-/// How a connect has ended that brought no connection.
+/// How an attempt has ended that brought no connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     pub end: End,
-    pub never_ran: bool,
+    pub known_unexecuted: bool,
     pub report: Report,
 }
 
@@ -93,7 +93,7 @@
         target: &Target,
         Ended {
             end,
-            never_ran,
+            known_unexecuted,
             report,
         }: Ended,
     ) {
@@ -102,7 +102,7 @@
             id = self.id,
             server = target.server.name,
             ?end,
-            never_ran,
+            known_unexecuted,
             left_ms,
             "connect ended"
         );
@@ -111,7 +111,7 @@
             server_id: target.server_id,
             number: target.number,
             end,
-            never_ran,
+            known_unexecuted,
             report,
         });
     }
--- a/crates/dataplane/src/chain.rs
+++ b/crates/dataplane/src/chain.rs
@@ -24,7 +24,7 @@
     let asked = route::ask(core, &mut book, flow.clone(), who, at.as_deref());
     loop {
         let target = match route::order(&mut book) {
-            Next::Order(Order::Connect(target)) => target,
+            Next::Order(Order::Attempt(target)) => target,
             Next::Order(Order::NotListed) => {
                 // Open before the run: asked for again until its server is there.
                 match asked.again(core, &mut book) {
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -76,7 +76,7 @@
 const DESCRIPTOR: Time = 10 * MS;
 /// All has been said so long after the last answer.
 const EXIT: Time = 500 * MS;
-/// The front goes on sending us clients for up to so long after SIGTERM. Guards, where connect timeouts are short, against
+/// The front goes on sending us clients for up to so long after SIGTERM. Guards, where deadline are short, against
 /// moves that come straight back, and an end that leaves clients to a closed port since all has been said before.
 const COMING: Time = 400 * MS;
 
@@ -219,7 +219,7 @@
                 let order = match self.servers.get(&server_id) {
                     // Nobody is waited for any more.
                     _ if self.last_answer_passed => Order::Abort,
-                    Some(server) => Order::Connect(Target {
+                    Some(server) => Order::Attempt(Target {
                         server_id,
                         number: 0,
                         server: server.clone(),
@@ -251,10 +251,10 @@
                 server_id,
                 number,
                 end,
-                never_ran,
+                known_unexecuted,
                 report,
             } => {
-                let how = (end, never_ran);
+                let how = (end, known_unexecuted);
                 if self.clients.contains_key(&flow) {
                     self.acts(now, |hand, acts| {
                         hand.ended(now, (flow, number), server_id, how, report, acts)
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Goes on under other settings. Flows in hand, connects that are out and connections stay as they are.
+    /// Goes on under other settings. Flows in hand, attempts that are out and connections stay as they are.
     fn change(&mut self, settings: Settings) {
         // The list may have named zones before the settings did.
         let settings = match settings.zone_name() {
@@ -404,7 +404,7 @@
 
     fn carry_out(&mut self, now: Time, act: Act) {
         match act {
-            Act::Connect {
+            Act::Attempt {
                 flow,
                 server_id,
                 number,
@@ -415,7 +415,7 @@
                     let (server, until, by) = (server.clone(), now + limit, now + by);
                     self.order(
                         flow,
-                        Order::Connect(Target {
+                        Order::Attempt(Target {
                             server_id,
                             number,
                             server,
--- a/crates/dataplane/src/net.rs
+++ b/crates/dataplane/src/net.rs
@@ -294,7 +294,7 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        // Ended now, not when the watcher has let go: guards against a connect that is given up but still out when
+        // Ended now, not when the watcher has let go: guards against an attempt that is given up but still out when
         // the next one is made.
         if !self.inner.reset.load(Ordering::Acquire) {
             self.end_sending();
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -63,7 +63,7 @@
         server_id: ServerId,
         number: usize,
         end: End,
-        never_ran: bool,
+        known_unexecuted: bool,
         report: Report,
     },
     Load {
@@ -112,13 +112,13 @@
     NotListed,
     /// Send the client away: between two lines of the server while it is not yet that time, beside half a line from then on.
     Move(Time),
-    /// Stop waiting for the connect, as the client is gone.
+    /// Stop waiting for the attempt, as the client is gone.
     CallOff,
-    /// Stop waiting for the connect: its time is up.
+    /// Stop waiting for the attempt: its time is up.
     TimeUp,
 }
 
-/// Where a connect goes, how long it is waited for, and when its line has to be out or isn't sent at all.
+/// Where an attempt goes, how long it is waited for, and when its line has to be out or isn't sent at all.
 pub struct Target {
     pub server_id: ServerId,
     pub number: usize,
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -59,14 +59,14 @@
                 slowest_ms = slowest / MS,
                 "connection ended"
             );
-            let never_ran = false;
+            let known_unexecuted = false;
             let (flow, server_id, number) = (book.id, target.server_id, target.number);
             book.tell(Ask::Ended {
                 flow,
                 server_id,
                 number,
                 end,
-                never_ran,
+                known_unexecuted,
                 report,
             });
         }
@@ -180,7 +180,7 @@
         } else {
             until
         };
-        // Anything else was meant for the connect.
+        // Anything else was meant for the attempt.
         if let Some(Event::Order(Order::Move(by))) = book.caller.mailbox.next(until) {
             book.move_by = Some(by);
         }
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -1,5 +1,5 @@
 //! The third stage: asks the desk where a flow goes and waits for its order. It owns nothing. It must never
-//! choose a server itself, and never wait past the flow's connect timeout.
+//! choose a server itself, and never wait past the flow's deadline.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::orders::{Ask, Event, Order};
 use crate::shared::Core;
 
-/// The desk's word is late by so much past the connect timeout only if something is badly wrong.
+/// The desk's word is late by so much past the deadline only if something is badly wrong.
 const OVERDUE: Time = 20 * MS;
 /// Between tries of one that was open before the run.
 const PAUSE: Duration = Duration::from_millis(250);
@@ -71,7 +71,7 @@
     loop {
         match book.caller.mailbox.next(book.give_up + OVERDUE) {
             Some(Event::Order(Order::Move(by))) => book.move_by = Some(by),
-            // Of a connect that has ended meanwhile.
+            // Of an attempt that has ended meanwhile.
             Some(Event::Order(Order::CallOff | Order::TimeUp) | Event::Stop) => {}
             Some(Event::Order(order)) => return Next::Order(order),
             Some(Event::Rung) => {
--- a/crates/dataplane/src/send.rs
+++ b/crates/dataplane/src/send.rs
@@ -1,5 +1,5 @@
-//! The fourth stage: makes one connect. It dials the server, writes the client's first line and waits for the
-//! answer. It owns the server's socket until it hands it on, and closes it before it says that the connect is
+//! The fourth stage: makes one attempt. It dials the server, writes the client's first line and waits for the
+//! answer. It owns the server's socket until it hands it on, and closes it before it says that the attempt is
 //! given up. It must never write to a server that the list no longer calls ready, never write twice, and
 //! never try again: that is the module's to say.
 
@@ -30,13 +30,13 @@
     /// Served: the server's socket and all that it has sent, from its answer on.
     Up(Socket, (Buffer, usize)),
     Ended(Ended),
-    /// The client went away, and the connect with it; whether its line was never written whole.
+    /// The client went away, and the attempt with it; whether its line was never written whole.
     Left {
         unsent: bool,
     },
 }
 
-/// What a wait inside a connect was ended by.
+/// What a wait inside an attempt was ended by.
 enum Woken {
     Look,
     Ended(End),
@@ -47,14 +47,14 @@
     let never = |end| {
         Sent::Ended(Ended {
             end,
-            never_ran: true,
+            known_unexecuted: true,
             report: Report::default(),
         })
     };
     let maybe = |end| {
         Sent::Ended(Ended {
             end,
-            never_ran: false,
+            known_unexecuted: false,
             report: Report::default(),
         })
     };
@@ -78,8 +78,8 @@
         }
     };
 
-    // Up to its line's last byte a connect has not been sent, so whoever is gone by then needs none, whether or not the
-    // settings allow connects to be called off. Guards against a flow that is sent on long after its client has left: while
+    // Up to its line's last byte an attempt has not been sent, so whoever is gone by then needs none, whether or not the
+    // settings allow attempts to be cancelled. Guards against a flow that is sent on long after its client has left: while
     // a connection comes up late, or since the client's end came in one with its line and rang no bell.
     let dialled_until = target.by.min(clock::now() + core.terms.now().dial_limit);
     loop {
@@ -155,9 +155,9 @@
             return match wire::answer(&bytes[..next], &core.terms.now().reports) {
                 Answer::Up if client.gone => Sent::Left { unsent: false },
                 Answer::Up => Sent::Up(server, (bytes, held)),
-                Answer::Ended(end, never_ran, report) => Sent::Ended(Ended {
+                Answer::Ended(end, known_unexecuted, report) => Sent::Ended(Ended {
                     end,
-                    never_ran,
+                    known_unexecuted,
                     report,
                 }),
             };
@@ -168,7 +168,7 @@
     }
 }
 
-/// The client's side of a connect: it may leave meanwhile.
+/// The client's side of an attempt: it may leave meanwhile.
 struct Client<'a> {
     book: &'a mut Book,
     gone: bool,
@@ -179,7 +179,7 @@
     fn looks_gone(&mut self) -> bool {
         if !self.gone && self.book.client_left() {
             self.gone = true;
-            // Where the line is out the module says whether the connect is called off.
+            // Where the line is out the module says whether the attempt is called off.
             self.book.left();
         }
         self.gone
@@ -204,7 +204,7 @@
     }
 }
 
-/// Tells the desk of a connect that ended with its client.
+/// Tells the desk of an attempt that ended with its client.
 pub fn called_off(book: &Book, target: &Target, unsent: bool) {
     let (end, report) = (
         if unsent { End::NotSent } else { End::CalledOff },
@@ -215,7 +215,7 @@
         server_id: target.server_id,
         number: target.number,
         end,
-        never_ran: unsent,
+        known_unexecuted: unsent,
         report,
     });
 }
--- a/crates/dataplane/src/send/tests.rs
+++ b/crates/dataplane/src/send/tests.rs
@@ -1,4 +1,4 @@
-//! A connect whose client has left before it begins.
+//! An attempt whose client has left before it begins.
 
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     Up,
-    /// No connection: how the connect ended, whether that proves that it never ran, and the load report.
+    /// No connection: how the attempt ended, whether that proves that it never ran, and the load report.
     Ended(End, bool, Report),
 }
 
--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// Servers' processes die: connections are reset, connects refused; they come back cold.
+    /// Servers' processes die: connections are reset, connections refused; they come back cold.
     Crash,
     /// Servers' machines go silent: nothing is reset, nothing answered; they come back cold.
     Vanish,
@@ -24,7 +24,7 @@
     StuckReports,
     /// Servers report `amount` whatever they carry.
     AbsurdReports,
-    /// Servers answer connects at once with an error.
+    /// Servers answer attempts at once with an error.
     FastErrors,
     /// Probes of servers fail; all else works.
     ProbesFail,
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -78,7 +78,7 @@
     /// Seconds that a message takes on an idle server.
     #[serde(default = "message")]
     pub message: f64,
-    /// Seconds that a connect takes on an idle server, beside the store's call.
+    /// Seconds that an attempt takes on an idle server, beside the store's call.
     #[serde(default = "setup")]
     pub setup: f64,
     #[serde(default = "cold_share")]
@@ -211,7 +211,7 @@
     /// Mean load of a connection.
     #[serde(default = "unit")]
     pub load: f64,
-    /// Seconds in which a connect is to be answered.
+    /// Seconds in which an attempt is to be answered.
     #[serde(default = "target")]
     pub target: f64,
     /// Seconds that a client waits for its answer.
@@ -264,7 +264,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    pub connects: usize,
+    #[serde(alias = "connects")]
+    pub attempts: usize,
     pub second_copies: bool,
     pub may_cancel: bool,
     pub probes: bool,
@@ -279,7 +280,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            connects: 3,
+            attempts: 3,
             second_copies: false,
             may_cancel: true,
             probes: true,
@@ -402,7 +403,7 @@
         count("fleet.servers", self.fleet.servers)?;
         count("fleet.slots", self.fleet.slots)?;
         count("zones.number", self.zones.number)?;
-        count("limits.connects", self.limits.connects)?;
+        count("limits.attempts", self.limits.attempts)?;
         if self.clients.standing > MOST {
             return Err((
                 "clients.standing".into(),
--- a/crates/fleet-model/src/seen.rs
+++ b/crates/fleet-model/src/seen.rs
@@ -100,20 +100,23 @@
         at: Time,
         flow: u64,
     },
-    /// A connect whose last byte has come to a server.
-    Connect {
+    /// An attempt whose last byte has come to a server.
+    #[serde(alias = "connect")]
+    Attempt {
         at: Time,
         balancer: usize,
         flow: u64,
         number: usize,
         server: usize,
     },
-    /// The connect is out no more. `never_ran`: the balancer could know that it had not run.
-    ConnectEnded {
+    /// The attempt is out no more. `known_unexecuted`: the balancer could know that it had not run.
+    #[serde(alias = "connect-ended")]
+    AttemptEnded {
         at: Time,
         flow: u64,
         number: usize,
-        never_ran: bool,
+        #[serde(alias = "never_ran")]
+        known_unexecuted: bool,
     },
     /// An established connection has ended. `told`: its client had been told to move; `sound`: its server still answered.
     Ended {
@@ -143,8 +146,8 @@
             | Seen::Taken { at, .. }
             | Seen::Answered { at, .. }
             | Seen::Left { at, .. }
-            | Seen::Connect { at, .. }
-            | Seen::ConnectEnded { at, .. }
+            | Seen::Attempt { at, .. }
+            | Seen::AttemptEnded { at, .. }
             | Seen::Ended { at, .. }
             | Seen::BalancerEnded { at, .. } => at,
         })
--- a/crates/fleet-model/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Life {
     Up,
-    /// Its process is gone: connects are refused.
+    /// Its process is gone: connections are refused.
     Down,
     /// Its machine is gone: nothing is answered.
     Silent,
@@ -38,7 +38,7 @@
     pub value: f64,
 }
 
-/// How a server takes a connect.
+/// How a server takes an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Offer {
     /// Served after so many seconds.
@@ -190,7 +190,7 @@
         warmth < 1.0 && self.offers.len() as f64 > budget
     }
 
-    /// Takes a connect that has come; the store's call is the caller's to add. The second word: it has just fallen over.
+    /// Takes an attempt that has come; the store's call is the caller's to add. The second word: it has just fallen over.
     pub fn offer(&mut self, fleet: &Fleet, now: Time) -> (Offer, bool) {
         match self.life {
             Life::Down => return (Offer::Refused, false),
--- a/crates/fleet-model/src/store.rs
+++ b/crates/fleet-model/src/store.rs
@@ -1,4 +1,4 @@
-//! The store that all servers share: each connect costs it one call. It owns the calls that wait. A fluid queue: what it
+//! The store that all servers share: each attempt costs it one call. It owns the calls that wait. A fluid queue: what it
 //! can't serve piles up and every new call waits behind it, which is what makes a retry storm feed itself.
 
 use nettlemux_policy::{SEC, Time};
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -1,7 +1,7 @@
 //! The keys of scenarios and records: what is written now, and what earlier versions have written and is still read.
 
 use nettlemux_fleet_model::fault::{Fault, What};
-use nettlemux_fleet_model::scenario::{Repeat, Scenario};
+use nettlemux_fleet_model::scenario::{Limits, Repeat, Scenario};
 use nettlemux_fleet_model::seen::{Kind, Scope, Seen};
 use nettlemux_settings::operator::By;
 use serde_json::json;
@@ -103,3 +103,30 @@
         assert_eq!(door.by, By::Tenant, "{tenants}");
     }
 }
+
+#[test]
+fn earlier_versions_say_connect_for_an_attempt() {
+    let attempt = Seen::Attempt {
+        at: 1,
+        balancer: 2,
+        flow: 3,
+        number: 0,
+        server: 4,
+    };
+    let text = r#"{"what":"attempt","at":1,"balancer":2,"flow":3,"number":0,"server":4}"#;
+    assert_eq!(serde_json::to_string(&attempt).unwrap(), text);
+    let earlier = text.replace("attempt", "connect");
+    assert_eq!(serde_json::from_str::<Seen>(&earlier).unwrap(), attempt);
+    let ended = Seen::AttemptEnded {
+        at: 1,
+        flow: 3,
+        number: 0,
+        known_unexecuted: true,
+    };
+    let earlier = r#"{"what":"connect-ended","at":1,"flow":3,"number":0,"never_ran":true}"#;
+    assert_eq!(serde_json::from_str::<Seen>(earlier).unwrap(), ended);
+    for key in ["attempts", "connects"] {
+        let limits: Limits = serde_json::from_value(json!({key: 4})).unwrap();
+        assert_eq!(limits.attempts, 4, "{key}");
+    }
+}
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,7 +8,7 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Connect, End, Flow, FlowId, Holds, Listed, Outcome, Place, Policy, Report, ServerId, Time, Todo,
+    Attempt, End, Flow, FlowId, Holds, Listed, Outcome, Place, Policy, Report, ServerId, Time, Todo,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
@@ -90,8 +90,8 @@
 /// What is to be carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Act {
-    /// Make this flow's connect of that number, and wait for it so long; it is not made if it isn't sent within `by`.
-    Connect {
+    /// Make this flow's attempt of that number, and wait for it so long; it is not made if it isn't sent within `by`.
+    Attempt {
         flow: FlowId,
         server_id: ServerId,
         number: usize,
@@ -109,7 +109,7 @@
     Move {
         flow: FlowId,
     },
-    /// Stop waiting for the connect of that number: its client is gone.
+    /// Stop waiting for the attempt of that number: its client is gone.
     CallOff {
         flow: FlowId,
         number: usize,
@@ -250,7 +250,7 @@
                     let place = self.brain.place(now, &in_hand.flow);
                     self.answer(now, id, place, acts);
                 }
-                // No connect was made, so coming again is safe whatever the traffic class.
+                // No attempt was made, so coming again is safe whatever the traffic class.
                 Turn::SentAway(flow, _, wait) => {
                     self.settle(flow);
                     acts.push(Act::Reject {
@@ -268,7 +268,7 @@
         self.flows.insert(flow.id, InHand { flow, owed: false });
     }
 
-    /// A connect was answered with a connection: the client has its answer.
+    /// An attempt was answered with a connection: the client has its answer.
     pub fn established(&mut self, now: Time, flow: FlowId, took: Time, acts: &mut Vec<Act>) {
         self.settle(flow);
         if let Some(door) = &mut self.door {
@@ -279,14 +279,14 @@
         self.let_in(now, acts);
     }
 
-    /// A connect, or the connection that it became, has ended. `never_ran`: the connect is known not to have run.
+    /// An attempt, or the connection that it became, has ended. `known_unexecuted`: the attempt is known not to have run.
     #[allow(clippy::too_many_arguments)]
     pub fn ended(
         &mut self,
         now: Time,
         (flow, number): (FlowId, usize),
         server_id: ServerId,
-        (end, never_ran): (End, bool),
+        (end, known_unexecuted): (End, bool),
         report: Report,
         acts: &mut Vec<Act>,
     ) {
@@ -296,8 +296,8 @@
         }
         let mut owed = None;
         if let Some(in_hand) = self.flows.get_mut(&flow) {
-            if let Some(connect) = in_hand.flow.connects.get_mut(number) {
-                (connect.out, connect.never_ran) = (false, never_ran);
+            if let Some(attempt) = in_hand.flow.attempts.get_mut(number) {
+                (attempt.in_flight, attempt.known_unexecuted) = (false, known_unexecuted);
             }
             owed = in_hand.owed.then_some(&in_hand.flow);
         }
@@ -415,16 +415,16 @@
         if let Some(door) = &mut self.door {
             door.over(flow);
         }
-        // Guards against a connect that was ordered just as the client left, or whose flow has panicked: nobody else says
+        // Guards against an attempt that was ordered just as the client left, or whose flow has panicked: nobody else says
         // that nothing comes of it, and the module would count it as in flight for good.
         let out = in_hand.and_then(|in_hand| {
             in_hand
                 .flow
-                .connects
+                .attempts
                 .into_iter()
-                .find(|connect| connect.out)
+                .find(|attempt| attempt.in_flight)
         });
-        if let Some(Connect { server_id, .. }) = out {
+        if let Some(Attempt { server_id, .. }) = out {
             let todo = self.brain.after(
                 now,
                 Outcome::Ended {
@@ -443,14 +443,14 @@
         self.flows.get(&flow).is_some_and(|f| f.owed)
     }
 
-    /// Whether a connect of this flow is still out.
-    pub fn out(&self, flow: FlowId) -> bool {
+    /// Whether an attempt of this flow is still out.
+    pub fn has_attempt_in_flight(&self, flow: FlowId) -> bool {
         self.flows
             .get(&flow)
-            .is_some_and(|f| f.flow.connects.iter().any(|c| c.out))
+            .is_some_and(|f| f.flow.attempts.iter().any(|c| c.in_flight))
     }
 
-    /// The flow as it was taken, with its connects so far.
+    /// The flow as it was taken, with its attempts so far.
     pub fn flow(&self, flow: FlowId) -> Option<&Flow> {
         self.flows.get(&flow).map(|in_hand| &in_hand.flow)
     }
@@ -461,16 +461,16 @@
         };
         acts.push(match place {
             Place::To(server_id, limit, by) => {
-                in_hand.flow.connects.push(Connect {
+                in_hand.flow.attempts.push(Attempt {
                     server_id,
                     at: now,
-                    out: true,
-                    never_ran: false,
+                    in_flight: true,
+                    known_unexecuted: false,
                 });
-                Act::Connect {
+                Act::Attempt {
                     flow: id,
                     server_id,
-                    number: in_hand.flow.connects.len() - 1,
+                    number: in_hand.flow.attempts.len() - 1,
                     limit,
                     by,
                 }
@@ -502,7 +502,7 @@
         acts.extend(todo.shift.into_iter().map(|flow| Act::Move { flow }));
         let number = |flow| {
             self.flow(flow)
-                .map_or(0, |f: &Flow| f.connects.len().saturating_sub(1))
+                .map_or(0, |f: &Flow| f.attempts.len().saturating_sub(1))
         };
         acts.extend(todo.call_off.into_iter().map(|flow| Act::CallOff {
             flow,
@@ -581,7 +581,10 @@
             connections: None,
         };
         hand.ended(2, (7, 0), 4, (End::Full, true), report, &mut acts);
-        assert!(hand.out(7) && hand.flow(7).is_some_and(|f| f.connects[0].never_ran));
+        assert!(
+            hand.has_attempt_in_flight(7)
+                && hand.flow(7).is_some_and(|f| f.attempts[0].known_unexecuted)
+        );
         hand.ended(
             3,
             (7, 1),
@@ -593,7 +596,7 @@
         assert_eq!(
             acts,
             [
-                Act::Connect {
+                Act::Attempt {
                     flow: 7,
                     server_id: 4,
                     number: 0,
@@ -602,7 +605,7 @@
                 },
                 Act::Probe { server_id: 4 },
                 Act::Move { flow: 9 },
-                Act::Connect {
+                Act::Attempt {
                     flow: 7,
                     server_id: 5,
                     number: 1,
@@ -635,7 +638,7 @@
         );
     }
 
-    /// Guards against a connect that is ordered just as its client leaves and counts as in flight for good.
+    /// Guards against an attempt that is ordered just as its client leaves and counts as in flight for good.
     #[test]
     fn a_connect_that_nobody_made_is_told_when_its_flow_is_over() {
         let mut hand = hand(&[Place::To(4, 9, 9)]);
@@ -689,7 +692,7 @@
             acts,
             [
                 Act::CallOff { flow: 1, number: 0 },
-                Act::Connect {
+                Act::Attempt {
                     flow: 2,
                     server_id: 4,
                     number: 0,
@@ -749,7 +752,7 @@
         assert!(
             matches!(
                 acts[..],
-                [Act::Connect { flow: 1, .. }, Act::Reject { flow: 3, come_back: Some(told) }] if told > 3
+                [Act::Attempt { flow: 1, .. }, Act::Reject { flow: 3, come_back: Some(told) }] if told > 3
             ),
             "{acts:?}"
         );
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -59,7 +59,7 @@
                     returning: open.returning,
                     taken: taken.at,
                     give_up: taken.at + wait,
-                    connects: Vec::new(),
+                    attempts: Vec::new(),
                 };
                 let Some(slot) = core.shares.flows.take(0) else {
                     warn!(
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -54,7 +54,7 @@
 
 fn balancer(seed: u64, zone: u64, balancers: f64, whole: bool) -> Policy {
     let policy = Policy::new(seed, zone, vec![class()])
-        .connects(3, 4 * MS, false, true)
+        .attempts(3, 4 * MS, false, true)
         .come_back(Some(2 * SEC))
         .probing(true, PROBE_PRICE)
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
--- a/crates/policy/src/book.rs
+++ b/crates/policy/src/book.rs
@@ -1,10 +1,10 @@
-//! Our connections and connects in flight: an index, which decides nothing.
+//! Our connections and attempts in flight: an index, which decides nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::types::{Flow, FlowId, ServerId, Time};
 
-/// A connection of ours, or a connect in flight.
+/// A connection of ours, or an attempt in flight.
 pub(crate) struct Own {
     pub(crate) server_id: ServerId,
     pub(crate) class: usize,
@@ -19,7 +19,7 @@
     pub(crate) estimate: Option<f64>,
 }
 
-/// Our connections and connects in flight, with what is asked of them at each flow.
+/// Our connections and attempts in flight, with what is asked of them at each flow.
 #[derive(Default)]
 pub(crate) struct Book {
     pub(crate) own: BTreeMap<FlowId, Own>,
@@ -29,7 +29,7 @@
     /// For each traffic class how many loads were told and their sum.
     pub(crate) told: BTreeMap<usize, (f64, f64)>,
     /// Connects in flight: where, and since when.
-    pub(crate) out: BTreeMap<FlowId, (ServerId, Time)>,
+    pub(crate) in_flight: BTreeMap<FlowId, (ServerId, Time)>,
 }
 
 impl Book {
@@ -47,7 +47,7 @@
                 .or_default() += 1;
         }
         if !established {
-            self.out.insert(flow.id, (server_id, now));
+            self.in_flight.insert(flow.id, (server_id, now));
         }
         let (&Flow { class, tenant, .. }, moved, load, estimate) = (flow, false, None, None);
         self.own.insert(
@@ -77,13 +77,13 @@
     pub(crate) fn established(&mut self, flow: FlowId) -> Option<ServerId> {
         let own = self.own.get_mut(&flow).filter(|own| !own.established)?;
         own.established = true;
-        self.out.remove(&flow);
+        self.in_flight.remove(&flow);
         Some(own.server_id)
     }
 
     pub(crate) fn strike(&mut self, flow: FlowId) -> Option<Own> {
         let own = self.own.remove(&flow)?;
-        self.out.remove(&flow);
+        self.in_flight.remove(&flow);
         if self
             .by_server
             .get_mut(&own.server_id)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,7 +6,7 @@
 //! use nettlemux_policy::*;
 //!
 //! let patrol = ServiceType { setup_target: 300 * MS, value: 1.0, repeat: Repeat::Repeatable };
-//! let mut policy = Policy::new(1, 0, vec![patrol]).connects(3, 4 * MS, false, true);
+//! let mut policy = Policy::new(1, 0, vec![patrol]).attempts(3, 4 * MS, false, true);
 //! let server = Listed { rs: 51, zone: 0, machine: 0, cell: 0, state: State::Ready, weight: 1.0, started: 0 };
 //! policy.list(0, &[server], true);
 //!
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -64,22 +64,22 @@
 const HELD_UP: Time = 150 * MS;
 /// How many samples of each kind are kept.
 const SAMPLES: usize = 8;
-/// First time-out of a server after a failed connect; it doubles with each further one.
+/// First time-out of a server after a failed attempt; it doubles with each further one.
 const REST: Time = 500 * MS;
 /// Own sends are looked at over this span to tell our usual rate.
 const RATE_SPAN: Time = 20 * SEC;
 /// Connects that were made together fail together: the window narrows once in this span.
 const ROUND: Time = 250 * MS;
-/// Times what fills a cold server over the longest warm-up: it fell at 105 connects in 3 s; this gives 25.
+/// Times what fills a cold server over the longest warm-up: it fell at 105 attempts in 3 s; this gives 25.
 const FILLS: f64 = 4.0;
 /// What a cold server may get is drawn for each such slot: longer ones add up in a window, shorter ones meet few flows.
 const SLOT: Time = SEC;
 /// Connects in flight at once that trouble nobody, ours and all balancers' together; where the window starts.
 const CALM: f64 = 8.0;
 const CALM_ALL: f64 = 600.0;
-/// One connect in sixteen rounds, 4 s, still notices recovery well before clients have given up for good.
+/// One attempt in sixteen rounds, 4 s, still notices recovery well before clients have given up for good.
 const NARROWEST: f64 = 1.0 / 16.0;
-/// Flows that may wait for their turn, for each connect that may be in flight.
+/// Flows that may wait for their turn, for each attempt that may be in flight.
 const QUEUE: f64 = 4.0;
 /// How soon flows that wait are looked at again: well inside setup targets; each look walks all servers.
 const LOOK_AGAIN: Time = 60 * MS;
@@ -91,9 +91,9 @@
 #[derive(Default)]
 struct Server {
     listed: Listed,
-    /// Our connects that the last figure can't show yet.
+    /// Our attempts that the last figure can't show yet.
     placed: VecDeque<Time>,
-    /// Failed connects since the last established one.
+    /// Failed attempts since the last established one.
     failed: VecDeque<Time>,
     /// Failed probes since the last that passed.
     unprobed: VecDeque<Time>,
@@ -108,7 +108,7 @@
     shed: Option<Time>,
     /// When it was last listed as ready, as of the news that it isn't.
     drains: Time,
-    /// The last slot in which it was sent connects as a cold one, how many, and where its slots begin.
+    /// The last slot in which it was sent attempts as a cold one, how many, and where its slots begin.
     sent_cold: (Time, u64),
     phase: Time,
     /// When it last answered that it is full.
@@ -116,7 +116,7 @@
 }
 
 impl Server {
-    /// The slot of the budget for cold servers, and how many connects it was sent in it.
+    /// The slot of the budget for cold servers, and how many attempts it was sent in it.
     fn sent_as_cold(&self, now: Time) -> (Time, u64) {
         let slot = (now + self.phase) / SLOT;
         (
@@ -138,7 +138,7 @@
     balancers: f64,
     shares: Vec<f64>,
     surplus: f64,
-    max_connects: usize,
+    max_attempts: usize,
     margin: Time,
     come_back: Option<Time>,
     second_copies: bool,
@@ -166,7 +166,7 @@
     paced: (Time, BTreeMap<u64, f64>),
     servers: BTreeMap<ServerId, Server>,
     book: Book,
-    /// When our last connects were established, and where.
+    /// When our last attempts were established, and where.
     settled: VecDeque<(Time, ServerId)>,
     began: Option<Time>,
     window: Window,
@@ -193,7 +193,7 @@
     least: f64,
 }
 
-/// How many connects may be in flight at once: widened by those that are established, narrowed when
+/// How many attempts may be in flight at once: widened by those that are established, narrowed when
 /// servers that answer fail or are late, which is the sign of something they share.
 #[derive(Default)]
 struct Window {
@@ -206,7 +206,7 @@
 }
 
 impl Window {
-    /// Whether another connect may go out. A width under one is one connect in so many rounds.
+    /// Whether another attempt may go out. A width under one is one attempt in so many rounds.
     fn full(&self, now: Time, in_flight: usize) -> bool {
         let pause = (ROUND as f64 / self.width) as Time;
         in_flight as f64 >= self.width.max(1.0) || self.width < 1.0 && now < self.narrowed + pause
@@ -220,7 +220,7 @@
         };
     }
 
-    /// Once a round at most, since the connects of one round fail together.
+    /// Once a round at most, since the attempts of one round fail together.
     fn narrow(&mut self, now: Time) {
         if now >= self.narrowed + ROUND {
             self.width = (self.width / 2.0).max(NARROWEST);
@@ -238,7 +238,7 @@
             zone,
             balancers: 1.0,
             surplus: 1.0,
-            max_connects: 1,
+            max_attempts: 1,
             margin: 10 * MS,
             every: PROBE_EVERY,
             cold: (0.1, 30 * SEC, 1.0),
@@ -271,15 +271,15 @@
         (self.long, self.salt, self.draining) = (old.long, old.salt, old.draining);
     }
 
-    /// How many connects a flow may have, and how long before its connect timeout we answer.
-    pub fn connects(
+    /// How many attempts a flow may have, and how long before its deadline we answer.
+    pub fn attempts(
         mut self,
         most: usize,
         margin: Time,
         second_copies: bool,
         may_call_off: bool,
     ) -> Self {
-        (self.max_connects, self.margin) = (most.max(1), margin);
+        (self.max_attempts, self.margin) = (most.max(1), margin);
         (self.second_copies, self.may_call_off) = (second_copies, may_call_off);
         self
     }
@@ -449,14 +449,14 @@
     pub fn place(&mut self, now: Time, flow: &Flow) -> Place {
         self.began.get_or_insert(now);
         let left = flow.give_up.saturating_sub(now + self.margin);
-        let two_out = !self.second_copies && flow.connects.iter().any(|c| c.out);
-        let jammed =
-            self.window.width < self.window.calm && flow.connects.iter().any(|c| !c.never_ran);
-        if left == 0 || two_out || jammed || flow.connects.len() >= self.max_connects {
+        let two_out = !self.second_copies && flow.attempts.iter().any(|c| c.in_flight);
+        let jammed = self.window.width < self.window.calm
+            && flow.attempts.iter().any(|c| !c.known_unexecuted);
+        if left == 0 || two_out || jammed || flow.attempts.len() >= self.max_attempts {
             return self.give_up(now, flow);
         }
-        // Guards against a storm of connects that jams what all servers share (the store) and stays.
-        if self.window.full(now, self.book.out.len()) {
+        // Guards against a storm of attempts that jams what all servers share (the store) and stays.
+        if self.window.full(now, self.book.in_flight.len()) {
             return self.hold(now, flow);
         }
         // Guards against walking all servers for each of the flows that wait, while nothing has come since
@@ -488,7 +488,7 @@
             choice = self.choose(now, flow, worth, None);
         }
         let Choice { ask, among, least } = choice;
-        let first = flow.connects.is_empty() && !(flow.returning && self.afresh(now));
+        let first = flow.attempts.is_empty() && !(flow.returning && self.afresh(now));
         if first && (whole || self.long.is_none()) {
             self.least = (now, least);
         }
@@ -511,7 +511,7 @@
         server.sent_cold = (slot, sent + 1);
         server.placed.push_back(now);
         self.book.enter(now, flow, server_id, false);
-        // All the time that is left: a connect that was given up has cost the store its call all the same.
+        // All the time that is left: an attempt that was given up has cost the store its call all the same.
         Place::To(
             server_id,
             left,
@@ -542,12 +542,16 @@
         let warm: Vec<Seen> = warm
             .map(|server| (server, self.beta(now, server)))
             .collect();
-        // Guards against one server that answers nothing and soon holds all connects that may be in flight.
+        // Guards against one server that answers nothing and soon holds all attempts that may be in flight.
         let target = self.class(flow).setup_target;
-        let late = self.book.out.values().filter(|(_, at)| at + target < now);
+        let late = self
+            .book
+            .in_flight
+            .values()
+            .filter(|(_, at)| at + target < now);
         let overdue: BTreeSet<ServerId> = late.map(|(server_id, _)| *server_id).collect();
         let answers = |server_id: ServerId| {
-            !flow.connects.iter().any(|c| c.server_id == server_id) && !overdue.contains(&server_id)
+            !flow.attempts.iter().any(|c| c.server_id == server_id) && !overdue.contains(&server_id)
         };
         let healthy = prefer(warm, |server| {
             self.healthy(now, server) && answers(server.listed.server_id)
@@ -579,7 +583,7 @@
         // Guards against a balancer that has just restarted and turns away those of the next one, or puts
         // all on the first server that shows room: they bring no new load, the figures have it.
         let returns = flow.returning && self.afresh(now);
-        // Guards against one connect of ours taken for one of each of hundreds. All go where there is room.
+        // Guards against one attempt of ours taken for one of each of hundreds. All go where there is room.
         let lag = (REPORT_AGE + FRESH) as f64 / RATE_SPAN as f64;
         let usual = lag * part * self.settled.len() as f64 / f64::max(roomy, 1.0);
         let theirs = match () {
@@ -878,7 +882,7 @@
     /// Whether we have started lately, from nothing: all that we hold was made since.
     fn afresh(&self, now: Time) -> bool {
         let young = self.began.is_none_or(|began| now < began + RATE_SPAN);
-        young && self.book.own.len() <= self.settled.len() + self.book.out.len()
+        young && self.book.own.len() <= self.settled.len() + self.book.in_flight.len()
     }
 
     /// The probe interval: as long as keeps probes within their worth, by how many of our flows come to them.
@@ -1013,7 +1017,7 @@
 
     /// The answer for a flow that is given up: rejected where the client may safely come again, and told when.
     fn give_up(&mut self, now: Time, flow: &Flow) -> Place {
-        let may_have_run = flow.connects.iter().any(|c| !c.never_ran);
+        let may_have_run = flow.attempts.iter().any(|c| !c.known_unexecuted);
         // Guards against a client that is sent back when servers have forgotten what it asked for.
         let remembered = self
             .send_by(flow)
@@ -1043,12 +1047,12 @@
         if server.listed.state != State::Ready {
             return false;
         }
-        let mut ran = flow.connects.iter().filter(|c| !c.never_ran);
+        let mut ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
         match self.class(flow).repeat {
             Repeat::Repeatable => true,
             Repeat::OnceOnly => ran.next().is_none(),
             Repeat::Referenced(scope, _) => {
-                let first = |c: &Connect| self.servers.get(&c.server_id).map(|first| first.listed);
+                let first = |c: &Attempt| self.servers.get(&c.server_id).map(|first| first.listed);
                 let same = |c| {
                     scope == Scope::All || first(c).is_some_and(|l| scope.same(&l, &server.listed))
                 };
@@ -1058,19 +1062,19 @@
         }
     }
 
-    /// Until when a connect may be sent: a referenced flow's while servers know all that may have run. Guards
+    /// Until when an attempt may be sent: a referenced flow's while servers know all that may have run. Guards
     /// against a repeat that is placed in time and whose connection comes up late.
     fn send_by(&self, flow: &Flow) -> Time {
         let Repeat::Referenced(_, window) = self.class(flow).repeat else {
             return Time::MAX;
         };
-        let ran = flow.connects.iter().filter(|c| !c.never_ran);
+        let ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
         ran.map(|c| c.at.saturating_add(window))
             .min()
             .unwrap_or(Time::MAX)
     }
 
-    /// Whether a server answers: not resting after failed connects, nor silent to probes and flows alike.
+    /// Whether a server answers: not resting after failed attempts, nor silent to probes and flows alike.
     fn healthy(&self, now: Time, server: &Server) -> bool {
         let resting = server
             .failed
@@ -1104,7 +1108,7 @@
         }
     }
 
-    /// For each kind of machine what a warm server takes of ours, in connects a nanosecond: half of what warm ones
+    /// For each kind of machine what a warm server takes of ours, in attempts a nanosecond: half of what warm ones
     /// lately established, not of what is sent, which would rise in a storm, or what fills one, as each of hundreds
     /// establishes too few. Where one refuses, the lower of both: guards against a jam, in which the few warm ones
     /// hold all that there is, or take and drop the same clients again and again, and all turn to cold ones.
@@ -1139,7 +1143,7 @@
             1.0
         };
         let (out, time) = (
-            self.book.out.len() as f64,
+            self.book.in_flight.len() as f64,
             self.cold.1.max(SEC) as f64 / FILLS,
         );
         let each = |(warm, held, settled, refuses): (f64, f64, f64, bool)| {
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     Repeatable,
-    /// Repeats are dropped by the servers in scope for so long after the connect that may have run.
+    /// Repeats are dropped by the servers in scope for so long after the attempt that may have run.
     Referenced(Scope, Time),
     OnceOnly,
 }
@@ -43,15 +43,15 @@
     pub repeat: Repeat,
 }
 
-/// One connect that was already made for a flow.
+/// One attempt that was already made for a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connect {
+pub struct Attempt {
     pub server_id: ServerId,
     pub at: Time,
     /// Still in flight.
-    pub out: bool,
+    pub in_flight: bool,
     /// Known not to have run.
-    pub never_ran: bool,
+    pub known_unexecuted: bool,
 }
 
 /// A flow in the caller's hands that is owed an answer.
@@ -65,9 +65,9 @@
     /// The client's connection broke or was moved: it comes back with the load that it had.
     pub returning: bool,
     pub taken: Time,
-    /// When the connect timeout runs out.
+    /// When the deadline runs out.
     pub give_up: Time,
-    pub connects: Vec<Connect>,
+    pub attempts: Vec<Attempt>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -133,7 +133,7 @@
     }
 }
 
-/// How a connect, or the connection it became, has ended.
+/// How an attempt, or the connection it became, has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     Done,
@@ -176,7 +176,7 @@
 /// Where a flow goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// To this server, waiting for it so long, and only if the connect is sent within the second span.
+    /// To this server, waiting for it so long, and only if the attempt is sent within the second span.
     To(ServerId, Time, Time),
     /// Hold the flow and ask again after the wait.
     NotYet,
@@ -195,7 +195,7 @@
     pub probe: Vec<ServerId>,
     /// Own connections to move.
     pub shift: Vec<FlowId>,
-    /// Flows whose connect is to be called off.
+    /// Flows whose attempt is to be called off.
     pub call_off: Vec<FlowId>,
     /// Ask for the list.
     pub ask_list: bool,
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -45,7 +45,7 @@
 enum Jam {
     /// They report that they are hot.
     Hot,
-    /// They report as before and refuse each connect.
+    /// They report as before and refuse each attempt.
     Refusing,
 }
 
@@ -94,7 +94,7 @@
 impl Balancer {
     fn new(fleet: &Fleet, index: u64) -> Self {
         let mut policy = Policy::new(index, 0, vec![repeat(Repeat::Repeatable)])
-            .connects(3, 4 * MS, false, true)
+            .attempts(3, 4 * MS, false, true)
             .come_back(Some(2 * SEC))
             .probing(true, 0.0)
             .among(fleet.balancers as f64, false)
@@ -148,7 +148,7 @@
         }
     }
 
-    /// One client comes, and is placed again where a server refuses; tells where its connects went, the last one
+    /// One client comes, and is placed again where a server refuses; tells where its attempts went, the last one
     /// being established.
     fn attempt(
         &mut self,
@@ -173,11 +173,11 @@
                 self.ends.push(Reverse((now + life, flow.id, server_id)));
                 break;
             }
-            flow.connects.push(Connect {
+            flow.attempts.push(Attempt {
                 server_id,
                 at: now,
-                out: false,
-                never_ran: true,
+                in_flight: false,
+                known_unexecuted: true,
             });
             let refused = Outcome::Ended {
                 flow: flow.id,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -14,7 +14,7 @@
 /// A balancer of zone 0 with one traffic class.
 pub fn balancer(kind: Repeat) -> Policy {
     Policy::new(7, 0, vec![repeat(kind)])
-        .connects(3, 4 * MS, false, true)
+        .attempts(3, 4 * MS, false, true)
         .come_back(Some(2 * SEC))
         .probing(true, 0.0)
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
@@ -41,12 +41,12 @@
     }
 }
 
-pub fn connect(server_id: ServerId, never_ran: bool) -> Connect {
-    Connect {
+pub fn attempt(server_id: ServerId, known_unexecuted: bool) -> Attempt {
+    Attempt {
         server_id,
         at: 0,
-        out: false,
-        never_ran,
+        in_flight: false,
+        known_unexecuted,
     }
 }
 
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{balancer, beta, connect, flow, probe, ready, repeat, take};
+use common::{attempt, balancer, beta, flow, probe, ready, repeat, take};
 use nettlemux_policy::*;
 
 const T0: Time = 1000 * SEC;
@@ -53,7 +53,7 @@
     let firsts: std::collections::BTreeSet<ServerId> = (0..40)
         .map(|seed| {
             let mut policy =
-                Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)]).connects(3, MS, false, true);
+                Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)]).attempts(3, MS, false, true);
             policy.list(T0, &[ready(0), ready(1), ready(2)], true);
             take(&mut policy, T0, 0)
         })
@@ -216,15 +216,15 @@
 
 #[test]
 fn connects_are_bounded_by_time_number_and_second_copies() {
-    for (connects, left, want_send) in [
+    for (attempts, left, want_send) in [
         (vec![], 500 * MS, true),
         (vec![], MS, false),
-        (vec![connect(0, true); 1], 500 * MS, true),
-        (vec![connect(0, true); 3], 500 * MS, false),
+        (vec![attempt(0, true); 1], 500 * MS, true),
+        (vec![attempt(0, true); 3], 500 * MS, false),
         (
-            vec![Connect {
-                out: true,
-                ..connect(0, false)
+            vec![Attempt {
+                in_flight: true,
+                ..attempt(0, false)
             }],
             500 * MS,
             false,
@@ -234,18 +234,18 @@
         policy.list(T0, &[ready(0), ready(1)], true);
         let one = Flow {
             give_up: T0 + left,
-            connects: connects.clone(),
+            attempts: attempts.clone(),
             ..flow(T0, 1)
         };
         match policy.place(T0, &one) {
             Place::To(server_id, limit, by) => {
-                assert!(want_send && limit < left && by == limit, "{connects:?}");
+                assert!(want_send && limit < left && by == limit, "{attempts:?}");
                 assert!(
-                    connects.iter().all(|c| c.server_id != server_id),
+                    attempts.iter().all(|c| c.server_id != server_id),
                     "another server than before"
                 );
             }
-            other => assert!(!want_send, "{connects:?}: {other:?}"),
+            other => assert!(!want_send, "{attempts:?}: {other:?}"),
         }
     }
 }
@@ -264,13 +264,13 @@
         (9 * SEC, false),
     ] {
         let mut policy = balancer(Repeat::Referenced(Scope::All, window)).come_back(Some(2 * SEC));
-        let earlier = Connect {
+        let earlier = Attempt {
             at: T0 - age,
-            ..connect(0, false)
+            ..attempt(0, false)
         };
         // Waits for no server any more: its setup target has passed.
         let one = Flow {
-            connects: vec![earlier],
+            attempts: vec![earlier],
             taken: T0 - 10 * SEC,
             ..flow(T0, 1)
         };
@@ -291,7 +291,7 @@
 #[test]
 fn a_repeat_is_sent_while_it_is_known_or_not_at_all() {
     let referenced = Repeat::Referenced(Scope::All, SEC);
-    // Kind, whether the earlier connects ran and their ages, the longest until it is sent: the margin is 10 ms, and the
+    // Kind, whether the earlier attempts ran and their ages, the longest until it is sent: the margin is 10 ms, and the
     // balancer may be held up for 150 ms between its look at the clock and the write.
     for (kind, earlier, want) in [
         (referenced, vec![], 1990),
@@ -301,15 +301,15 @@
         (Repeat::Repeatable, vec![(false, 980)], 1990),
         (Repeat::OnceOnly, vec![(true, 980)], 1990),
     ] {
-        let mut policy = balancer(kind).connects(5, 10 * MS, false, true);
+        let mut policy = balancer(kind).attempts(5, 10 * MS, false, true);
         policy.list(T0, &[ready(0), ready(1)], true);
-        let made = |(never_ran, age)| Connect {
+        let made = |(known_unexecuted, age)| Attempt {
             at: T0 - age * MS,
-            ..connect(0, never_ran)
+            ..attempt(0, known_unexecuted)
         };
-        let connects: Vec<Connect> = earlier.iter().copied().map(made).collect();
+        let attempts: Vec<Attempt> = earlier.iter().copied().map(made).collect();
         let one = Flow {
-            connects,
+            attempts,
             taken: T0 - SEC,
             give_up: T0 + 2 * SEC,
             ..flow(T0, 1)
@@ -329,8 +329,8 @@
         cell: 1,
         ..ready(1)
     };
-    // Kind, whether the earlier connect to server 0 ran, its age, servers ready, what may come.
-    for (kind, never_ran, age, list, want) in [
+    // Kind, whether the earlier attempt at server 0 ran, its age, servers ready, what may come.
+    for (kind, known_unexecuted, age, list, want) in [
         (Repeat::OnceOnly, true, 0, vec![ready(0), far], "to"),
         (Repeat::OnceOnly, false, 0, vec![ready(0), far], "abort"),
         (Repeat::Repeatable, false, 0, vec![ready(0), far], "to"),
@@ -385,12 +385,12 @@
     ] {
         let mut policy = balancer(kind);
         policy.list(T0, &list, true);
-        let earlier = Connect {
+        let earlier = Attempt {
             at: T0 - age,
-            ..connect(0, never_ran)
+            ..attempt(0, known_unexecuted)
         };
         let one = Flow {
-            connects: vec![earlier],
+            attempts: vec![earlier],
             taken: T0 - SEC,
             ..flow(T0, 1)
         };
@@ -401,7 +401,10 @@
             Place::Reject(_) => "reject".into(),
             Place::Abort => "abort".to_string(),
         };
-        assert_eq!(got, want, "{kind:?}, never ran {never_ran}, age {age}");
+        assert_eq!(
+            got, want,
+            "{kind:?}, never ran {known_unexecuted}, age {age}"
+        );
     }
 }
 
@@ -476,7 +479,7 @@
 fn fleet(balancers: u64, beta: f64) -> impl Iterator<Item = Policy> {
     (0..balancers).map(move |seed| {
         let mut policy = Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)])
-            .connects(3, 4 * MS, false, true)
+            .attempts(3, 4 * MS, false, true)
             .among(balancers as f64, false)
             .cold(0.35, 8 * SEC, 3.0, 3 * SEC)
             .told(false, true);
@@ -523,7 +526,7 @@
 
 #[test]
 fn a_fleet_of_balancers_fills_a_cold_server_within_the_rule() {
-    // Guards against hundreds that each go by the few connects they lately made: cold servers got nothing.
+    // Guards against hundreds that each go by the few attempts they lately made: cold servers got nothing.
     let mut sent = Vec::new();
     for (n, mut policy) in fleet(60, 0.7).enumerate() {
         policy.list(
@@ -590,7 +593,7 @@
 
 #[test]
 fn cold_servers_get_their_share_of_the_pace_only() {
-    // Guards against a storm of connects, which must not raise the budget, and a restart under one id.
+    // Guards against a storm of attempts, which must not raise the budget, and a restart under one id.
     for (storm, restart) in [(false, false), (true, false), (false, true)] {
         let mut policy = balancer(Repeat::Repeatable);
         policy.list(T0, &[ready(0), ready(1), ready(2)], true);
@@ -639,7 +642,7 @@
 
 #[test]
 fn what_hundreds_of_balancers_saved_up_for_a_cold_server_is_not_spent_at_once() {
-    // Guards against 300 balancers that turn to a cold server in one moment, since all others are full, with a connect
+    // Guards against 300 balancers that turn to a cold server in one moment, since all others are full, with an attempt
     // saved up by each (roll+mass and join+mass of slate-quarry, seed 2: 5.0 times what the server could then do).
     let (mut sent, balancers) = (0, 300);
     for mut policy in fleet(balancers, 0.7) {
@@ -668,7 +671,7 @@
 
 #[test]
 fn a_jam_narrows_the_connects_in_flight() {
-    // Guards against a store jammed by our own further connects (kandy-patrol, rough-2).
+    // Guards against a store jammed by our own further attempts (kandy-patrol, rough-2).
     let in_flight = |policy: &mut Policy, now, from: FlowId| {
         (from..from + 40)
             .take_while(|id| matches!(policy.place(now, &flow(now, *id)), Place::To(..)))
@@ -709,7 +712,7 @@
 
 #[test]
 fn hundreds_of_balancers_jam_the_store_no_sooner_than_a_few() {
-    // Guards against 300 balancers that each start with eight connects in flight and, in the jam that they find
+    // Guards against 300 balancers that each start with eight attempts in flight and, in the jam that they find
     // out one by one, send their clients away for a second at most (roll+mass seeds 11 and 15, slow store).
     for (balancers, first) in [(1.0, 8), (75.0, 8), (300.0, 2), (1000.0, 1)] {
         let mut policy = balancer(Repeat::Repeatable).among(balancers, false);
@@ -767,7 +770,7 @@
 
 #[test]
 fn a_server_that_answers_nothing_gets_no_more() {
-    // Guards against a silent server on which all connects that may be in flight wait for their end.
+    // Guards against a silent server on which all attempts that may be in flight wait for their end.
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &[ready(0), ready(1)], true);
     let silent = take(&mut policy, T0, 0);
@@ -802,7 +805,7 @@
 
 #[test]
 fn a_flow_waits_only_while_it_can_be_asked_about_again_in_time() {
-    // Guards against an answer after the connect timeout where a try is shorter than the setup target.
+    // Guards against an answer after the deadline where a try is shorter than the setup target.
     for (left, waits) in [(90 * MS, true), (70 * MS, true), (60 * MS, false)] {
         let mut policy = balancer(Repeat::Repeatable);
         let place = policy.place(
@@ -819,7 +822,7 @@
 
 #[test]
 fn in_a_jam_no_flow_gets_a_further_connect_and_few_get_one() {
-    // Guards against five connects a flow to a store that fails them all (colombo-maps, a slow store only).
+    // Guards against five attempts a flow to a store that fails them all (colombo-maps, a slow store only).
     let mut policy = balancer(Repeat::Repeatable);
     policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
     let mut sent = 0;
@@ -828,7 +831,7 @@
         if let Place::To(server_id, ..) = policy.place(now, &flow(now, id)) {
             sent += 1;
             let tried = Flow {
-                connects: vec![connect(server_id, false)],
+                attempts: vec![attempt(server_id, false)],
                 ..flow(now, id)
             };
             let ended = Outcome::Ended {
@@ -855,7 +858,7 @@
             ..repeat(Repeat::Repeatable)
         });
         let mut policy = Policy::new(7, 0, types.to_vec())
-            .connects(3, 4 * MS, false, true)
+            .attempts(3, 4 * MS, false, true)
             .tenants(vec![0.5, 0.5], 0.1)
             .probing(true, 0.0);
         policy.list(T0, &[ready(0), ready(1)], true);
@@ -977,7 +980,7 @@
     };
     let placed = |seed, group: &str, holder: Option<ServerId>| {
         let mut policy = Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)])
-            .connects(3, MS, false, true)
+            .attempts(3, MS, false, true)
             .among(100.0, false)
             .probing(true, 0.0);
         policy.list(T0, &(0..20).map(ready).collect::<Vec<_>>(), true);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The decision module for one balancer; it answers `margin` before a connect timeout runs out. `warn` says
+    /// The decision module for one balancer; it answers `margin` before an attempt timeout runs out. `warn` says
     /// whether clients are moved off a server that drains, as the operators want on sockets; the simulator counts
     /// a move as a cost and a break as nothing.
     pub fn policy(&self, seed: u64, margin: Time, warn: bool) -> Read<Policy> {
@@ -90,7 +90,7 @@
             None => (1.0, 0, 1.0, SHORTEST_FALL),
         };
         Ok(Policy::new(seed, self.zone()?, self.traffic_classes()?)
-            .connects(
+            .attempts(
                 self.number_or("limits/max-connects", 1.0)?.max(0.0) as usize,
                 margin,
                 self.allowed("limits/second-copies")?,
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -13,7 +13,7 @@
 };
 use nettlemux_settings::Settings;
 
-/// How long before a connect timeout a balancer answers in virtual time, as one on sockets does.
+/// How long before an attempt timeout a balancer answers in virtual time, as one on sockets does.
 pub const MARGIN: Time = 15 * MS;
 /// What those who are turned away by a baseline are told at most.
 const COME_BACK: [f64; 2] = [0.25, 1.0];
@@ -77,9 +77,9 @@
     kind: Kind,
     dice: Dice,
     types: Vec<TrafficClass>,
-    connects: usize,
+    attempts: usize,
     servers: BTreeMap<ServerId, Listed>,
-    /// Our connections and connects on each.
+    /// Our connections and attempts on each.
     own: BTreeMap<ServerId, usize>,
     flows: BTreeMap<FlowId, ServerId>,
     turn: usize,
@@ -93,7 +93,7 @@
             types: settings
                 .traffic_classes()
                 .expect("settings made by the lab"),
-            connects: settings.number("limits/max-connects").unwrap_or(1.0) as usize,
+            attempts: settings.number("limits/max-connects").unwrap_or(1.0) as usize,
             servers: BTreeMap::new(),
             own: BTreeMap::new(),
             flows: BTreeMap::new(),
@@ -103,7 +103,7 @@
 
     /// Whether a repeat there can do no harm.
     fn safe(&self, now: Time, flow: &Flow, server: &Listed) -> bool {
-        let mut ran = flow.connects.iter().filter(|c| !c.never_ran);
+        let mut ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
         match self.types[flow.class].repeat {
             Repeat::Repeatable => true,
             Repeat::OnceOnly => ran.next().is_none(),
@@ -120,7 +120,7 @@
     }
 
     fn give_up(&mut self, flow: &Flow) -> Place {
-        let ran = flow.connects.iter().any(|c| !c.never_ran);
+        let ran = flow.attempts.iter().any(|c| !c.known_unexecuted);
         match self.types[flow.class].repeat {
             Repeat::OnceOnly if ran => Place::Abort,
             Repeat::Referenced(scope, _) if ran && scope != Scope::All => Place::Abort,
@@ -152,7 +152,9 @@
 impl Brain for Baseline {
     fn place(&mut self, now: Time, flow: &Flow) -> Place {
         let left = flow.give_up.saturating_sub(now + MARGIN);
-        if left == 0 || flow.connects.len() >= self.connects || flow.connects.iter().any(|c| c.out)
+        if left == 0
+            || flow.attempts.len() >= self.attempts
+            || flow.attempts.iter().any(|c| c.in_flight)
         {
             return self.give_up(flow);
         }
@@ -164,7 +166,7 @@
         let fresh: Vec<ServerId> = all
             .iter()
             .copied()
-            .filter(|server_id| flow.connects.iter().all(|c| c.server_id != *server_id))
+            .filter(|server_id| flow.attempts.iter().all(|c| c.server_id != *server_id))
             .collect();
         let among = if fresh.is_empty() { all } else { fresh };
         if among.is_empty() {
@@ -191,7 +193,7 @@
         };
         self.enter(flow.id, server_id);
         // Each try gets its part of the time that is left.
-        let tries = (self.connects - flow.connects.len()) as u64;
+        let tries = (self.attempts - flow.attempts.len()) as u64;
         Place::To(server_id, left / tries.max(1), left)
     }
 
--- a/crates/testbed/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -384,7 +384,7 @@
         .over(Unknown::Servers)
         .within(bytes),
         Row::new(
-            "a new server until its first probe or connect, over the servers",
+            "a new server until its first probe or attempt, over the servers",
             "ms",
             seen_over_servers.describe(),
             move |f| seen_over_servers.at(f.servers),
@@ -393,7 +393,7 @@
         .over(Unknown::Servers)
         .within(change_known_within * 1e3),
         Row::new(
-            "a new server until its first probe or connect, over the changes of an ordinary day",
+            "a new server until its first probe or attempt, over the changes of an ordinary day",
             "ms",
             seen.describe(),
             move |f| seen.at(list_changes_per_day(inputs, f) / SECONDS_PER_DAY),
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -176,7 +176,7 @@
         "contract": {"start-capacity": fleet.cold_share, "warm-up": us(fleet.warm_up),
             "fall-multiple": fleet.fall_multiple, "fall": us(fleet.fall),
             "stop-sending-within": us(limits.grace)},
-        "limits": {"max-connects": limits.connects, "second-copies": limits.second_copies,
+        "limits": {"max-connects": limits.attempts, "second-copies": limits.second_copies,
             "may-cancel": limits.may_cancel, "probes": limits.probes,
             "retry-after": limits.come_back > 0.0, "max-retry-after": us(limits.come_back),
             "dial-timeout": us(DIAL)},
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -541,7 +541,7 @@
     if verdict.kept() {
         return format!(
             "rules kept over {} flows and {} connects",
-            verdict.flows, verdict.connects
+            verdict.flows, verdict.attempts
         );
     }
     let each: Vec<String> = verdict
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -107,7 +107,7 @@
             (Place::To(_, limit, by), Mischief::FloodsCold, Some((_, server_id))) => {
                 Place::To(server_id, limit, by)
             }
-            (Place::Abort, Mischief::RejectsWhatMayHaveRun, _) if !flow.connects.is_empty() => {
+            (Place::Abort, Mischief::RejectsWhatMayHaveRun, _) if !flow.attempts.is_empty() => {
                 Place::Reject(None)
             }
             (place, ..) => place,
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,5 +1,5 @@
 //! The judge of the rules. It reads only what crossed the stand-ins ([`Seen`]), in order of time, and keeps what it needs to
-//! judge and no more: open flows, the last few seconds of closed ones, and cold servers' connects. It must never be told
+//! judge and no more: open flows, the last few seconds of closed ones, and cold servers' attempts. It must never be told
 //! anything by a balancer, nor by the model about what it would have done.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -10,7 +10,7 @@
 use nettlemux_policy::{MS, SEC, Time};
 use serde::Serialize;
 
-/// How long after a flow's end a further answer or connect is still noticed.
+/// How long after a flow's end a further answer or attempt is still noticed.
 const REMEMBERED: Time = 10 * SEC;
 /// So many breaks are told one by one; all are counted.
 const TOLD: usize = 20;
@@ -25,13 +25,13 @@
     AnsweredTwice,
     /// 1: an answer after its time.
     Late,
-    /// 1: an answer, or a connect, for a flow that is over.
+    /// 1: an answer, or an attempt, for a flow that is over.
     AfterTheEnd,
     /// 1: a connection cut off by the balancer, unannounced, while its server still answered.
     Cut,
     /// 2: an effect that may come twice.
     Twice,
-    /// 2: two connects in flight.
+    /// 2: two attempts in flight.
     TwoInFlight,
     /// 3: new work to a server that drains or is gone, after the grace.
     Drain,
@@ -54,7 +54,7 @@
     /// The first few.
     pub told: Vec<Broken>,
     pub flows: usize,
-    pub connects: usize,
+    pub attempts: usize,
 }
 
 impl Verdict {
@@ -78,7 +78,7 @@
     answered: Option<Final>,
     /// Nothing more is owed, and since when.
     over: Option<Time>,
-    connects: Vec<Made>,
+    attempts: Vec<Made>,
 }
 
 #[derive(Default)]
@@ -192,7 +192,7 @@
                 ..
             } => {
                 self.verdict.flows += 1;
-                let (answered, over, connects) = (None, None, Vec::new());
+                let (answered, over, attempts) = (None, None, Vec::new());
                 self.flows.insert(
                     flow,
                     Flow {
@@ -201,7 +201,7 @@
                         give_up,
                         answered,
                         over,
-                        connects,
+                        attempts,
                     },
                 );
             }
@@ -217,30 +217,30 @@
                 }
                 self.ends(at, flow);
             }
-            Seen::Connect {
+            Seen::Attempt {
                 at,
                 balancer,
                 flow,
                 number,
                 server,
             } => {
-                self.verdict.connects += 1;
+                self.verdict.attempts += 1;
                 self.connect(at, balancer, flow, (number, server));
             }
-            Seen::ConnectEnded {
+            Seen::AttemptEnded {
                 flow,
                 number,
-                never_ran,
+                known_unexecuted,
                 ..
             } => {
                 let made = self.flows.get_mut(&flow).and_then(|f| {
-                    f.connects
+                    f.attempts
                         .iter_mut()
                         .rev()
                         .find(|made| made.number == number && made.ended.is_none())
                 });
                 if let Some(made) = made {
-                    made.ended = Some(never_ran);
+                    made.ended = Some(known_unexecuted);
                 }
             }
             Seen::Ended {
@@ -296,7 +296,7 @@
             at > flow.give_up + self.slack,
             flow.over.is_some() && before.is_none(),
         );
-        let may_have_run = flow.connects.iter().any(|made| made.ended != Some(true));
+        let may_have_run = flow.attempts.iter().any(|made| made.ended != Some(true));
         let unsafe_word = with == Final::Rejected
             && may_have_run
             && match flow.kind {
@@ -350,8 +350,8 @@
             );
         };
         let over = flow.answered.is_some() || flow.over.is_some_and(|over| at > over + slack);
-        let two = !second_copies && flow.connects.iter().any(|made| made.ended.is_none());
-        let ran = || flow.connects.iter().filter(|made| made.ended != Some(true));
+        let two = !second_copies && flow.attempts.iter().any(|made| made.ended.is_none());
+        let ran = || flow.attempts.iter().filter(|made| made.ended != Some(true));
         let twice = match flow.kind {
             Kind::Repeatable => false,
             Kind::OnceOnly => ran().next().is_some(),
@@ -374,7 +374,7 @@
         self.flows
             .get_mut(&id)
             .expect("looked at")
-            .connects
+            .attempts
             .push(made);
         if over {
             self.broken(
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 fn connect(at: Time, number: usize, server: usize) -> Seen {
-    Seen::Connect {
+    Seen::Attempt {
         at,
         balancer: 0,
         flow: 1,
@@ -27,12 +27,12 @@
         server,
     }
 }
-fn ended(number: usize, never_ran: bool) -> Seen {
-    Seen::ConnectEnded {
+fn ended(number: usize, known_unexecuted: bool) -> Seen {
+    Seen::AttemptEnded {
         at: 2,
         flow: 1,
         number,
-        never_ran,
+        known_unexecuted,
     }
 }
 fn answered(at: Time, with: Final) -> Seen {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -1,5 +1,5 @@
 //! The decision module and the flow table alone: they are asked in virtual time, by a driver that answers their probes,
-//! makes their connects and asks again when the module wants it. Times are of the real processor, all else is virtual. It
+//! makes their attempts and asks again when the module wants it. Times are of the real processor, all else is virtual. It
 //! owns the driver and must know of the module only what any caller does.
 
 use std::cell::RefCell;
@@ -24,7 +24,7 @@
 
 /// How long before its deadline a flow is answered.
 const MARGIN: Time = 15 * MS;
-/// From a probe to its answer, and from a connect to its connection.
+/// From a probe to its answer, and from an attempt to its connection.
 const PROBE_ROUND_TRIP: Time = MS;
 const CONNECT_TIME: Time = 5 * MS;
 /// Before flows come: the longest probe interval, so that each server has been asked.
@@ -375,7 +375,7 @@
     fn carry_out(&mut self, acts: Vec<Act>) {
         for act in acts {
             match act {
-                Act::Connect { flow, .. } => {
+                Act::Attempt { flow, .. } => {
                     self.placed += 1;
                     self.plan(self.now + CONNECT_TIME, Event::Connected(flow));
                 }
--- a/crates/testbed/src/scale/measurement.rs
+++ b/crates/testbed/src/scale/measurement.rs
@@ -116,7 +116,7 @@
     /// Clients' connections that were up when the measurement began.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections_up: Option<f64>,
-    /// From a change at discovery until the new server gets its first probe or connect.
+    /// From a change at discovery until the new server gets its first probe or attempt.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub change_seen_ms_p50: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -143,7 +143,7 @@
     pub server_connections_max_before: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections_max: Option<f64>,
-    /// The most connects that any server was sent within a second, and any server that was new.
+    /// The most attempts that any server was sent within a second, and any server that was new.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connects_in_a_second_max: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -1,5 +1,5 @@
 //! Hollow servers: all in this process, each with an address of its own on loopback and one listening socket for all. They
-//! answer probes, take connects, hold connections and count; they do no work. It owns the listener and what was counted.
+//! answer probes, take attempts, hold connections and count; they do no work. It owns the listener and what was counted.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -27,13 +27,13 @@
 /// It holds so many at least.
 const LEAST_CAPACITY: f64 = 32.0;
 
-/// What brought a connect.
+/// What brought an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
     First,
     /// Its client had a connection that broke or was moved.
     Returning,
-    /// The same client's connect came before.
+    /// The same client's attempt came before.
     Retry,
 }
 
@@ -42,7 +42,7 @@
 pub struct Traffic {
     pub probes: AtomicU64,
     pub probe_bytes: AtomicU64,
-    pub connects: AtomicU64,
+    pub attempts: AtomicU64,
 }
 
 /// One server.
@@ -54,7 +54,7 @@
     first_seen: Mutex<Option<Instant>>,
 }
 
-/// What connects have come to.
+/// What attempts have come to.
 #[derive(Debug, Default)]
 struct Connects {
     by_cause: HashMap<Cause, u64>,
@@ -69,7 +69,7 @@
     all: Vec<Server>,
     capacity: f64,
     began: Instant,
-    connects: Mutex<Connects>,
+    attempts: Mutex<Connects>,
     pub from_real: Traffic,
     pub from_hollow: Traffic,
 }
@@ -91,7 +91,7 @@
             all: (0..number).map(|_| server()).collect(),
             capacity: (CAPACITY_FACTOR * connections / listed.max(1) as f64).max(LEAST_CAPACITY),
             began: Instant::now(),
-            connects: Mutex::default(),
+            attempts: Mutex::default(),
             from_real: Traffic::default(),
             from_hollow: Traffic::default(),
         });
@@ -141,22 +141,22 @@
     }
 
     pub fn connects_by(&self, cause: Cause) -> u64 {
-        self.connects().by_cause.get(&cause).copied().unwrap_or(0)
+        self.attempts().by_cause.get(&cause).copied().unwrap_or(0)
     }
 
-    /// The most connects that one of these servers was sent within a second from that moment on.
+    /// The most attempts that one of these servers was sent within a second from that moment on.
     pub fn most_connects_in_a_second(&self, since: Instant, of: impl Fn(usize) -> bool) -> u64 {
         let first_second = since.duration_since(self.began).as_secs();
-        let connects = self.connects();
-        let later = connects
+        let attempts = self.attempts();
+        let later = attempts
             .by_second
             .iter()
             .filter(|((server, second), _)| *second >= first_second && of(*server));
         later.map(|(_, count)| *count).max().unwrap_or(0)
     }
 
-    fn connects(&self) -> MutexGuard<'_, Connects> {
-        self.connects.lock().unwrap_or_else(PoisonError::into_inner)
+    fn attempts(&self) -> MutexGuard<'_, Connects> {
+        self.attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn serve(self: Arc<Self>, mut stream: TcpStream, from: SocketAddr) -> Option<()> {
@@ -183,7 +183,7 @@
                 first.get_or_insert_with(Instant::now);
             }
             if line.starts_with("OPEN ") {
-                traffic.connects.fetch_add(1, Relaxed);
+                traffic.attempts.fetch_add(1, Relaxed);
                 return self.hold(server, stream, &line, gone).await;
             }
             let answer = self.report(server);
@@ -229,16 +229,16 @@
         let mut words = line.split(' ').skip(1);
         let (id, values) = (words.next().unwrap_or(""), words.nth(1).unwrap_or(""));
         let second = self.began.elapsed().as_secs();
-        let mut connects = self.connects();
-        let known = !connects.client_ids.insert(id.to_string());
+        let mut attempts = self.attempts();
+        let known = !attempts.client_ids.insert(id.to_string());
         let returning = values.split(',').any(|pair| pair == "again=1");
         let cause = match (known, returning) {
             (true, _) => Cause::Retry,
             (false, true) => Cause::Returning,
             (false, false) => Cause::First,
         };
-        *connects.by_cause.entry(cause).or_default() += 1;
-        *connects.by_second.entry((server, second)).or_default() += 1;
+        *attempts.by_cause.entry(cause).or_default() += 1;
+        *attempts.by_second.entry((server, second)).or_default() += 1;
     }
 }
 
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -26,7 +26,7 @@
     list_calls: u64,
     list_bytes: u64,
     hollow_calls: u64,
-    connects: u64,
+    attempts: u64,
     usage: Usage,
 }
 
@@ -40,7 +40,7 @@
             list_calls: discovery.real_calls.calls.load(Relaxed),
             list_bytes: discovery.real_calls.bytes.load(Relaxed),
             hollow_calls: discovery.hollow_calls.calls.load(Relaxed),
-            connects: servers.from_real.connects.load(Relaxed),
+            attempts: servers.from_real.attempts.load(Relaxed),
             usage: fleet.usage(),
         }
     }
@@ -118,7 +118,7 @@
             .map(|(probes, list)| probes + list),
         list_calls_per_second: of_each(before.list_calls, after.list_calls),
         discovery_calls_per_second: Some((calls(after) - calls(before)) / seconds),
-        connects_per_second: of_each(before.connects, after.connects),
+        connects_per_second: of_each(before.attempts, after.attempts),
         cpu_percent_of_core: Some(100.0 * cpu_seconds / seconds),
         memory_mb: Some(after.usage.memory_mb),
         memory_peak_mb: Some(after.usage.memory_peak_mb),
--- a/crates/testbed/src/scale/storms.rs
+++ b/crates/testbed/src/scale/storms.rs
@@ -1,5 +1,5 @@
 //! Storms on a fleet on sockets: most balancers killed at once, or many servers replaced at once. What the fleet does from
-//! then on is summed: list calls, connections at each server, connects by cause.
+//! then on is summed: list calls, connections at each server, attempts by cause.
 
 use std::collections::HashSet;
 use std::sync::atomic::Ordering::Relaxed;
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -17,7 +17,7 @@
             return;
         };
         state.attempt = Some(attempt);
-        self.figures.connects += 1;
+        self.figures.attempts += 1;
         let number = attempt.number;
         let arrival = self.now + self.latency(flow, attempt.server);
         self.schedule(arrival, Event::AttemptArrives { flow, number });
@@ -80,7 +80,7 @@
     /// Records an attempt whose last byte has come to a server.
     pub(super) fn observe_attempt(&mut self, balancer: usize, flow: FlowId, attempt: Attempt) {
         let Attempt { number, server } = attempt;
-        self.observe(Seen::Connect {
+        self.observe(Seen::Attempt {
             at: self.now,
             balancer,
             flow,
@@ -142,11 +142,11 @@
         state.phase = FlowPhase::Connected;
         let (client, moving) = (state.client, state.moving);
         let number = attempt.number;
-        self.observe(Seen::ConnectEnded {
+        self.observe(Seen::AttemptEnded {
             at: self.now,
             flow,
             number,
-            never_ran: false,
+            known_unexecuted: false,
         });
         self.observe_answer(flow, Final::Established);
         self.clients.established(client);
@@ -200,12 +200,12 @@
         state.attempt = None;
         let settled = state.phase == FlowPhase::Settled;
         self.detach(flow, attempt.server);
-        let (number, never_ran) = (attempt.number, ending.never_ran);
-        self.observe(Seen::ConnectEnded {
+        let (number, known_unexecuted) = (attempt.number, ending.known_unexecuted);
+        self.observe(Seen::AttemptEnded {
             at: self.now,
             flow,
             number,
-            never_ran,
+            known_unexecuted,
         });
         self.report_ended(flow, attempt, ending);
         if settled {
@@ -219,14 +219,17 @@
             return;
         };
         let Attempt { number, server } = attempt;
-        let Ending { end, never_ran } = ending;
+        let Ending {
+            end,
+            known_unexecuted,
+        } = ending;
         self.ask(balancer, |flow_table, now, actions| {
             let report = Report::default();
             flow_table.ended(
                 now,
                 (flow, number),
                 server as u64,
-                (end, never_ran),
+                (end, known_unexecuted),
                 report,
                 actions,
             );
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -100,7 +100,7 @@
             returning: known.returning,
             taken: self.now,
             give_up: deadline,
-            connects: Vec::new(),
+            attempts: Vec::new(),
         }
     }
 
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -34,7 +34,7 @@
 
     fn execute(&mut self, balancer: usize, action: Act) {
         match action {
-            Act::Connect {
+            Act::Attempt {
                 flow,
                 server_id,
                 number,
--- a/crates/testbed/src/simulate/event.rs
+++ b/crates/testbed/src/simulate/event.rs
@@ -81,7 +81,7 @@
 impl ServerResponse {
     /// How the attempt or connection ended with this response.
     pub(super) fn ending(self) -> Ending {
-        let (end, never_ran) = match self {
+        let (end, known_unexecuted) = match self {
             ServerResponse::Connected => (End::Done, false),
             ServerResponse::Busy => (End::Full, true),
             ServerResponse::Error => (End::Error, false),
@@ -89,7 +89,10 @@
             ServerResponse::Reset => (End::Cut, false),
             ServerResponse::Redirected => (End::CalledOff, false),
         };
-        Ending { end, never_ran }
+        Ending {
+            end,
+            known_unexecuted,
+        }
     }
 }
 
@@ -98,7 +101,7 @@
 pub(super) struct Ending {
     pub(super) end: End,
     /// It is certain that the server has not acted on it.
-    pub(super) never_ran: bool,
+    pub(super) known_unexecuted: bool,
 }
 
 impl Ending {
@@ -106,7 +109,7 @@
     pub(super) fn may_have_run(end: End) -> Self {
         Ending {
             end,
-            never_ran: false,
+            known_unexecuted: false,
         }
     }
 }
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -18,7 +18,7 @@
 
 /// A balancer's machine takes a connection by then or never.
 const DIAL: Duration = Duration::from_secs(1);
-/// How long past its connect timeout a client goes on listening: what comes then is late, or a second answer.
+/// How long past its deadline a client goes on listening: what comes then is late, or a second answer.
 const PATIENCE: Time = 300 * MS;
 /// One that was open before the run is waited for so long.
 const STANDING: Time = 40 * SEC;
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in server: listens at one address for each zone, answers probes, takes connects as the model says and answers lines in
+//! A stand-in server: listens at one address for each zone, answers probes, takes attempts as the model says and answers lines in
 //! the time that the model takes. It owns each connection's end at the server and gives its place in the model back when
 //! that ends, in [`Seat`]. It never says more than the model does.
 
@@ -132,7 +132,7 @@
     }
 }
 
-/// A connection's place in the model, and a connect that is out: given back when dropped.
+/// A connection's place in the model, and an attempt that is out: given back when dropped.
 struct Seat<'a> {
     stage: &'a Stage,
     server: usize,
@@ -142,15 +142,15 @@
 }
 
 impl Seat<'_> {
-    /// The connect is out no more.
-    fn ended(&mut self, never_ran: bool) {
+    /// The attempt is out no more.
+    fn ended(&mut self, known_unexecuted: bool) {
         if let Some(number) = self.out.take() {
             let at = self.stage.now();
-            self.stage.see(Seen::ConnectEnded {
+            self.stage.see(Seen::AttemptEnded {
                 at,
                 flow: self.flow,
                 number,
-                never_ran,
+                known_unexecuted,
             });
         }
     }
@@ -257,9 +257,9 @@
         let offer = match inherited {
             true => Offer::Up(0.0),
             false => {
-                inner.gather.connects += 1;
-                let number = inner.gather.connects as usize;
-                inner.see(Seen::Connect {
+                inner.gather.attempts += 1;
+                let number = inner.gather.attempts as usize;
+                inner.see(Seen::Attempt {
                     at: now,
                     balancer,
                     flow,
@@ -279,7 +279,7 @@
             seat.seated = sit(&mut inner, flow, server);
         }
         drop(inner);
-        // What concerns processes can't come of a connect.
+        // What concerns processes can't come of an attempt.
         stage.happen(happened);
         offer
     };
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -45,7 +45,7 @@
 pub struct Known {
     pub client: u64,
     pub balancer: usize,
-    /// Where it is open, or a connect is out.
+    /// Where it is open, or an attempt is out.
     pub server: Option<usize>,
     /// Its server has ended it, and whether it had sent the client away.
     pub by_server: Option<bool>,
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -78,7 +78,7 @@
     assert!(
         verdict.kept()
             && verdict.flows == a.verdict.flows
-            && verdict.connects == a.verdict.connects
+            && verdict.attempts == a.verdict.attempts
     );
 }
 
