--- a/crates/balancer/tests/sockets.rs
+++ b/crates/balancer/tests/sockets.rs
@@ -59,7 +59,7 @@
         // Turned away: it never ran, so anything may be tried elsewhere and rejected in the end.
         ("chat", Mood::Busy, "BUSY", 2..=3),
         ("order", Mood::Busy, "BUSY", 2..=3),
-        // It may have run: once-only flows get no second attempt and no word that trying again is safe.
+        // It may have run: non-idempotent flows get no second attempt and no word that trying again is safe.
         ("order", Mood::Err, "ERR", 1..=1),
         ("order", Mood::Cut, "ERR", 1..=1),
         ("order", Mood::Silent, "ERR", 1..=1),
--- a/crates/fleet-model/src/crowd.rs
+++ b/crates/fleet-model/src/crowd.rs
@@ -8,7 +8,7 @@
 use crate::dice::Dice;
 use crate::fleet::World;
 use crate::scenario::{Scenario, seconds};
-use crate::seen::Kind;
+use crate::seen::Idempotency;
 use crate::server::Guest;
 
 /// How soon a client that was told to move comes again, from and to.
@@ -161,10 +161,10 @@
         (every > 0.0).then(|| seconds(self.dice.exponential(every)).max(MS))
     }
 
-    pub fn kind(&self, id: u64, scenario: &Scenario) -> Kind {
-        self.clients
-            .get(&id)
-            .map_or(Kind::Repeatable, |c| scenario.types[c.class].kind())
+    pub fn idempotency(&self, id: u64, scenario: &Scenario) -> Idempotency {
+        self.clients.get(&id).map_or(Idempotency::Idempotent, |c| {
+            scenario.types[c.class].idempotency()
+        })
     }
 
     /// It is served.
@@ -196,7 +196,7 @@
 
     /// Its flow failed, and may have run: only what may be repeated is tried again.
     pub fn aborted(&mut self, id: u64, scenario: &Scenario) -> Option<Time> {
-        if self.kind(id, scenario) == Kind::OnceOnly {
+        if self.idempotency(id, scenario) == Idempotency::NonIdempotent {
             self.clients.get_mut(&id)?.gone = true;
             return None;
         }
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 use crate::fault::Fault;
-use crate::seen::{Kind, Scope};
+use crate::seen::{DeduplicationScope, Idempotency};
 
 /// Seconds as a time; what is negative or no number is none.
 pub fn seconds(s: f64) -> Time {
@@ -220,42 +220,46 @@
     /// Seconds in which a message is to be answered.
     #[serde(default = "message_target")]
     pub message_target: f64,
-    #[serde(default = "free")]
-    pub repeat: Repeat,
-    /// Seconds in which repeats of a referenced flow are dropped.
+    #[serde(default = "idempotent", alias = "repeat")]
+    pub idempotency: IdempotencySetting,
+    /// Seconds in which repeats of a deduplicated flow are dropped.
     #[serde(default = "ten")]
     pub window: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
-    Repeatable,
-    ReferencedAll,
-    #[serde(alias = "referenced-hall")]
-    ReferencedZone,
-    ReferencedCell,
-    OnceOnly,
+pub enum IdempotencySetting {
+    #[serde(alias = "repeatable")]
+    Idempotent,
+    #[serde(alias = "referenced-all")]
+    DeduplicatedAll,
+    #[serde(alias = "referenced-zone", alias = "referenced-hall")]
+    DeduplicatedInZone,
+    #[serde(alias = "referenced-cell")]
+    DeduplicatedInCell,
+    #[serde(alias = "once-only")]
+    NonIdempotent,
 }
 
 impl Type {
-    pub fn kind(&self) -> Kind {
+    pub fn idempotency(&self) -> Idempotency {
         let window = seconds(self.window);
-        match self.repeat {
-            Repeat::Repeatable => Kind::Repeatable,
-            Repeat::ReferencedAll => Kind::Referenced {
-                scope: Scope::All,
+        match self.idempotency {
+            IdempotencySetting::Idempotent => Idempotency::Idempotent,
+            IdempotencySetting::DeduplicatedAll => Idempotency::Deduplicated {
+                scope: DeduplicationScope::All,
                 window,
             },
-            Repeat::ReferencedZone => Kind::Referenced {
-                scope: Scope::Zone,
+            IdempotencySetting::DeduplicatedInZone => Idempotency::Deduplicated {
+                scope: DeduplicationScope::Zone,
                 window,
             },
-            Repeat::ReferencedCell => Kind::Referenced {
-                scope: Scope::Cell,
+            IdempotencySetting::DeduplicatedInCell => Idempotency::Deduplicated {
+                scope: DeduplicationScope::Cell,
                 window,
             },
-            Repeat::OnceOnly => Kind::OnceOnly,
+            IdempotencySetting::NonIdempotent => Idempotency::NonIdempotent,
         }
     }
 }
@@ -363,8 +367,8 @@
 fn message_target() -> f64 {
     0.2
 }
-fn free() -> Repeat {
-    Repeat::Repeatable
+fn idempotent() -> IdempotencySetting {
+    IdempotencySetting::Idempotent
 }
 
 /// The longest run and the largest sizes: guards against a slip of the pen that takes the machine with it.
--- a/crates/fleet-model/src/seen.rs
+++ b/crates/fleet-model/src/seen.rs
@@ -10,19 +10,22 @@
 /// How a flow may be repeated, as the scenario says of its traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
-    Repeatable,
+pub enum Idempotency {
+    #[serde(alias = "repeatable")]
+    Idempotent,
     /// Repeats are dropped everywhere, in the first one's zone, or in its cell, for so long after the first may have run.
-    Referenced {
-        scope: Scope,
+    #[serde(alias = "referenced")]
+    Deduplicated {
+        scope: DeduplicationScope,
         window: Time,
     },
-    OnceOnly,
+    #[serde(alias = "once-only")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Scope {
+pub enum DeduplicationScope {
     All,
     #[serde(alias = "hall")]
     Zone,
@@ -87,7 +90,7 @@
         at: Time,
         balancer: usize,
         flow: u64,
-        kind: Kind,
+        kind: Idempotency,
         give_up: Time,
     },
     Answered {
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -1,27 +1,33 @@
 //! The keys of scenarios and records: what is written now, and what earlier versions have written and is still read.
 
 use nettlemux_fleet_model::fault::{Fault, What};
-use nettlemux_fleet_model::scenario::{Limits, Repeat, Scenario};
-use nettlemux_fleet_model::seen::{Kind, Scope, Seen};
+use nettlemux_fleet_model::scenario::{IdempotencySetting, Limits, Scenario, Type};
+use nettlemux_fleet_model::seen::{DeduplicationScope, Idempotency, Seen};
 use nettlemux_settings::operator::By;
 use serde_json::json;
 
 #[test]
 fn scenarios_of_earlier_versions_say_hall_for_a_zone() {
-    for (zones, cut, flaps, zone, repeat) in [
-        ("zones", "zone-cut", "zone-flaps", "zone", "referenced-zone"),
+    for (zones, cut, flaps, zone, idempotency) in [
+        (
+            "zones",
+            "zone-cut",
+            "zone-flaps",
+            "zone",
+            "deduplicated-in-zone",
+        ),
         ("halls", "hall-cut", "hall-flaps", "hall", "referenced-hall"),
     ] {
         let scenario: Scenario = serde_json::from_value(json!({
             "name": "keys", "seconds": 60, "balancers": {"number": 1}, zones: {"number": 2},
             "fleet": {"servers": 4, "capacity": 10}, "clients": {"rate": 1, "life": 9},
-            "types": [{"name": "chat", "repeat": repeat}],
+            "types": [{"name": "chat", "idempotency": idempotency}],
             "faults": [{"what": cut, "at": 1, zone: 1}, {"what": flaps, "at": 2, zone: 1}]
         }))
         .unwrap();
         assert_eq!(
-            (scenario.zones.number, scenario.types[0].repeat),
-            (2, Repeat::ReferencedZone),
+            (scenario.zones.number, scenario.types[0].idempotency),
+            (2, IdempotencySetting::DeduplicatedInZone),
             "{zones}"
         );
         let faults: Vec<_> = scenario
@@ -73,14 +79,16 @@
     assert_eq!(serde_json::from_str::<Seen>(text).unwrap(), server);
     let earlier = text.replace("zone", "hall");
     assert_eq!(serde_json::from_str::<Seen>(&earlier).unwrap(), server);
-    let kind = Kind::Referenced {
-        scope: Scope::Zone,
+    let kind = Idempotency::Deduplicated {
+        scope: DeduplicationScope::Zone,
         window: 6,
     };
-    let text = r#"{"referenced":{"scope":"zone","window":6}}"#;
+    let text = r#"{"deduplicated":{"scope":"zone","window":6}}"#;
     assert_eq!(serde_json::to_string(&kind).unwrap(), text);
-    let earlier = text.replace("zone", "hall");
-    assert_eq!(serde_json::from_str::<Kind>(&earlier).unwrap(), kind);
+    let earlier = text
+        .replace("zone", "hall")
+        .replace("deduplicated", "referenced");
+    assert_eq!(serde_json::from_str::<Idempotency>(&earlier).unwrap(), kind);
 }
 
 #[test]
@@ -130,3 +138,38 @@
         assert_eq!(limits.attempts, 4, "{key}");
     }
 }
+
+#[test]
+fn earlier_versions_say_how_a_flow_may_be_repeated() {
+    use IdempotencySetting::*;
+    for (earlier, now, want) in [
+        ("repeatable", "idempotent", Idempotent),
+        ("referenced-all", "deduplicated-all", DeduplicatedAll),
+        (
+            "referenced-zone",
+            "deduplicated-in-zone",
+            DeduplicatedInZone,
+        ),
+        (
+            "referenced-cell",
+            "deduplicated-in-cell",
+            DeduplicatedInCell,
+        ),
+        ("once-only", "non-idempotent", NonIdempotent),
+    ] {
+        for (key, value) in [("repeat", earlier), ("idempotency", now)] {
+            let class: Type = serde_json::from_value(json!({"name": "chat", key: value})).unwrap();
+            assert_eq!(class.idempotency, want, "{key} = {value}");
+        }
+    }
+    for (earlier, want) in [
+        (r#""repeatable""#, Idempotency::Idempotent),
+        (r#""once-only""#, Idempotency::NonIdempotent),
+    ] {
+        assert_eq!(
+            serde_json::from_str::<Idempotency>(earlier).unwrap(),
+            want,
+            "{earlier}"
+        );
+    }
+}
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -36,7 +36,7 @@
     TrafficClass {
         setup_target: 230 * MS,
         value: 1.0,
-        repeat: Repeat::Repeatable,
+        idempotency: Idempotency::Idempotent,
     }
 }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -926,7 +926,7 @@
         let unknown = TrafficClass {
             setup_target: 0,
             value: 0.0,
-            repeat: Repeat::OnceOnly,
+            idempotency: Idempotency::NonIdempotent,
         };
         self.classes.get(flow.class).copied().unwrap_or(unknown)
     }
@@ -1022,12 +1022,14 @@
         let remembered = self
             .send_by(flow)
             .saturating_sub(now + self.margin + HELD_UP);
-        match self.class(flow).repeat {
-            Repeat::OnceOnly if may_have_run => return Place::Abort,
-            Repeat::Referenced(scope, _) if may_have_run && scope != Scope::All => {
+        match self.class(flow).idempotency {
+            Idempotency::NonIdempotent if may_have_run => return Place::Abort,
+            Idempotency::Deduplicated { scope, .. }
+                if may_have_run && scope != DeduplicationScope::All =>
+            {
                 return Place::Abort;
             }
-            Repeat::Referenced(..) if remembered == 0 => return Place::Abort,
+            Idempotency::Deduplicated { .. } if remembered == 0 => return Place::Abort,
             _ => {}
         }
         // Spread, lest clients rejected together come again together; in a jam as late as settings allow.
@@ -1048,13 +1050,14 @@
             return false;
         }
         let mut ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
-        match self.class(flow).repeat {
-            Repeat::Repeatable => true,
-            Repeat::OnceOnly => ran.next().is_none(),
-            Repeat::Referenced(scope, _) => {
+        match self.class(flow).idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
+            Idempotency::Deduplicated { scope, .. } => {
                 let first = |c: &Attempt| self.servers.get(&c.server_id).map(|first| first.listed);
                 let same = |c| {
-                    scope == Scope::All || first(c).is_some_and(|l| scope.same(&l, &server.listed))
+                    scope == DeduplicationScope::All
+                        || first(c).is_some_and(|l| scope.same(&l, &server.listed))
                 };
                 // The margin covers the way to the server.
                 now + self.margin + HELD_UP < self.send_by(flow) && ran.all(same)
@@ -1062,10 +1065,10 @@
         }
     }
 
-    /// Until when an attempt may be sent: a referenced flow's while servers know all that may have run. Guards
+    /// Until when an attempt may be sent: a deduplicated flow's while servers know all that may have run. Guards
     /// against a repeat that is placed in time and whose connection comes up late.
     fn send_by(&self, flow: &Flow) -> Time {
-        let Repeat::Referenced(_, window) = self.class(flow).repeat else {
+        let Idempotency::Deduplicated { window, .. } = self.class(flow).idempotency else {
             return Time::MAX;
         };
         let ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -9,38 +9,41 @@
 pub const MS: Time = 1_000_000;
 pub const SEC: Time = 1_000 * MS;
 
-/// Which servers drop repeats of a referenced flow: those that share this with the first one.
+/// Which servers drop repeats of a deduplicated flow: those that share this with the first one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
 }
 
-impl Scope {
+impl DeduplicationScope {
     /// Whether these two drop each other's repeats.
     pub fn same(self, one: &Listed, other: &Listed) -> bool {
         match self {
-            Scope::All => true,
-            Scope::Zone => one.zone == other.zone,
-            Scope::Cell => one.cell == other.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => one.zone == other.zone,
+            DeduplicationScope::Cell => one.cell == other.cell,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    Repeatable,
+pub enum Idempotency {
+    Idempotent,
     /// Repeats are dropped by the servers in scope for so long after the attempt that may have run.
-    Referenced(Scope, Time),
-    OnceOnly,
+    Deduplicated {
+        scope: DeduplicationScope,
+        window: Time,
+    },
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficClass {
     pub setup_target: Time,
     pub value: f64,
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
 }
 
 /// One attempt that was already made for a flow.
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -93,7 +93,7 @@
 
 impl Balancer {
     fn new(fleet: &Fleet, index: u64) -> Self {
-        let mut policy = Policy::new(index, 0, vec![repeat(Repeat::Repeatable)])
+        let mut policy = Policy::new(index, 0, vec![repeat(Idempotency::Idempotent)])
             .attempts(3, 4 * MS, false, true)
             .come_back(Some(2 * SEC))
             .probing(true, 0.0)
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use nettlemux_policy::*;
 
-pub fn repeat(repeat: Repeat) -> TrafficClass {
+pub fn repeat(idempotency: Idempotency) -> TrafficClass {
     TrafficClass {
         setup_target: 100 * MS,
         value: 1.0,
@@ -12,7 +12,7 @@
 }
 
 /// A balancer of zone 0 with one traffic class.
-pub fn balancer(kind: Repeat) -> Policy {
+pub fn balancer(kind: Idempotency) -> Policy {
     Policy::new(7, 0, vec![repeat(kind)])
         .attempts(3, 4 * MS, false, true)
         .come_back(Some(2 * SEC))
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -19,7 +19,7 @@
             vec![2, 2, 2, 2],
         ),
     ] {
-        let mut policy = balancer(Repeat::Repeatable);
+        let mut policy = balancer(Idempotency::Idempotent);
         let list: Vec<Listed> = weights
             .iter()
             .enumerate()
@@ -52,8 +52,8 @@
 fn rotation_starts_anywhere() {
     let firsts: std::collections::BTreeSet<ServerId> = (0..40)
         .map(|seed| {
-            let mut policy =
-                Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)]).attempts(3, MS, false, true);
+            let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
+                .attempts(3, MS, false, true);
             policy.list(T0, &[ready(0), ready(1), ready(2)], true);
             take(&mut policy, T0, 0)
         })
@@ -73,7 +73,7 @@
         // Half of all: the largest alone covers it.
         (1.6, vec![1.0, 90.0, 1.0, 1.0], 0, 1),
     ] {
-        let mut policy = balancer(Repeat::Repeatable);
+        let mut policy = balancer(Idempotency::Idempotent);
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         for server_id in 1..9 {
             probe(&mut policy, T0, server_id, 0.2);
@@ -96,7 +96,7 @@
 #[test]
 fn one_large_connection_moves_as_often_as_meets_the_goal() {
     // Guards against each of several balancers rounding up: a fifth of the load is one move in five figures.
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0), ready(1), ready(2)], true);
     (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.1)));
     policy.inherit(&flow(T0, 1), 0);
@@ -112,7 +112,7 @@
 
 #[test]
 fn one_figure_sheds_once_and_all_hot_lets_nobody_in() {
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0), ready(1), ready(2)], true);
     for id in 0..100 {
         policy.inherit(&flow(T0, id), 0);
@@ -137,7 +137,7 @@
 
 #[test]
 fn without_told_loads_estimates_and_counts_decide() {
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0), ready(1), ready(2)], true);
     (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.0)));
     let report = |b, count| Report {
@@ -160,7 +160,7 @@
 #[test]
 fn hot_and_silent_servers_are_passed_over() {
     for (what, b) in [("hot", 0.95), ("full for a group it doesn't hold", 0.7)] {
-        let mut policy = balancer(Repeat::Repeatable);
+        let mut policy = balancer(Idempotency::Idempotent);
         policy.list(T0, &[ready(0), ready(1)], true);
         (100..120).for_each(|id| policy.inherit(&flow(T0, id), id % 2));
         probe(&mut policy, T0, 0, b);
@@ -169,7 +169,7 @@
             assert_eq!(take(&mut policy, T0, id), 1, "{what}");
         }
     }
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0), ready(1)], true);
     for _ in 0..2 {
         policy.after(
@@ -187,7 +187,7 @@
 #[test]
 fn holders_of_a_group_come_first_and_take_more() {
     // Guards against a group's common work on every server (incident i51578f).
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &(0..6).map(ready).collect::<Vec<_>>(), true);
     (0..6).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.66)));
     (100..160).for_each(|id| policy.inherit(&flow(T0, id), id % 6));
@@ -230,7 +230,7 @@
             false,
         ),
     ] {
-        let mut policy = balancer(Repeat::Repeatable);
+        let mut policy = balancer(Idempotency::Idempotent);
         policy.list(T0, &[ready(0), ready(1)], true);
         let one = Flow {
             give_up: T0 + left,
@@ -263,7 +263,11 @@
         (3 * SEC, false),
         (9 * SEC, false),
     ] {
-        let mut policy = balancer(Repeat::Referenced(Scope::All, window)).come_back(Some(2 * SEC));
+        let mut policy = balancer(Idempotency::Deduplicated {
+            scope: DeduplicationScope::All,
+            window,
+        })
+        .come_back(Some(2 * SEC));
         let earlier = Attempt {
             at: T0 - age,
             ..attempt(0, false)
@@ -290,16 +294,19 @@
 /// Guards against a repeat that is placed in time and sent too late, since its connection comes up late.
 #[test]
 fn a_repeat_is_sent_while_it_is_known_or_not_at_all() {
-    let referenced = Repeat::Referenced(Scope::All, SEC);
+    let deduplicated = Idempotency::Deduplicated {
+        scope: DeduplicationScope::All,
+        window: SEC,
+    };
     // Kind, whether the earlier attempts ran and their ages, the longest until it is sent: the margin is 10 ms, and the
     // balancer may be held up for 150 ms between its look at the clock and the write.
     for (kind, earlier, want) in [
-        (referenced, vec![], 1990),
-        (referenced, vec![(false, 300)], 540),
-        (referenced, vec![(true, 900), (false, 300)], 540),
-        (referenced, vec![(false, 300), (false, 830)], 10),
-        (Repeat::Repeatable, vec![(false, 980)], 1990),
-        (Repeat::OnceOnly, vec![(true, 980)], 1990),
+        (deduplicated, vec![], 1990),
+        (deduplicated, vec![(false, 300)], 540),
+        (deduplicated, vec![(true, 900), (false, 300)], 540),
+        (deduplicated, vec![(false, 300), (false, 830)], 10),
+        (Idempotency::Idempotent, vec![(false, 980)], 1990),
+        (Idempotency::NonIdempotent, vec![(true, 980)], 1990),
     ] {
         let mut policy = balancer(kind).attempts(5, 10 * MS, false, true);
         policy.list(T0, &[ready(0), ready(1)], true);
@@ -323,7 +330,7 @@
 
 #[test]
 fn no_effect_twice() {
-    let referenced = |scope| Repeat::Referenced(scope, SEC);
+    let deduplicated = |scope| Idempotency::Deduplicated { scope, window: SEC };
     let far = Listed {
         zone: 1,
         cell: 1,
@@ -331,33 +338,51 @@
     };
     // Kind, whether the earlier attempt at server 0 ran, its age, servers ready, what may come.
     for (kind, known_unexecuted, age, list, want) in [
-        (Repeat::OnceOnly, true, 0, vec![ready(0), far], "to"),
-        (Repeat::OnceOnly, false, 0, vec![ready(0), far], "abort"),
-        (Repeat::Repeatable, false, 0, vec![ready(0), far], "to"),
-        (referenced(Scope::All), false, 0, vec![ready(0), far], "to"),
         (
-            referenced(Scope::All),
+            Idempotency::NonIdempotent,
+            true,
+            0,
+            vec![ready(0), far],
+            "to",
+        ),
+        (
+            Idempotency::NonIdempotent,
+            false,
+            0,
+            vec![ready(0), far],
+            "abort",
+        ),
+        (Idempotency::Idempotent, false, 0, vec![ready(0), far], "to"),
+        (
+            deduplicated(DeduplicationScope::All),
+            false,
+            0,
+            vec![ready(0), far],
+            "to",
+        ),
+        (
+            deduplicated(DeduplicationScope::All),
             false,
             2 * SEC,
             vec![ready(0), far],
             "abort",
         ),
         (
-            referenced(Scope::Zone),
+            deduplicated(DeduplicationScope::Zone),
             false,
             0,
             vec![ready(0), far],
             "to 0",
         ),
         (
-            referenced(Scope::Zone),
+            deduplicated(DeduplicationScope::Zone),
             false,
             2 * SEC,
             vec![ready(0), far],
             "abort",
         ),
         (
-            referenced(Scope::Cell),
+            deduplicated(DeduplicationScope::Cell),
             false,
             0,
             vec![
@@ -370,7 +395,7 @@
             "abort",
         ),
         (
-            referenced(Scope::Cell),
+            deduplicated(DeduplicationScope::Cell),
             true,
             0,
             vec![
@@ -428,7 +453,7 @@
         (vec![], true, vec![]),
         (vec![ready(1)], false, vec![]),
     ] {
-        let mut policy = balancer(Repeat::Repeatable)
+        let mut policy = balancer(Idempotency::Idempotent)
             .probing(false, 0.0)
             .told(false, true);
         policy.list(0, &[ready(1), ready(2)], true);
@@ -459,7 +484,7 @@
         );
     }
     // Guards against moving clients twice where servers that drain send them away themselves.
-    let mut policy = balancer(Repeat::Repeatable).told(false, true);
+    let mut policy = balancer(Idempotency::Idempotent).told(false, true);
     policy.list(0, &[ready(1), ready(2)], true);
     (1..4).for_each(|id| policy.inherit(&flow(0, id), 1));
     policy.list(SEC, &[drains(1)], false);
@@ -478,7 +503,7 @@
 /// Balancers of one fleet, each with a connection at two of forty warm servers of that load.
 fn fleet(balancers: u64, beta: f64) -> impl Iterator<Item = Policy> {
     (0..balancers).map(move |seed| {
-        let mut policy = Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)])
+        let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
             .attempts(3, 4 * MS, false, true)
             .among(balancers as f64, false)
             .cold(0.35, 8 * SEC, 3.0, 3 * SEC)
@@ -575,7 +600,7 @@
 #[test]
 fn nothing_new_to_draining_gone_or_unlisted_servers() {
     for state in [State::Draining, State::Gone] {
-        let mut policy = balancer(Repeat::Repeatable);
+        let mut policy = balancer(Idempotency::Idempotent);
         policy.list(T0, &[ready(0), ready(1)], true);
         policy.list(T0, &[Listed { state, ..ready(0) }], false);
         (0..4).for_each(|id| assert_eq!(take(&mut policy, T0, id), 1));
@@ -595,7 +620,7 @@
 fn cold_servers_get_their_share_of_the_pace_only() {
     // Guards against a storm of attempts, which must not raise the budget, and a restart under one id.
     for (storm, restart) in [(false, false), (true, false), (false, true)] {
-        let mut policy = balancer(Repeat::Repeatable);
+        let mut policy = balancer(Idempotency::Idempotent);
         policy.list(T0, &[ready(0), ready(1), ready(2)], true);
         let mut now = T0;
         let mut id = 0;
@@ -677,7 +702,7 @@
             .take_while(|id| matches!(policy.place(now, &flow(now, *id)), Place::To(..)))
             .count()
     };
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
     let before = in_flight(&mut policy, T0, 0);
     for id in 0..before as FlowId {
@@ -715,7 +740,7 @@
     // Guards against 300 balancers that each start with eight attempts in flight and, in the jam that they find
     // out one by one, send their clients away for a second at most (roll+mass seeds 11 and 15, slow store).
     for (balancers, first) in [(1.0, 8), (75.0, 8), (300.0, 2), (1000.0, 1)] {
-        let mut policy = balancer(Repeat::Repeatable).among(balancers, false);
+        let mut policy = balancer(Idempotency::Idempotent).among(balancers, false);
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let latest = |policy: &mut Policy| {
             let late = |id| Flow {
@@ -771,7 +796,7 @@
 #[test]
 fn a_server_that_answers_nothing_gets_no_more() {
     // Guards against a silent server on which all attempts that may be in flight wait for their end.
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0), ready(1)], true);
     let silent = take(&mut policy, T0, 0);
     for id in 1..20 {
@@ -784,7 +809,7 @@
 #[test]
 fn stuck_reports_neither_shut_servers_nor_move_clients() {
     // Guards against rejecting everything for good when all reports stand still at a high load.
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0), ready(1)], true);
     (100..140).for_each(|id| policy.inherit(&flow(T0, id), id % 2));
     let mut now = T0;
@@ -807,7 +832,7 @@
 fn a_flow_waits_only_while_it_can_be_asked_about_again_in_time() {
     // Guards against an answer after the deadline where a try is shorter than the setup target.
     for (left, waits) in [(90 * MS, true), (70 * MS, true), (60 * MS, false)] {
-        let mut policy = balancer(Repeat::Repeatable);
+        let mut policy = balancer(Idempotency::Idempotent);
         let place = policy.place(
             T0,
             &Flow {
@@ -823,7 +848,7 @@
 #[test]
 fn in_a_jam_no_flow_gets_a_further_connect_and_few_get_one() {
     // Guards against five attempts a flow to a store that fails them all (colombo-maps, a slow store only).
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
     let mut sent = 0;
     for id in 0..200 {
@@ -855,7 +880,7 @@
     for (class, tenant, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
         let types = [1.0, 5.0].map(|value| TrafficClass {
             value,
-            ..repeat(Repeat::Repeatable)
+            ..repeat(Idempotency::Idempotent)
         });
         let mut policy = Policy::new(7, 0, types.to_vec())
             .attempts(3, 4 * MS, false, true)
@@ -885,7 +910,7 @@
 
 #[test]
 fn absurd_news_and_late_outcomes_do_no_harm() {
-    let mut policy = balancer(Repeat::OnceOnly);
+    let mut policy = balancer(Idempotency::NonIdempotent);
     policy.list(
         T0,
         &[
@@ -950,7 +975,7 @@
 
 #[test]
 fn probes_and_lists_are_asked_for_when_due() {
-    let mut policy = balancer(Repeat::Repeatable).told(true, false);
+    let mut policy = balancer(Idempotency::Idempotent).told(true, false);
     assert!(policy.after(T0, Outcome::Elapsed).ask_list);
     assert_eq!(policy.wait(T0), None);
     policy.list_failed(T0);
@@ -965,7 +990,7 @@
     }
     assert_eq!(probed.len(), 50);
     // Where probes aren't allowed none are asked for, and the rotation goes on.
-    let mut blind = balancer(Repeat::Repeatable).probing(false, 0.0);
+    let mut blind = balancer(Idempotency::Idempotent).probing(false, 0.0);
     blind.list(T0, &[ready(0)], true);
     assert_eq!((blind.wait(T0), take(&mut blind, T0, 1)), (None, 0));
     assert_eq!(beta(0.5).connections, None);
@@ -979,7 +1004,7 @@
         ..flow(T0, id)
     };
     let placed = |seed, group: &str, holder: Option<ServerId>| {
-        let mut policy = Policy::new(seed, 0, vec![repeat(Repeat::Repeatable)])
+        let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
             .attempts(3, MS, false, true)
             .among(100.0, false)
             .probing(true, 0.0);
@@ -1020,7 +1045,7 @@
         (0.002, 5000, 28, 32),
         (0.02, 50, 6, 8),
     ] {
-        let mut policy = balancer(Repeat::Repeatable).probing(true, price);
+        let mut policy = balancer(Idempotency::Idempotent).probing(true, price);
         policy.list(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
         (0..own).for_each(|id| policy.inherit(&flow(T0, id), id % 50));
         let (mut now, mut count) = (T0, 0);
@@ -1043,7 +1068,7 @@
     // Guards against turning away the clients of the next balancer that restarts, or putting all of them on the first
     // server that shows room. Inherited connections, whether the clients return, whether all get in.
     for (own, returning, all) in [(0, true, true), (0, false, false), (20, true, false)] {
-        let mut policy = balancer(Repeat::Repeatable).among(2.0, false);
+        let mut policy = balancer(Idempotency::Idempotent).among(2.0, false);
         policy.list(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
         (100..100 + own).for_each(|id| policy.inherit(&flow(T0, id), id % 5));
         (0..5).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.45)));
@@ -1073,7 +1098,7 @@
 #[test]
 fn first_figures_after_a_restart_do_not_stand_for_ten_seconds() {
     // Guards against probes by a traffic that has not come yet: the figure stood while the servers filled.
-    let mut policy = balancer(Repeat::Repeatable).probing(true, 0.002);
+    let mut policy = balancer(Idempotency::Idempotent).probing(true, 0.002);
     policy.list(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
     let (mut now, mut count) = (T0, 0);
     while now < T0 + 8 * SEC {
@@ -1091,7 +1116,7 @@
     // Guards against 100 balancers that each probed 12 servers every 2.9 s for eight flows and got one. Balancers,
     // probes of one of them in its first 10 s at least and at most.
     for (balancers, least, most) in [(4.0, 36, 72), (12.0, 36, 72), (100.0, 0, 0), (300.0, 0, 0)] {
-        let mut policy = balancer(Repeat::Repeatable)
+        let mut policy = balancer(Idempotency::Idempotent)
             .probing(true, 0.0019)
             .among(balancers, false);
         policy.list(T0, &(0..12).map(ready).collect::<Vec<_>>(), true);
@@ -1115,7 +1140,7 @@
     // Guards against 47 probes a flow for figures of 15 s (four balancers to a server). What the probe brings,
     // whether the flow then goes to that server.
     for (load, goes) in [(Some(0.1), true), (None, true), (Some(0.9), false)] {
-        let mut policy = balancer(Repeat::Repeatable)
+        let mut policy = balancer(Idempotency::Idempotent)
             .probing(true, 1.0)
             .among(1.0, true);
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
@@ -1168,7 +1193,7 @@
         (true, 41, false),
         (false, 1, false),
     ] {
-        let mut policy = balancer(Repeat::Repeatable).among(1.0, tells);
+        let mut policy = balancer(Idempotency::Idempotent).among(1.0, tells);
         let list = |server_id| Listed {
             zone: u64::from(server_id > 3),
             ..ready(server_id)
@@ -1176,7 +1201,7 @@
         policy.list(T0, &(0..9).map(list).collect::<Vec<_>>(), true);
         let group = Some("a".to_string());
         // Whoever places one says so, once.
-        let mut teller = balancer(Repeat::Repeatable).among(1.0, true);
+        let mut teller = balancer(Idempotency::Idempotent).among(1.0, true);
         teller.list(T0, &[list(7)], true);
         let mut words = Vec::new();
         for id in 0..5 {
@@ -1231,7 +1256,7 @@
     // Guards against a storm in which each of hundreds tells of each client (4 million words in 16 s). Balancers,
     // words in 10 s at most.
     for (balancers, most) in [(1.0, 100), (30.0, 12), (600.0, 2)] {
-        let mut policy = balancer(Repeat::Repeatable).among(balancers, true);
+        let mut policy = balancer(Idempotency::Idempotent).among(balancers, true);
         policy.list(T0, &[ready(0)], true);
         let mut words = 0;
         for id in 0..100 {
@@ -1267,7 +1292,7 @@
 #[test]
 fn other_settings_keep_what_is_known_and_in_hand() {
     // Guards against a switch that forgets connections, drains or failures, and one that can't be taken back.
-    let made = |tells| balancer(Repeat::Repeatable).among(1.0, tells);
+    let made = |tells| balancer(Idempotency::Idempotent).among(1.0, tells);
     let mut policy = made(false);
     policy.list(
         T0,
@@ -1340,7 +1365,7 @@
 #[test]
 fn a_figure_ends_though_probes_go_on_failing() {
     // Guards against a last figure that shuts a server for good when its probe path breaks at a high load.
-    let mut policy = balancer(Repeat::Repeatable);
+    let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0)], true);
     probe(&mut policy, T0, 0, 0.9);
     let mut open = Vec::new();
@@ -1367,7 +1392,7 @@
 #[test]
 fn large_lists_that_turn_over_within_one_moment_and_reports_absurd_on_a_part_do_no_harm() {
     // Guards against panics, and against sends to servers that came and went, at twice the largest size seen.
-    let mut policy = balancer(Repeat::Repeatable)
+    let mut policy = balancer(Idempotency::Idempotent)
         .among(1000.0, false)
         .probing(true, 0.002);
     let list = |from: ServerId, state| -> Vec<Listed> {
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -15,7 +15,7 @@
 const MOST: usize = 96;
 
 fn balancer(seed: u64, zone: u64) -> Policy {
-    Policy::new(seed, zone, vec![repeat(Repeat::Repeatable)])
+    Policy::new(seed, zone, vec![repeat(Idempotency::Idempotent)])
         .attempts(3, 4 * MS, false, true)
         .come_back(Some(2 * SEC))
         .probing(true, 0.01)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,9 @@
 
 use std::fmt;
 
-use nettlemux_policy::{MS, Policy, Repeat, Report, SEC, Scope, Time, TrafficClass};
+use nettlemux_policy::{
+    DeduplicationScope, Idempotency, MS, Policy, Report, SEC, Time, TrafficClass,
+};
 use serde_json::Value;
 
 pub use crate::keys::{known, nearest, unknown};
@@ -306,21 +308,24 @@
     }
 
     fn traffic_class(self) -> Read<TrafficClass> {
-        // What isn't said to be repeatable is not repeated; without a window, nothing is after it.
+        // What isn't said to be idempotent is not repeated; without a window, nothing is after it.
         let word = |path, default: &str| self.or(path, default.into(), Settings::text);
         let repeat = match word("repeat", "single_shot")?.as_str() {
-            "free" => Repeat::Repeatable,
-            "single_shot" => Repeat::OnceOnly,
+            "free" => Idempotency::Idempotent,
+            "single_shot" => Idempotency::NonIdempotent,
             "guarded" => {
                 let scope = match word("group", "cell")?.as_str() {
-                    "all" => Scope::All,
-                    "zone" => Scope::Zone,
-                    "cell" => Scope::Cell,
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Zone,
+                    "cell" => DeduplicationScope::Cell,
                     other => {
                         return Err(Malformed::new("group", format!("unknown scope '{other}'")));
                     }
                 };
-                Repeat::Referenced(scope, self.time_or("window", 0)?)
+                Idempotency::Deduplicated {
+                    scope,
+                    window: self.time_or("window", 0)?,
+                }
             }
             other => return Err(Malformed::new("repeat", format!("unknown kind '{other}'"))),
         };
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -8,8 +8,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    Flow, FlowId, Listed, MS, Outcome, Place, Policy, Repeat, Scope, ServerId, State, Time, Todo,
-    TrafficClass,
+    DeduplicationScope, Flow, FlowId, Idempotency, Listed, MS, Outcome, Place, Policy, ServerId,
+    State, Time, Todo, TrafficClass,
 };
 use nettlemux_settings::Settings;
 
@@ -104,15 +104,19 @@
     /// Whether a repeat there can do no harm.
     fn safe(&self, now: Time, flow: &Flow, server: &Listed) -> bool {
         let mut ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
-        match self.types[flow.class].repeat {
-            Repeat::Repeatable => true,
-            Repeat::OnceOnly => ran.next().is_none(),
-            Repeat::Referenced(scope, window) => ran.all(|c| {
+        match self.types[flow.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
+            Idempotency::Deduplicated { scope, window } => ran.all(|c| {
                 let first = self.servers.get(&c.server_id);
                 let same = match scope {
-                    Scope::All => true,
-                    Scope::Zone => first.is_some_and(|first| first.zone == server.zone),
-                    Scope::Cell => first.is_some_and(|first| first.cell == server.cell),
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => {
+                        first.is_some_and(|first| first.zone == server.zone)
+                    }
+                    DeduplicationScope::Cell => {
+                        first.is_some_and(|first| first.cell == server.cell)
+                    }
                 };
                 same && now + MARGIN < c.at + window
             }),
@@ -121,9 +125,11 @@
 
     fn give_up(&mut self, flow: &Flow) -> Place {
         let ran = flow.attempts.iter().any(|c| !c.known_unexecuted);
-        match self.types[flow.class].repeat {
-            Repeat::OnceOnly if ran => Place::Abort,
-            Repeat::Referenced(scope, _) if ran && scope != Scope::All => Place::Abort,
+        match self.types[flow.class].idempotency {
+            Idempotency::NonIdempotent if ran => Place::Abort,
+            Idempotency::Deduplicated { scope, .. } if ran && scope != DeduplicationScope::All => {
+                Place::Abort
+            }
             _ => Place::Reject(Some(
                 (self.dice.between(COME_BACK[0], COME_BACK[1]) * 1e9) as Time,
             )),
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use nettlemux_admission::Config;
-use nettlemux_fleet_model::scenario::{Repeat, Scenario, Weights};
+use nettlemux_fleet_model::scenario::{IdempotencySetting, Scenario, Weights};
 use nettlemux_policy::Time;
 use nettlemux_settings::{nearest, operator};
 use serde::Deserialize;
@@ -148,12 +148,12 @@
     };
     let types: Vec<Value> = (scenario.types.iter())
         .map(|t| {
-            let (repeat, group) = match t.repeat {
-                Repeat::Repeatable => ("free", "all"),
-                Repeat::OnceOnly => ("single_shot", "all"),
-                Repeat::ReferencedAll => ("guarded", "all"),
-                Repeat::ReferencedZone => ("guarded", "zone"),
-                Repeat::ReferencedCell => ("guarded", "cell"),
+            let (repeat, group) = match t.idempotency {
+                IdempotencySetting::Idempotent => ("free", "all"),
+                IdempotencySetting::NonIdempotent => ("single_shot", "all"),
+                IdempotencySetting::DeduplicatedAll => ("guarded", "all"),
+                IdempotencySetting::DeduplicatedInZone => ("guarded", "zone"),
+                IdempotencySetting::DeduplicatedInCell => ("guarded", "cell"),
             };
             json!({"name": t.name, "setup-target": us(t.target), "value": t.value, "repeat": repeat,
                 "group": group, "hard-limit": us(t.wait), "window": us(t.window)})
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -18,7 +18,7 @@
     SendsToDraining,
     FloodsCold,
     CutsWithoutMove,
-    RepeatsOnceOnly,
+    RepeatsNonIdempotent,
     RejectsWhatMayHaveRun,
 }
 
@@ -31,7 +31,7 @@
         Mischief::SendsToDraining,
         Mischief::FloodsCold,
         Mischief::CutsWithoutMove,
-        Mischief::RepeatsOnceOnly,
+        Mischief::RepeatsNonIdempotent,
         Mischief::RejectsWhatMayHaveRun,
     ];
 
@@ -44,7 +44,7 @@
             Mischief::SendsToDraining => "sends-to-draining",
             Mischief::FloodsCold => "floods-cold",
             Mischief::CutsWithoutMove => "cuts-without-move",
-            Mischief::RepeatsOnceOnly => "repeats-once-only",
+            Mischief::RepeatsNonIdempotent => "repeats-non-idempotent",
             Mischief::RejectsWhatMayHaveRun => "rejects-what-may-have-run",
         }
     }
@@ -59,7 +59,7 @@
             Mischief::SendsToDraining => Rule::Drain,
             Mischief::FloodsCold => Rule::Cold,
             Mischief::CutsWithoutMove => Rule::Cut,
-            Mischief::RepeatsOnceOnly | Mischief::RejectsWhatMayHaveRun => Rule::Twice,
+            Mischief::RepeatsNonIdempotent | Mischief::RejectsWhatMayHaveRun => Rule::Twice,
         }
     }
 
@@ -77,7 +77,7 @@
                     youngest: None,
                 })
             }
-            Mischief::RepeatsOnceOnly => {
+            Mischief::RepeatsNonIdempotent => {
                 let mut settings = settings.clone();
                 for one in settings["service-types"]
                     .as_array_mut()
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
-use nettlemux_fleet_model::seen::{Ender, Final, Kind, Scope, Seen};
+use nettlemux_fleet_model::seen::{DeduplicationScope, Ender, Final, Idempotency, Seen};
 use nettlemux_fleet_model::server::SLACK;
 use nettlemux_policy::{MS, SEC, Time};
 use serde::Serialize;
@@ -73,7 +73,7 @@
 
 struct Flow {
     balancer: usize,
-    kind: Kind,
+    kind: Idempotency,
     give_up: Time,
     answered: Option<Final>,
     /// Nothing more is owed, and since when.
@@ -300,10 +300,10 @@
         let unsafe_word = with == Final::Rejected
             && may_have_run
             && match flow.kind {
-                Kind::Repeatable => false,
+                Idempotency::Idempotent => false,
                 // It is dropped wherever it comes again, while the window lasts.
-                Kind::Referenced { scope, .. } => scope != Scope::All,
-                Kind::OnceOnly => true,
+                Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
+                Idempotency::NonIdempotent => true,
             };
         if with != Final::Established {
             self.ends(at, id);
@@ -353,14 +353,14 @@
         let two = !second_copies && flow.attempts.iter().any(|made| made.ended.is_none());
         let ran = || flow.attempts.iter().filter(|made| made.ended != Some(true));
         let twice = match flow.kind {
-            Kind::Repeatable => false,
-            Kind::OnceOnly => ran().next().is_some(),
-            Kind::Referenced { scope, window } => ran().any(|made| {
+            Idempotency::Idempotent => false,
+            Idempotency::NonIdempotent => ran().next().is_some(),
+            Idempotency::Deduplicated { scope, window } => ran().any(|made| {
                 let (first, now) = (self.servers.get(&made.server), self.servers.get(&server));
                 let same = first.zip(now).is_some_and(|(first, now)| match scope {
-                    Scope::All => true,
-                    Scope::Zone => first.zone == now.zone,
-                    Scope::Cell => first.cell == now.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => first.zone == now.zone,
+                    DeduplicationScope::Cell => first.cell == now.cell,
                 });
                 !same || at > made.at + window + slack
             }),
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -9,7 +9,7 @@
     serde_json::from_str(text).unwrap()
 }
 
-fn taken(flow: u64, kind: Kind) -> Seen {
+fn taken(flow: u64, kind: Idempotency) -> Seen {
     Seen::Taken {
         at: 0,
         balancer: 0,
@@ -54,8 +54,8 @@
 
 #[test]
 fn each_rule_is_judged_by_what_was_seen() {
-    let zone = Kind::Referenced {
-        scope: Scope::Zone,
+    let zone = Idempotency::Deduplicated {
+        scope: DeduplicationScope::Zone,
         window: 50,
     };
     let up = answered(5, Final::Established);
@@ -76,7 +76,7 @@
     let flood: Vec<Seen> = (0..20)
         .flat_map(|n| [connect(2, n, 0), ended(n, true)])
         .collect();
-    let free = taken(1, Kind::Repeatable);
+    let free = taken(1, Idempotency::Idempotent);
     let cases: Vec<(Vec<Seen>, Vec<Rule>)> = vec![
         (
             vec![
@@ -124,7 +124,7 @@
         ),
         (
             vec![
-                taken(1, Kind::OnceOnly),
+                taken(1, Idempotency::NonIdempotent),
                 connect(1, 0, 0),
                 ended(0, true),
                 connect(3, 1, 1),
@@ -134,7 +134,7 @@
         ),
         (
             vec![
-                taken(1, Kind::OnceOnly),
+                taken(1, Idempotency::NonIdempotent),
                 connect(1, 0, 0),
                 ended(0, false),
                 connect(3, 1, 1),
@@ -144,7 +144,7 @@
         ),
         (
             vec![
-                taken(1, Kind::OnceOnly),
+                taken(1, Idempotency::NonIdempotent),
                 connect(1, 0, 0),
                 ended(0, false),
                 answered(5, Final::Rejected),
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -63,7 +63,7 @@
             .insert(id, FlowState::waiting(client, balancer, self.now));
         self.flow_of_client.insert(client, id);
         self.figures.flows += 1;
-        let kind = self.clients.kind(client, &self.model.scenario);
+        let kind = self.clients.idempotency(client, &self.model.scenario);
         self.observe(Seen::Taken {
             at: self.now,
             balancer,
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -1,7 +1,7 @@
 //! The end of a balancer's process, planned or not, and its return.
 
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Kind, Seen};
+use nettlemux_fleet_model::seen::{Idempotency, Seen};
 use nettlemux_policy::{FlowId, MS, SEC, Time};
 
 use super::balancer::Incarnation;
@@ -159,8 +159,8 @@
 
     /// A client lost its balancer while it waited. It takes a non-idempotent flow for failed, since it may have run.
     fn retry_unanswered(&mut self, client: ClientId) {
-        let wait = match self.clients.kind(client, &self.model.scenario) {
-            Kind::OnceOnly => self.clients.aborted(client, &self.model.scenario),
+        let wait = match self.clients.idempotency(client, &self.model.scenario) {
+            Idempotency::NonIdempotent => self.clients.aborted(client, &self.model.scenario),
             _ => self.clients.rejected(client, None, &self.model.scenario),
         };
         self.retry_after(client, wait);
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_fleet_model::crowd::Client;
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Ender, Final, Kind, Seen};
+use nettlemux_fleet_model::seen::{Ender, Final, Idempotency, Seen};
 use nettlemux_policy::{MS, SEC, Time};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -141,7 +141,7 @@
             tell: None,
         };
         inner.flows.insert(flow, known);
-        let kind = inner.crowd.kind(id, &stage.scenario);
+        let kind = inner.crowd.idempotency(id, &stage.scenario);
         taken = stage.now();
         if standing.is_none() {
             inner.gather.flows += 1;
@@ -223,7 +223,7 @@
     stage: &'a Arc<Stage>,
     id: u64,
     flow: u64,
-    kind: Kind,
+    kind: Idempotency,
     taken: Time,
     wait: Time,
     balancer: usize,
@@ -294,7 +294,7 @@
                 self.second_answer(lines).await;
                 let inner = &mut *stage.lock();
                 Came::Again(match self.kind {
-                    Kind::OnceOnly if standing => None,
+                    Idempotency::NonIdempotent if standing => None,
                     _ => inner.crowd.aborted(self.id, &stage.scenario),
                 })
             }
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -221,7 +221,11 @@
             "standing = 5000000",
             "key 'clients.standing'",
         ),
-        ("repeat = \"once-only\"", "repeat = \"never\"", "once-only"),
+        (
+            "idempotency = \"non-idempotent\"",
+            "idempotency = \"never\"",
+            "non-idempotent",
+        ),
         (
             "[expect]",
             "[[faults]]\nwhat = \"slow\"\nat = 3\n[expect]",
