--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -73,7 +73,7 @@
     pub client: u64,
     /// It says that it has tried before.
     pub retry: bool,
-    /// When its setup target runs out: past that it waits no more.
+    /// When its latency objective runs out: past that it waits no more.
     pub target: Time,
 }
 
@@ -82,7 +82,7 @@
 pub enum Why {
     /// All places to wait are taken, or its key's are.
     Full,
-    /// Its turn can't come, or hasn't, before its setup target runs out.
+    /// Its turn can't come, or hasn't, before its latency objective runs out.
     Late,
     /// Its key comes too often, or holds too much.
     Rate,
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -132,7 +132,7 @@
     pub client: u64,
     /// It says that it has tried before.
     pub retry: bool,
-    /// When its setup target runs out.
+    /// When its latency objective runs out.
     pub target: Time,
 }
 
--- a/crates/line-protocol/src/first.rs
+++ b/crates/line-protocol/src/first.rs
@@ -126,7 +126,7 @@
             .map(|((name, longest), known)| Class {
                 name,
                 longest: longest.unwrap_or(LONGEST),
-                target: known.setup_target,
+                target: known.latency_objective,
             })
             .collect(),
             tenants: settings.names("accounts"),
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -34,8 +34,8 @@
 
 fn class() -> TrafficClass {
     TrafficClass {
-        setup_target: 230 * MS,
-        value: 1.0,
+        latency_objective: 230 * MS,
+        priority_weight: 1.0,
         idempotency: Idempotency::Idempotent,
     }
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -81,7 +81,7 @@
 const NARROWEST: f64 = 1.0 / 16.0;
 /// Flows that may wait for their turn, for each attempt that may be in flight.
 const QUEUE: f64 = 4.0;
-/// How soon flows that wait are looked at again: well inside setup targets; each look walks all servers.
+/// How soon flows that wait are looked at again: well inside latency objectives; each look walks all servers.
 const LOOK_AGAIN: Time = 60 * MS;
 /// From news of a drain to the first move: servers that send their clients away themselves have begun to.
 const LEAVE: Time = 2 * SEC;
@@ -493,7 +493,7 @@
             self.least = (now, least);
         }
         // When many wait the figures that there are must do: looking at all of them again costs too much.
-        let waits = now < flow.taken + self.class(flow).setup_target && left > 2 * LOOK_AGAIN;
+        let waits = now < flow.taken + self.class(flow).latency_objective && left > 2 * LOOK_AGAIN;
         let asks = !ask.is_empty() && !self.crowded() && waits;
         if asks
             && self
@@ -543,7 +543,7 @@
             .map(|server| (server, self.beta(now, server)))
             .collect();
         // Guards against one server that answers nothing and soon holds all attempts that may be in flight.
-        let target = self.class(flow).setup_target;
+        let target = self.class(flow).latency_objective;
         let late = self
             .book
             .in_flight
@@ -924,19 +924,19 @@
 
     fn class(&self, flow: &Flow) -> TrafficClass {
         let unknown = TrafficClass {
-            setup_target: 0,
-            value: 0.0,
+            latency_objective: 0,
+            priority_weight: 0.0,
             idempotency: Idempotency::NonIdempotent,
         };
         self.classes.get(flow.class).copied().unwrap_or(unknown)
     }
 
-    /// Not yet, while the setup target may still be met and few wait; else never.
+    /// Not yet, while the latency objective may still be met and few wait; else never.
     fn hold(&mut self, now: Time, flow: &Flow) -> Place {
         let waited = now.saturating_sub(flow.taken);
         // Guards against a short-lived try that is looked at again only when its time has run out.
         let short = flow.give_up <= now + self.margin + LOOK_AGAIN.max(self.gather());
-        if short || waited >= self.class(flow).setup_target || self.crowded() {
+        if short || waited >= self.class(flow).latency_objective || self.crowded() {
             return self.give_up(now, flow);
         }
         self.held += 1;
@@ -999,7 +999,7 @@
             value += self
                 .classes
                 .get(*class)
-                .map_or(0.0, |known| known.value * count);
+                .map_or(0.0, |known| known.priority_weight * count);
         }
         let (count, sum) = self
             .book
@@ -1010,7 +1010,7 @@
         let held = self.book.by_tenant.get(&flow.tenant).copied().unwrap_or(0) as f64;
         let share = self.shares.get(flow.tenant).copied().unwrap_or(1.0);
         let over = held > OVER * share * self.book.own.len() as f64;
-        let own = self.class(flow).value * if over { self.surplus } else { 1.0 };
+        let own = self.class(flow).priority_weight * if over { self.surplus } else { 1.0 };
         // Compared crosswise: no load told makes all alike.
         own * count * load >= value * sum
     }
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -41,8 +41,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficClass {
-    pub setup_target: Time,
-    pub value: f64,
+    pub latency_objective: Time,
+    pub priority_weight: f64,
     pub idempotency: Idempotency,
 }
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,8 +5,8 @@
 
 pub fn repeat(idempotency: Idempotency) -> TrafficClass {
     TrafficClass {
-        setup_target: 100 * MS,
-        value: 1.0,
+        latency_objective: 100 * MS,
+        priority_weight: 1.0,
         repeat,
     }
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -272,7 +272,7 @@
             at: T0 - age,
             ..attempt(0, false)
         };
-        // Waits for no server any more: its setup target has passed.
+        // Waits for no server any more: its latency objective has passed.
         let one = Flow {
             attempts: vec![earlier],
             taken: T0 - 10 * SEC,
@@ -830,7 +830,7 @@
 
 #[test]
 fn a_flow_waits_only_while_it_can_be_asked_about_again_in_time() {
-    // Guards against an answer after the deadline where a try is shorter than the setup target.
+    // Guards against an answer after the deadline where a try is shorter than the latency objective.
     for (left, waits) in [(90 * MS, true), (70 * MS, true), (60 * MS, false)] {
         let mut policy = balancer(Idempotency::Idempotent);
         let place = policy.place(
@@ -878,8 +878,8 @@
 fn room_is_kept_for_value_and_for_tenants_within_their_share() {
     // Loads told for types 0 and 1, values 1 and 5; tenant 0 holds three quarters of a half share.
     for (class, tenant, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
-        let types = [1.0, 5.0].map(|value| TrafficClass {
-            value,
+        let types = [1.0, 5.0].map(|priority_weight| TrafficClass {
+            priority_weight,
             ..repeat(Idempotency::Idempotent)
         });
         let mut policy = Policy::new(7, 0, types.to_vec())
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -310,7 +310,7 @@
     fn traffic_class(self) -> Read<TrafficClass> {
         // What isn't said to be idempotent is not repeated; without a window, nothing is after it.
         let word = |path, default: &str| self.or(path, default.into(), Settings::text);
-        let repeat = match word("repeat", "single_shot")?.as_str() {
+        let idempotency = match word("repeat", "single_shot")?.as_str() {
             "free" => Idempotency::Idempotent,
             "single_shot" => Idempotency::NonIdempotent,
             "guarded" => {
@@ -331,14 +331,14 @@
         };
         // Without a target any answer in time will do.
         let longest = self.time_or("hard-limit", LONGEST)?;
-        let (setup_target, value) = (
+        let (latency_objective, priority_weight) = (
             self.time_or("setup-target", longest)?,
             self.number_or("value", 1.0)?,
         );
         Ok(TrafficClass {
-            setup_target,
-            value,
-            repeat,
+            latency_objective,
+            priority_weight,
+            idempotency,
         })
     }
 }
--- a/crates/testbed/src/sockets/faulty.rs
+++ b/crates/testbed/src/sockets/faulty.rs
@@ -231,7 +231,7 @@
         .once_only
         .iter()
         .any(|name| value("c=") == Some(name));
-    let careful = once_only && !shared.is(Mischief::RepeatsOnceOnly);
+    let careful = once_only && !shared.is(Mischief::RepeatsNonIdempotent);
     // What stood before the run is set up soundly, so that the run can begin.
     let picked = !line.contains(",at=") && shared.picked();
     if picked && shared.is(Mischief::LosesAnswers) {
