--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -61,18 +61,18 @@
     pub fn knock(&mut self, now: Time, parts: &mut Parts, out: &mut String) -> Read<()> {
         let mut flow = Flow {
             id: parts.get("ref")?,
-            taken: now,
+            accepted_at: now,
             ..Flow::default()
         };
         flow.class = parts.get("category")?;
         flow.tenant = parts.maybe("client-group")?.unwrap_or(0);
         let _item: Option<String> = parts.maybe("item")?;
-        flow.give_up = now + parts.time("ttl")?;
+        flow.deadline = now + parts.time("ttl")?;
         let _effort: Option<f64> = parts.maybe("effort")?;
         flow.group = parts.maybe("team-id")?;
         parts.flag("resent")?;
         parts.flag("rerouted")?;
-        flow.returning = parts.flag("came-back")?;
+        flow.reconnecting = parts.flag("came-back")?;
         self.acts(out, |hand, acts| hand.take(now, flow, Who::default(), acts));
         Ok(())
     }
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -24,8 +24,8 @@
     core: Arc<Core>,
     pub id: FlowId,
     pub caller: Caller,
-    pub taken: Time,
-    pub give_up: Time,
+    pub accepted_at: Time,
+    pub deadline: Time,
     /// The client is to be sent away as soon as it is up, and how long a line that its server has begun is waited for.
     pub move_by: Option<Time>,
     owed: bool,
@@ -39,16 +39,16 @@
     pub fn open(core: &Arc<Core>, flow: &Flow, caller: Caller, id: Id) -> Self {
         let Flow {
             id: number,
-            taken,
-            give_up,
+            accepted_at,
+            deadline,
             ..
         } = *flow;
         Book {
             core: core.clone(),
             id: number,
             caller,
-            taken,
-            give_up,
+            accepted_at,
+            deadline,
             move_by: None,
             owed: true,
             unwritten: b"",
@@ -75,7 +75,7 @@
 
     pub fn established(&mut self, target: &Target) {
         self.owed = false;
-        let took = clock::now().saturating_sub(self.taken);
+        let took = clock::now().saturating_sub(self.accepted_at);
         debug!(
             id = self.id,
             server = target.server.name,
@@ -97,7 +97,7 @@
             report,
         }: Ended,
     ) {
-        let left_ms = self.give_up.saturating_sub(clock::now()) / MS;
+        let left_ms = self.deadline.saturating_sub(clock::now()) / MS;
         info!(
             id = self.id,
             server = target.server.name,
@@ -231,7 +231,7 @@
         let ids = core.ids.clone();
         let flow = Flow {
             id: 5,
-            give_up: Time::MAX,
+            deadline: Time::MAX,
             ..Flow::default()
         };
         let panicked = may::go!(move || {
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -215,7 +215,7 @@
             }
             Ask::Inherit { flow, at, mail } => {
                 let server_id = self.ids.lasting(&at);
-                let (until, by) = (flow.give_up, flow.give_up);
+                let (until, by) = (flow.deadline, flow.deadline);
                 let order = match self.servers.get(&server_id) {
                     // Nobody is waited for any more.
                     _ if self.last_answer_passed => Order::Abort,
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -54,7 +54,7 @@
 impl Asked {
     /// Asks once more after a pause; false once there is no time left.
     pub fn again(&self, core: &Core, book: &mut Book) -> bool {
-        if clock::now() >= self.flow.give_up {
+        if clock::now() >= self.flow.deadline {
             return false;
         }
         may::coroutine::sleep(PAUSE);
@@ -69,7 +69,7 @@
         return Next::Left;
     }
     loop {
-        match book.caller.mailbox.next(book.give_up + OVERDUE) {
+        match book.caller.mailbox.next(book.deadline + OVERDUE) {
             Some(Event::Order(Order::Move(by))) => book.move_by = Some(by),
             // Of an attempt that has ended meanwhile.
             Some(Event::Order(Order::CallOff | Order::TimeUp) | Event::Stop) => {}
--- a/crates/dataplane/src/send/tests.rs
+++ b/crates/dataplane/src/send/tests.rs
@@ -53,7 +53,7 @@
         );
         let flow = Flow {
             id: 5,
-            give_up: Time::MAX,
+            deadline: Time::MAX,
             ..Flow::default()
         };
         let mut book = Book::open(&core, &flow, Caller::new(stream, slot), id);
--- a/crates/fleet-model/src/crowd.rs
+++ b/crates/fleet-model/src/crowd.rs
@@ -32,7 +32,7 @@
     /// Tries since it was last served.
     pub tries: usize,
     /// Its connection broke or was moved.
-    pub returning: bool,
+    pub reconnecting: bool,
     /// It was told when to come back, and comes then.
     pub told: bool,
     /// It has wanted to be served since.
@@ -123,7 +123,7 @@
                 },
             ends: now + seconds(self.dice.exponential(scenario.clients.life)).max(50 * MS),
             tries: 0,
-            returning: false,
+            reconnecting: false,
             told: false,
             since: now,
             gone: false,
@@ -207,7 +207,7 @@
     pub fn comes_again(&mut self, now: Time, id: u64, moved: bool) -> Option<Time> {
         let wait = self.spread(if moved { MOVED } else { BROKEN });
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
-        (client.returning, client.told, client.since) = (true, false, now);
+        (client.reconnecting, client.told, client.since) = (true, false, now);
         Some(wait)
     }
 
--- a/crates/fleet-model/src/seen.rs
+++ b/crates/fleet-model/src/seen.rs
@@ -85,13 +85,15 @@
         server: usize,
         ready: bool,
     },
-    /// A balancer has a flow whole.
-    Taken {
+    /// A balancer has accepted a flow.
+    #[serde(alias = "taken")]
+    Accepted {
         at: Time,
         balancer: usize,
         flow: u64,
         kind: Idempotency,
-        give_up: Time,
+        #[serde(alias = "give_up")]
+        deadline: Time,
     },
     Answered {
         at: Time,
@@ -146,7 +148,7 @@
             | Seen::Started { at, .. }
             | Seen::Fell { at, .. }
             | Seen::Told { at, .. }
-            | Seen::Taken { at, .. }
+            | Seen::Accepted { at, .. }
             | Seen::Answered { at, .. }
             | Seen::Left { at, .. }
             | Seen::Attempt { at, .. }
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -173,3 +173,20 @@
         );
     }
 }
+
+#[test]
+fn records_of_earlier_versions_say_when_a_flow_is_given_up() {
+    let accepted = Seen::Accepted {
+        at: 1,
+        balancer: 2,
+        flow: 3,
+        kind: Idempotency::NonIdempotent,
+        deadline: 9,
+    };
+    for text in [
+        r#"{"what":"taken","at":1,"balancer":2,"flow":3,"kind":"once-only","give_up":9}"#,
+        r#"{"what":"accepted","at":1,"balancer":2,"flow":3,"kind":"non-idempotent","deadline":9}"#,
+    ] {
+        assert_eq!(serde_json::from_str::<Seen>(text).unwrap(), accepted);
+    }
+}
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -403,7 +403,7 @@
         }
         let owed = self.flows.iter_mut().filter(|(_, f)| f.owed);
         owed.map(|(id, in_hand)| {
-            in_hand.flow.give_up = in_hand.flow.give_up.min(at);
+            in_hand.flow.deadline = in_hand.flow.deadline.min(at);
             *id
         })
         .collect()
@@ -702,7 +702,7 @@
             ]
         );
         assert_eq!(hand.cut_short(5, &mut acts), [2]);
-        assert_eq!(hand.flow(2).map(|f| f.give_up), Some(0));
+        assert_eq!(hand.flow(2).map(|f| f.deadline), Some(0));
     }
 
     /// Guards against a door that holds a flow past its client's leaving or the balancer's end, and one that lets in more
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -56,9 +56,9 @@
                     class,
                     tenant,
                     group: open.group.filter(|_| known.groups).map(String::from),
-                    returning: open.returning,
-                    taken: taken.at,
-                    give_up: taken.at + wait,
+                    reconnecting: open.reconnecting,
+                    accepted_at: taken.at,
+                    deadline: taken.at + wait,
                     attempts: Vec::new(),
                 };
                 let Some(slot) = core.shares.flows.take(0) else {
@@ -72,7 +72,7 @@
                 taken.caller.socket.hold(slot);
                 debug!(id = flow.id, line = %String::from_utf8_lossy(&taken.bytes[..length]), "taken");
                 let line = taken.bytes[..length].to_vec();
-                let who = known.who(&open, flow.class, flow.taken);
+                let who = known.who(&open, flow.class, flow.accepted_at);
                 return Some(Admitted {
                     flow,
                     who,
--- a/crates/line-protocol/src/first.rs
+++ b/crates/line-protocol/src/first.rs
@@ -31,7 +31,7 @@
     /// The server that held it before.
     pub at: Option<&'a str>,
     /// Its connection broke or was moved.
-    pub returning: bool,
+    pub reconnecting: bool,
 }
 
 /// More values than any line has; guards against lines whose names are compared for long.
@@ -82,7 +82,7 @@
             "t" => open.tenant = Some(value),
             "at" => open.at = Some(value),
             "r" | "again" if value != "1" => return Err("a mark is not 1"),
-            "again" => open.returning = true,
+            "again" => open.reconnecting = true,
             "r" => open.retry = true,
             _ if figure(value).is_none() => return Err("a figure is no number"),
             _ => {}
@@ -138,7 +138,7 @@
     }
 
     /// Who asks, as the door tells clients apart; nobody in particular where there is none.
-    pub fn who(&self, open: &Open, class: usize, taken: Time) -> Who {
+    pub fn who(&self, open: &Open, class: usize, accepted_at: Time) -> Who {
         let Some((by, seed)) = self.by else {
             return Who::default();
         };
@@ -148,7 +148,7 @@
             By::Client => client,
             By::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
         };
-        let target = taken + self.classes[class].target;
+        let target = accepted_at + self.classes[class].target;
         Who {
             key,
             client,
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -120,8 +120,8 @@
         Flow {
             id: self.next_id,
             group,
-            taken: self.now,
-            give_up: self.now + 2 * SEC,
+            accepted_at: self.now,
+            deadline: self.now + 2 * SEC,
             ..Flow::default()
         }
     }
@@ -310,10 +310,10 @@
                 let mut flow = Flow {
                     id,
                     group: name,
-                    taken: now,
+                    accepted_at: now,
                     ..Flow::default()
                 };
-                flow.give_up = now + 2 * SEC;
+                flow.deadline = now + 2 * SEC;
                 let mut at = now;
                 let placed = loop {
                     answer(policy, at, &held, each);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,7 +10,7 @@
 //! let server = Listed { rs: 51, zone: 0, machine: 0, cell: 0, state: State::Ready, weight: 1.0, started: 0 };
 //! policy.list(0, &[server], true);
 //!
-//! let flow = Flow { id: 7, give_up: 2 * SEC, ..Flow::default() };
+//! let flow = Flow { id: 7, deadline: 2 * SEC, ..Flow::default() };
 //! let Place::To(rs, limit, _) = policy.place(0, &flow) else { panic!("there is room") };
 //! assert_eq!((rs, limit), (51, 2 * SEC - 4 * MS));
 //! let todo = policy.after(MS, Outcome::Established { flow: 7, took: MS });
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -448,12 +448,12 @@
     /// Where to send this flow.
     pub fn place(&mut self, now: Time, flow: &Flow) -> Place {
         self.began.get_or_insert(now);
-        let left = flow.give_up.saturating_sub(now + self.margin);
+        let left = flow.deadline.saturating_sub(now + self.margin);
         let two_out = !self.second_copies && flow.attempts.iter().any(|c| c.in_flight);
         let jammed = self.window.width < self.window.calm
             && flow.attempts.iter().any(|c| !c.known_unexecuted);
         if left == 0 || two_out || jammed || flow.attempts.len() >= self.max_attempts {
-            return self.give_up(now, flow);
+            return self.reject_or_fail(now, flow);
         }
         // Guards against a storm of attempts that jams what all servers share (the store) and stays.
         if self.window.full(now, self.book.in_flight.len()) {
@@ -462,8 +462,9 @@
         // Guards against walking all servers for each of the flows that wait, while nothing has come since
         // they were last looked at, or none has room at this moment.
         let worth = if self.worthy(flow) { RESERVE } else { 0.0 };
-        let none = !flow.returning && self.least.0 == now && self.least.1 >= T_H.min(worth + FULL);
-        if none || flow.taken < now && now < self.pending {
+        let none =
+            !flow.reconnecting && self.least.0 == now && self.least.1 >= T_H.min(worth + FULL);
+        if none || flow.accepted_at < now && now < self.pending {
             return self.hold(now, flow);
         }
         // Rule 4: cold servers only within our part of their budget. The pace walks a long list once a second.
@@ -488,12 +489,13 @@
             choice = self.choose(now, flow, worth, None);
         }
         let Choice { ask, among, least } = choice;
-        let first = flow.attempts.is_empty() && !(flow.returning && self.afresh(now));
+        let first = flow.attempts.is_empty() && !(flow.reconnecting && self.afresh(now));
         if first && (whole || self.long.is_none()) {
             self.least = (now, least);
         }
         // When many wait the figures that there are must do: looking at all of them again costs too much.
-        let waits = now < flow.taken + self.class(flow).latency_objective && left > 2 * LOOK_AGAIN;
+        let waits =
+            now < flow.accepted_at + self.class(flow).latency_objective && left > 2 * LOOK_AGAIN;
         let asks = !ask.is_empty() && !self.crowded() && waits;
         if asks
             && self
@@ -582,7 +584,7 @@
         let lately = placed as f64 / number;
         // Guards against a balancer that has just restarted and turns away those of the next one, or puts
         // all on the first server that shows room: they bring no new load, the figures have it.
-        let returns = flow.returning && self.afresh(now);
+        let returns = flow.reconnecting && self.afresh(now);
         // Guards against one attempt of ours taken for one of each of hundreds. All go where there is room.
         let lag = (REPORT_AGE + FRESH) as f64 / RATE_SPAN as f64;
         let usual = lag * part * self.settled.len() as f64 / f64::max(roomy, 1.0);
@@ -933,11 +935,11 @@
 
     /// Not yet, while the latency objective may still be met and few wait; else never.
     fn hold(&mut self, now: Time, flow: &Flow) -> Place {
-        let waited = now.saturating_sub(flow.taken);
+        let waited = now.saturating_sub(flow.accepted_at);
         // Guards against a short-lived try that is looked at again only when its time has run out.
-        let short = flow.give_up <= now + self.margin + LOOK_AGAIN.max(self.gather());
+        let short = flow.deadline <= now + self.margin + LOOK_AGAIN.max(self.gather());
         if short || waited >= self.class(flow).latency_objective || self.crowded() {
-            return self.give_up(now, flow);
+            return self.reject_or_fail(now, flow);
         }
         self.held += 1;
         Place::NotYet
@@ -1016,7 +1018,7 @@
     }
 
     /// The answer for a flow that is given up: rejected where the client may safely come again, and told when.
-    fn give_up(&mut self, now: Time, flow: &Flow) -> Place {
+    fn reject_or_fail(&mut self, now: Time, flow: &Flow) -> Place {
         let may_have_run = flow.attempts.iter().any(|c| !c.known_unexecuted);
         // Guards against a client that is sent back when servers have forgotten what it asked for.
         let remembered = self
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -66,10 +66,10 @@
     /// Flows of one group cost a server their common work once.
     pub group: Option<String>,
     /// The client's connection broke or was moved: it comes back with the load that it had.
-    pub returning: bool,
-    pub taken: Time,
+    pub reconnecting: bool,
+    pub accepted_at: Time,
     /// When the deadline runs out.
-    pub give_up: Time,
+    pub deadline: Time,
     pub attempts: Vec<Attempt>,
 }
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -35,8 +35,8 @@
 pub fn flow(now: Time, id: FlowId) -> Flow {
     Flow {
         id,
-        taken: now,
-        give_up: now + 2 * SEC,
+        accepted_at: now,
+        deadline: now + 2 * SEC,
         ..Flow::default()
     }
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -126,7 +126,7 @@
     (1..3).for_each(|server_id| drop(probe(&mut policy, T0 + 6 * SEC, server_id, 1.5)));
     assert!(!probe(&mut policy, T0 + 6 * SEC, 0, 1.5).is_empty());
     let late = Flow {
-        taken: T0,
+        accepted_at: T0,
         ..flow(T0 + 6 * SEC, 999)
     };
     assert!(matches!(
@@ -208,7 +208,7 @@
     // One that nobody holds finds no room, and is answered at once when its target has passed.
     let other = Flow {
         group: Some("lift".into()),
-        taken: T0 - SEC,
+        accepted_at: T0 - SEC,
         ..flow(T0, 9)
     };
     assert!(matches!(policy.place(T0, &other), Place::Reject(Some(_))));
@@ -233,7 +233,7 @@
         let mut policy = balancer(Idempotency::Idempotent);
         policy.list(T0, &[ready(0), ready(1)], true);
         let one = Flow {
-            give_up: T0 + left,
+            deadline: T0 + left,
             attempts: attempts.clone(),
             ..flow(T0, 1)
         };
@@ -275,7 +275,7 @@
         // Waits for no server any more: its latency objective has passed.
         let one = Flow {
             attempts: vec![earlier],
-            taken: T0 - 10 * SEC,
+            accepted_at: T0 - 10 * SEC,
             ..flow(T0, 1)
         };
         match policy.place(T0, &one) {
@@ -317,8 +317,8 @@
         let attempts: Vec<Attempt> = earlier.iter().copied().map(made).collect();
         let one = Flow {
             attempts,
-            taken: T0 - SEC,
-            give_up: T0 + 2 * SEC,
+            accepted_at: T0 - SEC,
+            deadline: T0 + 2 * SEC,
             ..flow(T0, 1)
         };
         let Place::To(_, limit, by) = policy.place(T0, &one) else {
@@ -416,7 +416,7 @@
         };
         let one = Flow {
             attempts: vec![earlier],
-            taken: T0 - SEC,
+            accepted_at: T0 - SEC,
             ..flow(T0, 1)
         };
         let got = match policy.place(T0, &one) {
@@ -609,7 +609,7 @@
         (4..8).for_each(|id| assert_eq!(take(&mut policy, T0, id), 2));
         policy.list(T0, &[], true);
         let late = Flow {
-            taken: T0 - SEC,
+            accepted_at: T0 - SEC,
             ..flow(T0, 9)
         };
         assert!(matches!(policy.place(T0, &late), Place::Reject(Some(_))));
@@ -744,7 +744,7 @@
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let latest = |policy: &mut Policy| {
             let late = |id| Flow {
-                taken: T0 - SEC,
+                accepted_at: T0 - SEC,
                 ..flow(T0, id)
             };
             let told = (100..200).filter_map(|id| match policy.place(T0, &late(id)) {
@@ -819,7 +819,7 @@
             .map(|server_id| probe(&mut policy, now, server_id, 0.97).len())
             .sum();
         let late = Flow {
-            taken: now - SEC,
+            accepted_at: now - SEC,
             ..flow(now, round)
         };
         let placed = matches!(policy.place(now, &late), Place::To(..));
@@ -836,7 +836,7 @@
         let place = policy.place(
             T0,
             &Flow {
-                give_up: T0 + left,
+                deadline: T0 + left,
                 ..flow(T0, 1)
             },
         );
@@ -900,7 +900,7 @@
         let one = Flow {
             class,
             tenant,
-            taken: T0 - SEC,
+            accepted_at: T0 - SEC,
             ..flow(T0, 1)
         };
         let placed = matches!(policy.place(T0, &one), Place::To(..));
@@ -1067,7 +1067,7 @@
 fn a_balancer_that_has_just_restarted_lets_returning_clients_in_evenly() {
     // Guards against turning away the clients of the next balancer that restarts, or putting all of them on the first
     // server that shows room. Inherited connections, whether the clients return, whether all get in.
-    for (own, returning, all) in [(0, true, true), (0, false, false), (20, true, false)] {
+    for (own, reconnecting, all) in [(0, true, true), (0, false, false), (20, true, false)] {
         let mut policy = balancer(Idempotency::Idempotent).among(2.0, false);
         policy.list(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
         (100..100 + own).for_each(|id| policy.inherit(&flow(T0, id), id % 5));
@@ -1078,7 +1078,7 @@
             if let Place::To(server_id, ..) = policy.place(
                 now,
                 &Flow {
-                    returning,
+                    reconnecting,
                     ..flow(now, id)
                 },
             ) {
@@ -1089,7 +1089,7 @@
         assert_eq!(
             on.iter().sum::<u64>() == 30,
             all,
-            "{own} own, returning {returning}: {on:?}"
+            "{own} own, returning {reconnecting}: {on:?}"
         );
         assert!(!all || on.iter().all(|on| (5..=7).contains(on)), "{on:?}");
     }
@@ -1209,10 +1209,13 @@
                 group: group.clone(),
                 ..flow(T0 + id * SEC, id)
             };
-            assert!(matches!(teller.place(one.taken, &one), Place::To(7, ..)));
+            assert!(matches!(
+                teller.place(one.accepted_at, &one),
+                Place::To(7, ..)
+            ));
             words.extend(
                 teller
-                    .after(one.taken, Outcome::Established { flow: id, took: MS })
+                    .after(one.accepted_at, Outcome::Established { flow: id, took: MS })
                     .tell,
             );
         }
@@ -1381,7 +1384,7 @@
             },
         );
         let late = Flow {
-            taken: now - SEC,
+            accepted_at: now - SEC,
             ..flow(now, second)
         };
         open.push(matches!(policy.place(now, &late), Place::To(..)));
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    fn give_up(&mut self, flow: &Flow) -> Place {
+    fn reject_or_fail(&mut self, flow: &Flow) -> Place {
         let ran = flow.attempts.iter().any(|c| !c.known_unexecuted);
         match self.types[flow.class].idempotency {
             Idempotency::NonIdempotent if ran => Place::Abort,
@@ -157,12 +157,12 @@
 
 impl Brain for Baseline {
     fn place(&mut self, now: Time, flow: &Flow) -> Place {
-        let left = flow.give_up.saturating_sub(now + MARGIN);
+        let left = flow.deadline.saturating_sub(now + MARGIN);
         if left == 0
             || flow.attempts.len() >= self.attempts
             || flow.attempts.iter().any(|c| c.in_flight)
         {
-            return self.give_up(flow);
+            return self.reject_or_fail(flow);
         }
         let ready = self
             .servers
@@ -176,7 +176,7 @@
             .collect();
         let among = if fresh.is_empty() { all } else { fresh };
         if among.is_empty() {
-            return self.give_up(flow);
+            return self.reject_or_fail(flow);
         }
         self.turn += 1;
         let start = self.dice.below(among.len());
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -111,7 +111,7 @@
     pub attempts: u64,
     pub moves: u64,
     pub lost: u64,
-    returning: (Time, u64, u64),
+    reconnecting: (Time, u64, u64),
     quiet: Histogram<u64>,
     quiet_lost: u64,
     quiet_answers: u64,
@@ -155,7 +155,7 @@
             attempts: 0,
             moves: 0,
             lost: 0,
-            returning: (0, 0, 0),
+            reconnecting: (0, 0, 0),
             quiet: histogram(),
             quiet_lost: 0,
             quiet_answers: 0,
@@ -222,12 +222,12 @@
 
     pub fn returned(&mut self, now: Time) {
         let second = now / SEC;
-        if self.returning.0 != second {
-            (self.returning.0, self.returning.1) = (second, 0);
+        if self.reconnecting.0 != second {
+            (self.reconnecting.0, self.reconnecting.1) = (second, 0);
         }
-        self.returning.1 += 1;
+        self.reconnecting.1 += 1;
         if now >= self.settle {
-            self.returning.2 = self.returning.2.max(self.returning.1);
+            self.reconnecting.2 = self.reconnecting.2.max(self.reconnecting.1);
         }
     }
 
@@ -288,7 +288,7 @@
             part(self.attempts as f64, self.flows as f64),
             part(self.moves as f64, established),
             part(self.lost as f64, established),
-            self.returning.2 as f64,
+            self.reconnecting.2 as f64,
             part(self.spread.0, self.spread.1),
             part(self.hot.0, self.hot.1),
             self.fell as f64,
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -74,7 +74,7 @@
 struct Flow {
     balancer: usize,
     kind: Idempotency,
-    give_up: Time,
+    deadline: Time,
     answered: Option<Final>,
     /// Nothing more is owed, and since when.
     over: Option<Time>,
@@ -184,11 +184,11 @@
                     self.told.entry((balancer, server)).or_insert(at);
                 }
             }
-            Seen::Taken {
+            Seen::Accepted {
                 flow,
                 balancer,
                 kind,
-                give_up,
+                deadline,
                 ..
             } => {
                 self.verdict.flows += 1;
@@ -198,7 +198,7 @@
                     Flow {
                         balancer,
                         kind,
-                        give_up,
+                        deadline,
                         answered,
                         over,
                         attempts,
@@ -212,7 +212,7 @@
                     .flows
                     .get(&flow)
                     .filter(|f| f.answered.is_none() && f.over.is_none());
-                if owed.is_some_and(|f| at > f.give_up + self.slack) {
+                if owed.is_some_and(|f| at > f.deadline + self.slack) {
                     self.broken(Rule::Lost, format!("flow {flow} was not answered in time"));
                 }
                 self.ends(at, flow);
@@ -293,7 +293,7 @@
         };
         let before = flow.answered.replace(with);
         let (late, left) = (
-            at > flow.give_up + self.slack,
+            at > flow.deadline + self.slack,
             flow.over.is_some() && before.is_none(),
         );
         let may_have_run = flow.attempts.iter().any(|made| made.ended != Some(true));
@@ -429,7 +429,7 @@
             .iter()
             .filter(|(_, f)| f.answered.is_none() && f.over.is_none());
         let lost: Vec<u64> = owed
-            .filter(|(_, f)| f.give_up + self.slack + MS < end)
+            .filter(|(_, f)| f.deadline + self.slack + MS < end)
             .map(|(id, _)| *id)
             .collect();
         for flow in lost {
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -10,12 +10,12 @@
 }
 
 fn taken(flow: u64, kind: Idempotency) -> Seen {
-    Seen::Taken {
+    Seen::Accepted {
         at: 0,
         balancer: 0,
         flow,
         kind,
-        give_up: SEC,
+        deadline: SEC,
     }
 }
 fn connect(at: Time, number: usize, server: usize) -> Seen {
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -185,10 +185,10 @@
         tokio::time::sleep(drawn.max(least)).await;
     }
 
-    async fn open(&mut self, balancer: &Balancer, returning: bool) -> Option<Try> {
+    async fn open(&mut self, balancer: &Balancer, reconnecting: bool) -> Option<Try> {
         let id = self.all.ids.fetch_add(1, Relaxed);
         let group = self.rng.below(self.all.groups as usize);
-        let again = if returning { ",again=1" } else { "" };
+        let again = if reconnecting { ",again=1" } else { "" };
         let line = format!("OPEN c{id:x} k{id:x} c=chat,d={DEADLINE_MS},g=g{group}{again}\r\n");
         let stream = match balancer {
             Balancer::Real(real) => TcpStream::connect(real.address).await.ok()?,
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -256,15 +256,15 @@
         (module, all - module)
     }
 
-    fn new_flow(&mut self, taken: Time) -> Flow {
+    fn new_flow(&mut self, accepted_at: Time) -> Flow {
         let id = self.next_flow;
         self.next_flow += 1;
         let group = Some(format!("g{}", self.rng.below(self.groups as usize)));
         Flow {
             id,
             group,
-            taken,
-            give_up: taken + DEADLINE_MS * MS,
+            accepted_at,
+            deadline: accepted_at + DEADLINE_MS * MS,
             ..Flow::default()
         }
     }
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -231,8 +231,8 @@
         let second = self.began.elapsed().as_secs();
         let mut attempts = self.attempts();
         let known = !attempts.client_ids.insert(id.to_string());
-        let returning = values.split(',').any(|pair| pair == "again=1");
-        let cause = match (known, returning) {
+        let reconnecting = values.split(',').any(|pair| pair == "again=1");
+        let cause = match (known, reconnecting) {
             (true, _) => Cause::Retry,
             (false, true) => Cause::Returning,
             (false, false) => Cause::First,
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -51,7 +51,7 @@
 
     /// A balancer accepts a client's flow and is asked to place it.
     fn accept(&mut self, client: ClientId, known: &Client, balancer: usize) {
-        if known.returning {
+        if known.reconnecting {
             self.figures.returned(self.now);
         }
         let class = &self.model.scenario.types[known.class];
@@ -64,12 +64,12 @@
         self.flow_of_client.insert(client, id);
         self.figures.flows += 1;
         let kind = self.clients.idempotency(client, &self.model.scenario);
-        self.observe(Seen::Taken {
+        self.observe(Seen::Accepted {
             at: self.now,
             balancer,
             flow: id,
             kind,
-            give_up: deadline,
+            deadline,
         });
         self.schedule(deadline + PATIENCE, Event::PatienceOver { flow: id });
         if known.told {
@@ -97,9 +97,9 @@
             class: known.class,
             tenant: known.tenant,
             group: known.group.map(|group| format!("g{group}")),
-            returning: known.returning,
-            taken: self.now,
-            give_up: deadline,
+            reconnecting: known.reconnecting,
+            accepted_at: self.now,
+            deadline,
             attempts: Vec::new(),
         }
     }
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -34,7 +34,7 @@
     /// other clients got theirs when they arrived.
     pub(super) fn connection_opened(&mut self, flow: FlowId, client: ClientId) {
         let known = self.clients.get(client);
-        let first_try = known.is_some_and(|client| !client.returning && client.tries == 0);
+        let first_try = known.is_some_and(|client| !client.reconnecting && client.tries == 0);
         if first_try && self.now == 0 {
             self.schedule_client_done(client);
         }
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -126,7 +126,7 @@
         }
         tokio::time::sleep(STUTTER).await;
     }
-    let taken;
+    let accepted_at;
     let kind = {
         let inner = &mut *stage.lock();
         // It has died since it took the connection: nobody is there to take the line.
@@ -142,22 +142,22 @@
         };
         inner.flows.insert(flow, known);
         let kind = inner.crowd.idempotency(id, &stage.scenario);
-        taken = stage.now();
+        accepted_at = stage.now();
         if standing.is_none() {
             inner.gather.flows += 1;
-            if client.returning {
-                inner.gather.returned(taken);
+            if client.reconnecting {
+                inner.gather.returned(accepted_at);
             }
             if client.told {
-                inner.gather.came_when_told(taken);
+                inner.gather.came_when_told(accepted_at);
             }
-            let give_up = taken + wait;
-            inner.see(Seen::Taken {
-                at: taken,
+            let deadline = accepted_at + wait;
+            inner.see(Seen::Accepted {
+                at: accepted_at,
                 balancer,
                 flow,
                 kind,
-                give_up,
+                deadline,
             });
         }
         kind
@@ -169,7 +169,7 @@
                 id,
                 flow,
                 kind,
-                taken,
+                accepted_at,
                 wait,
                 balancer,
             };
@@ -206,7 +206,7 @@
     if !stage.scenario.clients.tenants.is_empty() {
         line += &format!(",t=c{}", client.tenant);
     }
-    if client.returning {
+    if client.reconnecting {
         line += ",again=1";
     }
     if client.tries > 0 {
@@ -224,7 +224,7 @@
     id: u64,
     flow: u64,
     kind: Idempotency,
-    taken: Time,
+    accepted_at: Time,
     wait: Time,
     balancer: usize,
 }
@@ -267,7 +267,9 @@
         if !standing {
             let target = seconds(stage.scenario.types[client.class].target);
             let mut inner = stage.lock();
-            inner.gather.answered(now, with, now - self.taken, target);
+            inner
+                .gather
+                .answered(now, with, now - self.accepted_at, target);
             inner.gather.of_client(now, client, with);
             inner.see(Seen::Answered {
                 at: now,
