--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use nettlemux_flow_table::{Act, Hand, Who};
-use nettlemux_policy::{Flow, FlowId, Holds, Listed, ServerId, Time};
+use nettlemux_policy::{Endpoint, Flow, FlowId, Holds, ServerId, Time};
 use nettlemux_settings::{Reports, Settings};
 
 use crate::wire::{self, Malformed, Parts, Read};
@@ -33,7 +33,7 @@
         &mut self,
         now: Time,
         parts: &mut Parts,
-        tables: &BTreeMap<u64, Vec<Listed>>,
+        tables: &BTreeMap<u64, Vec<Endpoint>>,
     ) -> Read<()> {
         let kind = parts.word("kind")?;
         let _rev: Option<u64> = parts.maybe("rev")?;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use instance::Instance;
-use nettlemux_policy::{Listed, Time};
+use nettlemux_policy::{Endpoint, Time};
 use nettlemux_settings::Settings;
 use wire::{Malformed, Parts, Read};
 
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<String, Instance>,
-    tables: BTreeMap<u64, Vec<Listed>>,
+    tables: BTreeMap<u64, Vec<Endpoint>>,
 }
 
 impl Host {
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use nettlemux_policy::{End, Listed, Report, State, Time};
+use nettlemux_policy::{End, Endpoint, EndpointState, Report, Time};
 use nettlemux_settings::Reports;
 pub use nettlemux_settings::{Malformed, Read};
 
@@ -125,7 +125,7 @@
     })
 }
 
-pub fn entry(line: &str) -> Read<Listed> {
+pub fn entry(line: &str) -> Read<Endpoint> {
     let mut parts = Parts::new(line);
     let word = parts.word("entry")?;
     if word != "M" {
@@ -139,9 +139,9 @@
     let machine = parts.maybe("machine")?.unwrap_or(0);
     let cell = parts.maybe("stripe")?.unwrap_or(0);
     let state = match parts.word("availability")? {
-        "active" => State::Ready,
-        "leaving" => State::Draining,
-        "left" => State::Gone,
+        "active" => EndpointState::Ready,
+        "leaving" => EndpointState::Draining,
+        "left" => EndpointState::Removed,
         other => {
             return Err(Malformed::new(
                 "availability",
@@ -152,7 +152,7 @@
     let weight = parts.maybe("heft")?.unwrap_or(1.0);
     let started = parts.time("up-since")?;
     parts.end()?;
-    Ok(Listed {
+    Ok(Endpoint {
         server_id,
         zone,
         machine,
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -29,7 +29,7 @@
 use nettlemux_flow_table::Hand;
 use nettlemux_line_protocol::first::Known;
 use nettlemux_line_protocol::take_in::{self, Front};
-use nettlemux_policy::{MS, SEC, State, Time};
+use nettlemux_policy::{EndpointState, MS, SEC, Time};
 use nettlemux_settings::operator::{self, Format, Operator};
 use signal_hook::iterator::Signals;
 use tracing::{Level, error, info};
@@ -230,7 +230,7 @@
     let version = config.known.as_ref().map(|known| known.version);
     if let Some(known) = config.known.take() {
         let mut entries = known.entries;
-        entries.retain(|entry| entry.state != State::Gone);
+        entries.retain(|entry| entry.state != EndpointState::Removed);
         desk.send(Ask::StoredList(entries));
     }
     // The first that needs the coroutines' runtime.
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use nettlemux_flow_table::{Act, Hand};
-use nettlemux_policy::{Flow, FlowId, Holds, Listed, MS, SEC, ServerId, State, Time};
+use nettlemux_policy::{Endpoint, EndpointState, Flow, FlowId, Holds, MS, SEC, ServerId, Time};
 use nettlemux_settings::Settings;
 use tracing::{error, info, warn};
 
@@ -277,8 +277,11 @@
                 });
             }
             Ask::StoredList(entries) => self.list(now, entries, true),
-            Ask::List { entries, whole } => {
-                self.list(now, entries, whole);
+            Ask::List {
+                entries,
+                is_complete,
+            } => {
+                self.list(now, entries, is_complete);
                 self.starts.watch();
             }
             Ask::ListFailed => self.hand.list_failed(now),
@@ -327,13 +330,13 @@
         }
     }
 
-    fn list(&mut self, now: Time, entries: Vec<Entry>, whole: bool) {
+    fn list(&mut self, now: Time, entries: Vec<Entry>, is_complete: bool) {
         let mut listed = Vec::new();
         let mut told = Vec::new();
         for entry in entries {
             let server_id = self.ids.lasting(&entry.name);
             told.push(server_id);
-            listed.push(Listed {
+            listed.push(Endpoint {
                 server_id,
                 zone: self.zones.number(&entry.zone),
                 machine: self.machines.number(&entry.machine),
@@ -342,7 +345,7 @@
                 weight: entry.weight,
                 started: self.starts.of(now, server_id, entry.started),
             });
-            let ready = entry.state == State::Ready;
+            let ready = entry.state == EndpointState::Ready;
             match self.servers.get(&server_id) {
                 // Without an address it is where it was.
                 Some(server) if server.address == entry.address || entry.address.port() == 0 => {
@@ -365,7 +368,7 @@
                 }
             }
         }
-        if whole {
+        if is_complete {
             self.servers.retain(|server_id, server| {
                 let stays = told.contains(server_id);
                 if !stays {
@@ -375,7 +378,10 @@
                 stays
             });
         }
-        for gone in listed.iter().filter(|entry| entry.state == State::Gone) {
+        for gone in listed
+            .iter()
+            .filter(|entry| entry.state == EndpointState::Removed)
+        {
             self.servers.remove(&gone.server_id);
         }
         let servers = &self.servers;
@@ -383,7 +389,7 @@
             .keep(|server_id| servers.contains_key(&server_id));
         self.starts
             .keep(servers.len(), |server_id| servers.contains_key(&server_id));
-        self.hand.list(now, &listed, whole);
+        self.hand.list(now, &listed, is_complete);
     }
 
     /// Asks the module by way of the hand, and carries out what it says.
--- a/crates/dataplane/src/discovery.rs
+++ b/crates/dataplane/src/discovery.rs
@@ -241,19 +241,19 @@
     fn updated(&mut self, update: ListUpdate, request: &Request) {
         let ListUpdate {
             version,
-            whole,
+            is_complete,
             entries,
         } = update;
         if self.failed > 0 {
             info!(failed = self.failed, "discovery answers again");
         }
         self.failed = 0;
-        debug!(version, whole, entries = entries.len(), "list");
+        debug!(version, is_complete, entries = entries.len(), "list");
         // Guards against an agent that has begun to count anew: what it has told under numbers that we think are
         // past would never come.
-        let counts_anew = !whole && request.from.is_some_and(|from| version < from);
+        let counts_anew = !is_complete && request.from.is_some_and(|from| version < from);
         self.version = (!counts_anew).then_some(version);
-        if whole {
+        if is_complete {
             self.restarted = false;
             if request.after_restart {
                 let interval = WHOLE_INTERVAL_PER_ENTRY * entries.len() as Time;
@@ -262,8 +262,11 @@
         }
         // The first answer is told even if nothing has changed: from then on the list is watched.
         let first = !std::mem::replace(&mut self.answered, true);
-        if first || whole || !entries.is_empty() {
-            self.desk.send(Ask::List { entries, whole });
+        if first || is_complete || !entries.is_empty() {
+            self.desk.send(Ask::List {
+                entries,
+                is_complete,
+            });
         }
     }
 
--- a/crates/dataplane/src/discovery/list.rs
+++ b/crates/dataplane/src/discovery/list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use nettlemux_policy::{MS, State, Time};
+use nettlemux_policy::{EndpointState, MS, Time};
 use serde_json::Value;
 use tracing::warn;
 
@@ -16,7 +16,7 @@
 #[derive(Debug, PartialEq)]
 pub struct ListUpdate {
     pub version: u64,
-    pub whole: bool,
+    pub is_complete: bool,
     pub entries: Vec<Entry>,
 }
 
@@ -41,7 +41,7 @@
         .get("generation")
         .and_then(Value::as_u64)
         .ok_or("'generation' is no number")?;
-    let whole = value
+    let is_complete = value
         .get("reset")
         .and_then(Value::as_bool)
         .ok_or("'reset' is neither true nor false")?;
@@ -56,7 +56,7 @@
     };
     Ok(ListUpdate {
         version,
-        whole,
+        is_complete,
         entries: list.iter().filter_map(readable).collect(),
     })
 }
@@ -69,15 +69,15 @@
     };
     let name = text("instanceId");
     let state = match text("lifecycle").as_str() {
-        "Ready" => State::Ready,
-        "Terminating" => State::Draining,
-        "Gone" => State::Gone,
+        "Ready" => EndpointState::Ready,
+        "Terminating" => EndpointState::Draining,
+        "Gone" => EndpointState::Removed,
         other => return Err(format!("{name}: 'lifecycle' is '{other}'")),
     };
     // One that is going may have lost its address with it. Guards against a drain that is passed over.
     let address = match text("hostPort").parse() {
         Ok(address) => address,
-        Err(_) if state != State::Ready => SocketAddr::from(([0, 0, 0, 0], 0)),
+        Err(_) if state != EndpointState::Ready => SocketAddr::from(([0, 0, 0, 0], 0)),
         Err(_) => return Err(format!("{name}: 'hostPort' is no address")),
     };
     if name.is_empty() {
--- a/crates/dataplane/src/discovery/list/tests.rs
+++ b/crates/dataplane/src/discovery/list/tests.rs
@@ -13,22 +13,22 @@
         {"instanceId":"s-4","hostPort":"127.1.0.18:8081","lifecycle":"Asleep"}]}"#;
     let read = update_of(&serde_json::from_str(text).unwrap()).unwrap();
     assert_eq!(
-        (read.version, read.whole, read.entries.len()),
+        (read.version, read.is_complete, read.entries.len()),
         (41, true, 3)
     );
     let first = &read.entries[0];
     assert_eq!(
         (first.name.as_str(), first.cell.as_str(), first.state),
-        ("s-1", "3", State::Ready)
+        ("s-1", "3", EndpointState::Ready)
     );
     assert_eq!(first.started, 1_700_000_000_123 * MS);
     assert_eq!(
         (read.entries[1].name.as_str(), read.entries[1].state),
-        ("s-3", State::Gone)
+        ("s-3", EndpointState::Removed)
     );
     assert_eq!(
         (read.entries[2].name.as_str(), read.entries[2].state),
-        ("s-5", State::Draining)
+        ("s-5", EndpointState::Draining)
     );
     for bad in [r#"{}"#, r#"{"generation":1,"reset":true}"#, r#"[]"#] {
         assert!(
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_admission::Config;
 use nettlemux_flow_table::Who;
-use nettlemux_policy::{End, Flow, FlowId, Report, ServerId, State, Time};
+use nettlemux_policy::{End, EndpointState, Flow, FlowId, Report, ServerId, Time};
 use nettlemux_settings::Settings;
 
 use crate::mail::Sender;
@@ -29,7 +29,7 @@
     pub zone: String,
     pub machine: String,
     pub cell: String,
-    pub state: State,
+    pub state: EndpointState,
     pub weight: f64,
     pub started: Time,
 }
@@ -88,7 +88,7 @@
     /// What discovery tells: the changes, or the whole list.
     List {
         entries: Vec<Entry>,
-        whole: bool,
+        is_complete: bool,
     },
     ListFailed,
     /// Another balancer's word.
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/fleet.rs
@@ -41,7 +41,7 @@
     /// A cold server has fallen over.
     Fell { server: usize },
     /// The list of servers has changed and is to be delivered to the balancers.
-    Listed,
+    Endpoint,
     /// Discovery answers again.
     Heard,
     /// A zone has been cut off from the others, or is reachable again.
--- a/crates/fleet-model/src/fleet/degradation.rs
+++ b/crates/fleet-model/src/fleet/degradation.rs
@@ -74,7 +74,7 @@
     /// Lists all servers anew with their weights as they are now.
     pub(super) fn refresh_weights(&mut self, now: Time) {
         self.list.touch_all();
-        self.happened.push(Happening::Listed);
+        self.happened.push(Happening::Endpoint);
         self.schedule
             .add(now + WEIGHT_INTERVAL, Task::RefreshWeights);
     }
--- a/crates/fleet-model/src/fleet/lifecycle.rs
+++ b/crates/fleet-model/src/fleet/lifecycle.rs
@@ -1,6 +1,6 @@
 //! How servers join, drain, leave, die and start again.
 
-use nettlemux_policy::{MS, SEC, State, Time};
+use nettlemux_policy::{EndpointState, MS, SEC, Time};
 
 use super::schedule::Task;
 use super::{Happening, World, new_server};
@@ -29,7 +29,7 @@
             self.servers.push(state);
             self.list.add();
             self.happened.push(Happening::Started { server });
-            self.set_listed(server, State::Ready);
+            self.set_listed(server, EndpointState::Ready);
         }
         joined.collect()
     }
@@ -41,7 +41,7 @@
             return;
         }
         state.draining = true;
-        self.set_listed(server, State::Draining);
+        self.set_listed(server, EndpointState::Draining);
         match leaving {
             Leaving::Keeps => {}
             Leaving::BitByBit => {
@@ -86,7 +86,7 @@
 
     /// A drained server ends and is taken off the list.
     pub(super) fn leave(&mut self, server: usize) {
-        self.set_listed(server, State::Gone);
+        self.set_listed(server, EndpointState::Removed);
         self.kill(server, Life::Down);
     }
 
@@ -110,7 +110,7 @@
             return;
         }
         self.happened.push(Happening::Started { server });
-        self.list.set_state(server, State::Ready);
+        self.list.set_state(server, EndpointState::Ready);
         self.relist(server);
     }
 }
--- a/crates/fleet-model/src/fleet/list.rs
+++ b/crates/fleet-model/src/fleet/list.rs
@@ -1,10 +1,10 @@
 //! The list of servers that discovery keeps, with the version of each entry.
 
-use nettlemux_policy::State;
+use nettlemux_policy::EndpointState;
 
 /// One server's entry.
 struct Entry {
-    state: State,
+    state: EndpointState,
     /// The version of the list that the entry changed with.
     version: u64,
     /// How many faults make discovery list the server as gone.
@@ -25,7 +25,7 @@
     /// A list of so many ready servers, at version 1.
     pub(super) fn new(servers: usize) -> Self {
         let entry = |_| Entry {
-            state: State::Ready,
+            state: EndpointState::Ready,
             version: 1,
             hidden_by: 0,
         };
@@ -45,14 +45,14 @@
     /// Adds a server that has not been listed yet.
     pub(super) fn add(&mut self) {
         self.entries.push(Entry {
-            state: State::Gone,
+            state: EndpointState::Removed,
             version: 0,
             hidden_by: 0,
         });
     }
 
     /// Sets a server's state. Returns whether it was another one.
-    pub(super) fn set_state(&mut self, server: usize, state: State) -> bool {
+    pub(super) fn set_state(&mut self, server: usize, state: EndpointState) -> bool {
         let before = std::mem::replace(&mut self.entries[server].state, state);
         before != state
     }
@@ -82,10 +82,10 @@
     }
 
     /// The state that discovery tells of a server.
-    pub(super) fn visible_state(&self, server: usize) -> State {
+    pub(super) fn visible_state(&self, server: usize) -> EndpointState {
         let entry = &self.entries[server];
         if entry.hidden_by > 0 {
-            State::Gone
+            EndpointState::Removed
         } else {
             entry.state
         }
--- a/crates/fleet-model/src/fleet/listing.rs
+++ b/crates/fleet-model/src/fleet/listing.rs
@@ -1,6 +1,6 @@
 //! Discovery as balancers see it: what it lists, when it answers, and the changes that the fleet makes to the list.
 
-use nettlemux_policy::{Listed, State, Time};
+use nettlemux_policy::{Endpoint, EndpointState, Time};
 
 use super::{Happening, World};
 use crate::scenario::{Weights, seconds};
@@ -27,25 +27,25 @@
     }
 
     /// The entries that changed after a version, as they are now; after 0, all but those that are gone.
-    pub fn since(&self, version: u64) -> Vec<Listed> {
+    pub fn since(&self, version: u64) -> Vec<Endpoint> {
         let mut entries = self.between(version, self.list.version());
         if version == 0 {
-            entries.retain(|entry| entry.state != State::Gone);
+            entries.retain(|entry| entry.state != EndpointState::Removed);
         }
         entries
     }
 
     /// The entries that changed after one version and up to another, as they are now.
-    pub fn between(&self, version: u64, upto: u64) -> Vec<Listed> {
+    pub fn between(&self, version: u64, upto: u64) -> Vec<Endpoint> {
         self.list
             .changed_between(version, upto)
             .map(|server| self.entry(server))
             .collect()
     }
 
-    fn entry(&self, index: usize) -> Listed {
+    fn entry(&self, index: usize) -> Endpoint {
         let server = &self.servers[index];
-        Listed {
+        Endpoint {
             server_id: index as u64,
             zone: server.zone as u64,
             machine: server.machine as u64,
@@ -67,7 +67,7 @@
     }
 
     /// Lists a server in a state, where it is listed in another.
-    pub(super) fn set_listed(&mut self, server: usize, state: State) {
+    pub(super) fn set_listed(&mut self, server: usize, state: EndpointState) {
         if self.list.set_state(server, state) {
             self.relist(server);
         }
@@ -76,13 +76,13 @@
     /// Lists a server anew.
     pub(super) fn relist(&mut self, server: usize) {
         self.list.touch(server);
-        self.happened.push(Happening::Listed);
+        self.happened.push(Happening::Endpoint);
     }
 
     /// Discovery notices a server's death, unless the server runs again.
     pub(super) fn list_death(&mut self, server: usize) {
         if self.servers[server].life != Life::Up {
-            self.set_listed(server, State::Gone);
+            self.set_listed(server, EndpointState::Removed);
         }
     }
 }
--- a/crates/fleet-model/src/fleet/tests.rs
+++ b/crates/fleet-model/src/fleet/tests.rs
@@ -1,6 +1,6 @@
 //! Faults on the fleet: what each does, what it takes back, and what discovery then lists.
 
-use nettlemux_policy::{MS, SEC, State};
+use nettlemux_policy::{EndpointState, MS, SEC};
 
 use super::*;
 
@@ -31,7 +31,7 @@
             told[0].state,
             told[0].started
         ),
-        (1, 2, State::Ready, 6 * SEC)
+        (1, 2, EndpointState::Ready, 6 * SEC)
     );
 }
 
@@ -41,12 +41,12 @@
     until(&mut world, 8.0);
     assert!(world.since(1).is_empty() && world.servers[1].life == Life::Silent);
     until(&mut world, 9.0);
-    assert_eq!(world.since(1)[0].state, State::Gone);
+    assert_eq!(world.since(1)[0].state, EndpointState::Removed);
     assert_eq!(world.since(0).len(), 3, "a whole list leaves it out");
     until(&mut world, 15.0);
     assert_eq!(
         (world.since(1)[0].state, world.servers[1].life),
-        (State::Ready, Life::Up)
+        (EndpointState::Ready, Life::Up)
     );
 }
 
@@ -64,11 +64,11 @@
     );
     until(&mut world, 5.5);
     assert!((world.store.health - 0.05).abs() < 1e-9 && world.servers[0].speed < 0.5);
-    assert_eq!(world.since(1)[0].state, State::Gone);
+    assert_eq!(world.since(1)[0].state, EndpointState::Removed);
     assert_eq!(world.reaches(0, 1), world.cuts[1] == 0);
     until(&mut world, 20.0);
     assert!((world.store.health - 1.0).abs() < 1e-9 && (world.servers[0].speed - 1.0).abs() < 1e-9);
-    assert!(world.reaches(0, 1) && world.since(1)[0].state == State::Ready);
+    assert!(world.reaches(0, 1) && world.since(1)[0].state == EndpointState::Ready);
 }
 
 #[test]
@@ -100,6 +100,6 @@
             _ => None,
         });
         assert_eq!((away, reset), (sent_away, cut), "{leaving}");
-        assert_eq!(world.since(1)[0].state, State::Gone);
+        assert_eq!(world.since(1)[0].state, EndpointState::Removed);
     }
 }
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,7 +8,8 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Attempt, End, Flow, FlowId, Holds, Listed, Outcome, Place, Policy, Report, ServerId, Time, Todo,
+    Attempt, End, Endpoint, Flow, FlowId, Holds, Outcome, Place, Policy, Report, ServerId, Time,
+    Todo,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
@@ -17,7 +18,7 @@
     fn place(&mut self, now: Time, flow: &Flow) -> Place;
     fn after(&mut self, now: Time, outcome: Outcome) -> Todo;
     fn wait(&self, now: Time) -> Option<Time>;
-    fn list(&mut self, now: Time, entries: &[Listed], whole: bool);
+    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
     fn list_failed(&mut self, now: Time);
     fn inherit(&mut self, flow: &Flow, server_id: ServerId);
     fn told_load(&mut self, flow: FlowId, load: f64);
@@ -37,8 +38,8 @@
     fn wait(&self, now: Time) -> Option<Time> {
         Policy::wait(self, now)
     }
-    fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
-        Policy::list(self, now, entries, whole);
+    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        Policy::list(self, now, entries, is_complete);
     }
     fn list_failed(&mut self, now: Time) {
         Policy::list_failed(self, now);
@@ -67,8 +68,8 @@
     fn wait(&self, now: Time) -> Option<Time> {
         (**self).wait(now)
     }
-    fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
-        (**self).list(now, entries, whole);
+    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        (**self).list(now, entries, is_complete);
     }
     fn list_failed(&mut self, now: Time) {
         (**self).list_failed(now);
@@ -369,8 +370,8 @@
         self.brain.told_load(flow, load);
     }
 
-    pub fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
-        self.brain.list(now, entries, whole);
+    pub fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        self.brain.list(now, entries, is_complete);
     }
 
     /// Another balancer's word.
@@ -546,7 +547,7 @@
         fn wait(&self, _: Time) -> Option<Time> {
             None
         }
-        fn list(&mut self, _: Time, _: &[Listed], _: bool) {}
+        fn list(&mut self, _: Time, _: &[Endpoint], _: bool) {}
         fn list_failed(&mut self, _: Time) {}
         fn inherit(&mut self, _: &Flow, _: ServerId) {}
         fn told_load(&mut self, _: FlowId, _: f64) {}
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -40,13 +40,13 @@
     }
 }
 
-fn listed(server_id: ServerId, zones: u64) -> Listed {
-    Listed {
+fn listed(server_id: ServerId, zones: u64) -> Endpoint {
+    Endpoint {
         server_id,
         zone: server_id % zones,
         machine: 0,
         cell: server_id,
-        state: State::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
         started: 0,
     }
@@ -88,7 +88,7 @@
     fn new(servers: u64, whole: bool) -> Self {
         let zones = servers.div_ceil(SERVERS_IN_ZONE);
         let mut policy = balancer(7, 0, BALANCERS, whole);
-        let list: Vec<Listed> = (0..servers)
+        let list: Vec<Endpoint> = (0..servers)
             .map(|server_id| listed(server_id, zones))
             .collect();
         policy.list(T0, &list, true);
@@ -222,7 +222,7 @@
     let before = resident();
     let mut policy = balancer(7, 0, BALANCERS, whole);
     let zones = servers.div_ceil(SERVERS_IN_ZONE);
-    let list: Vec<Listed> = (0..servers)
+    let list: Vec<Endpoint> = (0..servers)
         .map(|server_id| listed(server_id, zones))
         .collect();
     policy.list(T0, &list, true);
@@ -288,7 +288,7 @@
     for grouped in [true, false] {
         for whole in [true, false] {
             let mut rng = WyRand::new_seed(5);
-            let list: Vec<Listed> = (0..servers)
+            let list: Vec<Endpoint> = (0..servers)
                 .map(|server_id| listed(server_id, zones))
                 .collect();
             let mut fleet: Vec<Policy> = (0..balancers)
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -90,7 +90,7 @@
 #[repr(C)]
 #[derive(Default)]
 struct Server {
-    listed: Listed,
+    endpoint: Endpoint,
     /// Our attempts that the last figure can't show yet.
     placed: VecDeque<Time>,
     /// Failed attempts since the last established one.
@@ -333,18 +333,18 @@
     }
 
     /// News of the list: changed entries, or all of them.
-    pub fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
+    pub fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         for server in self.servers.values_mut() {
-            // Also where a whole list tells of the drain.
-            server.drains = if server.listed.state == State::Ready {
+            // Also where a complete list tells of the drain.
+            server.drains = if server.endpoint.state == EndpointState::Ready {
                 now
             } else {
                 server.drains
             };
-            server.listed.state = if whole {
-                State::Gone
+            server.endpoint.state = if is_complete {
+                EndpointState::Removed
             } else {
-                server.listed.state
+                server.endpoint.state
             };
         }
         for entry in entries {
@@ -352,7 +352,7 @@
                 self.cold_until = self.cold_until.max(entry.started + self.cold.1);
             }
             let fresh = Server {
-                listed: *entry,
+                endpoint: *entry,
                 turn: self.rng.0.generate::<f64>(),
                 drains: now,
                 // Guards against all balancers probing a server in step.
@@ -362,21 +362,21 @@
                 ..Server::default()
             };
             match self.servers.get_mut(&entry.server_id) {
-                Some(known) if known.listed.started == entry.started => known.listed = *entry,
+                Some(known) if known.endpoint.started == entry.started => known.endpoint = *entry,
                 // A restart under the same id: nothing measured holds any more.
                 _ => drop(self.servers.insert(entry.server_id, fresh)),
             }
         }
-        self.follow(entries, whole);
+        self.follow(entries, is_complete);
         let book = &self.book;
         self.servers.retain(|server_id, server| {
-            server.listed.state != State::Gone || book.at(*server_id) > 0.0
+            server.endpoint.state != EndpointState::Removed || book.at(*server_id) > 0.0
         });
         let draining = self
             .servers
             .values()
-            .filter(|server| server.listed.state == State::Draining);
-        self.draining = draining.map(|server| server.listed.server_id).collect();
+            .filter(|server| server.endpoint.state == EndpointState::Draining);
+        self.draining = draining.map(|server| server.endpoint.server_id).collect();
         let drains = !self.drained(now).is_empty();
         self.leaving = self.leaving.or(drains.then_some(now + LEAVE));
         // Not put off: guards against a list that changes many times a second and probes that never come due.
@@ -386,13 +386,18 @@
     }
 
     /// Keeps what the news say of a long list.
-    fn follow(&mut self, entries: &[Listed], whole: bool) {
+    fn follow(&mut self, entries: &[Endpoint], is_complete: bool) {
         let known = self.long.take();
         if self.servers.len() <= self.whole_list {
             return;
         }
-        let all = || self.servers.values().map(|server| server.listed).collect();
-        let news: Vec<Listed> = if whole || known.is_none() {
+        let all = || {
+            self.servers
+                .values()
+                .map(|server| server.endpoint)
+                .collect()
+        };
+        let news: Vec<Endpoint> = if is_complete || known.is_none() {
             all()
         } else {
             entries.to_vec()
@@ -403,7 +408,7 @@
                 entry.server_id,
                 entry.zone,
                 entry.weight,
-                entry.state == State::Ready,
+                entry.state == EndpointState::Ready,
             );
         }
         (self.long, self.sparse) = (Some(long), self.probes);
@@ -556,13 +561,13 @@
             !flow.attempts.iter().any(|c| c.server_id == server_id) && !overdue.contains(&server_id)
         };
         let healthy = prefer(warm, |server| {
-            self.healthy(now, server) && answers(server.listed.server_id)
+            self.healthy(now, server) && answers(server.endpoint.server_id)
         });
         let number = healthy.len().max(1) as f64;
         let own_there = |_| {
             healthy
                 .iter()
-                .map(|(server, _)| self.book.at(server.listed.server_id))
+                .map(|(server, _)| self.book.at(server.endpoint.server_id))
                 .sum()
         };
         let mean_own = scope.map_or(self.book.own.len() as f64, own_there) / number;
@@ -611,22 +616,22 @@
         };
         let others = |server_id: ServerId| told && self.holders.holds(now, name as u16, server_id);
         let holds =
-            |server: &Server| ours(server.listed.server_id) || others(server.listed.server_id);
-        let is_near = |server: &Server| server.listed.zone == self.zone;
+            |server: &Server| ours(server.endpoint.server_id) || others(server.endpoint.server_id);
+        let is_near = |server: &Server| server.endpoint.zone == self.zone;
         // Guards against many balancers that each hold few of a group and spread it: they agree on an order
         // of servers for it, whose first is its home, with room but for a few more on the same figure.
-        let rank = |server: &Server| hash(name ^ server.listed.server_id);
+        let rank = |server: &Server| hash(name ^ server.endpoint.server_id);
         let alone = flow.group.is_some() && holders.is_none() && !told;
         let homes = healthy
             .iter()
             .filter(|(server, _)| alone && is_near(server));
         let home = homes
             .min_by_key(|(server, _)| rank(server))
-            .map(|(server, _)| server.listed.server_id);
+            .map(|(server, _)| server.endpoint.server_id);
         let room = |server: &Server| match () {
             () if returns => T_H.min(worth + mean.clamp(NEW, FULL)),
             () if holds(server) => T_H.min(worth + FULL),
-            () if home == Some(server.listed.server_id) => {
+            () if home == Some(server.endpoint.server_id) => {
                 T_H.min(worth + (T_H - SPARE * each).clamp(NEW, FULL))
             }
             // Where no loads are told nothing brings more for its load than the rest.
@@ -648,13 +653,13 @@
             1.5
         };
         let mut kin = prefer(open, |server| {
-            self.book.at(server.listed.server_id) <= times * mean_own + slack
+            self.book.at(server.endpoint.server_id) <= times * mean_own + slack
         });
         // A crossing is paid for once, a group's common work on each server as long as it holds any.
         kin = if self.tells { prefer(kin, holds) } else { kin };
         kin = prefer(prefer(kin, is_near), holds);
         // The one whose turn it is, or, for a group that needs a server, the roomiest of a few.
-        let next = |server: &Server| server.turn + usable_weight(server.listed.weight);
+        let next = |server: &Server| server.turn + usable_weight(server.endpoint.weight);
         let mut ask = kin
             .iter()
             .copied()
@@ -678,7 +683,7 @@
         ask.retain(|(server, _)| self.stale(now, server, FRESH));
         let [ask, among] = [ask, kin].map(|of| {
             of.iter()
-                .map(|(s, _)| s.listed.server_id)
+                .map(|(s, _)| s.endpoint.server_id)
                 .collect::<Vec<ServerId>>()
         });
         Choice { ask, among, least }
@@ -821,14 +826,14 @@
         };
         self.every = paid.clamp(PROBE_EVERY, PROBE_BOUND);
         for server in self.servers.values_mut() {
-            if server.next_probe <= now && server.listed.state == State::Ready {
+            if server.next_probe <= now && server.endpoint.state == EndpointState::Ready {
                 // Where twice the probes are paid for a cool one isn't spared: it may fill meanwhile.
                 let cool = server.reports.first().is_some_and(|(_, beta)| *beta < COOL);
                 let times = if cool && 2 * paid > PROBE_EVERY { 2 } else { 1 };
                 server.next_probe = now + PROBE_BOUND.min(times * self.every);
-                let ours = self.book.by_server.contains_key(&server.listed.server_id);
+                let ours = self.book.by_server.contains_key(&server.endpoint.server_id);
                 if !self.sparse || ours || now < server.asked + LOST {
-                    probes.push(server.listed.server_id);
+                    probes.push(server.endpoint.server_id);
                 }
             }
         }
@@ -843,7 +848,7 @@
         let ready = |server_id| {
             self.servers
                 .get(&server_id)
-                .filter(|server| server.listed.state == State::Ready)
+                .filter(|server| server.endpoint.state == EndpointState::Ready)
         };
         let last_figure =
             |server_id| ready(server_id).map(|server| server.answered.max(server.asked));
@@ -916,7 +921,7 @@
         let ready = self
             .servers
             .values()
-            .filter(|s| self.probes && s.listed.state == State::Ready);
+            .filter(|s| self.probes && s.endpoint.state == EndpointState::Ready);
         // Probes that are nearly due go out together: each look walks all servers.
         ready
             .map(|server| server.next_probe)
@@ -1048,7 +1053,7 @@
 
     /// Rules 2 and 3 for one server.
     fn may_send(&self, now: Time, flow: &Flow, server: &Server) -> bool {
-        if server.listed.state != State::Ready {
+        if server.endpoint.state != EndpointState::Ready {
             return false;
         }
         let mut ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
@@ -1056,10 +1061,11 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => ran.next().is_none(),
             Idempotency::Deduplicated { scope, .. } => {
-                let first = |c: &Attempt| self.servers.get(&c.server_id).map(|first| first.listed);
+                let first =
+                    |c: &Attempt| self.servers.get(&c.server_id).map(|first| first.endpoint);
                 let same = |c| {
                     scope == DeduplicationScope::All
-                        || first(c).is_some_and(|l| scope.same(&l, &server.listed))
+                        || first(c).is_some_and(|l| scope.same(&l, &server.endpoint))
                 };
                 // The margin covers the way to the server.
                 now + self.margin + HELD_UP < self.send_by(flow) && ran.all(same)
@@ -1104,8 +1110,8 @@
     /// The share of its capacity that a server has at least.
     fn warmth(&self, now: Time, server: &Server) -> f64 {
         let (start, warm_up, _) = self.cold;
-        let age = now.saturating_sub(server.listed.started);
-        let warm = server.listed.started == 0 || age >= warm_up;
+        let age = now.saturating_sub(server.endpoint.started);
+        let warm = server.endpoint.started == 0 || age >= warm_up;
         if warm {
             1.0
         } else {
@@ -1124,12 +1130,12 @@
         let mut kinds: BTreeMap<u64, (f64, f64, f64, bool)> = BTreeMap::new();
         let (mut sum, mut count) = (0.0, 0.0);
         let is_warm = |server: &Server| {
-            server.listed.state == State::Ready && self.warmth(now, server) >= 1.0
+            server.endpoint.state == EndpointState::Ready && self.warmth(now, server) >= 1.0
         };
         for server in self.servers.values() {
             if is_warm(server) {
-                let (warm, held, _, refuses) = kinds.entry(server.listed.machine).or_default();
-                (*warm, *held) = (*warm + 1.0, *held + self.book.at(server.listed.server_id));
+                let (warm, held, _, refuses) = kinds.entry(server.endpoint.machine).or_default();
+                (*warm, *held) = (*warm + 1.0, *held + self.book.at(server.endpoint.server_id));
                 *refuses |= server.refused.is_some_and(|at| now < at + span);
                 (sum, count) = self
                     .beta(now, server)
@@ -1139,7 +1145,7 @@
         for (_, server_id) in self.settled.iter().filter(|(at, _)| at + span >= now) {
             let warm = self.servers.get(server_id).filter(|server| is_warm(server));
             warm.into_iter().for_each(|server| {
-                kinds.entry(server.listed.machine).or_default().2 += 0.5 / span as f64
+                kinds.entry(server.endpoint.machine).or_default().2 += 0.5 / span as f64
             });
         }
         let load = if count > 0.0 {
@@ -1169,7 +1175,7 @@
     /// by a draw that stands for the slot. Nothing is saved up. Guards against hundreds that each saved one and
     /// spend it at once: the sum over all balancers is the sum of their paces, and chance, at any moment.
     fn cold_budget(&self, now: Time, server: &Server, pace: &BTreeMap<u64, f64>) -> u64 {
-        let pace = pace.get(&server.listed.machine).copied().unwrap_or(0.0);
+        let pace = pace.get(&server.endpoint.machine).copied().unwrap_or(0.0);
         let mean = self.cold.2 * self.warmth(now, server) * pace * SLOT as f64;
         let (slot, sent) = server.sent_as_cold(now);
         let chance = hash(server.phase ^ slot) as f64 / u64::MAX as f64;
@@ -1181,7 +1187,7 @@
         let mut total = 0.0;
         for server_id in among {
             let server = self.servers.get_mut(server_id)?;
-            let weight = usable_weight(server.listed.weight);
+            let weight = usable_weight(server.endpoint.weight);
             server.turn += weight;
             total += weight;
         }
@@ -1200,7 +1206,8 @@
     fn drained(&self, now: Time) -> Vec<(FlowId, f64)> {
         let cool = |server: &Server| self.beta(now, server).is_none_or(|beta| beta < NEW);
         let mut looked_at = self.servers.values().take(self.whole_list);
-        let room = looked_at.any(|server| server.listed.state == State::Ready && cool(server));
+        let room =
+            looked_at.any(|server| server.endpoint.state == EndpointState::Ready && cool(server));
         let drains = self
             .draining
             .iter()
@@ -1211,7 +1218,7 @@
             let mut held = self
                 .book
                 .by_server
-                .get(&server.listed.server_id)?
+                .get(&server.endpoint.server_id)?
                 .iter()
                 .filter(stays);
             let (flow, more) = (*held.next()?, held.count());
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -19,7 +19,7 @@
 
 impl DeduplicationScope {
     /// Whether these two drop each other's repeats.
-    pub fn same(self, one: &Listed, other: &Listed) -> bool {
+    pub fn same(self, one: &Endpoint, other: &Endpoint) -> bool {
         match self {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => one.zone == other.zone,
@@ -74,21 +74,21 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     Ready,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 /// A server as the list tells of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     pub server_id: ServerId,
     pub zone: u64,
     pub machine: u64,
     pub cell: u64,
-    pub state: State,
+    pub state: EndpointState,
     pub weight: f64,
     /// When it last started; 0 is long ago.
     pub started: Time,
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -236,8 +236,8 @@
             now += calm_gap;
         }
         balancer.lose(jam, is_cold);
-        let restarted: Vec<Listed> = (0..fleet.returning_cold)
-            .map(|server_id| Listed {
+        let restarted: Vec<Endpoint> = (0..fleet.returning_cold)
+            .map(|server_id| Endpoint {
                 started: jam,
                 ..ready(server_id)
             })
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -20,13 +20,13 @@
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
 }
 
-pub fn ready(server_id: ServerId) -> Listed {
-    Listed {
+pub fn ready(server_id: ServerId) -> Endpoint {
+    Endpoint {
         server_id,
         zone: 0,
         machine: 0,
         cell: 0,
-        state: State::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
         started: 0,
     }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -20,10 +20,10 @@
         ),
     ] {
         let mut policy = balancer(Idempotency::Idempotent);
-        let list: Vec<Listed> = weights
+        let list: Vec<Endpoint> = weights
             .iter()
             .enumerate()
-            .map(|(i, w)| Listed {
+            .map(|(i, w)| Endpoint {
                 weight: *w,
                 ..ready(i as ServerId)
             })
@@ -331,7 +331,7 @@
 #[test]
 fn no_effect_twice() {
     let deduplicated = |scope| Idempotency::Deduplicated { scope, window: SEC };
-    let far = Listed {
+    let far = Endpoint {
         zone: 1,
         cell: 1,
         ..ready(1)
@@ -386,8 +386,8 @@
             false,
             0,
             vec![
-                Listed {
-                    state: State::Draining,
+                Endpoint {
+                    state: EndpointState::Draining,
                     ..ready(0)
                 },
                 far,
@@ -399,8 +399,8 @@
             true,
             0,
             vec![
-                Listed {
-                    state: State::Draining,
+                Endpoint {
+                    state: EndpointState::Draining,
                     ..ready(0)
                 },
                 far,
@@ -435,12 +435,12 @@
 
 #[test]
 fn clients_are_moved_before_their_server_goes() {
-    let drains = |server_id| Listed {
-        state: State::Draining,
+    let drains = |server_id| Endpoint {
+        state: EndpointState::Draining,
         ..ready(server_id)
     };
-    let gone = |server_id| Listed {
-        state: State::Gone,
+    let gone = |server_id| Endpoint {
+        state: EndpointState::Removed,
         ..ready(server_id)
     };
     // Guards against clients moved with nowhere to go, and against a list that loses servers which still serve.
@@ -468,7 +468,9 @@
             "too early"
         );
         // Looked at while any of ours stands on a server that drains, for room may come back.
-        let drains = news.iter().any(|server| server.state == State::Draining);
+        let drains = news
+            .iter()
+            .any(|server| server.state == EndpointState::Draining);
         assert_eq!(policy.wait(3 * SEC) == Some(0), drains, "{news:?}");
         // Each once, one after the other, by the time in which a replacement is warm.
         let tick = |tick: u64| {
@@ -518,8 +520,8 @@
 #[test]
 fn a_fleet_told_at_once_of_a_drain_does_not_move_all_at_once() {
     // Guards against 300 balancers that moved 204 clients within the second in which each was first due.
-    let at = |n| Listed {
-        state: State::Draining,
+    let at = |n| Endpoint {
+        state: EndpointState::Draining,
         ..ready(n)
     };
     // A whole list comes where discovery has moved.
@@ -556,7 +558,7 @@
     for (n, mut policy) in fleet(60, 0.7).enumerate() {
         policy.list(
             T0,
-            &[Listed {
+            &[Endpoint {
                 started: T0,
                 ..ready(40)
             }],
@@ -599,10 +601,10 @@
 
 #[test]
 fn nothing_new_to_draining_gone_or_unlisted_servers() {
-    for state in [State::Draining, State::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut policy = balancer(Idempotency::Idempotent);
         policy.list(T0, &[ready(0), ready(1)], true);
-        policy.list(T0, &[Listed { state, ..ready(0) }], false);
+        policy.list(T0, &[Endpoint { state, ..ready(0) }], false);
         (0..4).for_each(|id| assert_eq!(take(&mut policy, T0, id), 1));
         // What isn't in a whole list is gone.
         policy.list(T0, &[ready(2)], true);
@@ -648,7 +650,7 @@
         let cold = if restart { 2 } else { 3 };
         policy.list(
             now,
-            &[Listed {
+            &[Endpoint {
                 started: now,
                 weight: 50.0,
                 ..ready(cold)
@@ -673,7 +675,7 @@
     for mut policy in fleet(balancers, 0.7) {
         policy.list(
             T0,
-            &[Listed {
+            &[Endpoint {
                 started: T0,
                 ..ready(40)
             }],
@@ -915,7 +917,7 @@
         T0,
         &[
             ready(0),
-            Listed {
+            Endpoint {
                 zone: u64::MAX,
                 machine: 77,
                 ..ready(ServerId::MAX)
@@ -1194,7 +1196,7 @@
         (false, 1, false),
     ] {
         let mut policy = balancer(Idempotency::Idempotent).among(1.0, tells);
-        let list = |server_id| Listed {
+        let list = |server_id| Endpoint {
             zone: u64::from(server_id > 3),
             ..ready(server_id)
         };
@@ -1302,8 +1304,8 @@
         &[
             ready(0),
             ready(1),
-            Listed {
-                state: State::Draining,
+            Endpoint {
+                state: EndpointState::Draining,
                 ..ready(2)
             },
         ],
@@ -1398,8 +1400,8 @@
     let mut policy = balancer(Idempotency::Idempotent)
         .among(1000.0, false)
         .probing(true, 0.002);
-    let list = |from: ServerId, state| -> Vec<Listed> {
-        let one = |server_id| Listed {
+    let list = |from: ServerId, state| -> Vec<Endpoint> {
+        let one = |server_id| Endpoint {
             state,
             started: if server_id % 7 == 0 { T0 } else { 0 },
             zone: server_id % 3,
@@ -1410,9 +1412,13 @@
     let mut placed = 0;
     for round in 0..20u64 {
         let now = T0 + round * SEC;
-        policy.list(now, &list(round * 250, State::Ready), false);
-        policy.list(now, &list(round * 250 + 250, State::Ready), round % 5 == 4);
-        policy.list(now, &list(round * 250, State::Gone), false);
+        policy.list(now, &list(round * 250, EndpointState::Ready), false);
+        policy.list(
+            now,
+            &list(round * 250 + 250, EndpointState::Ready),
+            round % 5 == 4,
+        );
+        policy.list(now, &list(round * 250, EndpointState::Removed), false);
         for server_id in (0..6000).step_by(3) {
             let absurd = [f64::NAN, -1.0, f64::INFINITY, 1e300, 0.3];
             probe(
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -23,9 +23,9 @@
         .among(1_400.0, false)
 }
 
-fn servers(count: u64) -> Vec<Listed> {
+fn servers(count: u64) -> Vec<Endpoint> {
     (0..count)
-        .map(|server_id| Listed {
+        .map(|server_id| Endpoint {
             zone: server_id % 31,
             ..ready(server_id)
         })
@@ -69,7 +69,7 @@
 }
 
 /// Where these groups go at a balancer that holds nothing else.
-fn homes(list: &[Listed], seed: u64, groups: &[String]) -> Vec<ServerId> {
+fn homes(list: &[Endpoint], seed: u64, groups: &[String]) -> Vec<ServerId> {
     let mut policy = balancer(seed, 3);
     policy.list(T0, list, true);
     let mut homes = Vec::new();
@@ -139,7 +139,7 @@
 #[test]
 fn balancers_agree_where_a_group_goes_though_their_lists_differ_by_some_entries() {
     let list = servers(6_000);
-    let other: Vec<Listed> = list
+    let other: Vec<Endpoint> = list
         .iter()
         .filter(|server| server.server_id % 200 != 17)
         .copied()
@@ -294,7 +294,7 @@
 #[test]
 fn a_server_that_drains_or_goes_is_no_candidate_from_that_news_on() {
     let list = servers(600);
-    for state in [State::Draining, State::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut policy = balancer(1, 3);
         policy.list(T0, &list, true);
         let first = place(&mut policy, T0, &of_group(T0, 1, "one"), |_| 0.3).0;
@@ -312,7 +312,7 @@
         );
         policy.list(
             T0,
-            &[Listed {
+            &[Endpoint {
                 state,
                 ..list[first as usize]
             }],
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -8,8 +8,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    DeduplicationScope, Flow, FlowId, Idempotency, Listed, MS, Outcome, Place, Policy, ServerId,
-    State, Time, Todo, TrafficClass,
+    DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Outcome, Place,
+    Policy, ServerId, Time, Todo, TrafficClass,
 };
 use nettlemux_settings::Settings;
 
@@ -78,7 +78,7 @@
     dice: Dice,
     types: Vec<TrafficClass>,
     attempts: usize,
-    servers: BTreeMap<ServerId, Listed>,
+    servers: BTreeMap<ServerId, Endpoint>,
     /// Our connections and attempts on each.
     own: BTreeMap<ServerId, usize>,
     flows: BTreeMap<FlowId, ServerId>,
@@ -102,7 +102,7 @@
     }
 
     /// Whether a repeat there can do no harm.
-    fn safe(&self, now: Time, flow: &Flow, server: &Listed) -> bool {
+    fn safe(&self, now: Time, flow: &Flow, server: &Endpoint) -> bool {
         let mut ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
         match self.types[flow.class].idempotency {
             Idempotency::Idempotent => true,
@@ -167,7 +167,7 @@
         let ready = self
             .servers
             .values()
-            .filter(|s| s.state == State::Ready && self.safe(now, flow, s));
+            .filter(|s| s.state == EndpointState::Ready && self.safe(now, flow, s));
         let all: Vec<ServerId> = ready.map(|server| server.server_id).collect();
         let fresh: Vec<ServerId> = all
             .iter()
@@ -222,8 +222,8 @@
         None
     }
 
-    fn list(&mut self, _: Time, entries: &[Listed], whole: bool) {
-        if whole {
+    fn list(&mut self, _: Time, entries: &[Endpoint], is_complete: bool) {
+        if is_complete {
             self.servers.clear();
         }
         self.servers
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -3,7 +3,9 @@
 //! never part of a run that isn't asked for it.
 
 use nettlemux_flow_table::Brain;
-use nettlemux_policy::{Flow, FlowId, Listed, Outcome, Place, ServerId, State, Time, Todo};
+use nettlemux_policy::{
+    Endpoint, EndpointState, Flow, FlowId, Outcome, Place, ServerId, Time, Todo,
+};
 use nettlemux_settings::Settings;
 use serde_json::Value;
 
@@ -139,18 +141,19 @@
         self.inner.wait(now)
     }
 
-    fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
+    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         let mut entries = entries.to_vec();
         for entry in &mut entries {
-            if self.mischief == Mischief::SendsToDraining && entry.state == State::Draining {
-                entry.state = State::Ready;
+            if self.mischief == Mischief::SendsToDraining && entry.state == EndpointState::Draining
+            {
+                entry.state = EndpointState::Ready;
             }
             if self.mischief == Mischief::FloodsCold && entry.started > 0 {
                 self.youngest = self.youngest.max(Some((entry.started, entry.server_id)));
                 entry.started = 0;
             }
         }
-        self.inner.list(now, &entries, whole);
+        self.inner.list(now, &entries, is_complete);
     }
 
     fn list_failed(&mut self, now: Time) {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,8 +11,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::{Act, Brain, Hand, Who};
 use nettlemux_policy::{
-    Flow, FlowId, Holds, Listed, MS, Outcome, Place, Policy, Report, SEC, ServerId, State, Time,
-    Todo,
+    Endpoint, EndpointState, Flow, FlowId, Holds, MS, Outcome, Place, Policy, Report, SEC,
+    ServerId, Time, Todo,
 };
 use nettlemux_settings::Settings;
 
@@ -134,8 +134,8 @@
     fn wait(&self, now: Time) -> Option<Time> {
         self.policy.wait(now)
     }
-    fn list(&mut self, now: Time, entries: &[Listed], whole: bool) {
-        self.policy.list(now, entries, whole);
+    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        self.policy.list(now, entries, is_complete);
         self.calls
             .borrow_mut()
             .note(|| Note::List(entries.to_vec()));
@@ -226,13 +226,13 @@
 
     /// The whole list; returns the bytes that are kept of it.
     fn list(&mut self, servers: u64) -> f64 {
-        let listed = |server_id| Listed {
+        let listed = |server_id| Endpoint {
             server_id,
-            state: State::Ready,
+            state: EndpointState::Ready,
             weight: 1.0,
-            ..Listed::default()
+            ..Endpoint::default()
         };
-        let entries: Vec<Listed> = (0..servers).map(listed).collect();
+        let entries: Vec<Endpoint> = (0..servers).map(listed).collect();
         let before = self.module_bytes();
         self.flow_table.list(self.now, &entries, true);
         (self.module_bytes() - before) as f64
@@ -350,14 +350,14 @@
                     .probed(now, server_id, true, report, &mut acts);
             }
             Event::ListChange => {
-                let gone = Listed {
+                let gone = Endpoint {
                     server_id: self.first_server,
-                    ..Listed::default()
+                    ..Endpoint::default()
                 };
                 let server_id = self.first_server + self.servers;
-                let ready = Listed {
+                let ready = Endpoint {
                     server_id,
-                    state: State::Ready,
+                    state: EndpointState::Ready,
                     weight: 1.0,
                     started: now,
                     ..gone
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -21,14 +21,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     Ready,
-    Gone,
+    Removed,
 }
 
 impl Lifecycle {
     fn name(self) -> &'static str {
         match self {
             Lifecycle::Ready => "Ready",
-            Lifecycle::Gone => "Gone",
+            Lifecycle::Removed => "Gone",
         }
     }
 }
@@ -217,7 +217,7 @@
             .entries
             .iter()
             .map(|(server, (_, entry))| (*server, *entry));
-        let listed = listed.filter(|(_, entry)| entry.lifecycle != Lifecycle::Gone);
+        let listed = listed.filter(|(_, entry)| entry.lifecycle != Lifecycle::Removed);
         let text: Arc<str> = answer(self.version, true, listed).into();
         self.whole = Some((self.version, text.clone()));
         text
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -142,7 +142,7 @@
         };
         let gone = old
             .iter()
-            .map(|server| change(*server, Lifecycle::Gone, false));
+            .map(|server| change(*server, Lifecycle::Removed, false));
         let ready = new
             .iter()
             .map(|server| change(*server, Lifecycle::Ready, true));
--- a/crates/testbed/src/scale/looked_at.rs
+++ b/crates/testbed/src/scale/looked_at.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use nettlemux_candidates::{LongList, WHOLE_LIST, hash_name};
-use nettlemux_policy::{Listed, ServerId, State};
+use nettlemux_policy::{Endpoint, EndpointState, ServerId};
 
 /// The zone of the measured balancer, as [`super::settings`] has it.
 const OWN_ZONE: u64 = 0;
@@ -14,7 +14,7 @@
 /// What came to the module, in its order.
 pub enum Note {
     /// Entries of the list, new or changed.
-    List(Vec<Listed>),
+    List(Vec<Endpoint>),
     /// An own connection of a group, from before.
     Held(String, ServerId),
     /// A flow of a group was given this server.
@@ -47,7 +47,7 @@
 #[derive(Default)]
 struct Known {
     tells: bool,
-    servers: BTreeMap<ServerId, Listed>,
+    servers: BTreeMap<ServerId, Endpoint>,
     /// None while the list is looked at whole.
     long: Option<LongList>,
     /// Own connections of each group, and of each server.
@@ -57,28 +57,29 @@
 
 impl Known {
     /// As the module does: a server that has gone stays known while it holds own connections.
-    fn list(&mut self, entries: &[Listed]) {
+    fn list(&mut self, entries: &[Endpoint]) {
         self.servers
             .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
         if self.servers.len() > WHOLE_LIST {
             let known = self.long.is_some();
             let long = self.long.get_or_insert_default();
             let all = || self.servers.values().copied().collect();
-            let news: Vec<Listed> = if known { entries.to_vec() } else { all() };
+            let news: Vec<Endpoint> = if known { entries.to_vec() } else { all() };
             for entry in news {
                 long.update(
                     entry.server_id,
                     entry.zone,
                     entry.weight,
-                    entry.state == State::Ready,
+                    entry.state == EndpointState::Ready,
                 );
             }
         } else {
             self.long = None;
         }
         let held = &self.held;
-        self.servers
-            .retain(|server, entry| entry.state != State::Gone || held.contains_key(server));
+        self.servers.retain(|server, entry| {
+            entry.state != EndpointState::Removed || held.contains_key(server)
+        });
     }
 
     fn hold(&mut self, group: &str, server: ServerId) {
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,7 +1,7 @@
 //! Delivery of the list of servers from discovery to the balancers.
 
 use nettlemux_fleet_model::seen::Seen;
-use nettlemux_policy::State;
+use nettlemux_policy::EndpointState;
 
 use super::balancer::Incarnation;
 use super::event::Event;
@@ -37,7 +37,10 @@
         }
         self.balancers[balancer].list_version = self.model.version();
         for entry in &entries {
-            let (server, ready) = (entry.server_id as usize, entry.state == State::Ready);
+            let (server, ready) = (
+                entry.server_id as usize,
+                entry.state == EndpointState::Ready,
+            );
             self.observe(Seen::Told {
                 at: self.now,
                 balancer,
@@ -45,9 +48,9 @@
                 ready,
             });
         }
-        let whole = known_version == 0;
+        let is_complete = known_version == 0;
         self.ask(balancer, |flow_table, now, _| {
-            flow_table.list(now, &entries, whole)
+            flow_table.list(now, &entries, is_complete)
         });
     }
 }
--- a/crates/testbed/src/simulate/faults.rs
+++ b/crates/testbed/src/simulate/faults.rs
@@ -26,7 +26,7 @@
                 Happening::Silenced { ids, .. } => self.schedule_silence(ids),
                 Happening::Started { server } => self.server_started(server),
                 Happening::Fell { server } => self.server_fell(server),
-                Happening::Listed | Happening::Heard => self.announce_list(),
+                Happening::Endpoint | Happening::Heard => self.announce_list(),
                 Happening::Zone { cut: false, .. } => {}
                 Happening::Zone { zone, .. } => self.zone_cut_off(zone),
                 Happening::Restart { balancer, away } => {
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -13,7 +13,7 @@
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
 use nettlemux_fleet_model::seen::{Ender, Seen};
 use nettlemux_fleet_model::server::Life;
-use nettlemux_policy::{MS, State, Time};
+use nettlemux_policy::{EndpointState, MS, Time};
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 
@@ -277,7 +277,7 @@
                         server,
                     });
                 }
-                Happening::Listed | Happening::Heard => self.spread_list(),
+                Happening::Endpoint | Happening::Heard => self.spread_list(),
                 // Whoever talks across the cut finds out for itself.
                 Happening::Zone { .. } => {}
                 Happening::Restart { .. } | Happening::Kill { .. } => rest.push(one),
@@ -347,7 +347,7 @@
                 at,
                 balancer,
                 server,
-                ready: entry.state == State::Ready,
+                ready: entry.state == EndpointState::Ready,
             });
             instances.push(json!({
                 "instanceId": format!("s{server}"),
@@ -356,9 +356,9 @@
                 "machineType": "m0",
                 "cell": entry.cell,
                 "lifecycle": match entry.state {
-                    State::Ready => "Ready",
-                    State::Draining => "Terminating",
-                    State::Gone => "Gone",
+                    EndpointState::Ready => "Ready",
+                    EndpointState::Draining => "Terminating",
+                    EndpointState::Removed => "Gone",
                 },
                 "weight": entry.weight,
                 "startedAtMs": if entry.started == 0 { 0 } else { self.unix() + entry.started / MS },
