--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -5,13 +5,13 @@
 
 use nettlemux_flow_table::{Act, Hand, Who};
 use nettlemux_policy::{Endpoint, Flow, FlowId, Holds, ServerId, Time};
-use nettlemux_settings::{Reports, Settings};
+use nettlemux_settings::{LoadReportFormat, Settings};
 
 use crate::wire::{self, Malformed, Parts, Read};
 
 pub struct Instance {
     hand: Hand,
-    reports: Reports,
+    reports: LoadReportFormat,
     timers: u64,
     armed: Option<Time>,
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use std::str::FromStr;
 
-use nettlemux_policy::{End, Endpoint, EndpointState, Report, Time};
-use nettlemux_settings::Reports;
+use nettlemux_policy::{End, Endpoint, EndpointState, LoadReport, Time};
+use nettlemux_settings::LoadReportFormat;
 pub use nettlemux_settings::{Malformed, Read};
 
 const US: Time = 1_000;
@@ -164,9 +164,9 @@
 }
 
 /// A load report's pairs, set apart by commas; `-` where there is none.
-pub fn report(word: &str, reports: &Reports) -> Read<Report> {
+pub fn report(word: &str, reports: &LoadReportFormat) -> Read<LoadReport> {
     if word == "-" {
-        Ok(Report::default())
+        Ok(LoadReport::default())
     } else {
         reports.read(word, ':')
     }
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use nettlemux_policy::{End, Flow, FlowId, MS, Report, Time};
+use nettlemux_policy::{End, Flow, FlowId, LoadReport, MS, Time};
 use tracing::{debug, error, info, warn};
 
 use crate::clock;
@@ -17,7 +17,7 @@
 pub struct Ended {
     pub end: End,
     pub known_unexecuted: bool,
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 pub struct Book {
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_admission::Config;
 use nettlemux_flow_table::Who;
-use nettlemux_policy::{End, EndpointState, Flow, FlowId, Report, ServerId, Time};
+use nettlemux_policy::{End, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
 use nettlemux_settings::Settings;
 
 use crate::mail::Sender;
@@ -64,7 +64,7 @@
         number: usize,
         end: End,
         known_unexecuted: bool,
-        report: Report,
+        report: LoadReport,
     },
     Load {
         flow: FlowId,
@@ -81,7 +81,7 @@
     Probed {
         server_id: ServerId,
         passed: bool,
-        report: Report,
+        report: LoadReport,
     },
     /// The list as the balancer's configuration has it, perhaps old.
     StoredList(Vec<Entry>),
--- a/crates/dataplane/src/probe.rs
+++ b/crates/dataplane/src/probe.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use may::sync::mpsc::{Receiver, Sender as Line, channel};
-use nettlemux_policy::{MS, Report, ServerId, Time};
+use nettlemux_policy::{LoadReport, MS, ServerId, Time};
 use tracing::{debug, warn};
 
 use crate::clock;
@@ -146,7 +146,7 @@
                 means.desk.send(Ask::Probed {
                     server_id,
                     passed: false,
-                    report: Report::default(),
+                    report: LoadReport::default(),
                 });
             }
         }
@@ -183,7 +183,7 @@
     server: &Server,
     means: &Means,
     until: Time,
-) -> Result<(Option<Caller>, bool, Report), ProbeError> {
+) -> Result<(Option<Caller>, bool, LoadReport), ProbeError> {
     let caller = match kept {
         Some(caller) => caller,
         None => {
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -4,7 +4,7 @@
 
 mod direction;
 
-use nettlemux_policy::{End, MS, Report, SEC, Time};
+use nettlemux_policy::{End, LoadReport, MS, SEC, Time};
 use tracing::{debug, info};
 
 use crate::book::Book;
@@ -46,7 +46,7 @@
     let mut unanswered: Option<Time> = None;
     let mut last_sent = clock::now();
     let mut slowest = 0;
-    let none = Report::default();
+    let none = LoadReport::default();
     let mut close_by: Option<Time> = None;
     let mut over: Option<End> = None;
     let tell_end = |book: &Book, over: &mut Option<End>, slowest: Time, end, report| {
--- a/crates/dataplane/src/send.rs
+++ b/crates/dataplane/src/send.rs
@@ -5,7 +5,7 @@
 
 use std::io::{self, ErrorKind};
 
-use nettlemux_policy::{End, Report, Time};
+use nettlemux_policy::{End, LoadReport, Time};
 use tracing::warn;
 
 use crate::book::{Book, Ended};
@@ -48,14 +48,14 @@
         Sent::Ended(Ended {
             end,
             known_unexecuted: true,
-            report: Report::default(),
+            report: LoadReport::default(),
         })
     };
     let maybe = |end| {
         Sent::Ended(Ended {
             end,
             known_unexecuted: false,
-            report: Report::default(),
+            report: LoadReport::default(),
         })
     };
     let mut client = Client { book, gone: false };
@@ -208,7 +208,7 @@
 pub fn called_off(book: &Book, target: &Target, unsent: bool) {
     let (end, report) = (
         if unsent { End::NotSent } else { End::CalledOff },
-        Report::default(),
+        LoadReport::default(),
     );
     book.tell(Ask::Ended {
         flow: book.id,
--- a/crates/dataplane/src/shared.rs
+++ b/crates/dataplane/src/shared.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_flow_table::Who;
 use nettlemux_policy::{Flow, Time};
-use nettlemux_settings::Reports;
+use nettlemux_settings::LoadReportFormat;
 
 use crate::mail::Sender;
 use crate::net::Caller;
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Copy, Default)]
 pub struct Term {
-    pub reports: Reports,
+    pub reports: LoadReportFormat,
     /// Whether servers tell their load when asked.
     pub stats: bool,
     /// A connection that isn't made by then can't be made.
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -1,8 +1,8 @@
 //! The words of the platform's protocol as servers speak it, and the answers that clients get in it. It owns their
 //! form and must never touch a socket, a clock or a flow. Names of the wire end here.
 
-use nettlemux_policy::{End, Report, Time};
-use nettlemux_settings::{Reports, figure};
+use nettlemux_policy::{End, LoadReport, Time};
+use nettlemux_settings::{LoadReportFormat, figure};
 
 const MS: Time = nettlemux_policy::MS;
 
@@ -36,14 +36,14 @@
 pub enum Answer {
     Up,
     /// No connection: how the attempt ended, whether that proves that it never ran, and the load report.
-    Ended(End, bool, Report),
+    Ended(End, bool, LoadReport),
 }
 
 /// Reads a server's answer, with its end. Only a refusal to the letter proves that nothing ran. Guards against a spoilt one that is passed on as served: what isn't ended by
 /// CRLF, or isn't one word with its receipt, no server has said.
-pub fn answer(line: &[u8], reports: &Reports) -> Answer {
+pub fn answer(line: &[u8], reports: &LoadReportFormat) -> Answer {
     let Some(line) = line.strip_suffix(b"\r\n") else {
-        return Answer::Ended(End::Error, false, Report::default());
+        return Answer::Ended(End::Error, false, LoadReport::default());
     };
     let line = String::from_utf8_lossy(line);
     let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
@@ -68,7 +68,7 @@
 }
 
 /// Reads a server's answer to a probe: whether it passed, and its report.
-pub fn probed(line: &[u8], reports: &Reports) -> (bool, Report) {
+pub fn probed(line: &[u8], reports: &LoadReportFormat) -> (bool, LoadReport) {
     let line = String::from_utf8_lossy(line);
     let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
     (word == "PONG", reports.read(rest, '=').unwrap_or_default())
@@ -102,15 +102,15 @@
 
 /// Follows the lines of an open connection as they pass, split or joined.
 pub struct Passing {
-    reports: Reports,
+    reports: LoadReportFormat,
     line: [u8; KEPT],
     length: usize,
     /// How the server said that it ends, and its load report.
-    pub last: Option<(End, Report)>,
+    pub last: Option<(End, LoadReport)>,
 }
 
 impl Passing {
-    pub fn new(reports: Reports) -> Self {
+    pub fn new(reports: LoadReportFormat) -> Self {
         Passing {
             reports,
             line: [0; KEPT],
--- a/crates/dataplane/src/wire/tests.rs
+++ b/crates/dataplane/src/wire/tests.rs
@@ -21,10 +21,10 @@
 
 #[test]
 fn answers() {
-    let none = Report::default();
-    let busy = Report {
+    let none = LoadReport::default();
+    let busy = LoadReport {
         connections: Some(7.0),
-        beta: Some(0.61),
+        utilization: Some(0.61),
     };
     for (line, expected) in [
         ("UP 12ab", Answer::Up),
@@ -52,13 +52,16 @@
         ("SYNTAX", Answer::Ended(End::Error, false, none)),
     ] {
         assert_eq!(
-            answer(format!("{line}\r\n").as_bytes(), &Reports::default()),
+            answer(
+                format!("{line}\r\n").as_bytes(),
+                &LoadReportFormat::default()
+            ),
             expected,
             "{line}"
         );
         let cut = Answer::Ended(End::Error, false, none);
         assert_eq!(
-            answer(format!("{line}\n").as_bytes(), &Reports::default()),
+            answer(format!("{line}\n").as_bytes(), &LoadReportFormat::default()),
             cut,
             "{line} without CR"
         );
@@ -69,14 +72,14 @@
 fn lines_are_followed_however_they_are_split() {
     let all = b"hello\r\nLOAD 812.5\r\nLOAD 9\r\nx";
     for cut in 0..all.len() {
-        let mut passing = Passing::new(Reports::default());
+        let mut passing = Passing::new(LoadReportFormat::default());
         let loads = [passing.pass(&all[..cut]), passing.pass(&all[cut..])];
         assert_eq!(loads[1].or(loads[0]), Some(9.0), "cut at {cut}");
         assert!(!passing.between_lines());
         passing.pass(b"\r\nBYE inflight=7,queue=2,util=0.61\r\n");
-        let report = Report {
+        let report = LoadReport {
             connections: Some(7.0),
-            beta: Some(0.61),
+            utilization: Some(0.61),
         };
         assert_eq!(
             (passing.between_lines(), passing.last),
@@ -86,7 +89,7 @@
     for bad in ["nan", "inf", "-1", "1e999", ""] {
         let line = format!("LOAD {bad}\r\n");
         assert_eq!(
-            Passing::new(Reports::default()).pass(line.as_bytes()),
+            Passing::new(LoadReportFormat::default()).pass(line.as_bytes()),
             None,
             "{line}"
         );
@@ -110,7 +113,10 @@
         "BUSY util=",
         "BUSY a=1,,b=2",
     ] {
-        let answer = answer(format!("{spoilt}\r\n").as_bytes(), &Reports::default());
+        let answer = answer(
+            format!("{spoilt}\r\n").as_bytes(),
+            &LoadReportFormat::default(),
+        );
         assert!(
             matches!(answer, Answer::Ended(End::Error, false, _)),
             "{spoilt:?}: {answer:?}"
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/fleet.rs
@@ -161,7 +161,7 @@
         };
         let first = candidates[dice.below(candidates.len())];
         let second = candidates[dice.below(candidates.len())];
-        let utilization = |server: usize| self.servers[server].beta(&self.scenario.fleet, 0);
+        let utilization = |server: usize| self.servers[server].utilization(&self.scenario.fleet, 0);
         if utilization(first) <= utilization(second) {
             first
         } else {
@@ -192,12 +192,12 @@
     }
 
     /// The utilization of each running server that does not drain.
-    pub fn betas(&self, now: Time) -> impl Iterator<Item = f64> + '_ {
+    pub fn utilizations(&self, now: Time) -> impl Iterator<Item = f64> + '_ {
         let up = self
             .servers
             .iter()
             .filter(|server| server.life == Life::Up && !server.draining);
-        up.map(move |server| server.beta(&self.scenario.fleet, now))
+        up.map(move |server| server.utilization(&self.scenario.fleet, now))
     }
 }
 
--- a/crates/fleet-model/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use nettlemux_policy::{Report, SEC, Time};
+use nettlemux_policy::{LoadReport, SEC, Time};
 
 use crate::dice::Dice;
 use crate::scenario::{Fleet, seconds};
@@ -83,7 +83,7 @@
     /// Connects of the last while, for the budget of a cold one and the cap on newcomers.
     offers: VecDeque<Time>,
     newcomers: (f64, Time),
-    report: (Time, Report),
+    report: (Time, LoadReport),
 }
 
 impl Server {
@@ -117,7 +117,7 @@
             at: 0,
             offers: VecDeque::new(),
             newcomers: (fleet.newcomers, 0),
-            report: (0, Report::default()),
+            report: (0, LoadReport::default()),
         }
     }
 
@@ -143,13 +143,13 @@
     }
 
     /// Load over capacity.
-    pub fn beta(&self, fleet: &Fleet, now: Time) -> f64 {
+    pub fn utilization(&self, fleet: &Fleet, now: Time) -> f64 {
         self.asked(fleet) / self.capacity(fleet, now)
     }
 
     /// Seconds that a message takes on average.
     pub fn message(&self, fleet: &Fleet, now: Time) -> f64 {
-        fleet.message / (1.0 - self.beta(fleet, now).min(BUSIEST)) + self.pile
+        fleet.message / (1.0 - self.utilization(fleet, now).min(BUSIEST)) + self.pile
     }
 
     /// The part of its messages that is answered within a target of so many seconds.
@@ -157,7 +157,7 @@
         if self.life != Life::Up || target <= self.pile {
             return 0.0;
         }
-        let mean = fleet.message / (1.0 - self.beta(fleet, now).min(BUSIEST));
+        let mean = fleet.message / (1.0 - self.utilization(fleet, now).min(BUSIEST));
         1.0 - (-(target - self.pile) / mean).exp()
     }
 
@@ -168,7 +168,7 @@
         if self.life != Life::Up {
             return Vec::new();
         }
-        self.pile = (self.pile + (self.beta(fleet, now) - 1.0) * passed).clamp(0.0, PILE);
+        self.pile = (self.pile + (self.utilization(fleet, now) - 1.0) * passed).clamp(0.0, PILE);
         if self.pile < PILE {
             return Vec::new();
         }
@@ -222,7 +222,7 @@
         }
         self.newcomers = (left - 1.0, now);
         (
-            Offer::Up(fleet.setup / (1.0 - self.beta(fleet, now).min(BUSIEST)) + self.pile),
+            Offer::Up(fleet.setup / (1.0 - self.utilization(fleet, now).min(BUSIEST)) + self.pile),
             false,
         )
     }
@@ -273,22 +273,23 @@
     }
 
     /// Its report: made anew now and then, noisy, and at times wrong. None: it doesn't answer the probe.
-    pub fn report(&mut self, fleet: &Fleet, now: Time, dice: &mut Dice) -> Option<Report> {
+    pub fn report(&mut self, fleet: &Fleet, now: Time, dice: &mut Dice) -> Option<LoadReport> {
         if self.life != Life::Up || self.probes_fail {
             return None;
         }
         let (at, old) = self.report;
-        if old.beta.is_none() || !self.stuck && at + seconds(fleet.refresh) <= now {
-            let noisy = self.beta(fleet, now) * (1.0 + dice.between(-fleet.noise, fleet.noise));
-            let report = Report {
-                beta: Some(noisy),
+        if old.utilization.is_none() || !self.stuck && at + seconds(fleet.refresh) <= now {
+            let noisy =
+                self.utilization(fleet, now) * (1.0 + dice.between(-fleet.noise, fleet.noise));
+            let report = LoadReport {
+                utilization: Some(noisy),
                 connections: Some(self.guests.len() as f64),
             };
             self.report = (now, report);
         }
         let (_, report) = self.report;
-        Some(Report {
-            beta: self.absurd.or(report.beta),
+        Some(LoadReport {
+            utilization: self.absurd.or(report.utilization),
             ..report
         })
     }
@@ -300,7 +301,7 @@
         for id in &guests {
             self.rise(*id);
         }
-        (self.pile, self.report) = (0.0, (0, Report::default()));
+        (self.pile, self.report) = (0.0, (0, LoadReport::default()));
         self.offers.clear();
         guests
     }
--- a/crates/fleet-model/src/server/tests.rs
+++ b/crates/fleet-model/src/server/tests.rs
@@ -28,13 +28,13 @@
     server.seat(1, guest(2.0, Some(5)));
     server.seat(2, guest(1.0, Some(5)));
     server.seat(3, guest(1.0, None));
-    assert_eq!(server.beta(&fleet, 0), 0.6);
+    assert_eq!(server.utilization(&fleet, 0), 0.6);
     server.set_load(3, 3.0);
     assert!(server.rise(1) && !server.rise(1));
-    assert_eq!(server.beta(&fleet, 0), 0.6);
+    assert_eq!(server.utilization(&fleet, 0), 0.6);
     server.rise(2);
     server.rise(3);
-    assert_eq!((server.beta(&fleet, 0), server.worth[0]), (0.0, 0.0));
+    assert_eq!((server.utilization(&fleet, 0), server.worth[0]), (0.0, 0.0));
 }
 
 #[test]
@@ -69,21 +69,34 @@
 fn reports_are_refreshed_now_and_then_or_stuck_or_absurd() {
     let (fleet, mut server, mut dice) = server();
     server.seat(1, guest(5.0, None));
-    let first = server.report(&fleet, 0, &mut dice).unwrap().beta.unwrap();
+    let first = server
+        .report(&fleet, 0, &mut dice)
+        .unwrap()
+        .utilization
+        .unwrap();
     assert!((first - 0.5).abs() < 0.02);
     server.set_load(1, 8.0);
     assert_eq!(
-        server.report(&fleet, SEC / 4, &mut dice).unwrap().beta,
+        server
+            .report(&fleet, SEC / 4, &mut dice)
+            .unwrap()
+            .utilization,
         Some(first)
     );
     server.stuck = true;
     assert_eq!(
-        server.report(&fleet, 9 * SEC, &mut dice).unwrap().beta,
+        server
+            .report(&fleet, 9 * SEC, &mut dice)
+            .unwrap()
+            .utilization,
         Some(first)
     );
     (server.stuck, server.absurd) = (false, Some(7.5));
     assert_eq!(
-        server.report(&fleet, 10 * SEC, &mut dice).unwrap().beta,
+        server
+            .report(&fleet, 10 * SEC, &mut dice)
+            .unwrap()
+            .utilization,
         Some(7.5)
     );
     server.probes_fail = true;
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,8 +8,8 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Attempt, End, Endpoint, Flow, FlowId, Holds, Outcome, Place, Policy, Report, ServerId, Time,
-    Todo,
+    Attempt, End, Endpoint, Flow, FlowId, Holds, LoadReport, Outcome, Place, Policy, ServerId,
+    Time, Todo,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
@@ -288,11 +288,11 @@
         (flow, number): (FlowId, usize),
         server_id: ServerId,
         (end, known_unexecuted): (End, bool),
-        report: Report,
+        report: LoadReport,
         acts: &mut Vec<Act>,
     ) {
         // A load report that came with an answer counts like a probe's: it is the server's own word.
-        if report.beta.is_some() {
+        if report.utilization.is_some() {
             self.probed(now, server_id, true, report, acts);
         }
         let mut owed = None;
@@ -336,7 +336,7 @@
         now: Time,
         server_id: ServerId,
         passed: bool,
-        report: Report,
+        report: LoadReport,
         acts: &mut Vec<Act>,
     ) {
         let todo = self.brain.after(
@@ -577,8 +577,8 @@
             Who::default(),
             &mut acts,
         );
-        let report = Report {
-            beta: Some(0.4),
+        let report = LoadReport {
+            utilization: Some(0.4),
             connections: None,
         };
         hand.ended(2, (7, 0), 4, (End::Full, true), report, &mut acts);
@@ -591,7 +591,7 @@
             (7, 1),
             5,
             (End::Cut, false),
-            Report::default(),
+            LoadReport::default(),
             &mut acts,
         );
         assert_eq!(
@@ -625,7 +625,7 @@
             (7, 1),
             5,
             (End::Cut, false),
-            Report::default(),
+            LoadReport::default(),
             &mut acts,
         );
         assert_eq!(
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -180,9 +180,9 @@
             self.now = self.now.max(next);
             if answer == Some(next) {
                 let server_id = self.answers.pop().expect("seen").0.1;
-                let beta = 0.42 + 0.06 * self.rng.generate::<f64>();
-                let report = Report {
-                    beta: Some(beta),
+                let utilization = 0.42 + 0.06 * self.rng.generate::<f64>();
+                let report = LoadReport {
+                    utilization: Some(utilization),
                     connections: Some(10_000.0),
                 };
                 self.outcome(Outcome::Probed {
@@ -356,8 +356,8 @@
     let mut asked = policy.after(now, Outcome::Elapsed).probe;
     while let Some(server_id) = asked.pop() {
         let count = held[server_id as usize];
-        let report = Report {
-            beta: Some(count * each),
+        let report = LoadReport {
+            utilization: Some(count * each),
             connections: Some(count),
         };
         asked.extend(
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -547,7 +547,7 @@
         let warm = allowed.filter(|server| self.warmth(now, server) >= 1.0 || has_budget(server));
         // Each server with its figure: worked out once for a flow, as this is most of what a flow costs us.
         let warm: Vec<Seen> = warm
-            .map(|server| (server, self.beta(now, server)))
+            .map(|server| (server, self.utilization(now, server)))
             .collect();
         // Guards against one server that answers nothing and soon holds all attempts that may be in flight.
         let target = self.class(flow).latency_objective;
@@ -573,10 +573,12 @@
         let mean_own = scope.map_or(self.book.own.len() as f64, own_there) / number;
         let unknown = |server: &Server| self.stale(now, server, OLD);
         let (mut sum, mut count, mut placed, mut roomy) = (0.0, 0.0, 0, 0.0);
-        for (server, beta) in &healthy {
+        for (server, utilization) in &healthy {
             placed += server.placed.len();
-            (sum, count) = beta.map_or((sum, count), |beta| (sum + beta, count + 1.0));
-            roomy += if beta.is_some_and(|beta| beta < FULL) || unknown(server) {
+            (sum, count) =
+                utilization.map_or((sum, count), |utilization| (sum + utilization, count + 1.0));
+            roomy += if utilization.is_some_and(|utilization| utilization < FULL) || unknown(server)
+            {
                 1.0
             } else {
                 0.0
@@ -598,9 +600,9 @@
             () if returns => -lately,
             () => (self.balancers - 1.0) * lately,
         };
-        let expected = |(server, beta): &Seen| {
-            beta.map_or(mean, |beta| {
-                beta + each * (server.placed.len() as f64 + theirs)
+        let expected = |(server, utilization): &Seen| {
+            utilization.map_or(mean, |utilization| {
+                utilization + each * (server.placed.len() as f64 + theirs)
             })
         };
         let holders = flow
@@ -766,18 +768,23 @@
                         server.next_probe = server.next_probe.min(now + PROBE_EVERY);
                         self.next_probe = self.next_probe.map(|at| at.min(now + PROBE_EVERY));
                     }
-                    let hot = report.beta.is_some_and(|beta| beta > T_H);
+                    let hot = report
+                        .utilization
+                        .is_some_and(|utilization| utilization > T_H);
                     if let Some(long) = self.long.as_mut().filter(|_| hot || !passed) {
                         long.probes.watch(now, server_id);
                     }
-                    if let Some(beta) = report.beta.filter(|beta| passed && SANE.contains(beta)) {
+                    if let Some(utilization) = report
+                        .utilization
+                        .filter(|utilization| passed && SANE.contains(utilization))
+                    {
                         server.reports.truncate(SAMPLES - 1);
-                        server.reports.insert(0, (now, beta));
+                        server.reports.insert(0, (now, utilization));
                         server.placed.retain(|at| at + REPORT_AGE > now);
                         let each = report
                             .connections
                             .filter(|count| *count >= 1.0)
-                            .map(|count| beta / count);
+                            .map(|count| utilization / count);
                         for flow in self.book.by_server.get(&server_id).into_iter().flatten() {
                             let own = self.book.own.get_mut(flow).expect("our connection");
                             own.estimate = own.estimate.or(each);
@@ -828,7 +835,10 @@
         for server in self.servers.values_mut() {
             if server.next_probe <= now && server.endpoint.state == EndpointState::Ready {
                 // Where twice the probes are paid for a cool one isn't spared: it may fill meanwhile.
-                let cool = server.reports.first().is_some_and(|(_, beta)| *beta < COOL);
+                let cool = server
+                    .reports
+                    .first()
+                    .is_some_and(|(_, utilization)| *utilization < COOL);
                 let times = if cool && 2 * paid > PROBE_EVERY { 2 } else { 1 };
                 server.next_probe = now + PROBE_BOUND.min(times * self.every);
                 let ours = self.book.by_server.contains_key(&server.endpoint.server_id);
@@ -1097,14 +1107,15 @@
     }
 
     /// The server's β while the figure is fresh enough.
-    fn beta(&self, now: Time, server: &Server) -> Option<f64> {
-        let &(at, beta) = server.reports.first()?;
+    fn utilization(&self, now: Time, server: &Server) -> Option<f64> {
+        let &(at, utilization) = server.reports.first()?;
         // Guards against reports that are stuck, which would shut a server, or all of them, for good: live
         // ones are noisy.
-        let stuck = server.reports.is_full() && server.reports.iter().all(|(_, old)| *old == beta);
+        let stuck =
+            server.reports.is_full() && server.reports.iter().all(|(_, old)| *old == utilization);
         // Not by the next probe, which is put off for good while probes fail.
         let due = at + PROBE_BOUND.min(2 * self.every);
-        (now < due + KEEP_FIGURE && (!stuck || beta == 0.0)).then_some(beta)
+        (now < due + KEEP_FIGURE && (!stuck || utilization == 0.0)).then_some(utilization)
     }
 
     /// The share of its capacity that a server has at least.
@@ -1138,7 +1149,7 @@
                 (*warm, *held) = (*warm + 1.0, *held + self.book.at(server.endpoint.server_id));
                 *refuses |= server.refused.is_some_and(|at| now < at + span);
                 (sum, count) = self
-                    .beta(now, server)
+                    .utilization(now, server)
                     .map_or((sum, count), |b| (sum + b, count + 1.0));
             }
         }
@@ -1204,7 +1215,10 @@
     /// a replacement warms up, if there is room. Guards against clients whose server goes without a word, and
     /// hundreds of balancers that move theirs at once. One that is gone keeps its: it was listed wrongly.
     fn drained(&self, now: Time) -> Vec<(FlowId, f64)> {
-        let cool = |server: &Server| self.beta(now, server).is_none_or(|beta| beta < NEW);
+        let cool = |server: &Server| {
+            self.utilization(now, server)
+                .is_none_or(|utilization| utilization < NEW)
+        };
         let mut looked_at = self.servers.values().take(self.whole_list);
         let room =
             looked_at.any(|server| server.endpoint.state == EndpointState::Ready && cool(server));
@@ -1241,17 +1255,17 @@
     /// Own connections to move off a hot server.
     fn shed(&mut self, now: Time, server_id: ServerId) -> Vec<FlowId> {
         let server = &self.servers[&server_id];
-        let Some(beta) = self.beta(now, server) else {
+        let Some(utilization) = self.utilization(now, server) else {
             return Vec::new();
         };
         // Reports lag: a figure that can't show the last moves yet must not cause a second shedding.
-        if beta <= T_H || server.shed.is_some_and(|at| now < at + SETTLE) {
+        if utilization <= T_H || server.shed.is_some_and(|at| now < at + SETTLE) {
             return Vec::new();
         }
         // Also when all are hot: `place` lets nobody in then, so this doesn't shuffle clients, it sheds
         // load, and those that stay are served. Guards against a fleet held at full load that serves no
         // message in time.
-        let fraction = (beta - T_H) / beta;
+        let fraction = (utilization - T_H) / utilization;
         let flows = || self.book.by_server.get(&server_id).into_iter().flatten();
         let here = || {
             flows()
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -96,9 +96,9 @@
 
 /// What a server tells of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Load over capacity.
-    pub beta: Option<f64>,
+    pub utilization: Option<f64>,
     /// Connections that it holds.
     pub connections: Option<f64>,
 }
@@ -170,7 +170,7 @@
     Probed {
         server_id: ServerId,
         passed: bool,
-        report: Report,
+        report: LoadReport,
     },
     /// The wait has passed.
     Elapsed,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -50,9 +50,9 @@
     }
 }
 
-pub fn beta(beta: f64) -> Report {
-    Report {
-        beta: Some(beta),
+pub fn utilization(utilization: f64) -> LoadReport {
+    LoadReport {
+        utilization: Some(utilization),
         connections: None,
     }
 }
@@ -73,7 +73,7 @@
             Outcome::Probed {
                 server_id,
                 passed: true,
-                report: beta(b),
+                report: utilization(b),
             },
         )
         .shift
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{attempt, balancer, beta, flow, probe, ready, repeat, take};
+use common::{attempt, balancer, flow, probe, ready, repeat, take, utilization};
 use nettlemux_policy::*;
 
 const T0: Time = 1000 * SEC;
@@ -140,8 +140,8 @@
     let mut policy = balancer(Idempotency::Idempotent);
     policy.list(T0, &[ready(0), ready(1), ready(2)], true);
     (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.0)));
-    let report = |b, count| Report {
-        beta: Some(b),
+    let report = |b, count| LoadReport {
+        utilization: Some(b),
         connections: count,
     };
     let probed = |report| Outcome::Probed {
@@ -177,7 +177,7 @@
             Outcome::Probed {
                 server_id: 0,
                 passed: false,
-                report: Report::default(),
+                report: LoadReport::default(),
             },
         );
     }
@@ -503,7 +503,7 @@
 }
 
 /// Balancers of one fleet, each with a connection at two of forty warm servers of that load.
-fn fleet(balancers: u64, beta: f64) -> impl Iterator<Item = Policy> {
+fn fleet(balancers: u64, utilization: f64) -> impl Iterator<Item = Policy> {
     (0..balancers).map(move |seed| {
         let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
             .attempts(3, 4 * MS, false, true)
@@ -512,7 +512,7 @@
             .told(false, true);
         policy.list(T0, &(0..40).map(ready).collect::<Vec<_>>(), true);
         (0..2).for_each(|id| policy.inherit(&flow(T0, id), (2 * seed + id) % 40));
-        (0..40).for_each(|server_id| drop(probe(&mut policy, T0, server_id, beta)));
+        (0..40).for_each(|server_id| drop(probe(&mut policy, T0, server_id, utilization)));
         policy
     })
 }
@@ -995,7 +995,7 @@
     let mut blind = balancer(Idempotency::Idempotent).probing(false, 0.0);
     blind.list(T0, &[ready(0)], true);
     assert_eq!((blind.wait(T0), take(&mut blind, T0, 1)), (None, 0));
-    assert_eq!(beta(0.5).connections, None);
+    assert_eq!(utilization(0.5).connections, None);
 }
 
 #[test]
@@ -1161,8 +1161,8 @@
         let asked = policy.after(now, Outcome::Elapsed).probe;
         assert!((1..=4).contains(&asked.len()), "{asked:?}");
         for server_id in &asked {
-            let report = Report {
-                beta: load,
+            let report = LoadReport {
+                utilization: load,
                 connections: None,
             };
             policy.after(
@@ -1382,7 +1382,7 @@
             Outcome::Probed {
                 server_id: 0,
                 passed: false,
-                report: Report::default(),
+                report: LoadReport::default(),
             },
         );
         let late = Flow {
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{beta, flow, ready, repeat};
+use common::{flow, ready, repeat, utilization};
 use nettlemux_policy::*;
 
 const T0: Time = 1000 * SEC;
@@ -59,7 +59,7 @@
                 Outcome::Probed {
                     server_id: *server_id,
                     passed: true,
-                    report: beta(figure(*server_id)),
+                    report: utilization(figure(*server_id)),
                 },
             );
         }
@@ -160,7 +160,7 @@
     policy.list(T0, &list, true);
     let roomy = |server_id: &ServerId| (500..510).contains(server_id);
     for server_id in 0..600 {
-        let figure = beta(if roomy(&server_id) { 0.1 } else { 0.79 });
+        let figure = utilization(if roomy(&server_id) { 0.1 } else { 0.79 });
         policy.after(
             T0,
             Outcome::Probed {
@@ -214,7 +214,7 @@
                     Outcome::Probed {
                         server_id,
                         passed: true,
-                        report: beta(0.9),
+                        report: utilization(0.9),
                     },
                 );
                 unasked += 1;
@@ -264,7 +264,7 @@
         Outcome::Probed {
             server_id: 77,
             passed: true,
-            report: beta(1.2),
+            report: utilization(1.2),
         },
     );
     for tick in 1..80 {
@@ -277,7 +277,7 @@
                     Outcome::Probed {
                         server_id,
                         passed: true,
-                        report: beta(hot(server_id)),
+                        report: utilization(hot(server_id)),
                     },
                 )
                 .shift
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 use nettlemux_policy::{
-    DeduplicationScope, Idempotency, MS, Policy, Report, SEC, Time, TrafficClass,
+    DeduplicationScope, Idempotency, LoadReport, MS, Policy, SEC, Time, TrafficClass,
 };
 use serde_json::Value;
 
@@ -220,12 +220,12 @@
     }
 
     /// How this deployment's load reports are read.
-    pub fn reports(&self) -> Reports {
+    pub fn reports(&self) -> LoadReportFormat {
         let x0 = self
             .maybe("specifics/report-x0")
             .and_then(Value::as_str)
             .unwrap_or_default();
-        Reports {
+        LoadReportFormat {
             x0_is_load: x0.contains("over what it can do"),
         }
     }
@@ -355,15 +355,15 @@
 
 /// What a load report's figures mean.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reports {
+pub struct LoadReportFormat {
     x0_is_load: bool,
 }
 
-impl Reports {
+impl LoadReportFormat {
     /// Reads pairs that are set apart by commas, each name from its value by `sign`. Load over capacity is
     /// `x0` where the settings say so, else the busy share.
-    pub fn read(&self, pairs: &str, sign: char) -> Read<Report> {
-        let mut report = Report::default();
+    pub fn read(&self, pairs: &str, sign: char) -> Read<LoadReport> {
+        let mut report = LoadReport::default();
         let mut busy = None;
         for pair in pairs.split(',') {
             let no_pair = || Malformed::new("report", format!("'{pair}' is no pair"));
@@ -373,13 +373,13 @@
                 continue;
             };
             match name {
-                "x0" if self.x0_is_load => report.beta = Some(value),
+                "x0" if self.x0_is_load => report.utilization = Some(value),
                 "busy" | "util" => busy = Some(value),
                 "rif" | "inflight" => report.connections = Some(value),
                 _ => {}
             }
         }
-        report.beta = report.beta.or(busy);
+        report.utilization = report.utilization.or(busy);
         Ok(report)
     }
 }
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -187,19 +187,25 @@
         }
     }
 
-    pub fn load(&mut self, now: Time, betas: &[f64]) {
-        if now < self.settle || betas.is_empty() {
+    pub fn load(&mut self, now: Time, utilizations: &[f64]) {
+        if now < self.settle || utilizations.is_empty() {
             return;
         }
-        let mean = betas.iter().sum::<f64>() / betas.len() as f64;
-        let square =
-            betas.iter().map(|beta| (beta - mean).powi(2)).sum::<f64>() / betas.len() as f64;
+        let mean = utilizations.iter().sum::<f64>() / utilizations.len() as f64;
+        let square = utilizations
+            .iter()
+            .map(|utilization| (utilization - mean).powi(2))
+            .sum::<f64>()
+            / utilizations.len() as f64;
         self.spread = (
             self.spread.0 + square.sqrt() / mean.max(1e-9),
             self.spread.1 + 1.0,
         );
-        self.hot.0 += betas.iter().filter(|beta| **beta > HOT).count() as f64;
-        self.hot.1 += betas.len() as f64;
+        self.hot.0 += utilizations
+            .iter()
+            .filter(|utilization| **utilization > HOT)
+            .count() as f64;
+        self.hot.1 += utilizations.len() as f64;
     }
 
     pub fn message(&mut self, now: Time, seconds: f64, connections: u64) {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,7 +11,7 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::{Act, Brain, Hand, Who};
 use nettlemux_policy::{
-    Endpoint, EndpointState, Flow, FlowId, Holds, MS, Outcome, Place, Policy, Report, SEC,
+    Endpoint, EndpointState, Flow, FlowId, Holds, LoadReport, MS, Outcome, Place, Policy, SEC,
     ServerId, Time, Todo,
 };
 use nettlemux_settings::Settings;
@@ -342,8 +342,8 @@
             }
             Event::ProbeAnswered(server_id) => {
                 let load = self.rng.between(LEAST_LOAD, MOST_LOAD);
-                let report = Report {
-                    beta: Some(load),
+                let report = LoadReport {
+                    utilization: Some(load),
                     connections: None,
                 };
                 self.flow_table
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -3,7 +3,7 @@
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Final, Seen};
 use nettlemux_fleet_model::server::Offer;
-use nettlemux_policy::{End, FlowId, Report, Time};
+use nettlemux_policy::{End, FlowId, LoadReport, Time};
 
 use super::event::{Ending, Event, ServerResponse};
 use super::flow::{Attempt, FlowPhase};
@@ -224,7 +224,7 @@
             known_unexecuted,
         } = ending;
         self.ask(balancer, |flow_table, now, actions| {
-            let report = Report::default();
+            let report = LoadReport::default();
             flow_table.ended(
                 now,
                 (flow, number),
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -2,7 +2,7 @@
 
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::server::Life;
-use nettlemux_policy::{MS, Report, Time};
+use nettlemux_policy::{LoadReport, MS, Time};
 
 use super::balancer::Incarnation;
 use super::event::Event;
@@ -44,7 +44,7 @@
     }
 
     /// A server's load report; none where it does not answer in time.
-    fn load_report(&mut self, server: usize) -> Option<Report> {
+    fn load_report(&mut self, server: usize) -> Option<LoadReport> {
         let fleet = &self.model.scenario.fleet;
         let state = &mut self.model.servers[server];
         let message_time = seconds(state.message(fleet, self.now));
--- a/crates/testbed/src/simulate/sampling.rs
+++ b/crates/testbed/src/simulate/sampling.rs
@@ -25,7 +25,7 @@
 
     /// Takes the utilization and the message times of all servers.
     pub(super) fn sample(&mut self) {
-        let utilizations: Vec<f64> = self.model.betas(self.now).collect();
+        let utilizations: Vec<f64> = self.model.utilizations(self.now).collect();
         self.figures.load(self.now, &utilizations);
         let fleet = &self.model.scenario.fleet;
         for server in self
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -216,11 +216,11 @@
     inner.gather.probes += 1;
     let inner = &mut *inner;
     let report = inner.world.servers[server].report(&stage.scenario.fleet, now, &mut inner.dice)?;
-    let (beta, held) = (
-        report.beta.unwrap_or(0.0),
+    let (utilization, held) = (
+        report.utilization.unwrap_or(0.0),
         report.connections.unwrap_or(0.0),
     );
-    Some(format!("PONG x0={beta:.4},inflight={held}\r\n"))
+    Some(format!("PONG x0={utilization:.4},inflight={held}\r\n"))
 }
 
 /// Serves one connection from its first line on.
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -247,8 +247,8 @@
         inner.gather.worth(now, (wanted, served), seconds);
         if inner.sampled + SAMPLE <= now {
             inner.sampled = now;
-            let betas: Vec<f64> = inner.world.betas(now).collect();
-            inner.gather.load(now, &betas);
+            let utilizations: Vec<f64> = inner.world.utilizations(now).collect();
+            inner.gather.load(now, &utilizations);
         }
         drop(inner);
         self.happen(happened)
