--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use nettlemux_flow_table::{Act, Hand, Who};
-use nettlemux_policy::{Endpoint, Flow, FlowId, Holds, ServerId, Time};
+use nettlemux_policy::{Endpoint, Flow, FlowId, GroupPlacement, ServerId, Time};
 use nettlemux_settings::{LoadReportFormat, Settings};
 
 use crate::wire::{self, Malformed, Parts, Read};
@@ -165,8 +165,8 @@
         parts.get::<u64>("from")?;
         let bytes = wire::bytes(parts.word("content")?)?;
         // What another version tells is none of ours to judge.
-        if let Some(word) = Holds::from_bytes(&bytes) {
-            self.hand.heard(now, word);
+        if let Some(placement) = GroupPlacement::from_bytes(&bytes) {
+            self.hand.receive_gossip(now, placement);
         }
         Ok(())
     }
@@ -226,7 +226,9 @@
                     writeln!(out, "RECALL {flow} {number}")
                 }
                 Act::CallOff { .. } => Ok(()),
-                Act::Tell(word) => writeln!(out, "NOTIFY -1 {}", wire::hex(&word.to_bytes())),
+                Act::Gossip(placement) => {
+                    writeln!(out, "NOTIFY -1 {}", wire::hex(&placement.to_bytes()))
+                }
                 Act::AskList => writeln!(out, "TRACK 1"),
             };
             write.expect("a string takes all");
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -187,7 +187,10 @@
         .set_worker_pin(false);
     // Guards against a client that is accepted and lost since its coroutine's stack can't be mapped at that moment.
     runtime.set_pool_capacity(shares.coroutines());
-    let settings = &config.settings.clone().with_words(operator.peers.is_some());
+    let settings = &config
+        .settings
+        .clone()
+        .with_gossip(operator.peers.is_some());
     let faulty = |e: nettlemux_settings::Malformed| format!("settings: {e}");
     let policy = settings.policy(config.seed, MARGIN, true).map_err(faulty)?;
     let descriptors = shares.others.clone();
@@ -241,12 +244,12 @@
     info!(name = config.name, listen = %config.listen, sockets = config.sockets, flows, waiting, "serving");
     let (zones, machines) = (settings.names("areas"), settings.names("models"));
     let answer_deadline = AnswerDeadline::new(settings.longest_wait());
-    let (peers, words) = match operator.peers {
+    let (peers, gossip) = match operator.peers {
         Some(keys) => {
             let started = Peers::start(keys.listen, keys.to, desk.clone());
-            let (peers, words) =
+            let (peers, gossip) =
                 started.map_err(|e| format!("can't listen for words at {}: {e}", keys.listen))?;
-            (Some((keys.listen, peers)), Some(words))
+            (Some((keys.listen, peers)), Some(gossip))
         }
         None => (None, None),
     };
@@ -258,7 +261,7 @@
         answer_deadline,
         lobby,
     };
-    let whole_desk = Desk::new(hand, asks, zones, machines, prober, words, given);
+    let whole_desk = Desk::new(hand, asks, zones, machines, prober, gossip, given);
     let running = may::go!(move || whole_desk.run());
     let agent = Agent::new(config.discovery);
     let in_file = config.settings.clone();
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -105,7 +105,7 @@
 
 /// Says so where settings expect words that have no way to go: groups are then held in more places.
 pub fn untold(settings: &Settings, peers: bool) {
-    if settings.may_tell().unwrap_or(false) && !peers {
+    if settings.may_gossip().unwrap_or(false) && !peers {
         warn!(
             key = "peers",
             "the settings let balancers tell one another, and no address is known"
@@ -126,7 +126,7 @@
         if new.settings != self.in_file {
             // Before the front names what is new: the desk reads its mail in order.
             desk.send(Ask::Change(Box::new(
-                merged.clone().with_words(self.peers.is_some()),
+                merged.clone().with_gossip(self.peers.is_some()),
             )));
             self.terms.change(new.term());
             self.front.change(known);
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -9,13 +9,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use nettlemux_flow_table::{Act, Hand};
-use nettlemux_policy::{Endpoint, EndpointState, Flow, FlowId, Holds, MS, SEC, ServerId, Time};
+use nettlemux_policy::{
+    Endpoint, EndpointState, Flow, FlowId, GroupPlacement, MS, SEC, ServerId, Time,
+};
 use nettlemux_settings::Settings;
 use tracing::{error, info, warn};
 
 use crate::clock;
 use crate::mail::{Mailbox, Sender};
-use crate::orders::{Ask, Entry, Event, Order, Server, Target, Word};
+use crate::orders::{Ask, Entry, Event, GossipMessage, Order, Server, Target};
 use crate::pool::Descriptors;
 use crate::probe::Prober;
 use crate::shutdown::AnswerDeadline;
@@ -102,7 +104,7 @@
     cells: Names,
     prober: Prober,
     /// The way to the other balancers, where there is one.
-    words: Option<Sender<Word>>,
+    gossip: Option<Sender<GossipMessage>>,
     given: Given,
     /// The next time at which the module wants to be asked.
     due: Option<Time>,
@@ -121,7 +123,7 @@
         zones: Vec<String>,
         machines: Vec<String>,
         prober: Prober,
-        words: Option<Sender<Word>>,
+        gossip: Option<Sender<GossipMessage>>,
         given: Given,
     ) -> Self {
         Desk {
@@ -135,7 +137,7 @@
             machines: Names::of(machines),
             cells: Names::default(),
             prober,
-            words,
+            gossip,
             given,
             due: None,
             terminated: None,
@@ -285,17 +287,17 @@
                 self.starts.watch();
             }
             Ask::ListFailed => self.hand.list_failed(now),
-            Ask::Heard(word) => {
+            Ask::GossipReceived(message) => {
                 // One that our list doesn't name is none of ours.
                 if let Some(server_id) = self
                     .ids
-                    .known(&word.server)
+                    .known(&message.server)
                     .filter(|server_id| self.servers.contains_key(server_id))
                 {
-                    self.hand.heard(
+                    self.hand.receive_gossip(
                         now,
-                        Holds {
-                            group: word.group,
+                        GroupPlacement {
+                            group: message.group,
                             server_id,
                         },
                     );
@@ -450,9 +452,9 @@
             }
             // The watch always runs, so there is nothing to ask for.
             Act::AskList => {}
-            Act::Tell(Holds { group, server_id }) => {
-                if let (Some(words), Some(server)) = (&self.words, self.servers.get(&server_id)) {
-                    words.send(Word {
+            Act::Gossip(GroupPlacement { group, server_id }) => {
+                if let (Some(gossip), Some(server)) = (&self.gossip, self.servers.get(&server_id)) {
+                    gossip.send(GossipMessage {
                         group,
                         server: server.name.clone(),
                     });
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -36,7 +36,7 @@
 
 /// What balancers tell one another, by names that all of them know: a server holds connections of that group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct GossipMessage {
     pub group: u16,
     pub server: String,
 }
@@ -92,7 +92,7 @@
     },
     ListFailed,
     /// Another balancer's word.
-    Heard(Word),
+    GossipReceived(GossipMessage),
     /// Other settings from now on.
     Change(Box<Settings>),
     /// New limits and weights for the door.
--- a/crates/dataplane/src/peers.rs
+++ b/crates/dataplane/src/peers.rs
@@ -1,5 +1,5 @@
-//! Words between balancers: datagrams that say which server holds connections of which group. It owns the socket that they
-//! come and go by and the list of the others' addresses. It must never judge a word, wait for one, or hold up a flow: what
+//! Messages between balancers: datagrams that say which server holds connections of which group. It owns the socket that they
+//! come and go by and the list of the others' addresses. It must never judge a message, wait for one, or hold up a flow: what
 //! can't be sent now is lost, as it may be on the way.
 
 use std::io::{self, ErrorKind};
@@ -12,19 +12,19 @@
 
 use crate::clock;
 use crate::mail::{Mailbox, Sender};
-use crate::orders::{Ask, Word};
+use crate::orders::{Ask, GossipMessage};
 
-/// The form of our words; what begins otherwise is another version's and passed over.
+/// The form of our messages; what begins otherwise is another version's and passed over.
 const VERSION: u8 = 1;
-/// A word is no longer than this, so a server's name of over 253 bytes is not told.
-const LONGEST: usize = 256;
-/// Words of a second that are heard, as many as a thousand balancers may tell: guards against a flood, each word of which
+/// A message is no longer than this, so a server's name of over 253 bytes is not told.
+const MESSAGE_BYTES_MAX: usize = 256;
+/// Messages of a second that are heard, as many as a thousand balancers may tell: guards against a flood, each message of which
 /// would cost the desk a turn.
-const HEARD: usize = 200;
+const RECEIVED_PER_SECOND_MAX: usize = 200;
 /// Datagrams that are read before others get a turn.
-const AT_ONCE: usize = 16;
+const RECEIVE_BATCH_MAX: usize = 16;
 
-/// The way of words to and from the others.
+/// The way of messages to and from the others.
 pub struct Peers {
     socket: CoIo<UdpSocket>,
     own: SocketAddr,
@@ -32,7 +32,7 @@
 }
 
 impl Peers {
-    /// Listens for words and tells the desk of them; what is sent to the mailbox goes to all others.
+    /// Listens for messages and tells the desk of them; what is sent to the mailbox goes to all others.
     ///
     /// # Errors
     /// Where nothing can listen at that address.
@@ -40,7 +40,7 @@
         listen: SocketAddr,
         others: Vec<SocketAddr>,
         desk: Sender<Ask>,
-    ) -> io::Result<(Arc<Self>, Sender<Word>)> {
+    ) -> io::Result<(Arc<Self>, Sender<GossipMessage>)> {
         let socket = UdpSocket::bind(listen)?;
         let own = socket.local_addr()?;
         let socket = CoIo::new(socket).map_err(|e| io::Error::other(e.to_string()))?;
@@ -49,14 +49,14 @@
             own,
             others: Mutex::new(others),
         });
-        let words = Mailbox::new();
-        let sender = words.sender();
-        let (hears, tells) = (peers.clone(), peers.clone());
-        may::go!(move || hears.hear(&desk));
+        let messages = Mailbox::new();
+        let sender = messages.sender();
+        let (receives, sends) = (peers.clone(), peers.clone());
+        may::go!(move || receives.receive(&desk));
         may::go!(move || {
             loop {
-                if let Some(word) = words.next(clock::now() + SEC) {
-                    tells.tell(&word);
+                if let Some(message) = messages.next(clock::now() + SEC) {
+                    sends.send_to_peers(&message);
                 }
             }
         });
@@ -73,17 +73,17 @@
         self.others.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, word: &Word) {
-        let Some(bytes) = write(word) else { return };
+    fn send_to_peers(&self, message: &GossipMessage) {
+        let Some(bytes) = write(message) else { return };
         for other in self.others().iter().filter(|other| **other != self.own) {
             // Lost where it can't go now.
             let _ = self.socket.inner().send_to(&bytes, other);
         }
     }
 
-    fn hear(&self, desk: &Sender<Ask>) {
-        let mut bytes = [0; LONGEST];
-        let (mut second, mut heard): (Time, usize) = (0, 0);
+    fn receive(&self, desk: &Sender<Ask>) {
+        let mut bytes = [0; MESSAGE_BYTES_MAX];
+        let (mut second, mut received): (Time, usize) = (0, 0);
         loop {
             self.socket.wait_io();
             for turn in 1.. {
@@ -91,25 +91,26 @@
                     Ok((length, from)) => {
                         let now = clock::now() / SEC;
                         if now != second {
-                            (second, heard) = (now, 0);
+                            (second, received) = (now, 0);
                         }
-                        heard += 1;
-                        if heard == HEARD {
+                        received += 1;
+                        if received == RECEIVED_PER_SECOND_MAX {
                             warn!(
-                                "more words than are heard in a second; the rest are passed over"
+                                "more messages than are received in a second; the rest are passed over"
                             );
                         }
-                        // Guards against words of strangers.
-                        let known = heard < HEARD && self.others().contains(&from);
-                        if let Some(word) = read(&bytes[..length]).filter(|_| known) {
-                            desk.send(Ask::Heard(word));
+                        // Guards against messages of strangers.
+                        let known =
+                            received < RECEIVED_PER_SECOND_MAX && self.others().contains(&from);
+                        if let Some(message) = read(&bytes[..length]).filter(|_| known) {
+                            desk.send(Ask::GossipReceived(message));
                         }
                     }
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                     // One that was told and isn't there shows here too.
                     Err(_) => {}
                 }
-                if turn % AT_ONCE == 0 {
+                if turn % RECEIVE_BATCH_MAX == 0 {
                     may::coroutine::yield_now();
                 }
             }
@@ -117,24 +118,24 @@
     }
 }
 
-/// A word as it goes on the wire; none where its server's name is too long.
-fn write(word: &Word) -> Option<Vec<u8>> {
+/// A message as it goes on the wire; none where its server's name is too long.
+fn write(message: &GossipMessage) -> Option<Vec<u8>> {
     let bytes = [
         &[VERSION],
-        &word.group.to_be_bytes()[..],
-        word.server.as_bytes(),
+        &message.group.to_be_bytes()[..],
+        message.server.as_bytes(),
     ]
     .concat();
-    (bytes.len() <= LONGEST).then_some(bytes)
+    (bytes.len() <= MESSAGE_BYTES_MAX).then_some(bytes)
 }
 
-/// None where this is no word of ours.
-fn read(bytes: &[u8]) -> Option<Word> {
+/// None where this is no message of ours.
+fn read(bytes: &[u8]) -> Option<GossipMessage> {
     let (head, name) = bytes.split_first_chunk::<3>()?;
     let server = std::str::from_utf8(name)
         .ok()
         .filter(|name| !name.is_empty())?;
-    (head[0] == VERSION).then(|| Word {
+    (head[0] == VERSION).then(|| GossipMessage {
         group: u16::from_be_bytes([head[1], head[2]]),
         server: server.into(),
     })
@@ -145,15 +146,15 @@
     use super::*;
 
     #[test]
-    fn words_are_read_as_they_are_written_and_others_passed_over() {
-        let word = Word {
+    fn messages_are_read_as_they_are_written_and_others_passed_over() {
+        let message = GossipMessage {
             group: 51_966,
             server: "s-17".into(),
         };
-        assert_eq!(write(&word).unwrap(), b"\x01\xca\xfes-17");
-        assert_eq!(read(&write(&word).unwrap()), Some(word));
+        assert_eq!(write(&message).unwrap(), b"\x01\xca\xfes-17");
+        assert_eq!(read(&write(&message).unwrap()), Some(message));
         assert_eq!(
-            write(&Word {
+            write(&GossipMessage {
                 group: 1,
                 server: "s".repeat(254)
             }),
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,8 +8,8 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Attempt, End, Endpoint, Flow, FlowId, Holds, LoadReport, Outcome, Place, Policy, ServerId,
-    Time, Todo,
+    Attempt, End, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Outcome, Place, Policy,
+    ServerId, Time, Todo,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
@@ -24,8 +24,8 @@
     fn told_load(&mut self, flow: FlowId, load: f64);
     /// Other settings from now on; only the module that serves takes any.
     fn change(&mut self, _new: Policy) {}
-    /// Another balancer's word; those that don't listen need do nothing.
-    fn heard(&mut self, _now: Time, _word: Holds) {}
+    /// A gossip message of another balancer; those that don't listen need do nothing.
+    fn receive_gossip(&mut self, _now: Time, _placement: GroupPlacement) {}
 }
 
 impl Brain for Policy {
@@ -53,8 +53,8 @@
     fn change(&mut self, new: Policy) {
         Policy::change(self, new);
     }
-    fn heard(&mut self, now: Time, word: Holds) {
-        Policy::heard(self, now, word);
+    fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
+        Policy::receive_gossip(self, now, placement);
     }
 }
 
@@ -83,8 +83,8 @@
     fn change(&mut self, new: Policy) {
         (**self).change(new);
     }
-    fn heard(&mut self, now: Time, word: Holds) {
-        (**self).heard(now, word);
+    fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
+        (**self).receive_gossip(now, placement);
     }
 }
 
@@ -121,7 +121,7 @@
     /// Ask for the list.
     AskList,
     /// Tell the other balancers.
-    Tell(Holds),
+    Gossip(GroupPlacement),
 }
 
 /// Who asks, for the door: whose turn a flow takes, and when it is too late for one. Nobody's where there is no door.
@@ -291,7 +291,7 @@
         report: LoadReport,
         acts: &mut Vec<Act>,
     ) {
-        // A load report that came with an answer counts like a probe's: it is the server's own word.
+        // A load report that came with an answer counts like a probe's: it is the server's own.
         if report.utilization.is_some() {
             self.probed(now, server_id, true, report, acts);
         }
@@ -374,9 +374,9 @@
         self.brain.list(now, entries, is_complete);
     }
 
-    /// Another balancer's word.
-    pub fn heard(&mut self, now: Time, word: Holds) {
-        self.brain.heard(now, word);
+    /// A gossip message of another balancer.
+    pub fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
+        self.brain.receive_gossip(now, placement);
     }
 
     pub fn list_failed(&mut self, now: Time) {
@@ -510,7 +510,7 @@
             number: number(flow),
         }));
         acts.extend(todo.ask_list.then_some(Act::AskList));
-        acts.extend(todo.tell.map(Act::Tell));
+        acts.extend(todo.tell.map(Act::Gossip));
     }
 }
 
--- a/crates/policy/src/holders.rs
+++ b/crates/policy/src/holders.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::types::{Holds, SEC, ServerId, Time};
+use crate::types::{GroupPlacement, SEC, ServerId, Time};
 
 /// A message that a server holds a group is repeated after so long and holds for twice that: 10 s cost more.
 const REPEAT_AFTER: Time = 20 * SEC;
@@ -36,11 +36,11 @@
     }
 
     /// Notes that the server holds the group.
-    pub(crate) fn note(&mut self, now: Time, word: Holds) {
+    pub(crate) fn note(&mut self, now: Time, placement: GroupPlacement) {
         self.told
-            .entry(word.group)
+            .entry(placement.group)
             .or_default()
-            .insert(word.server_id, now);
+            .insert(placement.server_id, now);
     }
 
     /// Drops what isn't told again, so that groups that are no more take no room.
@@ -52,11 +52,11 @@
     }
 
     /// Whether it was told so lately that it needn't be told again.
-    pub(crate) fn fresh(&self, now: Time, word: Holds) -> bool {
+    pub(crate) fn fresh(&self, now: Time, placement: GroupPlacement) -> bool {
         let at = self
             .told
-            .get(&word.group)
-            .and_then(|servers| servers.get(&word.server_id));
+            .get(&placement.group)
+            .and_then(|servers| servers.get(&placement.server_id));
         at.is_some_and(|at| now < at + REPEAT_AFTER)
     }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -86,7 +86,7 @@
 /// From news of a drain to the first move: servers that send their clients away themselves have begun to.
 const LEAVE: Time = 2 * SEC;
 
-/// One server: the list's word and the last few samples; what every flow looks at stands first and together.
+/// One server: its endpoint and the last few samples; what every flow looks at stands first and together.
 #[repr(C)]
 #[derive(Default)]
 struct Server {
@@ -145,7 +145,7 @@
     may_call_off: bool,
     probes: bool,
     /// Balancers tell one another which servers hold a group.
-    tells: bool,
+    may_gossip: bool,
     holders: GroupHolders,
     /// What a probe costs, in flows of ours.
     probe_price: f64,
@@ -285,8 +285,8 @@
     }
 
     /// How many balancers place on these servers, and whether they may tell one another what is held where.
-    pub fn among(mut self, balancers: f64, tells: bool) -> Self {
-        (self.balancers, self.tells) = (balancers.max(1.0), tells);
+    pub fn among(mut self, balancers: f64, may_gossip: bool) -> Self {
+        (self.balancers, self.may_gossip) = (balancers.max(1.0), may_gossip);
         self.window.calm = (CALM_ALL / self.balancers).clamp(1.0, CALM);
         self.window.width = self.window.calm;
         self
@@ -444,9 +444,9 @@
     }
 
     /// Another balancer has placed a connection of this group there.
-    pub fn heard(&mut self, now: Time, word: Holds) {
-        if self.tells && self.servers.contains_key(&word.server_id) {
-            self.holders.note(now, word);
+    pub fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
+        if self.may_gossip && self.servers.contains_key(&placement.server_id) {
+            self.holders.note(now, placement);
         }
     }
 
@@ -484,7 +484,12 @@
             );
         }
         // Guards against a flow whose candidates are all away or full: further ones, then the whole list.
-        let mut choice = self.choose(now, flow, worth, self.scope(flow, self.tells).as_deref());
+        let mut choice = self.choose(
+            now,
+            flow,
+            worth,
+            self.scope(flow, self.may_gossip).as_deref(),
+        );
         if choice.among.is_empty() && self.long.is_some() {
             choice = self.choose(now, flow, worth, self.scope(flow, true).as_deref());
         }
@@ -596,7 +601,7 @@
         let lag = (REPORT_AGE + FRESH) as f64 / RATE_SPAN as f64;
         let usual = lag * part * self.settled.len() as f64 / f64::max(roomy, 1.0);
         let theirs = match () {
-            () if self.tells || self.sparse => (self.balancers - 1.0) * usual,
+            () if self.may_gossip || self.sparse => (self.balancers - 1.0) * usual,
             () if returns => -lately,
             () => (self.balancers - 1.0) * lately,
         };
@@ -612,9 +617,9 @@
         // Guards against servers that drop what they hold since more and more is placed on them, and, as
         // holders of the flow's group take more, against common work that is paid for on every server.
         let name = flow.group.as_ref().map_or(0, |group| hash_name(group));
-        let told = self.tells && flow.group.is_some() && self.holders.knows(name as u16);
+        let told = self.may_gossip && flow.group.is_some() && self.holders.knows(name as u16);
         let ours = |server_id: ServerId| {
-            !self.tells && holders.is_some_and(|holders| holders.contains_key(&server_id))
+            !self.may_gossip && holders.is_some_and(|holders| holders.contains_key(&server_id))
         };
         let others = |server_id: ServerId| told && self.holders.holds(now, name as u16, server_id);
         let holds =
@@ -647,7 +652,7 @@
             ahead < T_H && ahead < room(seen.0)
         });
         // Guards against the few that one of hundreds of balancers holds being taken for too many.
-        let slack = if self.tells { FEWEST } else { 1.0 };
+        let slack = if self.may_gossip { FEWEST } else { 1.0 };
         // Some are candidates more often than others: the rotation alone would give them more flows.
         let times = if flow.group.is_none() && scope.is_some() {
             1.0
@@ -658,7 +663,11 @@
             self.book.at(server.endpoint.server_id) <= times * mean_own + slack
         });
         // A crossing is paid for once, a group's common work on each server as long as it holds any.
-        kin = if self.tells { prefer(kin, holds) } else { kin };
+        kin = if self.may_gossip {
+            prefer(kin, holds)
+        } else {
+            kin
+        };
         kin = prefer(prefer(kin, is_near), holds);
         // The one whose turn it is, or, for a group that needs a server, the roomiest of a few.
         let next = |server: &Server| server.turn + usable_weight(server.endpoint.weight);
@@ -670,7 +679,7 @@
             .collect();
         if flow.group.is_some() && !kin.iter().any(|(server, _)| holds(server)) {
             kin.sort_by_key(|(server, _)| rank(server));
-            kin.truncate(if self.tells {
+            kin.truncate(if self.may_gossip {
                 CHOICE
             } else {
                 1 + usize::from(scope.is_some())
@@ -988,24 +997,26 @@
     }
 
     /// What the others should know of this connection.
-    fn tell(&mut self, now: Time, flow: FlowId, server_id: ServerId) -> Option<Holds> {
+    fn tell(&mut self, now: Time, flow: FlowId, server_id: ServerId) -> Option<GroupPlacement> {
         let group = hash_name(
             self.book
                 .own
                 .get(&flow)?
                 .group
                 .as_ref()
-                .filter(|_| self.tells)?,
+                .filter(|_| self.may_gossip)?,
         ) as u16;
-        let word = Holds { group, server_id };
-        if self.holders.fresh(now, word) {
+        let placement = GroupPlacement { group, server_id };
+        if self.holders.fresh(now, placement) {
             return None;
         }
         let may_send = self.holders.may_send(now, self.balancers);
         if self.long.as_mut().is_none_or(|long| long.may_sweep(now)) {
             self.holders.sweep(now);
         }
-        may_send.then(|| self.heard(now, word)).map(|()| word)
+        may_send
+            .then(|| self.receive_gossip(now, placement))
+            .map(|()| placement)
     }
 
     /// Whether the flow brings value for its load as ours do; a tenant over its share brings the surplus.
@@ -1212,7 +1223,7 @@
     }
 
     /// The next own connection to move off each server that drains, and how likely it goes now: evenly while
-    /// a replacement warms up, if there is room. Guards against clients whose server goes without a word, and
+    /// a replacement warms up, if there is room. Guards against clients whose server goes without notice, and
     /// hundreds of balancers that move theirs at once. One that is gone keeps its: it was listed wrongly.
     fn drained(&self, now: Time) -> Vec<(FlowId, f64)> {
         let cool = |server: &Server| {
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -105,12 +105,12 @@
 
 /// What balancers tell one another: this server holds connections of the group with that number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holds {
+pub struct GroupPlacement {
     pub group: u16,
     pub server_id: ServerId,
 }
 
-impl Holds {
+impl GroupPlacement {
     /// Short, as each byte is paid for by every receiver: the group, and the server without leading zeros.
     pub fn to_bytes(self) -> Vec<u8> {
         let server_id = self.server_id.to_be_bytes();
@@ -122,14 +122,14 @@
             .collect()
     }
 
-    /// None where these bytes are no such word.
+    /// None where these bytes are no such message.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let (group, server_id) = bytes.split_first_chunk::<2>()?;
         let short = server_id.len() <= 8 && server_id.first() != Some(&0);
         let server_id = server_id
             .iter()
             .fold(0, |server_id, byte| server_id << 8 | ServerId::from(*byte));
-        short.then_some(Holds {
+        short.then_some(GroupPlacement {
             group: u16::from_be_bytes(*group),
             server_id,
         })
@@ -203,5 +203,5 @@
     /// Ask for the list.
     pub ask_list: bool,
     /// Tell the other balancers.
-    pub tell: Option<Holds>,
+    pub tell: Option<GroupPlacement>,
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1187,15 +1187,15 @@
 
 #[test]
 fn groups_go_where_others_say_that_they_are_held() {
-    // Guards against a group on as many servers as there are balancers. Whether words are allowed, their age in
+    // Guards against a group on as many servers as there are balancers. Whether messages are allowed, their age in
     // seconds, whether the group follows them into the other zone.
-    for (tells, age, follows) in [
+    for (may_gossip, age, follows) in [
         (true, 1, true),
         (true, 39, true),
         (true, 41, false),
         (false, 1, false),
     ] {
-        let mut policy = balancer(Idempotency::Idempotent).among(1.0, tells);
+        let mut policy = balancer(Idempotency::Idempotent).among(1.0, may_gossip);
         let list = |server_id| Endpoint {
             zone: u64::from(server_id > 3),
             ..ready(server_id)
@@ -1205,7 +1205,7 @@
         // Whoever places one says so, once.
         let mut teller = balancer(Idempotency::Idempotent).among(1.0, true);
         teller.list(T0, &[list(7)], true);
-        let mut words = Vec::new();
+        let mut messages = Vec::new();
         for id in 0..5 {
             let one = Flow {
                 group: group.clone(),
@@ -1215,24 +1215,24 @@
                 teller.place(one.accepted_at, &one),
                 Place::To(7, ..)
             ));
-            words.extend(
+            messages.extend(
                 teller
                     .after(one.accepted_at, Outcome::Established { flow: id, took: MS })
                     .tell,
             );
         }
-        assert_eq!(words.len(), 1, "{words:?}");
-        let bytes = words[0].to_bytes();
+        assert_eq!(messages.len(), 1, "{messages:?}");
+        let bytes = messages[0].to_bytes();
         assert_eq!(
-            (bytes.len(), Holds::from_bytes(&bytes)),
-            (3, Some(words[0]))
+            (bytes.len(), GroupPlacement::from_bytes(&bytes)),
+            (3, Some(messages[0]))
         );
-        policy.heard(T0, words[0]);
-        policy.heard(
+        policy.receive_gossip(T0, messages[0]);
+        policy.receive_gossip(
             T0,
-            Holds {
+            GroupPlacement {
                 server_id: 99,
-                ..words[0]
+                ..messages[0]
             },
         );
         let now = T0 + age * SEC;
@@ -1248,22 +1248,22 @@
         assert_eq!(
             server_id == 7,
             follows,
-            "telling {tells}, {age} s: {server_id}"
+            "telling {may_gossip}, {age} s: {server_id}"
         );
     }
     for bad in [&b""[..], b"\x01", b"\x00\x01\x00\x07", b"\x00\x01123456789"] {
-        assert_eq!(Holds::from_bytes(bad), None, "{bad:?}");
+        assert_eq!(GroupPlacement::from_bytes(bad), None, "{bad:?}");
     }
 }
 
 #[test]
 fn words_stay_within_what_all_can_hear() {
-    // Guards against a storm in which each of hundreds tells of each client (4 million words in 16 s). Balancers,
-    // words in 10 s at most.
+    // Guards against a storm in which each of hundreds tells of each client (4 million messages in 16 s). Balancers,
+    // messages in 10 s at most.
     for (balancers, most) in [(1.0, 100), (30.0, 12), (600.0, 2)] {
         let mut policy = balancer(Idempotency::Idempotent).among(balancers, true);
         policy.list(T0, &[ready(0)], true);
-        let mut words = 0;
+        let mut messages = 0;
         for id in 0..100 {
             let now = T0 + id * SEC / 10;
             let one = Flow {
@@ -1271,7 +1271,7 @@
                 ..flow(now, id)
             };
             policy.place(now, &one);
-            words += usize::from(
+            messages += usize::from(
                 policy
                     .after(now, Outcome::Established { flow: id, took: MS })
                     .tell
@@ -1288,8 +1288,8 @@
             );
         }
         assert!(
-            (1..=most).contains(&words),
-            "{balancers} balancers: {words}"
+            (1..=most).contains(&messages),
+            "{balancers} balancers: {messages}"
         );
     }
 }
@@ -1297,7 +1297,7 @@
 #[test]
 fn other_settings_keep_what_is_known_and_in_hand() {
     // Guards against a switch that forgets connections, drains or failures, and one that can't be taken back.
-    let made = |tells| balancer(Idempotency::Idempotent).among(1.0, tells);
+    let made = |may_gossip| balancer(Idempotency::Idempotent).among(1.0, may_gossip);
     let mut policy = made(false);
     policy.list(
         T0,
@@ -1329,24 +1329,24 @@
             owed: None,
         },
     );
-    for tells in [true, false, true, false] {
-        policy.change(made(tells));
-        policy.heard(
+    for may_gossip in [true, false, true, false] {
+        policy.change(made(may_gossip));
+        policy.receive_gossip(
             T0,
-            Holds {
+            GroupPlacement {
                 group: 1,
                 server_id: 0,
             },
         );
         for id in 10..20 {
             let one = Flow {
-                group: (!tells).then(|| "a".into()),
+                group: (!may_gossip).then(|| "a".into()),
                 ..flow(T0, id)
             };
             let placed = policy.place(T0, &one);
             assert!(
                 matches!(placed, Place::To(0 | 1, ..))
-                    && (tells || matches!(placed, Place::To(1, ..))),
+                    && (may_gossip || matches!(placed, Place::To(1, ..))),
                 "{placed:?}"
             );
             policy.after(
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -98,7 +98,7 @@
                 self.allowed("limits/second-copies")?,
                 self.allowed("limits/may-cancel")?,
             )
-            .among(self.number_or("replicas-of-me", 1.0)?, self.may_tell()?)
+            .among(self.number_or("replicas-of-me", 1.0)?, self.may_gossip()?)
             .tenants(self.shares()?, self.number_or("surplus-value", 1.0)?)
             .come_back(self.come_back()?)
             .probing(
@@ -153,13 +153,13 @@
     }
 
     /// Whether balancers may tell one another anything; not where nothing is said of it.
-    pub fn may_tell(&self) -> Read<bool> {
+    pub fn may_gossip(&self) -> Read<bool> {
         self.allowed("limits/may-tell")
     }
 
     /// These settings where balancers have a way to tell one another what they may, or none: guards against a module that
     /// waits for the others' words in place of going by what it holds itself.
-    pub fn with_words(mut self, way: bool) -> Settings {
+    pub fn with_gossip(mut self, way: bool) -> Settings {
         if !way && self.maybe("limits/may-tell").is_some() {
             self.0["limits"]["may-tell"] = false.into();
         }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,8 +11,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::{Act, Brain, Hand, Who};
 use nettlemux_policy::{
-    Endpoint, EndpointState, Flow, FlowId, Holds, LoadReport, MS, Outcome, Place, Policy, SEC,
-    ServerId, Time, Todo,
+    Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Outcome, Place, Policy,
+    SEC, ServerId, Time, Todo,
 };
 use nettlemux_settings::Settings;
 
@@ -63,7 +63,7 @@
         place_p99_us: Some(microseconds(0.99)),
         place_us_per_flow: Some(calls.nanoseconds as f64 / 1e3 / asked),
         place_calls_per_placement: Some(calls.number as f64 / placed.max(1.0)),
-        servers_per_placement: servers_per_placement(&calls.notes, part.may_tell),
+        servers_per_placement: servers_per_placement(&calls.notes, part.may_gossip),
         placed_share: Some(placed / asked),
         probes_per_second: Some(probes as f64 / measured),
         bytes_per_server: Some(server_bytes / counts.servers as f64),
@@ -153,8 +153,8 @@
     fn told_load(&mut self, flow: FlowId, load: f64) {
         self.policy.told_load(flow, load);
     }
-    fn heard(&mut self, now: Time, word: Holds) {
-        self.policy.heard(now, word);
+    fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
+        self.policy.receive_gossip(now, placement);
     }
 }
 
@@ -196,7 +196,7 @@
         let of = SettingsOf {
             balancers: counts.balancers,
             probe_price: part.probe_price,
-            may_tell: part.may_tell,
+            may_gossip: part.may_gossip,
         };
         let settings = Settings::within(&settings(of)).map_err(|e| e.to_string())?;
         let policy = settings
@@ -384,7 +384,7 @@
                     self.plan(self.now + PROBE_ROUND_TRIP, Event::ProbeAnswered(server_id));
                 }
                 Act::Reject { .. } | Act::Abort { .. } | Act::Move { .. } => {}
-                Act::CallOff { .. } | Act::AskList | Act::Tell(_) => {}
+                Act::CallOff { .. } | Act::AskList | Act::Gossip(_) => {}
             }
         }
     }
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -86,7 +86,7 @@
         let of = SettingsOf {
             balancers: counts.balancers,
             probe_price: plan.probe_price,
-            may_tell: false,
+            may_gossip: false,
         };
         let launch = Launch::new(
             &plan.program,
--- a/crates/testbed/src/scale/scenario.rs
+++ b/crates/testbed/src/scale/scenario.rs
@@ -110,8 +110,8 @@
     #[serde(default)]
     pub probe_price: f64,
     /// Whether balancers tell one another what is held where.
-    #[serde(default)]
-    pub may_tell: bool,
+    #[serde(default, alias = "may_tell")]
+    pub may_gossip: bool,
 }
 
 /// Real balancers beside hollow ones, on sockets.
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -13,7 +13,7 @@
 pub struct SettingsOf {
     pub balancers: u64,
     pub probe_price: f64,
-    pub may_tell: bool,
+    pub may_gossip: bool,
 }
 
 /// The settings of one balancer.
@@ -30,7 +30,7 @@
         "contract": {"start-capacity": 0.35, "warm-up": 8 * SECOND_US, "fall-multiple": 3.0},
         "limits": {
             "max-connects": 3, "second-copies": false, "may-cancel": true, "probes": true,
-            "may-tell": of.may_tell, "retry-after": true, "max-retry-after": 2 * SECOND_US,
+            "may-tell": of.may_gossip, "retry-after": true, "max-retry-after": 2 * SECOND_US,
             "dial-timeout": SECOND_US / 4,
         },
         "report": {"how": "pull", "fields": ["x0", "busy"]},
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -88,7 +88,7 @@
         placements: 40,
         placements_per_second: 50.0,
         probe_price,
-        may_tell: false,
+        may_gossip: false,
     };
     (fixed, part)
 }
