--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -154,7 +154,7 @@
         let server_id = parts.get("server")?;
         let (end, _) = wire::end(parts.word("reason")?)?;
         let report = wire::report(parts.word("report")?, &self.reports)?;
-        let passed = end == nettlemux_policy::End::Done;
+        let passed = end == nettlemux_policy::AttemptEnd::Done;
         self.acts(out, |hand, acts| {
             hand.probed(now, server_id, passed, report, acts)
         });
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use nettlemux_policy::{End, Endpoint, EndpointState, LoadReport, Time};
+use nettlemux_policy::{AttemptEnd, Endpoint, EndpointState, LoadReport, Time};
 use nettlemux_settings::LoadReportFormat;
 pub use nettlemux_settings::{Malformed, Read};
 
@@ -105,17 +105,17 @@
     time / US
 }
 
-pub fn end(word: &str) -> Read<(End, bool)> {
+pub fn end(word: &str) -> Read<(AttemptEnd, bool)> {
     // Beside each, whether it proves that the attempt never ran.
     Ok(match word {
-        "pass" => (End::Done, false),
-        "fault" => (End::Error, false),
-        "no_room" => (End::Full, true),
-        "too_slow" => (End::TimedOut, false),
-        "no_route" => (End::Unreachable, true),
-        "cut" => (End::Cut, false),
-        "undone" => (End::CalledOff, false),
-        "stale_send" => (End::NotSent, true),
+        "pass" => (AttemptEnd::Done, false),
+        "fault" => (AttemptEnd::Error, false),
+        "no_room" => (AttemptEnd::Overloaded, true),
+        "too_slow" => (AttemptEnd::TimedOut, false),
+        "no_route" => (AttemptEnd::Unreachable, true),
+        "cut" => (AttemptEnd::ConnectionLost, false),
+        "undone" => (AttemptEnd::Cancelled, false),
+        "stale_send" => (AttemptEnd::NotSent, true),
         other => {
             return Err(Malformed::new(
                 "reason",
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use nettlemux_policy::{End, Flow, FlowId, LoadReport, MS, Time};
+use nettlemux_policy::{AttemptEnd, Flow, FlowId, LoadReport, MS, Time};
 use tracing::{debug, error, info, warn};
 
 use crate::clock;
@@ -15,7 +15,7 @@
 /// How an attempt has ended that brought no connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
-    pub end: End,
+    pub end: AttemptEnd,
     pub known_unexecuted: bool,
     pub report: LoadReport,
 }
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_admission::Config;
 use nettlemux_flow_table::Who;
-use nettlemux_policy::{End, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
+use nettlemux_policy::{AttemptEnd, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
 use nettlemux_settings::Settings;
 
 use crate::mail::Sender;
@@ -62,7 +62,7 @@
         flow: FlowId,
         server_id: ServerId,
         number: usize,
-        end: End,
+        end: AttemptEnd,
         known_unexecuted: bool,
         report: LoadReport,
     },
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -4,7 +4,7 @@
 
 mod direction;
 
-use nettlemux_policy::{End, LoadReport, MS, SEC, Time};
+use nettlemux_policy::{AttemptEnd, LoadReport, MS, SEC, Time};
 use tracing::{debug, info};
 
 use crate::book::Book;
@@ -48,8 +48,8 @@
     let mut slowest = 0;
     let none = LoadReport::default();
     let mut close_by: Option<Time> = None;
-    let mut over: Option<End> = None;
-    let tell_end = |book: &Book, over: &mut Option<End>, slowest: Time, end, report| {
+    let mut over: Option<AttemptEnd> = None;
+    let tell_end = |book: &Book, over: &mut Option<AttemptEnd>, slowest: Time, end, report| {
         if over.is_none() {
             *over = Some(end);
             debug!(
@@ -94,9 +94,9 @@
         }
         if let Err(broken) = passed {
             let end = if broken == Broken::Sender {
-                End::Cut
+                AttemptEnd::ConnectionLost
             } else {
-                End::Done
+                AttemptEnd::Done
             };
             tell_end(&book, &mut over, slowest, end, none);
             // A reset is passed on as one.
@@ -110,24 +110,24 @@
         });
         match passed {
             Err(Broken::Sender) => {
-                tell_end(&book, &mut over, slowest, End::Done, none);
+                tell_end(&book, &mut over, slowest, AttemptEnd::Done, none);
                 server.reset();
                 return;
             }
             // Its last words have been passed on by now, or are about to be read.
             Err(Broken::Receiver) if !down.ended => {
-                tell_end(&book, &mut over, slowest, End::Cut, none);
+                tell_end(&book, &mut over, slowest, AttemptEnd::ConnectionLost, none);
                 client.reset();
                 return;
             }
             _ => {}
         }
         if down.ended && down.told {
-            let (end, report) = passing.last.unwrap_or((End::Cut, none));
+            let (end, report) = passing.last.unwrap_or((AttemptEnd::ConnectionLost, none));
             tell_end(&book, &mut over, slowest, end, report);
             close_by.get_or_insert(now + END);
         } else if up.ended {
-            tell_end(&book, &mut over, slowest, End::Done, none);
+            tell_end(&book, &mut over, slowest, AttemptEnd::Done, none);
             if answered || close_by.is_none() {
                 close_by = Some(now + SILENCE);
             }
@@ -137,7 +137,7 @@
         }
         let stuck = [down.stuck, up.stuck].into_iter().flatten().min();
         if stuck.is_some_and(|since| since + STUCK <= now) {
-            tell_end(&book, &mut over, slowest, End::Cut, none);
+            tell_end(&book, &mut over, slowest, AttemptEnd::ConnectionLost, none);
             return;
         }
 
@@ -147,7 +147,11 @@
         let line_is_whole = !down.holds_part() || book.move_by.is_some_and(|by| by <= now);
         let moves = book.move_by.is_some() && passing.between_lines() && line_is_whole;
         if may_move && (silent || moves) {
-            let end = if silent { End::Cut } else { End::CalledOff };
+            let end = if silent {
+                AttemptEnd::ConnectionLost
+            } else {
+                AttemptEnd::Cancelled
+            };
             info!(id = book.id, server = target.server.name, silent, "moved");
             tell_end(&book, &mut over, slowest, end, none);
             // Where part of an overlong line has been passed on the client can't be told, only ended.
--- a/crates/dataplane/src/send.rs
+++ b/crates/dataplane/src/send.rs
@@ -5,7 +5,7 @@
 
 use std::io::{self, ErrorKind};
 
-use nettlemux_policy::{End, LoadReport, Time};
+use nettlemux_policy::{AttemptEnd, LoadReport, Time};
 use tracing::warn;
 
 use crate::book::{Book, Ended};
@@ -39,7 +39,7 @@
 /// What a wait inside an attempt was ended by.
 enum Woken {
     Look,
-    Ended(End),
+    Ended(AttemptEnd),
     Left,
 }
 
@@ -71,10 +71,10 @@
         caller.mailbox.sender(),
     ) {
         Ok(server) => server,
-        Err(e) if concerns_server(&e) => return never(End::Unreachable),
+        Err(e) if concerns_server(&e) => return never(AttemptEnd::Unreachable),
         Err(e) => {
             warn!(error = %e, "can't connect");
-            return never(End::NotSent);
+            return never(AttemptEnd::NotSent);
         }
     };
 
@@ -87,16 +87,16 @@
         match server.connected() {
             Ok(true) => break,
             Ok(false) => {}
-            Err(_) => return never(End::Unreachable),
+            Err(_) => return never(AttemptEnd::Unreachable),
         }
         match client.wait(dialled_until) {
             Woken::Look if client.gone => return Sent::Left { unsent: true },
             Woken::Look => {}
             // Too late for a repeat, which tells nothing of the server.
             Woken::Ended(_) if target.by < target.until && clock::now() >= target.by => {
-                return never(End::NotSent);
+                return never(AttemptEnd::NotSent);
             }
-            Woken::Ended(_) => return never(End::Unreachable),
+            Woken::Ended(_) => return never(AttemptEnd::Unreachable),
             Woken::Left => return Sent::Left { unsent: true },
         }
     }
@@ -107,7 +107,7 @@
     // The list may have changed since the desk gave the order, and a repeat that was in time may be so no more. What was
     // open before the run goes where it was.
     if !inherited && (!target.server.ready() || clock::now() >= target.by) {
-        return never(End::NotSent);
+        return never(AttemptEnd::NotSent);
     }
     let onward = match inherited {
         true => [line, b"\r\n"].concat(),
@@ -119,13 +119,13 @@
         match server.write(&onward[written..]) {
             Ok(count) => written += count,
             // Its last byte was never written.
-            Err(_) => return never(End::Unreachable),
+            Err(_) => return never(AttemptEnd::Unreachable),
         }
         if written < onward.len() {
             match client.wait(target.by) {
                 Woken::Look if client.gone => return Sent::Left { unsent: true },
                 Woken::Look => {}
-                Woken::Ended(_) => return never(End::Unreachable),
+                Woken::Ended(_) => return never(AttemptEnd::Unreachable),
                 Woken::Left => return Sent::Left { unsent: true },
             }
         }
@@ -137,7 +137,7 @@
     loop {
         server.looked_at();
         match (server.read(&mut bytes[held..]), over) {
-            (Ok(Some(0)) | Err(_), _) => return maybe(End::Cut),
+            (Ok(Some(0)) | Err(_), _) => return maybe(AttemptEnd::ConnectionLost),
             (Ok(Some(count)), _) => held += count,
             (Ok(None), Some(end)) => {
                 // Closed before it is told: nobody may be served by it any more.
@@ -163,7 +163,7 @@
             };
         }
         if held == bytes.len() {
-            return maybe(End::Error);
+            return maybe(AttemptEnd::Error);
         }
     }
 }
@@ -187,7 +187,7 @@
 
     fn wait(&mut self, until: Time) -> Woken {
         match self.book.caller.mailbox.next(until) {
-            None | Some(Event::Order(Order::TimeUp)) => Woken::Ended(End::TimedOut),
+            None | Some(Event::Order(Order::TimeUp)) => Woken::Ended(AttemptEnd::TimedOut),
             Some(Event::Order(Order::CallOff)) if self.gone => Woken::Left,
             Some(Event::Order(Order::Move(by))) => {
                 self.book.move_by = Some(by);
@@ -207,7 +207,11 @@
 /// Tells the desk of an attempt that ended with its client.
 pub fn called_off(book: &Book, target: &Target, unsent: bool) {
     let (end, report) = (
-        if unsent { End::NotSent } else { End::CalledOff },
+        if unsent {
+            AttemptEnd::NotSent
+        } else {
+            AttemptEnd::Cancelled
+        },
         LoadReport::default(),
     );
     book.tell(Ask::Ended {
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -1,7 +1,7 @@
 //! The words of the platform's protocol as servers speak it, and the answers that clients get in it. It owns their
 //! form and must never touch a socket, a clock or a flow. Names of the wire end here.
 
-use nettlemux_policy::{End, LoadReport, Time};
+use nettlemux_policy::{AttemptEnd, LoadReport, Time};
 use nettlemux_settings::{LoadReportFormat, figure};
 
 const MS: Time = nettlemux_policy::MS;
@@ -36,25 +36,27 @@
 pub enum Answer {
     Up,
     /// No connection: how the attempt ended, whether that proves that it never ran, and the load report.
-    Ended(End, bool, LoadReport),
+    Ended(AttemptEnd, bool, LoadReport),
 }
 
 /// Reads a server's answer, with its end. Only a refusal to the letter proves that nothing ran. Guards against a spoilt one that is passed on as served: what isn't ended by
 /// CRLF, or isn't one word with its receipt, no server has said.
 pub fn answer(line: &[u8], reports: &LoadReportFormat) -> Answer {
     let Some(line) = line.strip_suffix(b"\r\n") else {
-        return Answer::Ended(End::Error, false, LoadReport::default());
+        return Answer::Ended(AttemptEnd::Error, false, LoadReport::default());
     };
     let line = String::from_utf8_lossy(line);
     let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
     let report = reports.read(rest, '=').unwrap_or_default();
     match word {
         "UP" if !rest.is_empty() && rest.bytes().all(|byte| byte.is_ascii_graphic()) => Answer::Up,
-        "BUSY" if line == "BUSY" || is_report(rest) => Answer::Ended(End::Full, true, report),
-        "BYE" => Answer::Ended(End::Done, false, report),
-        "MOVE" => Answer::Ended(End::CalledOff, false, report),
+        "BUSY" if line == "BUSY" || is_report(rest) => {
+            Answer::Ended(AttemptEnd::Overloaded, true, report)
+        }
+        "BYE" => Answer::Ended(AttemptEnd::Done, false, report),
+        "MOVE" => Answer::Ended(AttemptEnd::Cancelled, false, report),
         // `ERR`, and what no server should say: it may have run.
-        _ => Answer::Ended(End::Error, false, report),
+        _ => Answer::Ended(AttemptEnd::Error, false, report),
     }
 }
 
@@ -106,7 +108,7 @@
     line: [u8; KEPT],
     length: usize,
     /// How the server said that it ends, and its load report.
-    pub last: Option<(End, LoadReport)>,
+    pub last: Option<(AttemptEnd, LoadReport)>,
 }
 
 impl Passing {
@@ -142,9 +144,9 @@
             .trim_end();
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         let end = match word {
-            "BYE" => Some(End::Done),
-            "MOVE" => Some(End::CalledOff),
-            "ERR" => Some(End::Error),
+            "BYE" => Some(AttemptEnd::Done),
+            "MOVE" => Some(AttemptEnd::Cancelled),
+            "ERR" => Some(AttemptEnd::Error),
             _ => None,
         };
         self.last = end.map(|end| (end, self.reports.read(rest, '=').unwrap_or_default()));
--- a/crates/dataplane/src/wire/tests.rs
+++ b/crates/dataplane/src/wire/tests.rs
@@ -29,27 +29,30 @@
     for (line, expected) in [
         ("UP 12ab", Answer::Up),
         // Without a receipt it is no server's word; a figure that is no number is none.
-        ("UP", Answer::Ended(End::Error, false, none)),
-        ("UP ", Answer::Ended(End::Error, false, none)),
-        ("UP 1 2", Answer::Ended(End::Error, false, none)),
-        ("UP 1\u{1}", Answer::Ended(End::Error, false, none)),
-        ("UP 1\u{fffd}", Answer::Ended(End::Error, false, none)),
+        ("UP", Answer::Ended(AttemptEnd::Error, false, none)),
+        ("UP ", Answer::Ended(AttemptEnd::Error, false, none)),
+        ("UP 1 2", Answer::Ended(AttemptEnd::Error, false, none)),
+        ("UP 1\u{1}", Answer::Ended(AttemptEnd::Error, false, none)),
+        (
+            "UP 1\u{fffd}",
+            Answer::Ended(AttemptEnd::Error, false, none),
+        ),
         (
             "BUSY util=nan,inflight=-3",
-            Answer::Ended(End::Full, true, none),
+            Answer::Ended(AttemptEnd::Overloaded, true, none),
         ),
         (
             "BUSY inflight=7,queue=inf,util=0.61",
-            Answer::Ended(End::Full, true, busy),
+            Answer::Ended(AttemptEnd::Overloaded, true, busy),
         ),
         (
             "BUSY inflight=7,queue=2,util=0.61",
-            Answer::Ended(End::Full, true, busy),
+            Answer::Ended(AttemptEnd::Overloaded, true, busy),
         ),
-        ("BYE", Answer::Ended(End::Done, false, none)),
-        ("ERR", Answer::Ended(End::Error, false, none)),
-        ("MOVE", Answer::Ended(End::CalledOff, false, none)),
-        ("SYNTAX", Answer::Ended(End::Error, false, none)),
+        ("BYE", Answer::Ended(AttemptEnd::Done, false, none)),
+        ("ERR", Answer::Ended(AttemptEnd::Error, false, none)),
+        ("MOVE", Answer::Ended(AttemptEnd::Cancelled, false, none)),
+        ("SYNTAX", Answer::Ended(AttemptEnd::Error, false, none)),
     ] {
         assert_eq!(
             answer(
@@ -59,7 +62,7 @@
             expected,
             "{line}"
         );
-        let cut = Answer::Ended(End::Error, false, none);
+        let cut = Answer::Ended(AttemptEnd::Error, false, none);
         assert_eq!(
             answer(format!("{line}\n").as_bytes(), &LoadReportFormat::default()),
             cut,
@@ -83,7 +86,7 @@
         };
         assert_eq!(
             (passing.between_lines(), passing.last),
-            (true, Some((End::Done, report)))
+            (true, Some((AttemptEnd::Done, report)))
         );
     }
     for bad in ["nan", "inf", "-1", "1e999", ""] {
@@ -118,7 +121,7 @@
             &LoadReportFormat::default(),
         );
         assert!(
-            matches!(answer, Answer::Ended(End::Error, false, _)),
+            matches!(answer, Answer::Ended(AttemptEnd::Error, false, _)),
             "{spoilt:?}: {answer:?}"
         );
     }
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,8 +8,8 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Attempt, End, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Outcome, Place, Policy,
-    ServerId, Time, Todo,
+    Attempt, AttemptEnd, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Outcome, Place,
+    Policy, ServerId, Time, Todo,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
@@ -287,7 +287,7 @@
         now: Time,
         (flow, number): (FlowId, usize),
         server_id: ServerId,
-        (end, known_unexecuted): (End, bool),
+        (end, known_unexecuted): (AttemptEnd, bool),
         report: LoadReport,
         acts: &mut Vec<Act>,
     ) {
@@ -431,7 +431,7 @@
                 Outcome::Ended {
                     flow,
                     server_id,
-                    end: End::NotSent,
+                    end: AttemptEnd::NotSent,
                     owed: None,
                 },
             );
@@ -581,7 +581,14 @@
             utilization: Some(0.4),
             connections: None,
         };
-        hand.ended(2, (7, 0), 4, (End::Full, true), report, &mut acts);
+        hand.ended(
+            2,
+            (7, 0),
+            4,
+            (AttemptEnd::Overloaded, true),
+            report,
+            &mut acts,
+        );
         assert!(
             hand.has_attempt_in_flight(7)
                 && hand.flow(7).is_some_and(|f| f.attempts[0].known_unexecuted)
@@ -590,7 +597,7 @@
             3,
             (7, 1),
             5,
-            (End::Cut, false),
+            (AttemptEnd::ConnectionLost, false),
             LoadReport::default(),
             &mut acts,
         );
@@ -624,7 +631,7 @@
             4,
             (7, 1),
             5,
-            (End::Cut, false),
+            (AttemptEnd::ConnectionLost, false),
             LoadReport::default(),
             &mut acts,
         );
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -156,7 +156,7 @@
                 self.outcome(Outcome::Ended {
                     flow,
                     server_id,
-                    end: End::Done,
+                    end: AttemptEnd::Done,
                     owed: None,
                 });
             }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -729,9 +729,9 @@
             } => {
                 let own = self.book.strike(flow);
                 let setting_up = own.as_ref().is_some_and(|own| !own.established);
-                self.they_move |=
-                    end == End::CalledOff && own.is_some_and(|own| own.established && !own.moved);
-                let shared = matches!(end, End::TimedOut | End::Error);
+                self.they_move |= end == AttemptEnd::Cancelled
+                    && own.is_some_and(|own| own.established && !own.moved);
+                let shared = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Error);
                 if shared
                     && self
                         .servers
@@ -742,12 +742,19 @@
                 }
                 if let Some(server) = self.servers.get_mut(&server_id).filter(|_| setting_up) {
                     server.placed.pop_back();
-                    server.refused = if end == End::Full {
+                    server.refused = if end == AttemptEnd::Overloaded {
                         Some(now)
                     } else {
                         server.refused
                     };
-                    if shared || matches!(end, End::Unreachable | End::Full | End::Cut) {
+                    if shared
+                        || matches!(
+                            end,
+                            AttemptEnd::Unreachable
+                                | AttemptEnd::Overloaded
+                                | AttemptEnd::ConnectionLost
+                        )
+                    {
                         keep(&mut server.failed, now);
                     }
                 }
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -138,14 +138,14 @@
 
 /// How an attempt, or the connection it became, has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     Done,
     Error,
-    Full,
+    Overloaded,
     TimedOut,
     Unreachable,
-    Cut,
-    CalledOff,
+    ConnectionLost,
+    Cancelled,
     NotSent,
 }
 
@@ -160,7 +160,7 @@
     Ended {
         flow: FlowId,
         server_id: ServerId,
-        end: End,
+        end: AttemptEnd,
         owed: Option<&'a Flow>,
     },
     /// The client went away.
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -126,7 +126,7 @@
                 Outcome::Ended {
                     flow,
                     server_id,
-                    end: End::Done,
+                    end: AttemptEnd::Done,
                     owed: None,
                 },
             );
@@ -182,7 +182,7 @@
             let refused = Outcome::Ended {
                 flow: flow.id,
                 server_id,
-                end: End::Full,
+                end: AttemptEnd::Overloaded,
                 owed: Some(&flow),
             };
             let Some(next) = self.policy.after(now, refused).place else {
@@ -205,7 +205,7 @@
                 Outcome::Ended {
                     flow,
                     server_id,
-                    end: End::Cut,
+                    end: AttemptEnd::ConnectionLost,
                     owed: None,
                 },
             );
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -37,7 +37,7 @@
                 Outcome::Ended {
                     flow: id,
                     server_id: 0,
-                    end: End::Done,
+                    end: AttemptEnd::Done,
                     owed: None,
                 },
             );
@@ -495,7 +495,7 @@
         Outcome::Ended {
             flow: 1,
             server_id: 1,
-            end: End::CalledOff,
+            end: AttemptEnd::Cancelled,
             owed: None,
         },
     );
@@ -637,7 +637,7 @@
                 Outcome::Ended {
                     flow: id,
                     server_id,
-                    end: End::Cut,
+                    end: AttemptEnd::ConnectionLost,
                     owed: None,
                 },
             );
@@ -714,7 +714,7 @@
             Outcome::Ended {
                 flow: id,
                 server_id: 99,
-                end: End::TimedOut,
+                end: AttemptEnd::TimedOut,
                 owed: None,
             },
         );
@@ -723,7 +723,7 @@
             Outcome::Ended {
                 flow: id,
                 server_id: id % 9,
-                end: End::TimedOut,
+                end: AttemptEnd::TimedOut,
                 owed: None,
             },
         );
@@ -765,7 +765,7 @@
             Outcome::Ended {
                 flow: 0,
                 server_id: 0,
-                end: End::TimedOut,
+                end: AttemptEnd::TimedOut,
                 owed: None,
             },
         );
@@ -776,7 +776,7 @@
                     Outcome::Ended {
                         flow: id,
                         server_id: 0,
-                        end: End::Done,
+                        end: AttemptEnd::Done,
                         owed: None,
                     },
                 ))
@@ -864,7 +864,7 @@
             let ended = Outcome::Ended {
                 flow: id,
                 server_id,
-                end: End::Error,
+                end: AttemptEnd::Error,
                 owed: Some(&tried),
             };
             assert!(matches!(
@@ -933,13 +933,13 @@
         policy.told_load(7, b);
     }
     for end in [
-        End::Done,
-        End::Error,
-        End::Full,
-        End::TimedOut,
-        End::Cut,
-        End::CalledOff,
-        End::NotSent,
+        AttemptEnd::Done,
+        AttemptEnd::Error,
+        AttemptEnd::Overloaded,
+        AttemptEnd::TimedOut,
+        AttemptEnd::ConnectionLost,
+        AttemptEnd::Cancelled,
+        AttemptEnd::NotSent,
     ] {
         policy.after(
             T0,
@@ -1282,7 +1282,7 @@
                 Outcome::Ended {
                     flow: id,
                     server_id: 0,
-                    end: End::Done,
+                    end: AttemptEnd::Done,
                     owed: None,
                 },
             );
@@ -1325,7 +1325,7 @@
         Outcome::Ended {
             flow: 9,
             server_id: 2,
-            end: End::Error,
+            end: AttemptEnd::Error,
             owed: None,
         },
     );
@@ -1354,7 +1354,7 @@
                 Outcome::Ended {
                     flow: id,
                     server_id: 1,
-                    end: End::Done,
+                    end: AttemptEnd::Done,
                     owed: None,
                 },
             );
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -84,7 +84,7 @@
             Outcome::Ended {
                 flow: id,
                 server_id,
-                end: End::Done,
+                end: AttemptEnd::Done,
                 owed: None,
             },
         );
@@ -306,7 +306,7 @@
             Outcome::Ended {
                 flow: 1,
                 server_id: first,
-                end: End::Done,
+                end: AttemptEnd::Done,
                 owed: None,
             },
         );
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -3,7 +3,7 @@
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Final, Seen};
 use nettlemux_fleet_model::server::Offer;
-use nettlemux_policy::{End, FlowId, LoadReport, Time};
+use nettlemux_policy::{AttemptEnd, FlowId, LoadReport, Time};
 
 use super::event::{Ending, Event, ServerResponse};
 use super::flow::{Attempt, FlowPhase};
@@ -137,7 +137,7 @@
         let state = self.flows.get_mut(&flow).expect("looked up by the caller");
         if state.phase != FlowPhase::Waiting {
             // The client has left meanwhile.
-            return self.attempt_ended(flow, attempt, Ending::may_have_run(End::CalledOff));
+            return self.attempt_ended(flow, attempt, Ending::may_have_run(AttemptEnd::Cancelled));
         }
         state.phase = FlowPhase::Connected;
         let (client, moving) = (state.client, state.moving);
@@ -177,7 +177,7 @@
             .get(&flow)
             .filter(|state| state.phase != FlowPhase::Connected);
         if let Some(attempt) = pending.and_then(|state| state.current_attempt(number)) {
-            self.attempt_ended(flow, attempt, Ending::may_have_run(End::TimedOut));
+            self.attempt_ended(flow, attempt, Ending::may_have_run(AttemptEnd::TimedOut));
         }
     }
 
@@ -188,7 +188,7 @@
             .get(&flow)
             .filter(|state| state.phase == FlowPhase::Settled);
         if let Some(attempt) = settled.and_then(|state| state.attempt) {
-            self.attempt_ended(flow, attempt, Ending::may_have_run(End::CalledOff));
+            self.attempt_ended(flow, attempt, Ending::may_have_run(AttemptEnd::Cancelled));
         }
     }
 
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -4,7 +4,7 @@
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Ender, Seen};
 use nettlemux_flow_table::Who as Requester;
-use nettlemux_policy::{End, Flow, FlowId, MS, Time};
+use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
 use nettlemux_settings::operator::By;
 
 use super::connections::Closure;
@@ -149,7 +149,7 @@
                     told: false,
                     sound: true,
                 };
-                self.close_connection(flow, closure, Ending::may_have_run(End::Done));
+                self.close_connection(flow, closure, Ending::may_have_run(AttemptEnd::Done));
             } else {
                 self.client_leaves(flow);
             }
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -1,7 +1,7 @@
 //! Established connections: how they begin, and how a client, a server or a balancer ends them.
 
 use nettlemux_fleet_model::seen::{Ender, Seen};
-use nettlemux_policy::{End, FlowId};
+use nettlemux_policy::{AttemptEnd, FlowId};
 
 use super::event::{Ending, Event, ServerResponse};
 use super::flow::ClientId;
@@ -69,7 +69,7 @@
                     told,
                     sound: true,
                 },
-                End::CalledOff,
+                AttemptEnd::Cancelled,
             );
             self.figures.moves += 1;
         } else if let Some(state) = self.flows.get_mut(&flow) {
@@ -97,12 +97,12 @@
                 told: true,
                 sound: false,
             },
-            End::Cut,
+            AttemptEnd::ConnectionLost,
         );
         self.figures.lost += 1;
     }
 
-    fn closed_by_balancer(&mut self, flow: FlowId, closure: Closure, end: End) {
+    fn closed_by_balancer(&mut self, flow: FlowId, closure: Closure, end: AttemptEnd) {
         if let Some(client) = self.close_connection(flow, closure, Ending::may_have_run(end)) {
             self.reconnect(client, true);
         }
--- a/crates/testbed/src/simulate/event.rs
+++ b/crates/testbed/src/simulate/event.rs
@@ -1,7 +1,7 @@
 //! The events of the simulation and the values that they carry.
 
 use nettlemux_fleet_model::seen::Final;
-use nettlemux_policy::{End, FlowId, Time};
+use nettlemux_policy::{AttemptEnd, FlowId, Time};
 
 use super::balancer::Incarnation;
 use super::flow::ClientId;
@@ -82,12 +82,14 @@
     /// How the attempt or connection ended with this response.
     pub(super) fn ending(self) -> Ending {
         let (end, known_unexecuted) = match self {
-            ServerResponse::Connected => (End::Done, false),
-            ServerResponse::Busy => (End::Full, true),
-            ServerResponse::Error => (End::Error, false),
-            ServerResponse::Refused | ServerResponse::Unreachable => (End::Unreachable, true),
-            ServerResponse::Reset => (End::Cut, false),
-            ServerResponse::Redirected => (End::CalledOff, false),
+            ServerResponse::Connected => (AttemptEnd::Done, false),
+            ServerResponse::Busy => (AttemptEnd::Overloaded, true),
+            ServerResponse::Error => (AttemptEnd::Error, false),
+            ServerResponse::Refused | ServerResponse::Unreachable => {
+                (AttemptEnd::Unreachable, true)
+            }
+            ServerResponse::Reset => (AttemptEnd::ConnectionLost, false),
+            ServerResponse::Redirected => (AttemptEnd::Cancelled, false),
         };
         Ending {
             end,
@@ -99,14 +101,14 @@
 /// How an attempt or a connection ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Ending {
-    pub(super) end: End,
+    pub(super) end: AttemptEnd,
     /// It is certain that the server has not acted on it.
     pub(super) known_unexecuted: bool,
 }
 
 impl Ending {
     /// An ending after which the server may have acted.
-    pub(super) fn may_have_run(end: End) -> Self {
+    pub(super) fn may_have_run(end: AttemptEnd) -> Self {
         Ending {
             end,
             known_unexecuted: false,
