--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,15 +8,15 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Attempt, AttemptEnd, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Outcome, Place,
-    Policy, ServerId, Time, Todo,
+    Actions, Attempt, AttemptEnd, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Place,
+    Policy, PolicyEvent, ServerId, Time,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
 /// the laboratory has others to compare it with.
 pub trait Brain {
     fn place(&mut self, now: Time, flow: &Flow) -> Place;
-    fn after(&mut self, now: Time, outcome: Outcome) -> Todo;
+    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions;
     fn wait(&self, now: Time) -> Option<Time>;
     fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
     fn list_failed(&mut self, now: Time);
@@ -32,8 +32,8 @@
     fn place(&mut self, now: Time, flow: &Flow) -> Place {
         Policy::place(self, now, flow)
     }
-    fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
-        Policy::after(self, now, outcome)
+    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        Policy::after(self, now, event)
     }
     fn wait(&self, now: Time) -> Option<Time> {
         Policy::wait(self, now)
@@ -62,8 +62,8 @@
     fn place(&mut self, now: Time, flow: &Flow) -> Place {
         (**self).place(now, flow)
     }
-    fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
-        (**self).after(now, outcome)
+    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        (**self).after(now, event)
     }
     fn wait(&self, now: Time) -> Option<Time> {
         (**self).wait(now)
@@ -275,8 +275,8 @@
         if let Some(door) = &mut self.door {
             door.established(now);
         }
-        let todo = self.brain.after(now, Outcome::Established { flow, took });
-        self.carry_out(todo, acts);
+        let actions = self.brain.after(now, PolicyEvent::Connected { flow, took });
+        self.carry_out(actions, acts);
         self.let_in(now, acts);
     }
 
@@ -302,19 +302,19 @@
             }
             owed = in_hand.owed.then_some(&in_hand.flow);
         }
-        let todo = self.brain.after(
+        let actions = self.brain.after(
             now,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow,
                 server_id,
                 end,
                 owed,
             },
         );
-        if let Some(place) = todo.place {
+        if let Some(place) = actions.placement {
             self.answer(now, flow, place, acts);
         }
-        self.carry_out(todo, acts);
+        self.carry_out(actions, acts);
         self.let_in(now, acts);
     }
 
@@ -327,8 +327,8 @@
             // The module was never asked about it.
             return door.over(flow);
         }
-        let todo = self.brain.after(now, Outcome::Left { flow });
-        self.carry_out(todo, acts);
+        let actions = self.brain.after(now, PolicyEvent::ClientLeft { flow });
+        self.carry_out(actions, acts);
     }
 
     pub fn probed(
@@ -339,27 +339,27 @@
         report: LoadReport,
         acts: &mut Vec<Act>,
     ) {
-        let todo = self.brain.after(
+        let actions = self.brain.after(
             now,
-            Outcome::Probed {
+            PolicyEvent::HealthChecked {
                 server_id,
                 passed,
                 report,
             },
         );
-        self.carry_out(todo, acts);
+        self.carry_out(actions, acts);
     }
 
     /// The wait has passed: what was held is asked about again.
     pub fn elapsed(&mut self, now: Time, acts: &mut Vec<Act>) {
-        let todo = self.brain.after(now, Outcome::Elapsed);
+        let actions = self.brain.after(now, PolicyEvent::TimerExpired);
         for id in std::mem::take(&mut self.held) {
             if let Some(in_hand) = self.flows.get(&id).filter(|f| f.owed) {
                 let place = self.brain.place(now, &in_hand.flow);
                 self.answer(now, id, place, acts);
             }
         }
-        self.carry_out(todo, acts);
+        self.carry_out(actions, acts);
         if let Some(door) = &mut self.door {
             door.look(now);
         }
@@ -426,16 +426,16 @@
                 .find(|attempt| attempt.in_flight)
         });
         if let Some(Attempt { server_id, .. }) = out {
-            let todo = self.brain.after(
+            let actions = self.brain.after(
                 now,
-                Outcome::Ended {
+                PolicyEvent::AttemptEnded {
                     flow,
                     server_id,
                     end: AttemptEnd::NotSent,
                     owed: None,
                 },
             );
-            self.carry_out(todo, acts);
+            self.carry_out(actions, acts);
         }
     }
 
@@ -494,23 +494,24 @@
         });
     }
 
-    fn carry_out(&mut self, todo: Todo, acts: &mut Vec<Act>) {
+    fn carry_out(&mut self, actions: Actions, acts: &mut Vec<Act>) {
         acts.extend(
-            todo.probe
+            actions
+                .health_checks
                 .into_iter()
                 .map(|server_id| Act::Probe { server_id }),
         );
-        acts.extend(todo.shift.into_iter().map(|flow| Act::Move { flow }));
+        acts.extend(actions.migrate.into_iter().map(|flow| Act::Move { flow }));
         let number = |flow| {
             self.flow(flow)
                 .map_or(0, |f: &Flow| f.attempts.len().saturating_sub(1))
         };
-        acts.extend(todo.call_off.into_iter().map(|flow| Act::CallOff {
+        acts.extend(actions.cancel.into_iter().map(|flow| Act::CallOff {
             flow,
             number: number(flow),
         }));
-        acts.extend(todo.ask_list.then_some(Act::AskList));
-        acts.extend(todo.tell.map(Act::Gossip));
+        acts.extend(actions.poll_endpoints.then_some(Act::AskList));
+        acts.extend(actions.gossip.map(Act::Gossip));
     }
 }
 
@@ -529,20 +530,20 @@
         fn place(&mut self, _: Time, _: &Flow) -> Place {
             self.places.remove(0)
         }
-        fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
-            let mut todo = Todo::default();
-            match outcome {
-                Outcome::Ended { owed, .. } => {
+        fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+            let mut actions = Actions::default();
+            match event {
+                PolicyEvent::AttemptEnded { owed, .. } => {
                     self.owed.push(owed.is_some());
-                    todo.place = owed.map(|flow| self.place(now, flow));
+                    actions.placement = owed.map(|flow| self.place(now, flow));
                 }
-                Outcome::Left { flow } => todo.call_off.push(flow),
-                Outcome::Probed { server_id, .. } => {
-                    (todo.probe, todo.shift) = (vec![server_id], vec![9])
+                PolicyEvent::ClientLeft { flow } => actions.cancel.push(flow),
+                PolicyEvent::HealthChecked { server_id, .. } => {
+                    (actions.health_checks, actions.migrate) = (vec![server_id], vec![9])
                 }
                 _ => {}
             }
-            todo
+            actions
         }
         fn wait(&self, _: Time) -> Option<Time> {
             None
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -126,13 +126,13 @@
         }
     }
 
-    fn outcome(&mut self, outcome: Outcome) {
+    fn event(&mut self, event: PolicyEvent) {
         let began = Instant::now();
-        let todo = self.policy.after(self.now, outcome);
+        let actions = self.policy.after(self.now, event);
         self.outcomes.0 += began.elapsed().as_nanos();
         self.outcomes.1 += 1;
-        self.probes += todo.probe.len();
-        for server_id in todo.probe {
+        self.probes += actions.health_checks.len();
+        for server_id in actions.health_checks {
             self.answers
                 .push(std::cmp::Reverse((self.now + 2 * MS, server_id)));
         }
@@ -147,13 +147,13 @@
             Place::To(server_id, ..) => {
                 self.per_look.push(took);
                 self.per_flow.push(spent + took);
-                self.outcome(Outcome::Established {
+                self.event(PolicyEvent::Connected {
                     flow: flow.id,
                     took: MS,
                 });
                 self.established.push_back((flow.id, server_id));
                 let (flow, server_id) = self.established.pop_front().expect("one at least");
-                self.outcome(Outcome::Ended {
+                self.event(PolicyEvent::AttemptEnded {
                     flow,
                     server_id,
                     end: AttemptEnd::Done,
@@ -185,13 +185,13 @@
                     utilization: Some(utilization),
                     connections: Some(10_000.0),
                 };
-                self.outcome(Outcome::Probed {
+                self.event(PolicyEvent::HealthChecked {
                     server_id,
                     passed: true,
                     report,
                 });
             } else {
-                self.outcome(Outcome::Elapsed);
+                self.event(PolicyEvent::TimerExpired);
                 for (flow, spent) in std::mem::take(&mut self.held) {
                     self.place(flow, spent);
                 }
@@ -327,7 +327,7 @@
                     lost += 1;
                     continue;
                 };
-                policy.after(at, Outcome::Established { flow: id, took: MS });
+                policy.after(at, PolicyEvent::Connected { flow: id, took: MS });
                 held[server_id as usize] += 1.0;
                 of_group.entry(group).or_default().insert(server_id);
             }
@@ -353,7 +353,7 @@
 
 /// The wait elapses, and what is asked of servers then is answered with what they hold at this moment.
 fn answer(policy: &mut Policy, now: Time, held: &[f64], each: f64) {
-    let mut asked = policy.after(now, Outcome::Elapsed).probe;
+    let mut asked = policy.after(now, PolicyEvent::TimerExpired).health_checks;
     while let Some(server_id) = asked.pop() {
         let count = held[server_id as usize];
         let report = LoadReport {
@@ -364,13 +364,13 @@
             policy
                 .after(
                     now,
-                    Outcome::Probed {
+                    PolicyEvent::HealthChecked {
                         server_id,
                         passed: true,
                         report,
                     },
                 )
-                .probe,
+                .health_checks,
         );
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,7 +13,7 @@
 //! let flow = Flow { id: 7, deadline: 2 * SEC, ..Flow::default() };
 //! let Place::To(rs, limit, _) = policy.place(0, &flow) else { panic!("there is room") };
 //! assert_eq!((rs, limit), (51, 2 * SEC - 4 * MS));
-//! let todo = policy.after(MS, Outcome::Established { flow: 7, took: MS });
+//! let todo = policy.after(MS, Outcome::Connected { flow: 7, took: MS });
 //! assert_eq!(todo, Todo::default());
 //! ```
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -701,12 +701,12 @@
     }
 
     /// What to do after this outcome.
-    pub fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
-        let mut todo = Todo::default();
-        match outcome {
-            Outcome::Established { flow, .. } => {
+    pub fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        let mut actions = Actions::default();
+        match event {
+            PolicyEvent::Connected { flow, .. } => {
                 if let Some(server_id) = self.book.established(flow) {
-                    todo.tell = self.tell(now, flow, server_id);
+                    actions.gossip = self.tell(now, flow, server_id);
                     self.window.widen();
                     let warm = self
                         .servers
@@ -721,7 +721,7 @@
                     self.settled.drain(..old);
                 }
             }
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow,
                 server_id,
                 end,
@@ -758,14 +758,15 @@
                         keep(&mut server.failed, now);
                     }
                 }
-                todo.place = owed.map(|flow| self.place(now, flow));
+                actions.placement = owed.map(|flow| self.place(now, flow));
             }
-            Outcome::Left { flow } => {
+            PolicyEvent::ClientLeft { flow } => {
                 let in_flight = self.book.own.get(&flow).is_some_and(|own| !own.established);
-                todo.call_off
+                actions
+                    .cancel
                     .extend((self.may_call_off && in_flight).then_some(flow));
             }
-            Outcome::Probed {
+            PolicyEvent::HealthChecked {
                 server_id,
                 passed,
                 report,
@@ -805,14 +806,16 @@
                             let own = self.book.own.get_mut(flow).expect("our connection");
                             own.estimate = own.estimate.or(each);
                         }
-                        todo.shift = self.shed(now, server_id);
+                        actions.migrate = self.shed(now, server_id);
                     }
                 }
             }
-            Outcome::Elapsed => (self.held, self.look) = (0, self.look.filter(|at| *at > now)),
+            PolicyEvent::TimerExpired => {
+                (self.held, self.look) = (0, self.look.filter(|at| *at > now))
+            }
         }
         if self.next_probe.is_some_and(|at| at <= now) {
-            todo.probe = if self.long.is_some() {
+            actions.health_checks = if self.long.is_some() {
                 self.probe_some(now)
             } else {
                 self.probe_due(now)
@@ -823,18 +826,19 @@
             let drained = self.drained(now);
             self.leaving = (!drained.is_empty()).then_some(now + LOOK_AGAIN);
             let mut goes = |chance| self.rng.0.generate::<f64>() < chance;
-            todo.shift.extend(
+            actions.migrate.extend(
                 drained
                     .into_iter()
                     .filter(|(_, chance)| goes(*chance))
                     .map(|(flow, _)| flow),
             );
         }
-        todo.shift
+        actions
+            .migrate
             .iter()
             .for_each(|flow| self.book.own.get_mut(flow).expect("our connection").moved = true);
-        todo.ask_list = self.next_ask.take_if(|at| *at <= now).is_some();
-        todo
+        actions.poll_endpoints = self.next_ask.take_if(|at| *at <= now).is_some();
+        actions
     }
 
     /// All servers whose probe is due.
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -151,29 +151,29 @@
 
 /// What has come of an earlier answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Outcome<'a> {
-    Established {
+pub enum PolicyEvent<'a> {
+    Connected {
         flow: FlowId,
         took: Time,
     },
     /// `owed` is the flow, where it still waits for an answer.
-    Ended {
+    AttemptEnded {
         flow: FlowId,
         server_id: ServerId,
         end: AttemptEnd,
         owed: Option<&'a Flow>,
     },
     /// The client went away.
-    Left {
+    ClientLeft {
         flow: FlowId,
     },
-    Probed {
+    HealthChecked {
         server_id: ServerId,
         passed: bool,
         report: LoadReport,
     },
     /// The wait has passed.
-    Elapsed,
+    TimerExpired,
 }
 
 /// Where a flow goes.
@@ -191,17 +191,17 @@
 
 /// What to do after an outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Todo {
+pub struct Actions {
     /// The flow that was still owed an answer.
-    pub place: Option<Place>,
+    pub placement: Option<Place>,
     /// Servers to probe.
-    pub probe: Vec<ServerId>,
+    pub health_checks: Vec<ServerId>,
     /// Own connections to move.
-    pub shift: Vec<FlowId>,
+    pub migrate: Vec<FlowId>,
     /// Flows whose attempt is to be called off.
-    pub call_off: Vec<FlowId>,
+    pub cancel: Vec<FlowId>,
     /// Ask for the list.
-    pub ask_list: bool,
+    pub poll_endpoints: bool,
     /// Tell the other balancers.
-    pub tell: Option<GroupPlacement>,
+    pub gossip: Option<GroupPlacement>,
 }
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -123,7 +123,7 @@
             self.ends.pop();
             self.policy.after(
                 at,
-                Outcome::Ended {
+                PolicyEvent::AttemptEnded {
                     flow,
                     server_id,
                     end: AttemptEnd::Done,
@@ -144,7 +144,7 @@
                     utilization(server_id) + noise,
                 ))
             });
-            self.policy.after(now, Outcome::Elapsed);
+            self.policy.after(now, PolicyEvent::TimerExpired);
         }
     }
 
@@ -165,7 +165,7 @@
             if !refuses(server_id) {
                 self.policy.after(
                     now,
-                    Outcome::Established {
+                    PolicyEvent::Connected {
                         flow: flow.id,
                         took: MS,
                     },
@@ -179,13 +179,13 @@
                 in_flight: false,
                 known_unexecuted: true,
             });
-            let refused = Outcome::Ended {
+            let refused = PolicyEvent::AttemptEnded {
                 flow: flow.id,
                 server_id,
                 end: AttemptEnd::Overloaded,
                 owed: Some(&flow),
             };
-            let Some(next) = self.policy.after(now, refused).place else {
+            let Some(next) = self.policy.after(now, refused).placement else {
                 break;
             };
             place = next;
@@ -202,7 +202,7 @@
         for Reverse((_, flow, server_id)) in lost {
             self.policy.after(
                 now,
-                Outcome::Ended {
+                PolicyEvent::AttemptEnded {
                     flow,
                     server_id,
                     end: AttemptEnd::ConnectionLost,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -70,11 +70,11 @@
     policy
         .after(
             now,
-            Outcome::Probed {
+            PolicyEvent::HealthChecked {
                 server_id,
                 passed: true,
                 report: utilization(b),
             },
         )
-        .shift
+        .migrate
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -34,7 +34,7 @@
             got[take(&mut policy, T0, id) as usize] += 1;
             policy.after(
                 T0,
-                Outcome::Ended {
+                PolicyEvent::AttemptEnded {
                     flow: id,
                     server_id: 0,
                     end: AttemptEnd::Done,
@@ -144,7 +144,7 @@
         utilization: Some(b),
         connections: count,
     };
-    let probed = |report| Outcome::Probed {
+    let probed = |report| PolicyEvent::HealthChecked {
         server_id: 0,
         passed: true,
         report,
@@ -153,8 +153,8 @@
     policy.after(T0, probed(report(0.8, Some(2.0)))); // 0.4 each
     policy.inherit(&flow(T0, 3), 0);
     policy.after(T0, probed(report(0.3, Some(3.0)))); // 0.1 each
-    let todo = policy.after(T0, probed(report(1.79, None)));
-    assert_eq!(todo.shift[0], 7);
+    let actions = policy.after(T0, probed(report(1.79, None)));
+    assert_eq!(actions.migrate[0], 7);
 }
 
 #[test]
@@ -174,7 +174,7 @@
     for _ in 0..2 {
         policy.after(
             T0,
-            Outcome::Probed {
+            PolicyEvent::HealthChecked {
                 server_id: 0,
                 passed: false,
                 report: LoadReport::default(),
@@ -460,10 +460,10 @@
         policy.inherit(&flow(0, 1), 1);
         policy.inherit(&flow(0, 2), 1);
         policy.inherit(&flow(0, 3), 2);
-        policy.after(SEC, Outcome::Elapsed);
+        policy.after(SEC, PolicyEvent::TimerExpired);
         policy.list(SEC, &news, whole);
         assert_eq!(
-            policy.after(3 * SEC - 1, Outcome::Elapsed).shift,
+            policy.after(3 * SEC - 1, PolicyEvent::TimerExpired).migrate,
             [],
             "too early"
         );
@@ -475,8 +475,8 @@
         // Each once, one after the other, by the time in which a replacement is warm.
         let tick = |tick: u64| {
             policy
-                .after(3 * SEC + tick * 60 * MS, Outcome::Elapsed)
-                .shift
+                .after(3 * SEC + tick * 60 * MS, PolicyEvent::TimerExpired)
+                .migrate
         };
         let moved: Vec<FlowId> = (0..350).flat_map(tick).collect();
         assert_eq!(
@@ -492,14 +492,19 @@
     policy.list(SEC, &[drains(1)], false);
     policy.after(
         SEC,
-        Outcome::Ended {
+        PolicyEvent::AttemptEnded {
             flow: 1,
             server_id: 1,
             end: AttemptEnd::Cancelled,
             owed: None,
         },
     );
-    assert!(policy.after(4 * SEC, Outcome::Elapsed).shift.is_empty());
+    assert!(
+        policy
+            .after(4 * SEC, PolicyEvent::TimerExpired)
+            .migrate
+            .is_empty()
+    );
 }
 
 /// Balancers of one fleet, each with a connection at two of forty warm servers of that load.
@@ -534,8 +539,10 @@
                 whole,
             );
             for now in (0..9 * SEC).step_by((60 * MS) as usize) {
-                seconds[(now / SEC) as usize] +=
-                    policy.after(news + now, Outcome::Elapsed).shift.len();
+                seconds[(now / SEC) as usize] += policy
+                    .after(news + now, PolicyEvent::TimerExpired)
+                    .migrate
+                    .len();
             }
         }
         // Two each, from 2 s after the news until a replacement is warm, at 8 s.
@@ -576,7 +583,7 @@
             };
             policy.after(
                 now,
-                Outcome::Established {
+                PolicyEvent::Connected {
                     flow: 10 + tick,
                     took: MS,
                 },
@@ -630,11 +637,11 @@
             id += 1;
             let server_id = take(policy, now, id);
             if establish {
-                policy.after(now, Outcome::Established { flow: id, took: MS });
+                policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
             }
             policy.after(
                 now,
-                Outcome::Ended {
+                PolicyEvent::AttemptEnded {
                     flow: id,
                     server_id,
                     end: AttemptEnd::ConnectionLost,
@@ -711,7 +718,7 @@
         let now = T0 + id * 300 * MS;
         policy.after(
             now,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow: id,
                 server_id: 99,
                 end: AttemptEnd::TimedOut,
@@ -720,7 +727,7 @@
         );
         policy.after(
             now,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow: id,
                 server_id: id % 9,
                 end: AttemptEnd::TimedOut,
@@ -733,7 +740,7 @@
     assert!(jammed < before / 2, "{before} then {jammed}");
     // Recovery is noticed.
     (100..100 + jammed as FlowId)
-        .for_each(|id| drop(policy.after(later, Outcome::Established { flow: id, took: MS })));
+        .for_each(|id| drop(policy.after(later, PolicyEvent::Connected { flow: id, took: MS })));
     assert!(in_flight(&mut policy, later, 200) > jammed);
 }
 
@@ -762,7 +769,7 @@
         assert!(latest(&mut policy).is_some_and(|told| told <= SEC));
         policy.after(
             T0,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow: 0,
                 server_id: 0,
                 end: AttemptEnd::TimedOut,
@@ -773,7 +780,7 @@
             (1..20).for_each(|id| {
                 drop(policy.after(
                     T0,
-                    Outcome::Ended {
+                    PolicyEvent::AttemptEnded {
                         flow: id,
                         server_id: 0,
                         end: AttemptEnd::Done,
@@ -804,7 +811,7 @@
     for id in 1..20 {
         let now = T0 + id * 500 * MS;
         assert_ne!(take(&mut policy, now, id), silent);
-        policy.after(now, Outcome::Established { flow: id, took: MS });
+        policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
     }
 }
 
@@ -861,14 +868,14 @@
                 attempts: vec![attempt(server_id, false)],
                 ..flow(now, id)
             };
-            let ended = Outcome::Ended {
+            let ended = PolicyEvent::AttemptEnded {
                 flow: id,
                 server_id,
                 end: AttemptEnd::Error,
                 owed: Some(&tried),
             };
             assert!(matches!(
-                policy.after(now, ended).place,
+                policy.after(now, ended).placement,
                 Some(Place::Reject(_))
             ));
         }
@@ -943,7 +950,7 @@
     ] {
         policy.after(
             T0,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow: 999,
                 server_id: 42,
                 end,
@@ -952,7 +959,7 @@
         );
         policy.after(
             T0,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow: 7,
                 server_id: 0,
                 end,
@@ -960,11 +967,11 @@
             },
         );
     }
-    policy.after(T0, Outcome::Established { flow: 999, took: 0 });
+    policy.after(T0, PolicyEvent::Connected { flow: 999, took: 0 });
     assert!(
         policy
-            .after(T0, Outcome::Left { flow: 999 })
-            .call_off
+            .after(T0, PolicyEvent::ClientLeft { flow: 999 })
+            .cancel
             .is_empty()
     );
     let unknown = Flow {
@@ -972,23 +979,30 @@
         ..flow(T0, 5)
     };
     assert!(matches!(policy.place(T0, &unknown), Place::To(..)));
-    assert_eq!(policy.after(T0, Outcome::Left { flow: 5 }).call_off, [5]);
+    assert_eq!(
+        policy.after(T0, PolicyEvent::ClientLeft { flow: 5 }).cancel,
+        [5]
+    );
 }
 
 #[test]
 fn probes_and_lists_are_asked_for_when_due() {
     let mut policy = balancer(Idempotency::Idempotent).told(true, false);
-    assert!(policy.after(T0, Outcome::Elapsed).ask_list);
+    assert!(policy.after(T0, PolicyEvent::TimerExpired).poll_endpoints);
     assert_eq!(policy.wait(T0), None);
     policy.list_failed(T0);
     let wait = policy.wait(T0).expect("the list is asked for again");
-    assert!(policy.after(T0 + wait, Outcome::Elapsed).ask_list);
+    assert!(
+        policy
+            .after(T0 + wait, PolicyEvent::TimerExpired)
+            .poll_endpoints
+    );
     policy.list(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
     let mut probed = std::collections::BTreeSet::new();
     let mut now = T0;
     while now < T0 + 10 * SEC {
         now += policy.wait(now).expect("a probe is due").max(MS);
-        probed.extend(policy.after(now, Outcome::Elapsed).probe);
+        probed.extend(policy.after(now, PolicyEvent::TimerExpired).health_checks);
     }
     assert_eq!(probed.len(), 50);
     // Where probes aren't allowed none are asked for, and the rotation goes on.
@@ -1053,7 +1067,7 @@
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 60 * SEC {
             now += policy.wait(now).expect("a probe is due").max(MS);
-            for server_id in policy.after(now, Outcome::Elapsed).probe {
+            for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
                 count += usize::from(server_id == 7);
                 probe(&mut policy, now, server_id, 0.6 + (now % 97) as f64 / 1e4);
             }
@@ -1085,7 +1099,7 @@
                 },
             ) {
                 on[server_id as usize] += 1;
-                policy.after(now, Outcome::Established { flow: id, took: MS });
+                policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
             }
         }
         assert_eq!(
@@ -1105,7 +1119,7 @@
     let (mut now, mut count) = (T0, 0);
     while now < T0 + 8 * SEC {
         now += policy.wait(now).expect("a probe is due").max(MS);
-        for server_id in policy.after(now, Outcome::Elapsed).probe {
+        for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
             count += usize::from(server_id == 3);
             probe(&mut policy, now, server_id, 0.5);
         }
@@ -1125,7 +1139,7 @@
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 10 * SEC {
             now += policy.wait(now).expect("a probe is due").max(MS);
-            for server_id in policy.after(now, Outcome::Elapsed).probe {
+            for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
                 count += 1;
                 probe(&mut policy, now, server_id, 0.5 + (now % 97) as f64 / 1e4);
             }
@@ -1148,7 +1162,7 @@
         policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let mut now = T0 + 3 * SEC;
         assert_eq!(
-            policy.after(now, Outcome::Elapsed).probe,
+            policy.after(now, PolicyEvent::TimerExpired).health_checks,
             [],
             "none holds a connection of ours"
         );
@@ -1158,7 +1172,7 @@
         };
         assert_eq!(policy.place(now, &one), Place::NotYet);
         now += MS;
-        let asked = policy.after(now, Outcome::Elapsed).probe;
+        let asked = policy.after(now, PolicyEvent::TimerExpired).health_checks;
         assert!((1..=4).contains(&asked.len()), "{asked:?}");
         for server_id in &asked {
             let report = LoadReport {
@@ -1167,7 +1181,7 @@
             };
             policy.after(
                 now,
-                Outcome::Probed {
+                PolicyEvent::HealthChecked {
                     server_id: *server_id,
                     passed: true,
                     report,
@@ -1175,7 +1189,7 @@
             );
         }
         now += policy.wait(now).expect("a look at the flow").min(5 * MS);
-        policy.after(now, Outcome::Elapsed);
+        policy.after(now, PolicyEvent::TimerExpired);
         match policy.place(now, &one) {
             Place::To(server_id, ..) => {
                 assert!(goes && asked.contains(&server_id), "{load:?}: {server_id}")
@@ -1217,8 +1231,11 @@
             ));
             messages.extend(
                 teller
-                    .after(one.accepted_at, Outcome::Established { flow: id, took: MS })
-                    .tell,
+                    .after(
+                        one.accepted_at,
+                        PolicyEvent::Connected { flow: id, took: MS },
+                    )
+                    .gossip,
             );
         }
         assert_eq!(messages.len(), 1, "{messages:?}");
@@ -1273,13 +1290,13 @@
             policy.place(now, &one);
             messages += usize::from(
                 policy
-                    .after(now, Outcome::Established { flow: id, took: MS })
-                    .tell
+                    .after(now, PolicyEvent::Connected { flow: id, took: MS })
+                    .gossip
                     .is_some(),
             );
             policy.after(
                 now,
-                Outcome::Ended {
+                PolicyEvent::AttemptEnded {
                     flow: id,
                     server_id: 0,
                     end: AttemptEnd::Done,
@@ -1322,7 +1339,7 @@
     });
     policy.after(
         T0,
-        Outcome::Ended {
+        PolicyEvent::AttemptEnded {
             flow: 9,
             server_id: 2,
             end: AttemptEnd::Error,
@@ -1351,7 +1368,7 @@
             );
             policy.after(
                 T0,
-                Outcome::Ended {
+                PolicyEvent::AttemptEnded {
                     flow: id,
                     server_id: 1,
                     end: AttemptEnd::Done,
@@ -1376,10 +1393,10 @@
     let mut open = Vec::new();
     for second in 1..=12 {
         let now = T0 + second * SEC;
-        policy.after(now, Outcome::Elapsed);
+        policy.after(now, PolicyEvent::TimerExpired);
         policy.after(
             now,
-            Outcome::Probed {
+            PolicyEvent::HealthChecked {
                 server_id: 0,
                 passed: false,
                 report: LoadReport::default(),
@@ -1428,7 +1445,7 @@
                 absurd[(server_id % 5) as usize],
             );
         }
-        policy.after(now, Outcome::Elapsed);
+        policy.after(now, PolicyEvent::TimerExpired);
         for id in 0..20 {
             let group = Some(format!("group {}", id % 4));
             let one = Flow {
@@ -1443,7 +1460,7 @@
                 );
                 policy.after(
                     now,
-                    Outcome::Established {
+                    PolicyEvent::Connected {
                         flow: one.id,
                         took: MS,
                     },
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -52,11 +52,11 @@
         if answer != Place::NotYet {
             return (answer, asked);
         }
-        let probes = policy.after(now, Outcome::Elapsed).probe;
+        let probes = policy.after(now, PolicyEvent::TimerExpired).health_checks;
         for server_id in &probes {
             policy.after(
                 now,
-                Outcome::Probed {
+                PolicyEvent::HealthChecked {
                     server_id: *server_id,
                     passed: true,
                     report: utilization(figure(*server_id)),
@@ -81,7 +81,7 @@
         };
         policy.after(
             now,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow: id,
                 server_id,
                 end: AttemptEnd::Done,
@@ -122,7 +122,7 @@
             let Place::To(server_id, ..) = answer else {
                 panic!("flow {id}: {answer:?}")
             };
-            policy.after(now, Outcome::Established { flow: id, took: MS });
+            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
             *went.entry(server_id).or_default() += 1;
         }
     }
@@ -163,7 +163,7 @@
         let figure = utilization(if roomy(&server_id) { 0.1 } else { 0.79 });
         policy.after(
             T0,
-            Outcome::Probed {
+            PolicyEvent::HealthChecked {
                 server_id,
                 passed: true,
                 report: figure,
@@ -184,7 +184,7 @@
     for (id, group) in groups.iter().enumerate() {
         let (id, now) = (id as FlowId, T0 + (1 + id as Time) * MS);
         if let Place::To(server_id, ..) = policy.place(now, &of_group(now, id, group)) {
-            policy.after(now, Outcome::Established { flow: id, took: MS });
+            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
             placed.push(server_id);
         }
     }
@@ -208,10 +208,10 @@
         for step in 0..2_000 {
             let now = T0 + step * 10 * MS;
             // Nobody waits: these are for servers of ours, all of them hot, which are to be asked again soon.
-            for server_id in policy.after(now, Outcome::Elapsed).probe {
+            for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
                 policy.after(
                     now,
-                    Outcome::Probed {
+                    PolicyEvent::HealthChecked {
                         server_id,
                         passed: true,
                         report: utilization(0.9),
@@ -225,7 +225,7 @@
                 assert!(matches!(answer, Place::To(..)), "{answer:?}");
                 policy.after(
                     now,
-                    Outcome::Established {
+                    PolicyEvent::Connected {
                         flow: step,
                         took: MS,
                     },
@@ -261,7 +261,7 @@
     let (mut times, mut shed) = (0, 0);
     policy.after(
         T0,
-        Outcome::Probed {
+        PolicyEvent::HealthChecked {
             server_id: 77,
             passed: true,
             report: utilization(1.2),
@@ -269,18 +269,18 @@
     );
     for tick in 1..80 {
         let now = T0 + tick * 250 * MS;
-        for server_id in policy.after(now, Outcome::Elapsed).probe {
+        for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
             times += usize::from(server_id == 77);
             shed += policy
                 .after(
                     now,
-                    Outcome::Probed {
+                    PolicyEvent::HealthChecked {
                         server_id,
                         passed: true,
                         report: utilization(hot(server_id)),
                     },
                 )
-                .shift
+                .migrate
                 .len();
         }
     }
@@ -303,7 +303,7 @@
         };
         policy.after(
             T0,
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 flow: 1,
                 server_id: first,
                 end: AttemptEnd::Done,
@@ -325,7 +325,7 @@
                 matches!(place, Place::To(server_id, ..) if server_id != first),
                 "{state:?}: {place:?}"
             );
-            policy.after(now, Outcome::Established { flow: id, took: MS });
+            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
         }
     }
 }
@@ -346,7 +346,7 @@
             place(&mut other, now, &flow, figure),
         );
         assert_eq!(a, b, "flow {id}");
-        let ends = Outcome::Established { flow: id, took: MS };
+        let ends = PolicyEvent::Connected { flow: id, took: MS };
         assert_eq!(one.after(now, ends), other.after(now, ends), "flow {id}");
     }
 }
@@ -370,7 +370,7 @@
                 matches!(place, Place::To(server_id, ..) if server_id < count),
                 "{count} servers: {place:?}"
             );
-            policy.after(now, Outcome::Established { flow: id, took: MS });
+            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
         }
     }
 }
@@ -386,7 +386,7 @@
         let Place::To(server_id, ..) = place else {
             panic!("flow {id}: {place:?}")
         };
-        policy.after(now, Outcome::Established { flow: id, took: MS });
+        policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
         *went.entry(server_id).or_default() += 1;
     }
     assert!(went.len() > 1 && went.len() <= MOST, "{went:?}");
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -8,8 +8,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Outcome, Place,
-    Policy, ServerId, Time, Todo, TrafficClass,
+    Actions, DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Place,
+    Policy, PolicyEvent, ServerId, Time, TrafficClass,
 };
 use nettlemux_settings::Settings;
 
@@ -203,19 +203,19 @@
         Place::To(server_id, left / tries.max(1), left)
     }
 
-    fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
-        let mut todo = Todo::default();
-        match outcome {
-            Outcome::Ended { flow, owed, .. } => {
+    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        let mut actions = Actions::default();
+        match event {
+            PolicyEvent::AttemptEnded { flow, owed, .. } => {
                 self.strike(flow);
-                todo.place = owed.map(|flow| self.place(now, flow));
+                actions.placement = owed.map(|flow| self.place(now, flow));
             }
-            Outcome::Left { flow } => todo
-                .call_off
+            PolicyEvent::ClientLeft { flow } => actions
+                .cancel
                 .extend(self.flows.contains_key(&flow).then_some(flow)),
             _ => {}
         }
-        todo
+        actions
     }
 
     fn wait(&self, _: Time) -> Option<Time> {
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -4,7 +4,7 @@
 
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    Endpoint, EndpointState, Flow, FlowId, Outcome, Place, ServerId, Time, Todo,
+    Actions, Endpoint, EndpointState, Flow, FlowId, Place, PolicyEvent, ServerId, Time,
 };
 use nettlemux_settings::Settings;
 use serde_json::Value;
@@ -123,18 +123,18 @@
         self.bend(place, flow)
     }
 
-    fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
-        let mut todo = self.inner.after(now, outcome);
+    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        let mut actions = self.inner.after(now, event);
         if let (
             Some(place),
-            Outcome::Ended {
+            PolicyEvent::AttemptEnded {
                 owed: Some(flow), ..
             },
-        ) = (todo.place, outcome)
+        ) = (actions.placement, event)
         {
-            todo.place = Some(self.bend(place, flow));
+            actions.placement = Some(self.bend(place, flow));
         }
-        todo
+        actions
     }
 
     fn wait(&self, now: Time) -> Option<Time> {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,8 +11,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::{Act, Brain, Hand, Who};
 use nettlemux_policy::{
-    Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Outcome, Place, Policy,
-    SEC, ServerId, Time, Todo,
+    Actions, Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Place, Policy,
+    PolicyEvent, SEC, ServerId, Time,
 };
 use nettlemux_settings::Settings;
 
@@ -128,8 +128,8 @@
         drop(calls);
         place
     }
-    fn after(&mut self, now: Time, outcome: Outcome) -> Todo {
-        self.policy.after(now, outcome)
+    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        self.policy.after(now, event)
     }
     fn wait(&self, now: Time) -> Option<Time> {
         self.policy.wait(now)
