--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -8,14 +8,14 @@
 
 use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
 use nettlemux_policy::{
-    Actions, Attempt, AttemptEnd, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Place,
+    Actions, Attempt, AttemptEnd, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Placement,
     Policy, PolicyEvent, ServerId, Time,
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
 /// the laboratory has others to compare it with.
 pub trait Brain {
-    fn place(&mut self, now: Time, flow: &Flow) -> Place;
+    fn place(&mut self, now: Time, flow: &Flow) -> Placement;
     fn after(&mut self, now: Time, event: PolicyEvent) -> Actions;
     fn wait(&self, now: Time) -> Option<Time>;
     fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
@@ -29,7 +29,7 @@
 }
 
 impl Brain for Policy {
-    fn place(&mut self, now: Time, flow: &Flow) -> Place {
+    fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         Policy::place(self, now, flow)
     }
     fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
@@ -59,7 +59,7 @@
 }
 
 impl Brain for Box<dyn Brain> {
-    fn place(&mut self, now: Time, flow: &Flow) -> Place {
+    fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         (**self).place(now, flow)
     }
     fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
@@ -392,7 +392,7 @@
 
     /// Aborts a flow without asking the module, which has failed on it.
     pub fn abort(&mut self, now: Time, flow: FlowId, acts: &mut Vec<Act>) {
-        self.answer(now, flow, Place::Abort, acts);
+        self.answer(now, flow, Placement::Fail, acts);
     }
 
     /// From now on no flow that is owed an answer has longer than till then; returns these. Nobody waits at the door any
@@ -456,12 +456,16 @@
         self.flows.get(&flow).map(|in_hand| &in_hand.flow)
     }
 
-    fn answer(&mut self, now: Time, id: FlowId, place: Place, acts: &mut Vec<Act>) {
+    fn answer(&mut self, now: Time, id: FlowId, place: Placement, acts: &mut Vec<Act>) {
         let Some(in_hand) = self.flows.get_mut(&id) else {
             return;
         };
         acts.push(match place {
-            Place::To(server_id, limit, by) => {
+            Placement::Forward {
+                server_id,
+                timeout: limit,
+                send_within: by,
+            } => {
                 in_hand.flow.attempts.push(Attempt {
                     server_id,
                     at: now,
@@ -476,8 +480,10 @@
                     by,
                 }
             }
-            Place::NotYet => return self.held.push(id),
-            Place::Reject(come_back) => {
+            Placement::Wait => return self.held.push(id),
+            Placement::Reject {
+                retry_after: come_back,
+            } => {
                 in_hand.owed = false;
                 // What the queue really needs, where there is one.
                 let door = self.door.as_mut().filter(|_| come_back.is_some());
@@ -487,7 +493,7 @@
                     come_back: told.or(come_back),
                 }
             }
-            Place::Abort => {
+            Placement::Fail => {
                 in_hand.owed = false;
                 Act::Abort { flow: id }
             }
@@ -522,12 +528,12 @@
     /// Says what the test wants next, and keeps what it was asked.
     #[derive(Default)]
     struct Script {
-        places: Vec<Place>,
+        places: Vec<Placement>,
         owed: Vec<bool>,
     }
 
     impl Brain for Script {
-        fn place(&mut self, _: Time, _: &Flow) -> Place {
+        fn place(&mut self, _: Time, _: &Flow) -> Placement {
             self.places.remove(0)
         }
         fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
@@ -554,7 +560,7 @@
         fn told_load(&mut self, _: FlowId, _: f64) {}
     }
 
-    fn hand(places: &[Place]) -> Hand<Script> {
+    fn hand(places: &[Placement]) -> Hand<Script> {
         Hand::new(Script {
             places: places.to_vec(),
             ..Script::default()
@@ -564,9 +570,19 @@
     #[test]
     fn a_flow_is_connected_again_and_answered_once() {
         let mut hand = hand(&[
-            Place::To(4, 70, 70),
-            Place::To(5, 60, 30),
-            Place::Reject(Some(8)),
+            Placement::Forward {
+                server_id: 4,
+                timeout: 70,
+                send_within: 70,
+            },
+            Placement::Forward {
+                server_id: 5,
+                timeout: 60,
+                send_within: 30,
+            },
+            Placement::Reject {
+                retry_after: Some(8),
+            },
         ]);
         let mut acts = Vec::new();
         hand.take(
@@ -650,7 +666,11 @@
     /// Guards against an attempt that is ordered just as its client leaves and counts as in flight for good.
     #[test]
     fn a_connect_that_nobody_made_is_told_when_its_flow_is_over() {
-        let mut hand = hand(&[Place::To(4, 9, 9)]);
+        let mut hand = hand(&[Placement::Forward {
+            server_id: 4,
+            timeout: 9,
+            send_within: 9,
+        }]);
         let mut acts = Vec::new();
         hand.take(
             1,
@@ -675,7 +695,15 @@
 
     #[test]
     fn what_is_held_is_asked_about_again_unless_its_client_has_left() {
-        let mut hand = hand(&[Place::NotYet, Place::NotYet, Place::To(4, 9, 9)]);
+        let mut hand = hand(&[
+            Placement::Wait,
+            Placement::Wait,
+            Placement::Forward {
+                server_id: 4,
+                timeout: 9,
+                send_within: 9,
+            },
+        ]);
         let mut acts = Vec::new();
         hand.take(
             1,
@@ -719,12 +747,18 @@
     #[test]
     fn the_door_lets_in_while_the_module_places_and_answers_all_at_the_end() {
         let places = [
-            Place::NotYet,
-            Place::NotYet,
-            Place::To(4, 9, 9),
-            Place::NotYet,
-            Place::Reject(Some(3)),
-            Place::NotYet,
+            Placement::Wait,
+            Placement::Wait,
+            Placement::Forward {
+                server_id: 4,
+                timeout: 9,
+                send_within: 9,
+            },
+            Placement::Wait,
+            Placement::Reject {
+                retry_after: Some(3),
+            },
+            Placement::Wait,
         ];
         let config = Config {
             held: 2,
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -143,8 +143,8 @@
         let place = self.policy.place(self.now, &flow);
         let took = began.elapsed().as_nanos();
         match place {
-            Place::NotYet => self.held.push_back((flow, spent + took)),
-            Place::To(server_id, ..) => {
+            Placement::Wait => self.held.push_back((flow, spent + took)),
+            Placement::Forward { server_id, .. } => {
                 self.per_look.push(took);
                 self.per_flow.push(spent + took);
                 self.event(PolicyEvent::Connected {
@@ -318,8 +318,8 @@
                 let placed = loop {
                     answer(policy, at, &held, each);
                     match policy.place(at, &flow) {
-                        Place::To(server_id, ..) => break Some(server_id),
-                        Place::NotYet => at += 60 * MS,
+                        Placement::Forward { server_id, .. } => break Some(server_id),
+                        Placement::Wait => at += 60 * MS,
                         _ => break None,
                     }
                 };
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,16 +5,18 @@
 //! ```
 //! use nettlemux_policy::*;
 //!
-//! let patrol = ServiceType { setup_target: 300 * MS, value: 1.0, repeat: Repeat::Repeatable };
+//! let patrol = TrafficClass { latency_objective: 300 * MS, priority_weight: 1.0, idempotency: Idempotency::Idempotent };
 //! let mut policy = Policy::new(1, 0, vec![patrol]).attempts(3, 4 * MS, false, true);
-//! let server = Listed { rs: 51, zone: 0, machine: 0, cell: 0, state: State::Ready, weight: 1.0, started: 0 };
-//! policy.list(0, &[server], true);
+//! let server = Endpoint { server_id: 51, zone: 0, machine: 0, cell: 0, state: EndpointState::Ready, weight: 1.0, started: 0 };
+//! policy.update_endpoints(0, &[server], true);
 //!
 //! let flow = Flow { id: 7, deadline: 2 * SEC, ..Flow::default() };
-//! let Place::To(rs, limit, _) = policy.place(0, &flow) else { panic!("there is room") };
-//! assert_eq!((rs, limit), (51, 2 * SEC - 4 * MS));
-//! let todo = policy.after(MS, Outcome::Connected { flow: 7, took: MS });
-//! assert_eq!(todo, Todo::default());
+//! let Placement::Forward { server_id, timeout, .. } = policy.place(0, &flow) else {
+//!     panic!("there is room")
+//! };
+//! assert_eq!((server_id, timeout), (51, 2 * SEC - 4 * MS));
+//! let actions = policy.on_event(MS, PolicyEvent::Connected { flow: 7, took: MS });
+//! assert_eq!(actions, Actions::default());
 //! ```
 
 mod book;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -451,7 +451,7 @@
     }
 
     /// Where to send this flow.
-    pub fn place(&mut self, now: Time, flow: &Flow) -> Place {
+    pub fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         self.began.get_or_insert(now);
         let left = flow.deadline.saturating_sub(now + self.margin);
         let two_out = !self.second_copies && flow.attempts.iter().any(|c| c.in_flight);
@@ -524,14 +524,14 @@
         server.placed.push_back(now);
         self.book.enter(now, flow, server_id, false);
         // All the time that is left: an attempt that was given up has cost the store its call all the same.
-        Place::To(
+        let latest_send = self
+            .send_by(flow)
+            .saturating_sub(now + self.margin + HELD_UP);
+        Placement::Forward {
             server_id,
-            left,
-            left.min(
-                self.send_by(flow)
-                    .saturating_sub(now + self.margin + HELD_UP),
-            ),
-        )
+            timeout: left,
+            send_within: left.min(latest_send),
+        }
     }
 
     /// Looks at these servers, or at all, for where the flow may go.
@@ -969,7 +969,7 @@
     }
 
     /// Not yet, while the latency objective may still be met and few wait; else never.
-    fn hold(&mut self, now: Time, flow: &Flow) -> Place {
+    fn hold(&mut self, now: Time, flow: &Flow) -> Placement {
         let waited = now.saturating_sub(flow.accepted_at);
         // Guards against a short-lived try that is looked at again only when its time has run out.
         let short = flow.deadline <= now + self.margin + LOOK_AGAIN.max(self.gather());
@@ -977,7 +977,7 @@
             return self.reject_or_fail(now, flow);
         }
         self.held += 1;
-        Place::NotYet
+        Placement::Wait
     }
 
     fn crowded(&self) -> bool {
@@ -985,7 +985,7 @@
     }
 
     /// Holds a flow until these have told their load.
-    fn ask(&mut self, now: Time, ask: &[ServerId]) -> Place {
+    fn ask(&mut self, now: Time, ask: &[ServerId]) -> Placement {
         for server_id in ask {
             let server = self.servers.get_mut(server_id).expect("a listed server");
             if server.asked + LOST < now {
@@ -998,7 +998,7 @@
             }
         }
         self.held += 1;
-        Place::NotYet
+        Placement::Wait
     }
 
     /// Whether a server's figure is too old to go by, and none was asked for in vain just now.
@@ -1055,24 +1055,24 @@
     }
 
     /// The answer for a flow that is given up: rejected where the client may safely come again, and told when.
-    fn reject_or_fail(&mut self, now: Time, flow: &Flow) -> Place {
+    fn reject_or_fail(&mut self, now: Time, flow: &Flow) -> Placement {
         let may_have_run = flow.attempts.iter().any(|c| !c.known_unexecuted);
         // Guards against a client that is sent back when servers have forgotten what it asked for.
         let remembered = self
             .send_by(flow)
             .saturating_sub(now + self.margin + HELD_UP);
         match self.class(flow).idempotency {
-            Idempotency::NonIdempotent if may_have_run => return Place::Abort,
+            Idempotency::NonIdempotent if may_have_run => return Placement::Fail,
             Idempotency::Deduplicated { scope, .. }
                 if may_have_run && scope != DeduplicationScope::All =>
             {
-                return Place::Abort;
+                return Placement::Fail;
             }
-            Idempotency::Deduplicated { .. } if remembered == 0 => return Place::Abort,
+            Idempotency::Deduplicated { .. } if remembered == 0 => return Placement::Fail,
             _ => {}
         }
         // Spread, lest clients rejected together come again together; in a jam as late as settings allow.
-        Place::Reject(self.come_back.map(|most| {
+        let retry_after = self.come_back.map(|most| {
             let most = if self.window.width < self.window.calm {
                 most
             } else {
@@ -1080,7 +1080,8 @@
             };
             let most = most.min(remembered);
             self.rng.0.generate_range(most / 8..=most)
-        }))
+        });
+        Placement::Reject { retry_after }
     }
 
     /// Rules 2 and 3 for one server.
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -178,22 +178,31 @@
 
 /// Where a flow goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// To this server, waiting for it so long, and only if the attempt is sent within the second span.
-    To(ServerId, Time, Time),
-    /// Hold the flow and ask again after the wait.
-    NotYet,
-    /// Never: rejected, with a time to come back where that may be told.
-    Reject(Option<Time>),
-    /// Never, and it may have run.
-    Abort,
+pub enum Placement {
+    /// To this server.
+    Forward {
+        server_id: ServerId,
+        /// How long the server's answer is waited for.
+        timeout: Time,
+        /// The attempt is made only if its last byte is written within this span.
+        send_within: Time,
+    },
+    /// The flow stays queued and is placed again when the policy's timer expires.
+    Wait,
+    /// The flow is rejected: none of its attempts can have run.
+    Reject {
+        /// How long the client is told to wait before it tries again, where it may be told.
+        retry_after: Option<Time>,
+    },
+    /// The flow fails: an attempt may have run.
+    Fail,
 }
 
 /// What to do after an outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
     /// The flow that was still owed an answer.
-    pub placement: Option<Place>,
+    pub placement: Option<Placement>,
     /// Servers to probe.
     pub health_checks: Vec<ServerId>,
     /// Own connections to move.
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -160,7 +160,7 @@
         self.next_flow += 1;
         let mut servers = Vec::new();
         let mut place = self.policy.place(now, &flow);
-        while let Place::To(server_id, ..) = place {
+        while let Placement::Forward { server_id, .. } = place {
             servers.push(server_id);
             if !refuses(server_id) {
                 self.policy.after(
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -60,7 +60,7 @@
 /// Places a flow and tells where.
 pub fn take(policy: &mut Policy, now: Time, id: FlowId) -> ServerId {
     match policy.place(now, &flow(now, id)) {
-        Place::To(server_id, ..) => server_id,
+        Placement::Forward { server_id, .. } => server_id,
         other => panic!("flow {id}: {other:?}"),
     }
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -131,7 +131,9 @@
     };
     assert!(matches!(
         policy.place(T0 + 6 * SEC, &late),
-        Place::Reject(Some(_))
+        Placement::Reject {
+            retry_after: Some(_)
+        }
     ));
 }
 
@@ -203,7 +205,10 @@
             group: Some("piste".into()),
             ..flow(T0, id)
         };
-        assert!(matches!(policy.place(T0, &one), Place::To(4, ..)));
+        assert!(matches!(
+            policy.place(T0, &one),
+            Placement::Forward { server_id: 4, .. }
+        ));
     }
     // One that nobody holds finds no room, and is answered at once when its target has passed.
     let other = Flow {
@@ -211,7 +216,12 @@
         accepted_at: T0 - SEC,
         ..flow(T0, 9)
     };
-    assert!(matches!(policy.place(T0, &other), Place::Reject(Some(_))));
+    assert!(matches!(
+        policy.place(T0, &other),
+        Placement::Reject {
+            retry_after: Some(_)
+        }
+    ));
 }
 
 #[test]
@@ -238,8 +248,15 @@
             ..flow(T0, 1)
         };
         match policy.place(T0, &one) {
-            Place::To(server_id, limit, by) => {
-                assert!(want_send && limit < left && by == limit, "{attempts:?}");
+            Placement::Forward {
+                server_id,
+                timeout,
+                send_within,
+            } => {
+                assert!(
+                    want_send && timeout < left && send_within == timeout,
+                    "{attempts:?}"
+                );
                 assert!(
                     attempts.iter().all(|c| c.server_id != server_id),
                     "another server than before"
@@ -279,13 +296,15 @@
             ..flow(T0, 1)
         };
         match policy.place(T0, &one) {
-            Place::Reject(Some(come_back)) => {
+            Placement::Reject {
+                retry_after: Some(come_back),
+            } => {
                 assert!(
                     rejected && T0 + come_back < earlier.at + window,
                     "{age}: {come_back}"
                 );
             }
-            Place::Abort => assert!(!rejected, "{age}: aborted"),
+            Placement::Fail => assert!(!rejected, "{age}: aborted"),
             other => panic!("{age}: {other:?}"),
         }
     }
@@ -321,10 +340,19 @@
             deadline: T0 + 2 * SEC,
             ..flow(T0, 1)
         };
-        let Place::To(_, limit, by) = policy.place(T0, &one) else {
+        let Placement::Forward {
+            timeout,
+            send_within,
+            ..
+        } = policy.place(T0, &one)
+        else {
             panic!("{kind:?}: {earlier:?}")
         };
-        assert_eq!((limit / MS, by / MS), (1990, want), "{kind:?}: {earlier:?}");
+        assert_eq!(
+            (timeout / MS, send_within / MS),
+            (1990, want),
+            "{kind:?}: {earlier:?}"
+        );
     }
 }
 
@@ -420,11 +448,11 @@
             ..flow(T0, 1)
         };
         let got = match policy.place(T0, &one) {
-            Place::To(server_id, ..) if want == "to 0" => format!("to {server_id}"),
-            Place::To(..) => "to".into(),
-            Place::NotYet => "not yet".into(),
-            Place::Reject(_) => "reject".into(),
-            Place::Abort => "abort".to_string(),
+            Placement::Forward { server_id, .. } if want == "to 0" => format!("to {server_id}"),
+            Placement::Forward { .. } => "to".into(),
+            Placement::Wait => "not yet".into(),
+            Placement::Reject { .. } => "reject".into(),
+            Placement::Fail => "abort".to_string(),
         };
         assert_eq!(
             got, want,
@@ -578,7 +606,8 @@
             });
             probe(&mut policy, now, 40, 0.0);
             // Only the cold one has room.
-            let Place::To(server_id, ..) = policy.place(now, &flow(now, 10 + tick)) else {
+            let Placement::Forward { server_id, .. } = policy.place(now, &flow(now, 10 + tick))
+            else {
                 continue;
             };
             policy.after(
@@ -621,7 +650,12 @@
             accepted_at: T0 - SEC,
             ..flow(T0, 9)
         };
-        assert!(matches!(policy.place(T0, &late), Place::Reject(Some(_))));
+        assert!(matches!(
+            policy.place(T0, &late),
+            Placement::Reject {
+                retry_after: Some(_)
+            }
+        ));
     }
 }
 
@@ -694,7 +728,7 @@
         for (id, later) in (10..).zip((0..SEC).step_by((100 * MS) as usize)) {
             sent += i32::from(matches!(
                 policy.place(now + later, &flow(now + later, id)),
-                Place::To(40, ..)
+                Placement::Forward { server_id: 40, .. }
             ));
         }
     }
@@ -708,7 +742,12 @@
     // Guards against a store jammed by our own further attempts (kandy-patrol, rough-2).
     let in_flight = |policy: &mut Policy, now, from: FlowId| {
         (from..from + 40)
-            .take_while(|id| matches!(policy.place(now, &flow(now, *id)), Place::To(..)))
+            .take_while(|id| {
+                matches!(
+                    policy.place(now, &flow(now, *id)),
+                    Placement::Forward { .. }
+                )
+            })
             .count()
     };
     let mut policy = balancer(Idempotency::Idempotent);
@@ -757,13 +796,13 @@
                 ..flow(T0, id)
             };
             let told = (100..200).filter_map(|id| match policy.place(T0, &late(id)) {
-                Place::Reject(told) => told,
+                Placement::Reject { retry_after: told } => told,
                 _ => None,
             });
             told.max()
         };
         let sent = (0..20)
-            .filter(|id| matches!(policy.place(T0, &flow(T0, *id)), Place::To(..)))
+            .filter(|id| matches!(policy.place(T0, &flow(T0, *id)), Placement::Forward { .. }))
             .count();
         assert_eq!(sent, first, "{balancers}");
         assert!(latest(&mut policy).is_some_and(|told| told <= SEC));
@@ -791,7 +830,7 @@
             (0..first as u64 / 2).for_each(|id| {
                 assert!(matches!(
                     policy.place(T0, &flow(T0, 50 + id)),
-                    Place::To(..)
+                    Placement::Forward { .. }
                 ))
             });
             assert!(
@@ -831,7 +870,7 @@
             accepted_at: now - SEC,
             ..flow(now, round)
         };
-        let placed = matches!(policy.place(now, &late), Place::To(..));
+        let placed = matches!(policy.place(now, &late), Placement::Forward { .. });
         assert_eq!(placed, round >= 7, "round {round}");
         assert!(moved == 0 || round < 7, "round {round}");
     }
@@ -849,7 +888,7 @@
                 ..flow(T0, 1)
             },
         );
-        assert_eq!(place == Place::NotYet, waits, "{left}");
+        assert_eq!(place == Placement::Wait, waits, "{left}");
         assert!(policy.wait(T0).is_none_or(|wait| T0 + wait < T0 + left));
     }
 }
@@ -862,7 +901,7 @@
     let mut sent = 0;
     for id in 0..200 {
         let now = T0 + id * 100 * MS;
-        if let Place::To(server_id, ..) = policy.place(now, &flow(now, id)) {
+        if let Placement::Forward { server_id, .. } = policy.place(now, &flow(now, id)) {
             sent += 1;
             let tried = Flow {
                 attempts: vec![attempt(server_id, false)],
@@ -876,7 +915,7 @@
             };
             assert!(matches!(
                 policy.after(now, ended).placement,
-                Some(Place::Reject(_))
+                Some(Placement::Reject { .. })
             ));
         }
     }
@@ -912,7 +951,7 @@
             accepted_at: T0 - SEC,
             ..flow(T0, 1)
         };
-        let placed = matches!(policy.place(T0, &one), Place::To(..));
+        let placed = matches!(policy.place(T0, &one), Placement::Forward { .. });
         assert_eq!(placed, want, "type {class}, tenant {tenant}");
     }
 }
@@ -978,7 +1017,10 @@
         class: 99,
         ..flow(T0, 5)
     };
-    assert!(matches!(policy.place(T0, &unknown), Place::To(..)));
+    assert!(matches!(
+        policy.place(T0, &unknown),
+        Placement::Forward { .. }
+    ));
     assert_eq!(
         policy.after(T0, PolicyEvent::ClientLeft { flow: 5 }).cancel,
         [5]
@@ -1029,7 +1071,7 @@
             policy.inherit(&of(group, 1), server_id);
         }
         match policy.place(T0, &of(group, 2)) {
-            Place::To(server_id, ..) => server_id,
+            Placement::Forward { server_id, .. } => server_id,
             other => panic!("{other:?}"),
         }
     };
@@ -1091,7 +1133,7 @@
         let mut on = [0; 5];
         for id in 0..30 {
             let now = T0 + SEC / 2 + id * 25 * MS;
-            if let Place::To(server_id, ..) = policy.place(
+            if let Placement::Forward { server_id, .. } = policy.place(
                 now,
                 &Flow {
                     reconnecting,
@@ -1170,7 +1212,7 @@
             group: Some("a".into()),
             ..flow(now, 1)
         };
-        assert_eq!(policy.place(now, &one), Place::NotYet);
+        assert_eq!(policy.place(now, &one), Placement::Wait);
         now += MS;
         let asked = policy.after(now, PolicyEvent::TimerExpired).health_checks;
         assert!((1..=4).contains(&asked.len()), "{asked:?}");
@@ -1191,7 +1233,7 @@
         now += policy.wait(now).expect("a look at the flow").min(5 * MS);
         policy.after(now, PolicyEvent::TimerExpired);
         match policy.place(now, &one) {
-            Place::To(server_id, ..) => {
+            Placement::Forward { server_id, .. } => {
                 assert!(goes && asked.contains(&server_id), "{load:?}: {server_id}")
             }
             other => assert!(!goes, "{load:?}: {other:?}"),
@@ -1227,7 +1269,7 @@
             };
             assert!(matches!(
                 teller.place(one.accepted_at, &one),
-                Place::To(7, ..)
+                Placement::Forward { server_id: 7, .. }
             ));
             messages.extend(
                 teller
@@ -1253,7 +1295,7 @@
             },
         );
         let now = T0 + age * SEC;
-        let Place::To(server_id, ..) = policy.place(
+        let Placement::Forward { server_id, .. } = policy.place(
             now,
             &Flow {
                 group,
@@ -1362,8 +1404,13 @@
             };
             let placed = policy.place(T0, &one);
             assert!(
-                matches!(placed, Place::To(0 | 1, ..))
-                    && (may_gossip || matches!(placed, Place::To(1, ..))),
+                matches!(
+                    placed,
+                    Placement::Forward {
+                        server_id: 0 | 1,
+                        ..
+                    }
+                ) && (may_gossip || matches!(placed, Placement::Forward { server_id: 1, .. })),
                 "{placed:?}"
             );
             policy.after(
@@ -1406,7 +1453,10 @@
             accepted_at: now - SEC,
             ..flow(now, second)
         };
-        open.push(matches!(policy.place(now, &late), Place::To(..)));
+        open.push(matches!(
+            policy.place(now, &late),
+            Placement::Forward { .. }
+        ));
     }
     assert!(!open[2] && open[11], "{open:?}");
 }
@@ -1452,10 +1502,13 @@
                 group,
                 ..flow(now, round * 100 + id)
             };
-            if let Place::To(server_id, limit, _) = policy.place(now, &one) {
+            if let Placement::Forward {
+                server_id, timeout, ..
+            } = policy.place(now, &one)
+            {
                 let listed = round * 250 + 500..round * 250 + 750;
                 assert!(
-                    listed.contains(&server_id) && limit < 2 * SEC,
+                    listed.contains(&server_id) && timeout < 2 * SEC,
                     "round {round}: {server_id}"
                 );
                 policy.after(
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -45,11 +45,11 @@
     mut now: Time,
     flow: &Flow,
     figure: impl Fn(ServerId) -> f64,
-) -> (Place, Vec<ServerId>) {
+) -> (Placement, Vec<ServerId>) {
     let mut asked = Vec::new();
     loop {
         let answer = policy.place(now, flow);
-        if answer != Place::NotYet {
+        if answer != Placement::Wait {
             return (answer, asked);
         }
         let probes = policy.after(now, PolicyEvent::TimerExpired).health_checks;
@@ -76,7 +76,7 @@
     for (id, group) in groups.iter().enumerate() {
         let (now, id) = (T0 + id as Time * SEC, id as FlowId);
         let (answer, _) = place(&mut policy, now, &of_group(now, id, group), |_| 0.3);
-        let Place::To(server_id, ..) = answer else {
+        let Placement::Forward { server_id, .. } = answer else {
             panic!("{group}: {answer:?}")
         };
         policy.after(
@@ -119,7 +119,7 @@
         for id in 0..200 {
             let now = T0 + id * 200 * MS;
             let (answer, _) = place(&mut policy, now, &flow(now, id), |_| 0.3);
-            let Place::To(server_id, ..) = answer else {
+            let Placement::Forward { server_id, .. } = answer else {
                 panic!("flow {id}: {answer:?}")
             };
             policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
@@ -183,7 +183,7 @@
     let mut placed = Vec::new();
     for (id, group) in groups.iter().enumerate() {
         let (id, now) = (id as FlowId, T0 + (1 + id as Time) * MS);
-        if let Place::To(server_id, ..) = policy.place(now, &of_group(now, id, group)) {
+        if let Placement::Forward { server_id, .. } = policy.place(now, &of_group(now, id, group)) {
             policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
             placed.push(server_id);
         }
@@ -222,7 +222,7 @@
             if step % 20 == 0 {
                 let flow = of_group(now, step, &format!("h{step}"));
                 let (answer, asked) = place(&mut policy, now, &flow, |_| 0.3);
-                assert!(matches!(answer, Place::To(..)), "{answer:?}");
+                assert!(matches!(answer, Placement::Forward { .. }), "{answer:?}");
                 policy.after(
                     now,
                     PolicyEvent::Connected {
@@ -298,7 +298,10 @@
         let mut policy = balancer(1, 3);
         policy.list(T0, &list, true);
         let first = place(&mut policy, T0, &of_group(T0, 1, "one"), |_| 0.3).0;
-        let Place::To(first, ..) = first else {
+        let Placement::Forward {
+            server_id: first, ..
+        } = first
+        else {
             panic!("{first:?}")
         };
         policy.after(
@@ -322,7 +325,7 @@
             let now = T0 + id * SEC;
             let place = place(&mut policy, now, &of_group(now, id, "one"), |_| 0.3).0;
             assert!(
-                matches!(place, Place::To(server_id, ..) if server_id != first),
+                matches!(place, Placement::Forward { server_id, .. } if server_id != first),
                 "{state:?}: {place:?}"
             );
             policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
@@ -367,7 +370,7 @@
                 |_| 0.2,
             );
             assert!(
-                matches!(place, Place::To(server_id, ..) if server_id < count),
+                matches!(place, Placement::Forward { server_id, .. } if server_id < count),
                 "{count} servers: {place:?}"
             );
             policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
@@ -383,7 +386,7 @@
     for id in 0..300 {
         let now = T0 + id * 200 * MS;
         let (place, _) = place(&mut policy, now, &of_group(now, id, "largest"), |_| 0.3);
-        let Place::To(server_id, ..) = place else {
+        let Placement::Forward { server_id, .. } = place else {
             panic!("flow {id}: {place:?}")
         };
         policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -8,7 +8,7 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    Actions, DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Place,
+    Actions, DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Placement,
     Policy, PolicyEvent, ServerId, Time, TrafficClass,
 };
 use nettlemux_settings::Settings;
@@ -123,16 +123,18 @@
         }
     }
 
-    fn reject_or_fail(&mut self, flow: &Flow) -> Place {
+    fn reject_or_fail(&mut self, flow: &Flow) -> Placement {
         let ran = flow.attempts.iter().any(|c| !c.known_unexecuted);
         match self.types[flow.class].idempotency {
-            Idempotency::NonIdempotent if ran => Place::Abort,
+            Idempotency::NonIdempotent if ran => Placement::Fail,
             Idempotency::Deduplicated { scope, .. } if ran && scope != DeduplicationScope::All => {
-                Place::Abort
+                Placement::Fail
+            }
+            _ => {
+                let seconds = self.dice.between(COME_BACK[0], COME_BACK[1]);
+                let retry_after = Some((seconds * 1e9) as Time);
+                Placement::Reject { retry_after }
             }
-            _ => Place::Reject(Some(
-                (self.dice.between(COME_BACK[0], COME_BACK[1]) * 1e9) as Time,
-            )),
         }
     }
 
@@ -156,7 +158,7 @@
 }
 
 impl Brain for Baseline {
-    fn place(&mut self, now: Time, flow: &Flow) -> Place {
+    fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         let left = flow.deadline.saturating_sub(now + MARGIN);
         if left == 0
             || flow.attempts.len() >= self.attempts
@@ -200,7 +202,11 @@
         self.enter(flow.id, server_id);
         // Each try gets its part of the time that is left.
         let tries = (self.attempts - flow.attempts.len()) as u64;
-        Place::To(server_id, left / tries.max(1), left)
+        Placement::Forward {
+            server_id,
+            timeout: left / tries.max(1),
+            send_within: left,
+        }
     }
 
     fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -4,7 +4,7 @@
 
 use nettlemux_flow_table::Brain;
 use nettlemux_policy::{
-    Actions, Endpoint, EndpointState, Flow, FlowId, Place, PolicyEvent, ServerId, Time,
+    Actions, Endpoint, EndpointState, Flow, FlowId, Placement, PolicyEvent, ServerId, Time,
 };
 use nettlemux_settings::Settings;
 use serde_json::Value;
@@ -104,13 +104,23 @@
 }
 
 impl Bent {
-    fn bend(&self, place: Place, flow: &Flow) -> Place {
+    fn bend(&self, place: Placement, flow: &Flow) -> Placement {
         match (place, self.mischief, self.youngest) {
-            (Place::To(_, limit, by), Mischief::FloodsCold, Some((_, server_id))) => {
-                Place::To(server_id, limit, by)
-            }
-            (Place::Abort, Mischief::RejectsWhatMayHaveRun, _) if !flow.attempts.is_empty() => {
-                Place::Reject(None)
+            (
+                Placement::Forward {
+                    timeout,
+                    send_within,
+                    ..
+                },
+                Mischief::FloodsCold,
+                Some((_, server_id)),
+            ) => Placement::Forward {
+                server_id,
+                timeout,
+                send_within,
+            },
+            (Placement::Fail, Mischief::RejectsWhatMayHaveRun, _) if !flow.attempts.is_empty() => {
+                Placement::Reject { retry_after: None }
             }
             (place, ..) => place,
         }
@@ -118,7 +128,7 @@
 }
 
 impl Brain for Bent {
-    fn place(&mut self, now: Time, flow: &Flow) -> Place {
+    fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         let place = self.inner.place(now, flow);
         self.bend(place, flow)
     }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -11,8 +11,8 @@
 use nettlemux_fleet_model::dice::Dice;
 use nettlemux_flow_table::{Act, Brain, Hand, Who};
 use nettlemux_policy::{
-    Actions, Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Place, Policy,
-    PolicyEvent, SEC, ServerId, Time,
+    Actions, Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Placement,
+    Policy, PolicyEvent, SEC, ServerId, Time,
 };
 use nettlemux_settings::Settings;
 
@@ -115,13 +115,13 @@
 }
 
 impl Brain for MeasuredPolicy {
-    fn place(&mut self, now: Time, flow: &Flow) -> Place {
+    fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         let began = Instant::now();
         let place = self.policy.place(now, flow);
         let took = began.elapsed().as_nanos() as u64;
         let mut calls = self.calls.borrow_mut();
         (calls.number, calls.nanoseconds) = (calls.number + 1, calls.nanoseconds + took);
-        if let Place::To(server_id, ..) = place {
+        if let Placement::Forward { server_id, .. } = place {
             calls.placing.saturating_record(took);
             calls.note(|| Note::Placed(group_of(flow), server_id));
         }
