--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -45,9 +45,9 @@
                 .ok_or_else(|| Malformed::new("table", format!("no list {number}")))
         };
         match kind {
-            "patch" => self.hand.list(now, entries()?, false),
-            "whole" | "stale_copy" => self.hand.list(now, entries()?, true),
-            "broken" => self.hand.list_failed(now),
+            "patch" => self.hand.update_endpoints(now, entries()?, false),
+            "whole" | "stale_copy" => self.hand.update_endpoints(now, entries()?, true),
+            "broken" => self.hand.endpoint_poll_failed(now),
             other => {
                 return Err(Malformed::new(
                     "kind",
@@ -92,7 +92,7 @@
         flow.class = parts.maybe("category")?.unwrap_or(0);
         let _effort: Option<f64> = parts.maybe("effort")?;
         let server_id: ServerId = parts.get("server")?;
-        self.hand.inherit(flow, server_id);
+        self.hand.adopt_connection(flow, server_id);
         Ok(())
     }
 
@@ -112,7 +112,7 @@
         parts.maybe::<u32>("send-no")?;
         let x: f64 = parts.get("x")?;
         if topic == 1 {
-            self.hand.told_load(flow, x);
+            self.hand.update_connection_load(flow, x);
         }
         Ok(())
     }
@@ -181,7 +181,7 @@
 
     /// Sets the timer where the module wants to be asked sooner than it is set.
     pub fn arm(&mut self, now: Time, out: &mut String) {
-        let Some(wait) = self.hand.wait(now) else {
+        let Some(wait) = self.hand.time_to_next_timer(now) else {
             return;
         };
         // Never in the batch that is being answered, and no longer than the wire takes.
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -155,7 +155,7 @@
     pub fn run(mut self) -> Result<(), &'static str> {
         loop {
             let now = clock::now();
-            if let Some(wait) = self.hand.wait(now) {
+            if let Some(wait) = self.hand.time_to_next_timer(now) {
                 // Never at once again, so that a due time that is not met can't keep the core busy.
                 let at = now + wait.max(MS);
                 self.due = Some(self.due.map_or(at, |due| due.min(at)));
@@ -244,7 +244,7 @@
                     return;
                 };
                 match client.inherited.take() {
-                    Some((flow, server_id)) => self.hand.inherit(flow, server_id),
+                    Some((flow, server_id)) => self.hand.adopt_connection(flow, server_id),
                     None => self.acts(now, |hand, acts| hand.established(now, flow, took, acts)),
                 }
             }
@@ -263,7 +263,7 @@
                     });
                 }
             }
-            Ask::Load { flow, load } => self.hand.told_load(flow, load),
+            Ask::Load { flow, load } => self.hand.update_connection_load(flow, load),
             Ask::Left { flow } => self.acts(now, |hand, acts| hand.left(now, flow, acts)),
             Ask::Over { flow } => {
                 self.acts(now, |hand, acts| hand.over(now, flow, acts));
@@ -278,15 +278,15 @@
                     hand.probed(now, server_id, passed, report, acts)
                 });
             }
-            Ask::StoredList(entries) => self.list(now, entries, true),
+            Ask::StoredList(entries) => self.update_endpoints(now, entries, true),
             Ask::List {
                 entries,
                 is_complete,
             } => {
-                self.list(now, entries, is_complete);
+                self.update_endpoints(now, entries, is_complete);
                 self.starts.watch();
             }
-            Ask::ListFailed => self.hand.list_failed(now),
+            Ask::ListFailed => self.hand.endpoint_poll_failed(now),
             Ask::GossipReceived(message) => {
                 // One that our list doesn't name is none of ours.
                 if let Some(server_id) = self
@@ -323,7 +323,7 @@
         };
         match settings.policy(self.given.seed, self.given.margin, true) {
             Ok(policy) => {
-                self.hand.change(policy);
+                self.hand.apply_settings(policy);
                 self.given
                     .answer_deadline
                     .reload(clock::now(), settings.longest_wait());
@@ -332,7 +332,7 @@
         }
     }
 
-    fn list(&mut self, now: Time, entries: Vec<Entry>, is_complete: bool) {
+    fn update_endpoints(&mut self, now: Time, entries: Vec<Entry>, is_complete: bool) {
         let mut listed = Vec::new();
         let mut told = Vec::new();
         for entry in entries {
@@ -391,7 +391,7 @@
             .keep(|server_id| servers.contains_key(&server_id));
         self.starts
             .keep(servers.len(), |server_id| servers.contains_key(&server_id));
-        self.hand.list(now, &listed, is_complete);
+        self.hand.update_endpoints(now, &listed, is_complete);
     }
 
     /// Asks the module by way of the hand, and carries out what it says.
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -16,14 +16,14 @@
 /// the laboratory has others to compare it with.
 pub trait Brain {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement;
-    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions;
-    fn wait(&self, now: Time) -> Option<Time>;
-    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
-    fn list_failed(&mut self, now: Time);
-    fn inherit(&mut self, flow: &Flow, server_id: ServerId);
-    fn told_load(&mut self, flow: FlowId, load: f64);
+    fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions;
+    fn time_to_next_timer(&self, now: Time) -> Option<Time>;
+    fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
+    fn endpoint_poll_failed(&mut self, now: Time);
+    fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId);
+    fn update_connection_load(&mut self, flow: FlowId, load: f64);
     /// Other settings from now on; only the module that serves takes any.
-    fn change(&mut self, _new: Policy) {}
+    fn apply_settings(&mut self, _new: Policy) {}
     /// A gossip message of another balancer; those that don't listen need do nothing.
     fn receive_gossip(&mut self, _now: Time, _placement: GroupPlacement) {}
 }
@@ -32,26 +32,26 @@
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         Policy::place(self, now, flow)
     }
-    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
-        Policy::after(self, now, event)
+    fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        Policy::on_event(self, now, event)
     }
-    fn wait(&self, now: Time) -> Option<Time> {
-        Policy::wait(self, now)
+    fn time_to_next_timer(&self, now: Time) -> Option<Time> {
+        Policy::time_to_next_timer(self, now)
     }
-    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
-        Policy::list(self, now, entries, is_complete);
+    fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        Policy::update_endpoints(self, now, entries, is_complete);
     }
-    fn list_failed(&mut self, now: Time) {
-        Policy::list_failed(self, now);
+    fn endpoint_poll_failed(&mut self, now: Time) {
+        Policy::endpoint_poll_failed(self, now);
     }
-    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
-        Policy::inherit(self, flow, server_id);
+    fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
+        Policy::adopt_connection(self, flow, server_id);
     }
-    fn told_load(&mut self, flow: FlowId, load: f64) {
-        Policy::told_load(self, flow, load);
+    fn update_connection_load(&mut self, flow: FlowId, load: f64) {
+        Policy::update_connection_load(self, flow, load);
     }
-    fn change(&mut self, new: Policy) {
-        Policy::change(self, new);
+    fn apply_settings(&mut self, new: Policy) {
+        Policy::apply_settings(self, new);
     }
     fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
         Policy::receive_gossip(self, now, placement);
@@ -62,26 +62,26 @@
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         (**self).place(now, flow)
     }
-    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
-        (**self).after(now, event)
+    fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        (**self).on_event(now, event)
     }
-    fn wait(&self, now: Time) -> Option<Time> {
-        (**self).wait(now)
+    fn time_to_next_timer(&self, now: Time) -> Option<Time> {
+        (**self).time_to_next_timer(now)
     }
-    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
-        (**self).list(now, entries, is_complete);
+    fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        (**self).update_endpoints(now, entries, is_complete);
     }
-    fn list_failed(&mut self, now: Time) {
-        (**self).list_failed(now);
+    fn endpoint_poll_failed(&mut self, now: Time) {
+        (**self).endpoint_poll_failed(now);
     }
-    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
-        (**self).inherit(flow, server_id);
+    fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
+        (**self).adopt_connection(flow, server_id);
     }
-    fn told_load(&mut self, flow: FlowId, load: f64) {
-        (**self).told_load(flow, load);
+    fn update_connection_load(&mut self, flow: FlowId, load: f64) {
+        (**self).update_connection_load(flow, load);
     }
-    fn change(&mut self, new: Policy) {
-        (**self).change(new);
+    fn apply_settings(&mut self, new: Policy) {
+        (**self).apply_settings(new);
     }
     fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
         (**self).receive_gossip(now, placement);
@@ -173,8 +173,8 @@
     }
 
     /// The module goes on under other settings, with all flows that are in hand.
-    pub fn change(&mut self, new: Policy) {
-        self.brain.change(new);
+    pub fn apply_settings(&mut self, new: Policy) {
+        self.brain.apply_settings(new);
     }
 
     /// New limits and weights for the door, where there is one; nobody who waits is dropped.
@@ -189,12 +189,16 @@
     }
 
     /// How long until [`Hand::elapsed`] is to be called at the latest; none where nothing is due.
-    pub fn wait(&self, now: Time) -> Option<Time> {
+    pub fn time_to_next_timer(&self, now: Time) -> Option<Time> {
         let door = self.door.as_ref().filter(|door| door.waiting() > 0);
         let door = door
             .and_then(Door::due)
             .map(|at| at.saturating_sub(now).min(LOOK_AGAIN));
-        self.brain.wait(now).into_iter().chain(door).min()
+        self.brain
+            .time_to_next_timer(now)
+            .into_iter()
+            .chain(door)
+            .min()
     }
 
     /// A flow that has just been taken: it is owed an answer from now on.
@@ -264,8 +268,8 @@
     }
 
     /// A connection that was open at that server before the balancer started.
-    pub fn inherit(&mut self, flow: Flow, server_id: ServerId) {
-        self.brain.inherit(&flow, server_id);
+    pub fn adopt_connection(&mut self, flow: Flow, server_id: ServerId) {
+        self.brain.adopt_connection(&flow, server_id);
         self.flows.insert(flow.id, InHand { flow, owed: false });
     }
 
@@ -275,7 +279,9 @@
         if let Some(door) = &mut self.door {
             door.established(now);
         }
-        let actions = self.brain.after(now, PolicyEvent::Connected { flow, took });
+        let actions = self
+            .brain
+            .on_event(now, PolicyEvent::Connected { flow, took });
         self.carry_out(actions, acts);
         self.let_in(now, acts);
     }
@@ -302,7 +308,7 @@
             }
             owed = in_hand.owed.then_some(&in_hand.flow);
         }
-        let actions = self.brain.after(
+        let actions = self.brain.on_event(
             now,
             PolicyEvent::AttemptEnded {
                 flow,
@@ -327,7 +333,7 @@
             // The module was never asked about it.
             return door.over(flow);
         }
-        let actions = self.brain.after(now, PolicyEvent::ClientLeft { flow });
+        let actions = self.brain.on_event(now, PolicyEvent::ClientLeft { flow });
         self.carry_out(actions, acts);
     }
 
@@ -339,7 +345,7 @@
         report: LoadReport,
         acts: &mut Vec<Act>,
     ) {
-        let actions = self.brain.after(
+        let actions = self.brain.on_event(
             now,
             PolicyEvent::HealthChecked {
                 server_id,
@@ -352,7 +358,7 @@
 
     /// The wait has passed: what was held is asked about again.
     pub fn elapsed(&mut self, now: Time, acts: &mut Vec<Act>) {
-        let actions = self.brain.after(now, PolicyEvent::TimerExpired);
+        let actions = self.brain.on_event(now, PolicyEvent::TimerExpired);
         for id in std::mem::take(&mut self.held) {
             if let Some(in_hand) = self.flows.get(&id).filter(|f| f.owed) {
                 let place = self.brain.place(now, &in_hand.flow);
@@ -366,12 +372,12 @@
         self.let_in(now, acts);
     }
 
-    pub fn told_load(&mut self, flow: FlowId, load: f64) {
-        self.brain.told_load(flow, load);
+    pub fn update_connection_load(&mut self, flow: FlowId, load: f64) {
+        self.brain.update_connection_load(flow, load);
     }
 
-    pub fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
-        self.brain.list(now, entries, is_complete);
+    pub fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        self.brain.update_endpoints(now, entries, is_complete);
     }
 
     /// A gossip message of another balancer.
@@ -379,8 +385,8 @@
         self.brain.receive_gossip(now, placement);
     }
 
-    pub fn list_failed(&mut self, now: Time) {
-        self.brain.list_failed(now);
+    pub fn endpoint_poll_failed(&mut self, now: Time) {
+        self.brain.endpoint_poll_failed(now);
     }
 
     /// The flow is owed no answer any more, for a reason that the module is not asked about.
@@ -426,7 +432,7 @@
                 .find(|attempt| attempt.in_flight)
         });
         if let Some(Attempt { server_id, .. }) = out {
-            let actions = self.brain.after(
+            let actions = self.brain.on_event(
                 now,
                 PolicyEvent::AttemptEnded {
                     flow,
@@ -536,7 +542,7 @@
         fn place(&mut self, _: Time, _: &Flow) -> Placement {
             self.places.remove(0)
         }
-        fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
             let mut actions = Actions::default();
             match event {
                 PolicyEvent::AttemptEnded { owed, .. } => {
@@ -551,13 +557,13 @@
             }
             actions
         }
-        fn wait(&self, _: Time) -> Option<Time> {
+        fn time_to_next_timer(&self, _: Time) -> Option<Time> {
             None
         }
-        fn list(&mut self, _: Time, _: &[Endpoint], _: bool) {}
-        fn list_failed(&mut self, _: Time) {}
-        fn inherit(&mut self, _: &Flow, _: ServerId) {}
-        fn told_load(&mut self, _: FlowId, _: f64) {}
+        fn update_endpoints(&mut self, _: Time, _: &[Endpoint], _: bool) {}
+        fn endpoint_poll_failed(&mut self, _: Time) {}
+        fn adopt_connection(&mut self, _: &Flow, _: ServerId) {}
+        fn update_connection_load(&mut self, _: FlowId, _: f64) {}
     }
 
     fn hand(places: &[Placement]) -> Hand<Script> {
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -91,7 +91,7 @@
         let list: Vec<Endpoint> = (0..servers)
             .map(|server_id| listed(server_id, zones))
             .collect();
-        policy.list(T0, &list, true);
+        policy.update_endpoints(T0, &list, true);
         let mut driver = Driver {
             policy,
             rng: WyRand::new_seed(11),
@@ -108,7 +108,7 @@
         };
         for _ in 0..OWN.min(servers as usize * 220 / 3) {
             let (flow, server_id) = (driver.flow(), driver.rng.generate_range(0..servers));
-            driver.policy.inherit(&flow, server_id);
+            driver.policy.adopt_connection(&flow, server_id);
             driver.established.push_back((flow.id, server_id));
         }
         driver
@@ -128,7 +128,7 @@
 
     fn event(&mut self, event: PolicyEvent) {
         let began = Instant::now();
-        let actions = self.policy.after(self.now, event);
+        let actions = self.policy.on_event(self.now, event);
         self.outcomes.0 += began.elapsed().as_nanos();
         self.outcomes.1 += 1;
         self.probes += actions.health_checks.len();
@@ -168,7 +168,10 @@
     fn until(&mut self, end: Time) {
         loop {
             let answer = self.answers.peek().map(|answer| answer.0.0);
-            let wait = self.policy.wait(self.now).map(|wait| self.now + wait);
+            let wait = self
+                .policy
+                .time_to_next_timer(self.now)
+                .map(|wait| self.now + wait);
             let Some(next) = [answer, wait]
                 .into_iter()
                 .flatten()
@@ -225,11 +228,11 @@
     let list: Vec<Endpoint> = (0..servers)
         .map(|server_id| listed(server_id, zones))
         .collect();
-    policy.list(T0, &list, true);
+    policy.update_endpoints(T0, &list, true);
     let listed = resident();
     for id in 0..OWN as FlowId {
         let group = Some(format!("g{}", id * 7 % GROUPS));
-        policy.inherit(
+        policy.adopt_connection(
             &Flow {
                 id,
                 group,
@@ -296,7 +299,7 @@
                 .collect();
             fleet
                 .iter_mut()
-                .for_each(|policy| policy.list(T0, &list, true));
+                .for_each(|policy| policy.update_endpoints(T0, &list, true));
             let mut held = vec![0.0; servers as usize];
             let mut of_group: BTreeMap<u64, std::collections::BTreeSet<ServerId>> = BTreeMap::new();
             let (mut now, mut lost) = (T0, 0);
@@ -327,7 +330,7 @@
                     lost += 1;
                     continue;
                 };
-                policy.after(at, PolicyEvent::Connected { flow: id, took: MS });
+                policy.on_event(at, PolicyEvent::Connected { flow: id, took: MS });
                 held[server_id as usize] += 1.0;
                 of_group.entry(group).or_default().insert(server_id);
             }
@@ -353,7 +356,9 @@
 
 /// The wait elapses, and what is asked of servers then is answered with what they hold at this moment.
 fn answer(policy: &mut Policy, now: Time, held: &[f64], each: f64) {
-    let mut asked = policy.after(now, PolicyEvent::TimerExpired).health_checks;
+    let mut asked = policy
+        .on_event(now, PolicyEvent::TimerExpired)
+        .health_checks;
     while let Some(server_id) = asked.pop() {
         let count = held[server_id as usize];
         let report = LoadReport {
@@ -362,7 +367,7 @@
         };
         asked.extend(
             policy
-                .after(
+                .on_event(
                     now,
                     PolicyEvent::HealthChecked {
                         server_id,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -256,7 +256,7 @@
     }
 
     /// Goes on under other settings, which keep the places of traffic classes and tenants in hand.
-    pub fn change(&mut self, new: Policy) {
+    pub fn apply_settings(&mut self, new: Policy) {
         let old = std::mem::replace(self, new);
         (self.rng, self.servers, self.book) = (old.rng, old.servers, old.book);
         self.window = Window {
@@ -333,7 +333,7 @@
     }
 
     /// News of the list: changed entries, or all of them.
-    pub fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+    pub fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         for server in self.servers.values_mut() {
             // Also where a complete list tells of the drain.
             server.drains = if server.endpoint.state == EndpointState::Ready {
@@ -427,17 +427,17 @@
     }
 
     /// The list could not be had; it is asked for again after a while.
-    pub fn list_failed(&mut self, now: Time) {
+    pub fn endpoint_poll_failed(&mut self, now: Time) {
         self.next_ask = Some(now + SEC + self.rng.0.generate_range(0..SEC));
     }
 
     /// A connection that flowed through this balancer before it started.
-    pub fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+    pub fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         self.book.enter(0, flow, server_id, true);
     }
 
     /// A connection's load now.
-    pub fn told_load(&mut self, flow: FlowId, load: f64) {
+    pub fn update_connection_load(&mut self, flow: FlowId, load: f64) {
         if load.is_finite() && load >= 0.0 {
             self.book.told(flow, load);
         }
@@ -701,7 +701,7 @@
     }
 
     /// What to do after this outcome.
-    pub fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+    pub fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
         let mut actions = Actions::default();
         match event {
             PolicyEvent::Connected { flow, .. } => {
@@ -895,7 +895,7 @@
     }
 
     /// How long to wait for the next outcome at most.
-    pub fn wait(&self, now: Time) -> Option<Time> {
+    pub fn time_to_next_timer(&self, now: Time) -> Option<Time> {
         let held = (self.held > 0).then_some(now + LOOK_AGAIN.max(self.gather()));
         let all = [
             self.next_probe,
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -99,7 +99,7 @@
             .probing(true, 0.0)
             .among(fleet.balancers as f64, false)
             .cold(START_CAPACITY, WARM_UP, MULTIPLE, FALL);
-        policy.list(
+        policy.update_endpoints(
             BEGIN,
             &(0..fleet.servers).map(ready).collect::<Vec<_>>(),
             true,
@@ -121,7 +121,7 @@
             && at <= now
         {
             self.ends.pop();
-            self.policy.after(
+            self.policy.on_event(
                 at,
                 PolicyEvent::AttemptEnded {
                     flow,
@@ -144,7 +144,7 @@
                     utilization(server_id) + noise,
                 ))
             });
-            self.policy.after(now, PolicyEvent::TimerExpired);
+            self.policy.on_event(now, PolicyEvent::TimerExpired);
         }
     }
 
@@ -163,7 +163,7 @@
         while let Placement::Forward { server_id, .. } = place {
             servers.push(server_id);
             if !refuses(server_id) {
-                self.policy.after(
+                self.policy.on_event(
                     now,
                     PolicyEvent::Connected {
                         flow: flow.id,
@@ -185,7 +185,7 @@
                 end: AttemptEnd::Overloaded,
                 owed: Some(&flow),
             };
-            let Some(next) = self.policy.after(now, refused).placement else {
+            let Some(next) = self.policy.on_event(now, refused).placement else {
                 break;
             };
             place = next;
@@ -200,7 +200,7 @@
             ends.partition(|Reverse((_, _, server_id))| crashed(*server_id));
         self.ends = kept.into();
         for Reverse((_, flow, server_id)) in lost {
-            self.policy.after(
+            self.policy.on_event(
                 now,
                 PolicyEvent::AttemptEnded {
                     flow,
@@ -242,7 +242,7 @@
                 ..ready(server_id)
             })
             .collect();
-        balancer.policy.list(jam, &restarted, false);
+        balancer.policy.update_endpoints(jam, &restarted, false);
         balancer.next_probe = jam;
         now = jam + jam_gap * index / fleet.balancers;
         while now < jam + WARM_UP {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -68,7 +68,7 @@
 /// A report, and the moves that follow from it.
 pub fn probe(policy: &mut Policy, now: Time, server_id: ServerId, b: f64) -> Vec<FlowId> {
     policy
-        .after(
+        .on_event(
             now,
             PolicyEvent::HealthChecked {
                 server_id,
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -28,11 +28,11 @@
                 ..ready(i as ServerId)
             })
             .collect();
-        policy.list(T0, &list, true);
+        policy.update_endpoints(T0, &list, true);
         let mut got = vec![0; weights.len()];
         for id in 0..turns {
             got[take(&mut policy, T0, id) as usize] += 1;
-            policy.after(
+            policy.on_event(
                 T0,
                 PolicyEvent::AttemptEnded {
                     flow: id,
@@ -54,7 +54,7 @@
         .map(|seed| {
             let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
                 .attempts(3, MS, false, true);
-            policy.list(T0, &[ready(0), ready(1), ready(2)], true);
+            policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
             take(&mut policy, T0, 0)
         })
         .collect();
@@ -74,13 +74,13 @@
         (1.6, vec![1.0, 90.0, 1.0, 1.0], 0, 1),
     ] {
         let mut policy = balancer(Idempotency::Idempotent);
-        policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
+        policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         for server_id in 1..9 {
             probe(&mut policy, T0, server_id, 0.2);
         }
         for (id, load) in loads.iter().enumerate() {
-            policy.inherit(&flow(T0, id as FlowId), 0);
-            policy.told_load(id as FlowId, *load);
+            policy.adopt_connection(&flow(T0, id as FlowId), 0);
+            policy.update_connection_load(id as FlowId, *load);
         }
         let moved = probe(&mut policy, T0, 0, beta_now);
         assert!(
@@ -97,10 +97,10 @@
 fn one_large_connection_moves_as_often_as_meets_the_goal() {
     // Guards against each of several balancers rounding up: a fifth of the load is one move in five figures.
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &[ready(0), ready(1), ready(2)], true);
+    policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
     (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.1)));
-    policy.inherit(&flow(T0, 1), 0);
-    policy.told_load(1, 10.0);
+    policy.adopt_connection(&flow(T0, 1), 0);
+    policy.update_connection_load(1, 10.0);
     let moved = (0..200u64).filter(|i| {
         let now = T0 + i * 3 * SEC;
         (1..3).for_each(|server_id| drop(probe(&mut policy, now, server_id, 0.1)));
@@ -113,9 +113,9 @@
 #[test]
 fn one_figure_sheds_once_and_all_hot_lets_nobody_in() {
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &[ready(0), ready(1), ready(2)], true);
+    policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
     for id in 0..100 {
-        policy.inherit(&flow(T0, id), 0);
+        policy.adopt_connection(&flow(T0, id), 0);
     }
     (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.1)));
     assert!(!probe(&mut policy, T0, 0, 1.5).is_empty());
@@ -140,7 +140,7 @@
 #[test]
 fn without_told_loads_estimates_and_counts_decide() {
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &[ready(0), ready(1), ready(2)], true);
+    policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
     (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.0)));
     let report = |b, count| LoadReport {
         utilization: Some(b),
@@ -151,11 +151,11 @@
         passed: true,
         report,
     };
-    policy.inherit(&flow(T0, 7), 0);
-    policy.after(T0, probed(report(0.8, Some(2.0)))); // 0.4 each
-    policy.inherit(&flow(T0, 3), 0);
-    policy.after(T0, probed(report(0.3, Some(3.0)))); // 0.1 each
-    let actions = policy.after(T0, probed(report(1.79, None)));
+    policy.adopt_connection(&flow(T0, 7), 0);
+    policy.on_event(T0, probed(report(0.8, Some(2.0)))); // 0.4 each
+    policy.adopt_connection(&flow(T0, 3), 0);
+    policy.on_event(T0, probed(report(0.3, Some(3.0)))); // 0.1 each
+    let actions = policy.on_event(T0, probed(report(1.79, None)));
     assert_eq!(actions.migrate[0], 7);
 }
 
@@ -163,8 +163,8 @@
 fn hot_and_silent_servers_are_passed_over() {
     for (what, b) in [("hot", 0.95), ("full for a group it doesn't hold", 0.7)] {
         let mut policy = balancer(Idempotency::Idempotent);
-        policy.list(T0, &[ready(0), ready(1)], true);
-        (100..120).for_each(|id| policy.inherit(&flow(T0, id), id % 2));
+        policy.update_endpoints(T0, &[ready(0), ready(1)], true);
+        (100..120).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 2));
         probe(&mut policy, T0, 0, b);
         probe(&mut policy, T0, 1, 0.1);
         for id in 0..4 {
@@ -172,9 +172,9 @@
         }
     }
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &[ready(0), ready(1)], true);
+    policy.update_endpoints(T0, &[ready(0), ready(1)], true);
     for _ in 0..2 {
-        policy.after(
+        policy.on_event(
             T0,
             PolicyEvent::HealthChecked {
                 server_id: 0,
@@ -190,10 +190,10 @@
 fn holders_of_a_group_come_first_and_take_more() {
     // Guards against a group's common work on every server (incident i51578f).
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &(0..6).map(ready).collect::<Vec<_>>(), true);
+    policy.update_endpoints(T0, &(0..6).map(ready).collect::<Vec<_>>(), true);
     (0..6).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.66)));
-    (100..160).for_each(|id| policy.inherit(&flow(T0, id), id % 6));
-    policy.inherit(
+    (100..160).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 6));
+    policy.adopt_connection(
         &Flow {
             group: Some("piste".into()),
             ..flow(T0, 160)
@@ -241,7 +241,7 @@
         ),
     ] {
         let mut policy = balancer(Idempotency::Idempotent);
-        policy.list(T0, &[ready(0), ready(1)], true);
+        policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         let one = Flow {
             deadline: T0 + left,
             attempts: attempts.clone(),
@@ -328,7 +328,7 @@
         (Idempotency::NonIdempotent, vec![(true, 980)], 1990),
     ] {
         let mut policy = balancer(kind).attempts(5, 10 * MS, false, true);
-        policy.list(T0, &[ready(0), ready(1)], true);
+        policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         let made = |(known_unexecuted, age)| Attempt {
             at: T0 - age * MS,
             ..attempt(0, known_unexecuted)
@@ -437,7 +437,7 @@
         ),
     ] {
         let mut policy = balancer(kind);
-        policy.list(T0, &list, true);
+        policy.update_endpoints(T0, &list, true);
         let earlier = Attempt {
             at: T0 - age,
             ..attempt(0, known_unexecuted)
@@ -484,14 +484,16 @@
         let mut policy = balancer(Idempotency::Idempotent)
             .probing(false, 0.0)
             .told(false, true);
-        policy.list(0, &[ready(1), ready(2)], true);
-        policy.inherit(&flow(0, 1), 1);
-        policy.inherit(&flow(0, 2), 1);
-        policy.inherit(&flow(0, 3), 2);
-        policy.after(SEC, PolicyEvent::TimerExpired);
-        policy.list(SEC, &news, whole);
+        policy.update_endpoints(0, &[ready(1), ready(2)], true);
+        policy.adopt_connection(&flow(0, 1), 1);
+        policy.adopt_connection(&flow(0, 2), 1);
+        policy.adopt_connection(&flow(0, 3), 2);
+        policy.on_event(SEC, PolicyEvent::TimerExpired);
+        policy.update_endpoints(SEC, &news, whole);
         assert_eq!(
-            policy.after(3 * SEC - 1, PolicyEvent::TimerExpired).migrate,
+            policy
+                .on_event(3 * SEC - 1, PolicyEvent::TimerExpired)
+                .migrate,
             [],
             "too early"
         );
@@ -499,11 +501,15 @@
         let drains = news
             .iter()
             .any(|server| server.state == EndpointState::Draining);
-        assert_eq!(policy.wait(3 * SEC) == Some(0), drains, "{news:?}");
+        assert_eq!(
+            policy.time_to_next_timer(3 * SEC) == Some(0),
+            drains,
+            "{news:?}"
+        );
         // Each once, one after the other, by the time in which a replacement is warm.
         let tick = |tick: u64| {
             policy
-                .after(3 * SEC + tick * 60 * MS, PolicyEvent::TimerExpired)
+                .on_event(3 * SEC + tick * 60 * MS, PolicyEvent::TimerExpired)
                 .migrate
         };
         let moved: Vec<FlowId> = (0..350).flat_map(tick).collect();
@@ -515,10 +521,10 @@
     }
     // Guards against moving clients twice where servers that drain send them away themselves.
     let mut policy = balancer(Idempotency::Idempotent).told(false, true);
-    policy.list(0, &[ready(1), ready(2)], true);
-    (1..4).for_each(|id| policy.inherit(&flow(0, id), 1));
-    policy.list(SEC, &[drains(1)], false);
-    policy.after(
+    policy.update_endpoints(0, &[ready(1), ready(2)], true);
+    (1..4).for_each(|id| policy.adopt_connection(&flow(0, id), 1));
+    policy.update_endpoints(SEC, &[drains(1)], false);
+    policy.on_event(
         SEC,
         PolicyEvent::AttemptEnded {
             flow: 1,
@@ -529,7 +535,7 @@
     );
     assert!(
         policy
-            .after(4 * SEC, PolicyEvent::TimerExpired)
+            .on_event(4 * SEC, PolicyEvent::TimerExpired)
             .migrate
             .is_empty()
     );
@@ -543,8 +549,8 @@
             .among(balancers as f64, false)
             .cold(0.35, 8 * SEC, 3.0, 3 * SEC)
             .told(false, true);
-        policy.list(T0, &(0..40).map(ready).collect::<Vec<_>>(), true);
-        (0..2).for_each(|id| policy.inherit(&flow(T0, id), (2 * seed + id) % 40));
+        policy.update_endpoints(T0, &(0..40).map(ready).collect::<Vec<_>>(), true);
+        (0..2).for_each(|id| policy.adopt_connection(&flow(T0, id), (2 * seed + id) % 40));
         (0..40).for_each(|server_id| drop(probe(&mut policy, T0, server_id, utilization)));
         policy
     })
@@ -561,14 +567,14 @@
     for whole in [false, true] {
         let (mut seconds, news) = ([0; 9], T0 + 9 * SEC);
         for mut policy in fleet(60, 0.3) {
-            policy.list(
+            policy.update_endpoints(
                 news,
                 &(0..40).map(at).chain([ready(40)]).collect::<Vec<_>>(),
                 whole,
             );
             for now in (0..9 * SEC).step_by((60 * MS) as usize) {
                 seconds[(now / SEC) as usize] += policy
-                    .after(news + now, PolicyEvent::TimerExpired)
+                    .on_event(news + now, PolicyEvent::TimerExpired)
                     .migrate
                     .len();
             }
@@ -591,7 +597,7 @@
     // Guards against hundreds that each go by the few attempts they lately made: cold servers got nothing.
     let mut sent = Vec::new();
     for (n, mut policy) in fleet(60, 0.7).enumerate() {
-        policy.list(
+        policy.update_endpoints(
             T0,
             &[Endpoint {
                 started: T0,
@@ -610,7 +616,7 @@
             else {
                 continue;
             };
-            policy.after(
+            policy.on_event(
                 now,
                 PolicyEvent::Connected {
                     flow: 10 + tick,
@@ -639,13 +645,13 @@
 fn nothing_new_to_draining_gone_or_unlisted_servers() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut policy = balancer(Idempotency::Idempotent);
-        policy.list(T0, &[ready(0), ready(1)], true);
-        policy.list(T0, &[Endpoint { state, ..ready(0) }], false);
+        policy.update_endpoints(T0, &[ready(0), ready(1)], true);
+        policy.update_endpoints(T0, &[Endpoint { state, ..ready(0) }], false);
         (0..4).for_each(|id| assert_eq!(take(&mut policy, T0, id), 1));
         // What isn't in a whole list is gone.
-        policy.list(T0, &[ready(2)], true);
+        policy.update_endpoints(T0, &[ready(2)], true);
         (4..8).for_each(|id| assert_eq!(take(&mut policy, T0, id), 2));
-        policy.list(T0, &[], true);
+        policy.update_endpoints(T0, &[], true);
         let late = Flow {
             accepted_at: T0 - SEC,
             ..flow(T0, 9)
@@ -664,16 +670,16 @@
     // Guards against a storm of attempts, which must not raise the budget, and a restart under one id.
     for (storm, restart) in [(false, false), (true, false), (false, true)] {
         let mut policy = balancer(Idempotency::Idempotent);
-        policy.list(T0, &[ready(0), ready(1), ready(2)], true);
+        policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
         let mut now = T0;
         let mut id = 0;
         let mut go = |policy: &mut Policy, now, establish: bool| {
             id += 1;
             let server_id = take(policy, now, id);
             if establish {
-                policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+                policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
             }
-            policy.after(
+            policy.on_event(
                 now,
                 PolicyEvent::AttemptEnded {
                     flow: id,
@@ -689,7 +695,7 @@
             go(&mut policy, now, true);
         }
         let cold = if restart { 2 } else { 3 };
-        policy.list(
+        policy.update_endpoints(
             now,
             &[Endpoint {
                 started: now,
@@ -714,7 +720,7 @@
     // saved up by each (roll+mass and join+mass of slate-quarry, seed 2: 5.0 times what the server could then do).
     let (mut sent, balancers) = (0, 300);
     for mut policy in fleet(balancers, 0.7) {
-        policy.list(
+        policy.update_endpoints(
             T0,
             &[Endpoint {
                 started: T0,
@@ -751,11 +757,11 @@
             .count()
     };
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
+    policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
     let before = in_flight(&mut policy, T0, 0);
     for id in 0..before as FlowId {
         let now = T0 + id * 300 * MS;
-        policy.after(
+        policy.on_event(
             now,
             PolicyEvent::AttemptEnded {
                 flow: id,
@@ -764,7 +770,7 @@
                 owed: None,
             },
         );
-        policy.after(
+        policy.on_event(
             now,
             PolicyEvent::AttemptEnded {
                 flow: id,
@@ -779,7 +785,7 @@
     assert!(jammed < before / 2, "{before} then {jammed}");
     // Recovery is noticed.
     (100..100 + jammed as FlowId)
-        .for_each(|id| drop(policy.after(later, PolicyEvent::Connected { flow: id, took: MS })));
+        .for_each(|id| drop(policy.on_event(later, PolicyEvent::Connected { flow: id, took: MS })));
     assert!(in_flight(&mut policy, later, 200) > jammed);
 }
 
@@ -789,7 +795,7 @@
     // out one by one, send their clients away for a second at most (roll+mass seeds 11 and 15, slow store).
     for (balancers, first) in [(1.0, 8), (75.0, 8), (300.0, 2), (1000.0, 1)] {
         let mut policy = balancer(Idempotency::Idempotent).among(balancers, false);
-        policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
+        policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let latest = |policy: &mut Policy| {
             let late = |id| Flow {
                 accepted_at: T0 - SEC,
@@ -806,7 +812,7 @@
             .count();
         assert_eq!(sent, first, "{balancers}");
         assert!(latest(&mut policy).is_some_and(|told| told <= SEC));
-        policy.after(
+        policy.on_event(
             T0,
             PolicyEvent::AttemptEnded {
                 flow: 0,
@@ -817,7 +823,7 @@
         );
         if first > 1 {
             (1..20).for_each(|id| {
-                drop(policy.after(
+                drop(policy.on_event(
                     T0,
                     PolicyEvent::AttemptEnded {
                         flow: id,
@@ -845,12 +851,12 @@
 fn a_server_that_answers_nothing_gets_no_more() {
     // Guards against a silent server on which all attempts that may be in flight wait for their end.
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &[ready(0), ready(1)], true);
+    policy.update_endpoints(T0, &[ready(0), ready(1)], true);
     let silent = take(&mut policy, T0, 0);
     for id in 1..20 {
         let now = T0 + id * 500 * MS;
         assert_ne!(take(&mut policy, now, id), silent);
-        policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+        policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
     }
 }
 
@@ -858,8 +864,8 @@
 fn stuck_reports_neither_shut_servers_nor_move_clients() {
     // Guards against rejecting everything for good when all reports stand still at a high load.
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &[ready(0), ready(1)], true);
-    (100..140).for_each(|id| policy.inherit(&flow(T0, id), id % 2));
+    policy.update_endpoints(T0, &[ready(0), ready(1)], true);
+    (100..140).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 2));
     let mut now = T0;
     for round in 0..10 {
         now += 2 * SEC;
@@ -889,7 +895,11 @@
             },
         );
         assert_eq!(place == Placement::Wait, waits, "{left}");
-        assert!(policy.wait(T0).is_none_or(|wait| T0 + wait < T0 + left));
+        assert!(
+            policy
+                .time_to_next_timer(T0)
+                .is_none_or(|wait| T0 + wait < T0 + left)
+        );
     }
 }
 
@@ -897,7 +907,7 @@
 fn in_a_jam_no_flow_gets_a_further_connect_and_few_get_one() {
     // Guards against five attempts a flow to a store that fails them all (colombo-maps, a slow store only).
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
+    policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
     let mut sent = 0;
     for id in 0..200 {
         let now = T0 + id * 100 * MS;
@@ -914,7 +924,7 @@
                 owed: Some(&tried),
             };
             assert!(matches!(
-                policy.after(now, ended).placement,
+                policy.on_event(now, ended).placement,
                 Some(Placement::Reject { .. })
             ));
         }
@@ -934,15 +944,15 @@
             .attempts(3, 4 * MS, false, true)
             .tenants(vec![0.5, 0.5], 0.1)
             .probing(true, 0.0);
-        policy.list(T0, &[ready(0), ready(1)], true);
+        policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         for id in 0..40 {
             let held = Flow {
                 class: id as usize % 2,
                 tenant: usize::from(id >= 30),
                 ..flow(T0, 1000 + id)
             };
-            policy.inherit(&held, id % 2);
-            policy.told_load(1000 + id, 10.0);
+            policy.adopt_connection(&held, id % 2);
+            policy.update_connection_load(1000 + id, 10.0);
         }
         (0..2).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.57)));
         let one = Flow {
@@ -959,7 +969,7 @@
 #[test]
 fn absurd_news_and_late_outcomes_do_no_harm() {
     let mut policy = balancer(Idempotency::NonIdempotent);
-    policy.list(
+    policy.update_endpoints(
         T0,
         &[
             ready(0),
@@ -974,9 +984,9 @@
     for b in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
         probe(&mut policy, T0, 0, b);
         probe(&mut policy, T0, 42, b);
-        policy.told_load(42, b);
-        policy.inherit(&flow(T0, 7), 0);
-        policy.told_load(7, b);
+        policy.update_connection_load(42, b);
+        policy.adopt_connection(&flow(T0, 7), 0);
+        policy.update_connection_load(7, b);
     }
     for end in [
         AttemptEnd::Done,
@@ -987,7 +997,7 @@
         AttemptEnd::Cancelled,
         AttemptEnd::NotSent,
     ] {
-        policy.after(
+        policy.on_event(
             T0,
             PolicyEvent::AttemptEnded {
                 flow: 999,
@@ -996,7 +1006,7 @@
                 owed: None,
             },
         );
-        policy.after(
+        policy.on_event(
             T0,
             PolicyEvent::AttemptEnded {
                 flow: 7,
@@ -1006,10 +1016,10 @@
             },
         );
     }
-    policy.after(T0, PolicyEvent::Connected { flow: 999, took: 0 });
+    policy.on_event(T0, PolicyEvent::Connected { flow: 999, took: 0 });
     assert!(
         policy
-            .after(T0, PolicyEvent::ClientLeft { flow: 999 })
+            .on_event(T0, PolicyEvent::ClientLeft { flow: 999 })
             .cancel
             .is_empty()
     );
@@ -1022,7 +1032,9 @@
         Placement::Forward { .. }
     ));
     assert_eq!(
-        policy.after(T0, PolicyEvent::ClientLeft { flow: 5 }).cancel,
+        policy
+            .on_event(T0, PolicyEvent::ClientLeft { flow: 5 })
+            .cancel,
         [5]
     );
 }
@@ -1030,27 +1042,43 @@
 #[test]
 fn probes_and_lists_are_asked_for_when_due() {
     let mut policy = balancer(Idempotency::Idempotent).told(true, false);
-    assert!(policy.after(T0, PolicyEvent::TimerExpired).poll_endpoints);
-    assert_eq!(policy.wait(T0), None);
-    policy.list_failed(T0);
-    let wait = policy.wait(T0).expect("the list is asked for again");
     assert!(
         policy
-            .after(T0 + wait, PolicyEvent::TimerExpired)
+            .on_event(T0, PolicyEvent::TimerExpired)
             .poll_endpoints
     );
-    policy.list(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
+    assert_eq!(policy.time_to_next_timer(T0), None);
+    policy.endpoint_poll_failed(T0);
+    let wait = policy
+        .time_to_next_timer(T0)
+        .expect("the list is asked for again");
+    assert!(
+        policy
+            .on_event(T0 + wait, PolicyEvent::TimerExpired)
+            .poll_endpoints
+    );
+    policy.update_endpoints(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
     let mut probed = std::collections::BTreeSet::new();
     let mut now = T0;
     while now < T0 + 10 * SEC {
-        now += policy.wait(now).expect("a probe is due").max(MS);
-        probed.extend(policy.after(now, PolicyEvent::TimerExpired).health_checks);
+        now += policy
+            .time_to_next_timer(now)
+            .expect("a probe is due")
+            .max(MS);
+        probed.extend(
+            policy
+                .on_event(now, PolicyEvent::TimerExpired)
+                .health_checks,
+        );
     }
     assert_eq!(probed.len(), 50);
     // Where probes aren't allowed none are asked for, and the rotation goes on.
     let mut blind = balancer(Idempotency::Idempotent).probing(false, 0.0);
-    blind.list(T0, &[ready(0)], true);
-    assert_eq!((blind.wait(T0), take(&mut blind, T0, 1)), (None, 0));
+    blind.update_endpoints(T0, &[ready(0)], true);
+    assert_eq!(
+        (blind.time_to_next_timer(T0), take(&mut blind, T0, 1)),
+        (None, 0)
+    );
     assert_eq!(utilization(0.5).connections, None);
 }
 
@@ -1066,9 +1094,9 @@
             .attempts(3, MS, false, true)
             .among(100.0, false)
             .probing(true, 0.0);
-        policy.list(T0, &(0..20).map(ready).collect::<Vec<_>>(), true);
+        policy.update_endpoints(T0, &(0..20).map(ready).collect::<Vec<_>>(), true);
         if let Some(server_id) = holder {
-            policy.inherit(&of(group, 1), server_id);
+            policy.adopt_connection(&of(group, 1), server_id);
         }
         match policy.place(T0, &of(group, 2)) {
             Placement::Forward { server_id, .. } => server_id,
@@ -1104,12 +1132,18 @@
         (0.02, 50, 6, 8),
     ] {
         let mut policy = balancer(Idempotency::Idempotent).probing(true, price);
-        policy.list(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
-        (0..own).for_each(|id| policy.inherit(&flow(T0, id), id % 50));
+        policy.update_endpoints(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
+        (0..own).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 50));
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 60 * SEC {
-            now += policy.wait(now).expect("a probe is due").max(MS);
-            for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
+            now += policy
+                .time_to_next_timer(now)
+                .expect("a probe is due")
+                .max(MS);
+            for server_id in policy
+                .on_event(now, PolicyEvent::TimerExpired)
+                .health_checks
+            {
                 count += usize::from(server_id == 7);
                 probe(&mut policy, now, server_id, 0.6 + (now % 97) as f64 / 1e4);
             }
@@ -1127,8 +1161,8 @@
     // server that shows room. Inherited connections, whether the clients return, whether all get in.
     for (own, reconnecting, all) in [(0, true, true), (0, false, false), (20, true, false)] {
         let mut policy = balancer(Idempotency::Idempotent).among(2.0, false);
-        policy.list(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
-        (100..100 + own).for_each(|id| policy.inherit(&flow(T0, id), id % 5));
+        policy.update_endpoints(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
+        (100..100 + own).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 5));
         (0..5).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.45)));
         let mut on = [0; 5];
         for id in 0..30 {
@@ -1141,7 +1175,7 @@
                 },
             ) {
                 on[server_id as usize] += 1;
-                policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+                policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
             }
         }
         assert_eq!(
@@ -1157,11 +1191,17 @@
 fn first_figures_after_a_restart_do_not_stand_for_ten_seconds() {
     // Guards against probes by a traffic that has not come yet: the figure stood while the servers filled.
     let mut policy = balancer(Idempotency::Idempotent).probing(true, 0.002);
-    policy.list(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
+    policy.update_endpoints(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
     let (mut now, mut count) = (T0, 0);
     while now < T0 + 8 * SEC {
-        now += policy.wait(now).expect("a probe is due").max(MS);
-        for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
+        now += policy
+            .time_to_next_timer(now)
+            .expect("a probe is due")
+            .max(MS);
+        for server_id in policy
+            .on_event(now, PolicyEvent::TimerExpired)
+            .health_checks
+        {
             count += usize::from(server_id == 3);
             probe(&mut policy, now, server_id, 0.5);
         }
@@ -1177,11 +1217,17 @@
         let mut policy = balancer(Idempotency::Idempotent)
             .probing(true, 0.0019)
             .among(balancers, false);
-        policy.list(T0, &(0..12).map(ready).collect::<Vec<_>>(), true);
+        policy.update_endpoints(T0, &(0..12).map(ready).collect::<Vec<_>>(), true);
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 10 * SEC {
-            now += policy.wait(now).expect("a probe is due").max(MS);
-            for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
+            now += policy
+                .time_to_next_timer(now)
+                .expect("a probe is due")
+                .max(MS);
+            for server_id in policy
+                .on_event(now, PolicyEvent::TimerExpired)
+                .health_checks
+            {
                 count += 1;
                 probe(&mut policy, now, server_id, 0.5 + (now % 97) as f64 / 1e4);
             }
@@ -1201,10 +1247,12 @@
         let mut policy = balancer(Idempotency::Idempotent)
             .probing(true, 1.0)
             .among(1.0, true);
-        policy.list(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
+        policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let mut now = T0 + 3 * SEC;
         assert_eq!(
-            policy.after(now, PolicyEvent::TimerExpired).health_checks,
+            policy
+                .on_event(now, PolicyEvent::TimerExpired)
+                .health_checks,
             [],
             "none holds a connection of ours"
         );
@@ -1214,14 +1262,16 @@
         };
         assert_eq!(policy.place(now, &one), Placement::Wait);
         now += MS;
-        let asked = policy.after(now, PolicyEvent::TimerExpired).health_checks;
+        let asked = policy
+            .on_event(now, PolicyEvent::TimerExpired)
+            .health_checks;
         assert!((1..=4).contains(&asked.len()), "{asked:?}");
         for server_id in &asked {
             let report = LoadReport {
                 utilization: load,
                 connections: None,
             };
-            policy.after(
+            policy.on_event(
                 now,
                 PolicyEvent::HealthChecked {
                     server_id: *server_id,
@@ -1230,8 +1280,11 @@
                 },
             );
         }
-        now += policy.wait(now).expect("a look at the flow").min(5 * MS);
-        policy.after(now, PolicyEvent::TimerExpired);
+        now += policy
+            .time_to_next_timer(now)
+            .expect("a look at the flow")
+            .min(5 * MS);
+        policy.on_event(now, PolicyEvent::TimerExpired);
         match policy.place(now, &one) {
             Placement::Forward { server_id, .. } => {
                 assert!(goes && asked.contains(&server_id), "{load:?}: {server_id}")
@@ -1256,11 +1309,11 @@
             zone: u64::from(server_id > 3),
             ..ready(server_id)
         };
-        policy.list(T0, &(0..9).map(list).collect::<Vec<_>>(), true);
+        policy.update_endpoints(T0, &(0..9).map(list).collect::<Vec<_>>(), true);
         let group = Some("a".to_string());
         // Whoever places one says so, once.
         let mut teller = balancer(Idempotency::Idempotent).among(1.0, true);
-        teller.list(T0, &[list(7)], true);
+        teller.update_endpoints(T0, &[list(7)], true);
         let mut messages = Vec::new();
         for id in 0..5 {
             let one = Flow {
@@ -1273,7 +1326,7 @@
             ));
             messages.extend(
                 teller
-                    .after(
+                    .on_event(
                         one.accepted_at,
                         PolicyEvent::Connected { flow: id, took: MS },
                     )
@@ -1321,7 +1374,7 @@
     // messages in 10 s at most.
     for (balancers, most) in [(1.0, 100), (30.0, 12), (600.0, 2)] {
         let mut policy = balancer(Idempotency::Idempotent).among(balancers, true);
-        policy.list(T0, &[ready(0)], true);
+        policy.update_endpoints(T0, &[ready(0)], true);
         let mut messages = 0;
         for id in 0..100 {
             let now = T0 + id * SEC / 10;
@@ -1332,11 +1385,11 @@
             policy.place(now, &one);
             messages += usize::from(
                 policy
-                    .after(now, PolicyEvent::Connected { flow: id, took: MS })
+                    .on_event(now, PolicyEvent::Connected { flow: id, took: MS })
                     .gossip
                     .is_some(),
             );
-            policy.after(
+            policy.on_event(
                 now,
                 PolicyEvent::AttemptEnded {
                     flow: id,
@@ -1358,7 +1411,7 @@
     // Guards against a switch that forgets connections, drains or failures, and one that can't be taken back.
     let made = |may_gossip| balancer(Idempotency::Idempotent).among(1.0, may_gossip);
     let mut policy = made(false);
-    policy.list(
+    policy.update_endpoints(
         T0,
         &[
             ready(0),
@@ -1371,7 +1424,7 @@
         true,
     );
     (0..4).for_each(|id| {
-        policy.inherit(
+        policy.adopt_connection(
             &Flow {
                 group: Some("a".into()),
                 ..flow(T0, id)
@@ -1379,7 +1432,7 @@
             1,
         )
     });
-    policy.after(
+    policy.on_event(
         T0,
         PolicyEvent::AttemptEnded {
             flow: 9,
@@ -1389,7 +1442,7 @@
         },
     );
     for may_gossip in [true, false, true, false] {
-        policy.change(made(may_gossip));
+        policy.apply_settings(made(may_gossip));
         policy.receive_gossip(
             T0,
             GroupPlacement {
@@ -1413,7 +1466,7 @@
                 ) && (may_gossip || matches!(placed, Placement::Forward { server_id: 1, .. })),
                 "{placed:?}"
             );
-            policy.after(
+            policy.on_event(
                 T0,
                 PolicyEvent::AttemptEnded {
                     flow: id,
@@ -1435,13 +1488,13 @@
 fn a_figure_ends_though_probes_go_on_failing() {
     // Guards against a last figure that shuts a server for good when its probe path breaks at a high load.
     let mut policy = balancer(Idempotency::Idempotent);
-    policy.list(T0, &[ready(0)], true);
+    policy.update_endpoints(T0, &[ready(0)], true);
     probe(&mut policy, T0, 0, 0.9);
     let mut open = Vec::new();
     for second in 1..=12 {
         let now = T0 + second * SEC;
-        policy.after(now, PolicyEvent::TimerExpired);
-        policy.after(
+        policy.on_event(now, PolicyEvent::TimerExpired);
+        policy.on_event(
             now,
             PolicyEvent::HealthChecked {
                 server_id: 0,
@@ -1479,13 +1532,13 @@
     let mut placed = 0;
     for round in 0..20u64 {
         let now = T0 + round * SEC;
-        policy.list(now, &list(round * 250, EndpointState::Ready), false);
-        policy.list(
+        policy.update_endpoints(now, &list(round * 250, EndpointState::Ready), false);
+        policy.update_endpoints(
             now,
             &list(round * 250 + 250, EndpointState::Ready),
             round % 5 == 4,
         );
-        policy.list(now, &list(round * 250, EndpointState::Removed), false);
+        policy.update_endpoints(now, &list(round * 250, EndpointState::Removed), false);
         for server_id in (0..6000).step_by(3) {
             let absurd = [f64::NAN, -1.0, f64::INFINITY, 1e300, 0.3];
             probe(
@@ -1495,7 +1548,7 @@
                 absurd[(server_id % 5) as usize],
             );
         }
-        policy.after(now, PolicyEvent::TimerExpired);
+        policy.on_event(now, PolicyEvent::TimerExpired);
         for id in 0..20 {
             let group = Some(format!("group {}", id % 4));
             let one = Flow {
@@ -1511,7 +1564,7 @@
                     listed.contains(&server_id) && timeout < 2 * SEC,
                     "round {round}: {server_id}"
                 );
-                policy.after(
+                policy.on_event(
                     now,
                     PolicyEvent::Connected {
                         flow: one.id,
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -52,9 +52,11 @@
         if answer != Placement::Wait {
             return (answer, asked);
         }
-        let probes = policy.after(now, PolicyEvent::TimerExpired).health_checks;
+        let probes = policy
+            .on_event(now, PolicyEvent::TimerExpired)
+            .health_checks;
         for server_id in &probes {
-            policy.after(
+            policy.on_event(
                 now,
                 PolicyEvent::HealthChecked {
                     server_id: *server_id,
@@ -71,7 +73,7 @@
 /// Where these groups go at a balancer that holds nothing else.
 fn homes(list: &[Endpoint], seed: u64, groups: &[String]) -> Vec<ServerId> {
     let mut policy = balancer(seed, 3);
-    policy.list(T0, list, true);
+    policy.update_endpoints(T0, list, true);
     let mut homes = Vec::new();
     for (id, group) in groups.iter().enumerate() {
         let (now, id) = (T0 + id as Time * SEC, id as FlowId);
@@ -79,7 +81,7 @@
         let Placement::Forward { server_id, .. } = answer else {
             panic!("{group}: {answer:?}")
         };
-        policy.after(
+        policy.on_event(
             now,
             PolicyEvent::AttemptEnded {
                 flow: id,
@@ -115,14 +117,14 @@
     let mut went: BTreeMap<ServerId, usize> = BTreeMap::new();
     for seed in 0..10 {
         let mut policy = balancer(seed, 3);
-        policy.list(T0, &list, true);
+        policy.update_endpoints(T0, &list, true);
         for id in 0..200 {
             let now = T0 + id * 200 * MS;
             let (answer, _) = place(&mut policy, now, &flow(now, id), |_| 0.3);
             let Placement::Forward { server_id, .. } = answer else {
                 panic!("flow {id}: {answer:?}")
             };
-            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
             *went.entry(server_id).or_default() += 1;
         }
     }
@@ -157,11 +159,11 @@
         .for_each(|server| long.update(server.server_id, server.zone, server.weight, true));
     // Few other balancers, as each of ours is taken for one of each of them.
     let mut policy = balancer(1, 3).among(4.0, false);
-    policy.list(T0, &list, true);
+    policy.update_endpoints(T0, &list, true);
     let roomy = |server_id: &ServerId| (500..510).contains(server_id);
     for server_id in 0..600 {
         let figure = utilization(if roomy(&server_id) { 0.1 } else { 0.79 });
-        policy.after(
+        policy.on_event(
             T0,
             PolicyEvent::HealthChecked {
                 server_id,
@@ -184,7 +186,7 @@
     for (id, group) in groups.iter().enumerate() {
         let (id, now) = (id as FlowId, T0 + (1 + id as Time) * MS);
         if let Placement::Forward { server_id, .. } = policy.place(now, &of_group(now, id, group)) {
-            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
             placed.push(server_id);
         }
     }
@@ -200,16 +202,19 @@
 fn probes_keep_within_their_budget_however_many_servers_and_flows_there_are() {
     for count in [600, 6_000] {
         let mut policy = balancer(1, 3);
-        policy.list(T0, &servers(count), true);
+        policy.update_endpoints(T0, &servers(count), true);
         for id in 0..20_000 {
-            policy.inherit(&of_group(T0, 100_000 + id, &format!("g{id}")), id % count);
+            policy.adopt_connection(&of_group(T0, 100_000 + id, &format!("g{id}")), id % count);
         }
         let (mut probes, mut unasked) = (0, 0);
         for step in 0..2_000 {
             let now = T0 + step * 10 * MS;
             // Nobody waits: these are for servers of ours, all of them hot, which are to be asked again soon.
-            for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
-                policy.after(
+            for server_id in policy
+                .on_event(now, PolicyEvent::TimerExpired)
+                .health_checks
+            {
+                policy.on_event(
                     now,
                     PolicyEvent::HealthChecked {
                         server_id,
@@ -223,7 +228,7 @@
                 let flow = of_group(now, step, &format!("h{step}"));
                 let (answer, asked) = place(&mut policy, now, &flow, |_| 0.3);
                 assert!(matches!(answer, Placement::Forward { .. }), "{answer:?}");
-                policy.after(
+                policy.on_event(
                     now,
                     PolicyEvent::Connected {
                         flow: step,
@@ -253,13 +258,13 @@
 #[test]
 fn a_hot_server_is_asked_again_before_others_and_sheds() {
     let mut policy = balancer(1, 3);
-    policy.list(T0, &servers(600), true);
+    policy.update_endpoints(T0, &servers(600), true);
     for id in 0..6_000 {
-        policy.inherit(&of_group(T0, id, &format!("g{id}")), id % 600);
+        policy.adopt_connection(&of_group(T0, id, &format!("g{id}")), id % 600);
     }
     let hot = |server_id: ServerId| if server_id == 77 { 1.2 } else { 0.3 };
     let (mut times, mut shed) = (0, 0);
-    policy.after(
+    policy.on_event(
         T0,
         PolicyEvent::HealthChecked {
             server_id: 77,
@@ -269,10 +274,13 @@
     );
     for tick in 1..80 {
         let now = T0 + tick * 250 * MS;
-        for server_id in policy.after(now, PolicyEvent::TimerExpired).health_checks {
+        for server_id in policy
+            .on_event(now, PolicyEvent::TimerExpired)
+            .health_checks
+        {
             times += usize::from(server_id == 77);
             shed += policy
-                .after(
+                .on_event(
                     now,
                     PolicyEvent::HealthChecked {
                         server_id,
@@ -296,7 +304,7 @@
     let list = servers(600);
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut policy = balancer(1, 3);
-        policy.list(T0, &list, true);
+        policy.update_endpoints(T0, &list, true);
         let first = place(&mut policy, T0, &of_group(T0, 1, "one"), |_| 0.3).0;
         let Placement::Forward {
             server_id: first, ..
@@ -304,7 +312,7 @@
         else {
             panic!("{first:?}")
         };
-        policy.after(
+        policy.on_event(
             T0,
             PolicyEvent::AttemptEnded {
                 flow: 1,
@@ -313,7 +321,7 @@
                 owed: None,
             },
         );
-        policy.list(
+        policy.update_endpoints(
             T0,
             &[Endpoint {
                 state,
@@ -328,7 +336,7 @@
                 matches!(place, Placement::Forward { server_id, .. } if server_id != first),
                 "{state:?}: {place:?}"
             );
-            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
         }
     }
 }
@@ -338,7 +346,7 @@
     let list = servers(WHOLE);
     let (mut one, mut other) = (balancer(1, 3), balancer(1, 3).whole_list(usize::MAX));
     for policy in [&mut one, &mut other] {
-        policy.list(T0, &list, true);
+        policy.update_endpoints(T0, &list, true);
     }
     for id in 0..500 {
         let now = T0 + id * 20 * MS;
@@ -350,7 +358,11 @@
         );
         assert_eq!(a, b, "flow {id}");
         let ends = PolicyEvent::Connected { flow: id, took: MS };
-        assert_eq!(one.after(now, ends), other.after(now, ends), "flow {id}");
+        assert_eq!(
+            one.on_event(now, ends),
+            other.on_event(now, ends),
+            "flow {id}"
+        );
     }
 }
 
@@ -359,7 +371,7 @@
     let mut policy = balancer(1, 3);
     for (step, count) in [150, 600, 180, 6_000, 1, 201, 200].into_iter().enumerate() {
         let now = T0 + step as Time * 30 * SEC;
-        policy.list(now, &servers(count), true);
+        policy.update_endpoints(now, &servers(count), true);
         for id in 0..20 {
             let now = now + id * 100 * MS;
             let id = step as u64 * 100 + id;
@@ -373,7 +385,7 @@
                 matches!(place, Placement::Forward { server_id, .. } if server_id < count),
                 "{count} servers: {place:?}"
             );
-            policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
         }
     }
 }
@@ -381,7 +393,7 @@
 #[test]
 fn a_topic_with_many_connections_here_spreads_over_more_servers() {
     let mut policy = balancer(1, 3);
-    policy.list(T0, &servers(6_000), true);
+    policy.update_endpoints(T0, &servers(6_000), true);
     let mut went: BTreeMap<ServerId, usize> = BTreeMap::new();
     for id in 0..300 {
         let now = T0 + id * 200 * MS;
@@ -389,7 +401,7 @@
         let Placement::Forward { server_id, .. } = place else {
             panic!("flow {id}: {place:?}")
         };
-        policy.after(now, PolicyEvent::Connected { flow: id, took: MS });
+        policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
         *went.entry(server_id).or_default() += 1;
     }
     assert!(went.len() > 1 && went.len() <= MOST, "{went:?}");
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -209,7 +209,7 @@
         }
     }
 
-    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
+    fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
         let mut actions = Actions::default();
         match event {
             PolicyEvent::AttemptEnded { flow, owed, .. } => {
@@ -224,11 +224,11 @@
         actions
     }
 
-    fn wait(&self, _: Time) -> Option<Time> {
+    fn time_to_next_timer(&self, _: Time) -> Option<Time> {
         None
     }
 
-    fn list(&mut self, _: Time, entries: &[Endpoint], is_complete: bool) {
+    fn update_endpoints(&mut self, _: Time, entries: &[Endpoint], is_complete: bool) {
         if is_complete {
             self.servers.clear();
         }
@@ -236,11 +236,11 @@
             .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
     }
 
-    fn list_failed(&mut self, _: Time) {}
+    fn endpoint_poll_failed(&mut self, _: Time) {}
 
-    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+    fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         self.enter(flow.id, server_id);
     }
 
-    fn told_load(&mut self, _: FlowId, _: f64) {}
+    fn update_connection_load(&mut self, _: FlowId, _: f64) {}
 }
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -133,8 +133,8 @@
         self.bend(place, flow)
     }
 
-    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
-        let mut actions = self.inner.after(now, event);
+    fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        let mut actions = self.inner.on_event(now, event);
         if let (
             Some(place),
             PolicyEvent::AttemptEnded {
@@ -147,11 +147,11 @@
         actions
     }
 
-    fn wait(&self, now: Time) -> Option<Time> {
-        self.inner.wait(now)
+    fn time_to_next_timer(&self, now: Time) -> Option<Time> {
+        self.inner.time_to_next_timer(now)
     }
 
-    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+    fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         let mut entries = entries.to_vec();
         for entry in &mut entries {
             if self.mischief == Mischief::SendsToDraining && entry.state == EndpointState::Draining
@@ -163,18 +163,18 @@
                 entry.started = 0;
             }
         }
-        self.inner.list(now, &entries, is_complete);
+        self.inner.update_endpoints(now, &entries, is_complete);
     }
 
-    fn list_failed(&mut self, now: Time) {
-        self.inner.list_failed(now);
+    fn endpoint_poll_failed(&mut self, now: Time) {
+        self.inner.endpoint_poll_failed(now);
     }
 
-    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
-        self.inner.inherit(flow, server_id);
+    fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
+        self.inner.adopt_connection(flow, server_id);
     }
 
-    fn told_load(&mut self, flow: FlowId, load: f64) {
-        self.inner.told_load(flow, load);
+    fn update_connection_load(&mut self, flow: FlowId, load: f64) {
+        self.inner.update_connection_load(flow, load);
     }
 }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -44,8 +44,8 @@
 /// The settings can't be used.
 pub fn measure(counts: &Counts, part: &ModulePart, seed: u64) -> Result<Figures, String> {
     let mut driver = Driver::new(counts, part, seed)?;
-    let server_bytes = driver.list(counts.servers);
-    let (module_bytes, table_bytes) = driver.inherit(counts);
+    let server_bytes = driver.update_endpoints(counts.servers);
+    let (module_bytes, table_bytes) = driver.adopt_connection(counts);
     driver.run_until(WARM_UP);
     driver.begin_measuring();
     driver.plan_arrivals(part);
@@ -128,30 +128,30 @@
         drop(calls);
         place
     }
-    fn after(&mut self, now: Time, event: PolicyEvent) -> Actions {
-        self.policy.after(now, event)
+    fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        self.policy.on_event(now, event)
     }
-    fn wait(&self, now: Time) -> Option<Time> {
-        self.policy.wait(now)
+    fn time_to_next_timer(&self, now: Time) -> Option<Time> {
+        self.policy.time_to_next_timer(now)
     }
-    fn list(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
-        self.policy.list(now, entries, is_complete);
+    fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
+        self.policy.update_endpoints(now, entries, is_complete);
         self.calls
             .borrow_mut()
             .note(|| Note::List(entries.to_vec()));
     }
-    fn list_failed(&mut self, now: Time) {
-        self.policy.list_failed(now);
+    fn endpoint_poll_failed(&mut self, now: Time) {
+        self.policy.endpoint_poll_failed(now);
     }
-    fn inherit(&mut self, flow: &Flow, server_id: ServerId) {
+    fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         let before = held_bytes();
-        self.policy.inherit(flow, server_id);
+        self.policy.adopt_connection(flow, server_id);
         let mut calls = self.calls.borrow_mut();
         calls.inherited_bytes += held_bytes() - before;
         calls.note(|| Note::Held(group_of(flow), server_id));
     }
-    fn told_load(&mut self, flow: FlowId, load: f64) {
-        self.policy.told_load(flow, load);
+    fn update_connection_load(&mut self, flow: FlowId, load: f64) {
+        self.policy.update_connection_load(flow, load);
     }
     fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
         self.policy.receive_gossip(now, placement);
@@ -225,7 +225,7 @@
     }
 
     /// The whole list; returns the bytes that are kept of it.
-    fn list(&mut self, servers: u64) -> f64 {
+    fn update_endpoints(&mut self, servers: u64) -> f64 {
         let listed = |server_id| Endpoint {
             server_id,
             state: EndpointState::Ready,
@@ -234,7 +234,7 @@
         };
         let entries: Vec<Endpoint> = (0..servers).map(listed).collect();
         let before = self.module_bytes();
-        self.flow_table.list(self.now, &entries, true);
+        self.flow_table.update_endpoints(self.now, &entries, true);
         (self.module_bytes() - before) as f64
     }
 
@@ -244,12 +244,12 @@
     }
 
     /// Own connections from before; returns the bytes that the module and the flow table keep of them.
-    fn inherit(&mut self, counts: &Counts) -> (f64, f64) {
+    fn adopt_connection(&mut self, counts: &Counts) -> (f64, f64) {
         let before = self.module_bytes();
         for _ in 0..counts.connections {
             let flow = self.new_flow(0);
             let server_id = self.rng.below(counts.servers as usize) as ServerId;
-            self.flow_table.inherit(flow, server_id);
+            self.flow_table.adopt_connection(flow, server_id);
         }
         let all = (self.module_bytes() - before) as f64;
         let module = self.calls.borrow().inherited_bytes as f64;
@@ -308,7 +308,7 @@
 
     fn run_until(&mut self, end: Time) {
         loop {
-            if let Some(wait) = self.flow_table.wait(self.now) {
+            if let Some(wait) = self.flow_table.time_to_next_timer(self.now) {
                 // As the balancer does: never at once again.
                 let at = self.now + wait.max(MS);
                 self.due = Some(self.due.map_or(at, |due| due.min(at)));
@@ -363,7 +363,7 @@
                     ..gone
                 };
                 self.first_server += 1;
-                self.flow_table.list(now, &[gone, ready], false);
+                self.flow_table.update_endpoints(now, &[gone, ready], false);
             }
             Event::Connected(id) => self
                 .flow_table
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -165,7 +165,7 @@
         self.ask(balancer, |flow_table, now, actions| {
             flow_table.established(now, flow, now - accepted, actions);
             if let Some(load) = load {
-                flow_table.told_load(flow, load);
+                flow_table.update_connection_load(flow, load);
             }
         });
     }
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -171,7 +171,7 @@
         };
         self.model.servers[attempt.server].set_load(flow, load);
         if let Some(flow_table) = &mut self.balancers[balancer].flow_table {
-            flow_table.told_load(flow, load);
+            flow_table.update_connection_load(flow, load);
         }
         self.schedule(self.now + wait, Event::LoadChanges { flow });
     }
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -64,7 +64,7 @@
         let wait = state
             .flow_table
             .as_ref()
-            .and_then(|flow_table| flow_table.wait(self.now));
+            .and_then(|flow_table| flow_table.time_to_next_timer(self.now));
         let Some(wait) = wait else { return };
         let at = self.now + wait.max(MS);
         if state.wakeup.is_none_or(|scheduled| at < scheduled) {
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -50,7 +50,7 @@
         }
         let is_complete = known_version == 0;
         self.ask(balancer, |flow_table, now, _| {
-            flow_table.list(now, &entries, is_complete)
+            flow_table.update_endpoints(now, &entries, is_complete)
         });
     }
 }
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -112,8 +112,8 @@
         let flow = self.new_flow(client, Time::MAX);
         let id = flow.id;
         if let Some(flow_table) = &mut self.balancers[balancer].flow_table {
-            flow_table.inherit(flow, server as u64);
-            flow_table.told_load(id, load);
+            flow_table.adopt_connection(flow, server as u64);
+            flow_table.update_connection_load(id, load);
         }
         self.flows
             .insert(id, FlowState::standing(client, balancer, server));
