--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -208,12 +208,12 @@
                 } => {
                     writeln!(out, "SUBMIT_TO {flow} {server_id} {}", wire::micros(limit))
                 }
-                Act::Reject { flow, come_back } => {
+                Act::Reject { flow, retry_after } => {
                     self.give_back(flow);
                     writeln!(
                         out,
                         "DECLINE {flow} {}",
-                        wire::micros(come_back.unwrap_or(0))
+                        wire::micros(retry_after.unwrap_or(0))
                     )
                 }
                 Act::Abort { flow } => {
--- a/crates/adapter/tests/exchange.rs
+++ b/crates/adapter/tests/exchange.rs
@@ -62,7 +62,7 @@
         "{text}"
     );
     assert_eq!(replies[3], "NEXT\n");
-    // Too little time is left: answered at once, with a time to come back.
+    // Too little time is left: answered at once, with a Retry-After.
     assert!(
         replies[4].contains("DECLINE 8 ") && !replies[4].contains("DECLINE 8 0\n"),
         "{text}"
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -39,7 +39,7 @@
     pub saved: f64,
     /// Places in the fixed tables of limits and promises.
     pub table: usize,
-    /// The longest time to come back that may be told.
+    /// The longest Retry-After that may be told.
     pub longest: Time,
     /// Weights of keys that are not 1, by their number.
     pub weights: BTreeMap<u64, f64>,
@@ -281,13 +281,13 @@
             Why::Open => self.config.longest,
             _ => 0,
         };
-        let wait = self.come_back(now, ticket.key, ticket.client, least);
+        let wait = self.retry_after(now, ticket.key, ticket.client, least);
         out.push(Turn::SentAway(ticket.flow, why, wait));
     }
 
     /// A time to come back for one that is sent away: never shorter than the queue needs, in a slice that few others were
     /// told, and remembered.
-    fn come_back(&mut self, now: Time, key: u64, client: u64, least: Time) -> Time {
+    fn retry_after(&mut self, now: Time, key: u64, client: u64, least: Time) -> Time {
         // A turn that finds no room is none: the lower pace of the two is told.
         let need = self.need(key, self.pace.slowest().min(self.turns.slowest()));
         let wait = self.returns.book(now, need.max(least), &mut self.rng);
@@ -296,9 +296,9 @@
     }
 
     /// The same for a flow that went in and was refused by the module; none if it isn't known.
-    pub fn come_back_of(&mut self, now: Time, flow: FlowId) -> Option<Time> {
+    pub fn retry_after_for(&mut self, now: Time, flow: FlowId) -> Option<Time> {
         let (key, client) = *self.inside.get(&flow)?;
-        Some(self.come_back(now, key, client, 0))
+        Some(self.retry_after(now, key, client, 0))
     }
 
     /// The module holds these flows now.
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -209,7 +209,7 @@
     if let Some(keys) = &operator.door {
         // New with each start: nobody can aim at another's place.
         let seed = config.seed ^ RandomState::new().hash_one(config.seed);
-        let longest = settings.come_back().map_err(faulty)?;
+        let longest = settings.retry_after().map_err(faulty)?;
         let door = Door::new(
             config::door(keys, seed, longest.unwrap_or(SEC).max(100 * MS)),
             seed,
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -116,13 +116,13 @@
         });
     }
 
-    pub fn reject(&mut self, come_back: Option<Time>) {
+    pub fn reject(&mut self, retry_after: Option<Time>) {
         info!(
             id = self.id,
-            come_back_ms = come_back.map(|after| after / MS),
+            retry_after_ms = retry_after.map(|after| after / MS),
             "rejected"
         );
-        self.answer(wire::rejected(come_back).as_bytes());
+        self.answer(wire::rejected(retry_after).as_bytes());
     }
 
     pub fn abort(&mut self) {
--- a/crates/dataplane/src/chain.rs
+++ b/crates/dataplane/src/chain.rs
@@ -32,7 +32,7 @@
                     false => return book.abort(),
                 }
             }
-            Next::Order(Order::Reject(come_back)) => return book.reject(come_back),
+            Next::Order(Order::Reject(retry_after)) => return book.reject(retry_after),
             Next::Order(_) => return book.abort(),
             Next::Left => {
                 book.left();
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -441,7 +441,7 @@
                     self.order(flow, Order::Abort);
                 }
             },
-            Act::Reject { flow, come_back } => self.order(flow, Order::Reject(come_back)),
+            Act::Reject { flow, retry_after } => self.order(flow, Order::Reject(retry_after)),
             Act::Abort { flow } => self.order(flow, Order::Abort),
             Act::Move { flow } => self.order(flow, Order::Move(now + LINE_END)),
             Act::CallOff { flow, .. } => self.order(flow, Order::CallOff),
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -81,9 +81,9 @@
 pub const NO: &[u8] = b"NO\r\n";
 pub const MOVE: &[u8] = b"MOVE\r\n";
 
-/// Rejected, with the time to come back where there is one.
-pub fn rejected(come_back: Option<Time>) -> String {
-    come_back.map_or("BUSY\r\n".into(), |after| {
+/// Rejected, with the Retry-After where there is one.
+pub fn rejected(retry_after: Option<Time>) -> String {
+    retry_after.map_or("BUSY\r\n".into(), |after| {
         format!("BUSY {}\r\n", after / MS)
     })
 }
--- a/crates/fleet-model/src/crowd.rs
+++ b/crates/fleet-model/src/crowd.rs
@@ -178,11 +178,11 @@
         from + (self.dice.unit() * (to - from) as f64) as Time
     }
 
-    /// It was turned away, with a time to come back where it was told one; when it tries again.
+    /// It was turned away, with a Retry-After where it was told one; when it tries again.
     pub fn rejected(
         &mut self,
         id: u64,
-        come_back: Option<Time>,
+        retry_after: Option<Time>,
         scenario: &Scenario,
     ) -> Option<Time> {
         let own = seconds(scenario.clients.again);
@@ -190,8 +190,8 @@
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
         client.tries += 1;
         client.gone = client.tries >= scenario.clients.tries;
-        client.told = come_back.is_some();
-        (!client.gone).then(|| come_back.unwrap_or(own << client.tries.min(4)))
+        client.told = retry_after.is_some();
+        (!client.gone).then(|| retry_after.unwrap_or(own << client.tries.min(4)))
     }
 
     /// Its flow failed, and may have run: only what may be repeated is tried again.
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -275,8 +275,9 @@
     pub probes: bool,
     /// What a probe costs, of a flow's value; balancers that see few flows then probe less.
     pub probe_price: f64,
-    /// Longest time to come back that clients may be told, in seconds; 0: none is told.
-    pub come_back: f64,
+    /// longest Retry-After that clients may be told, in seconds; 0: none is told.
+    #[serde(alias = "come_back")]
+    pub retry_after: f64,
     /// Seconds after it was told of a drain in which a balancer may still send there.
     pub grace: f64,
 }
@@ -289,7 +290,7 @@
             may_cancel: true,
             probes: true,
             probe_price: 0.0,
-            come_back: 2.0,
+            retry_after: 2.0,
             grace: 0.4,
         }
     }
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -133,9 +133,14 @@
     };
     let earlier = r#"{"what":"connect-ended","at":1,"flow":3,"number":0,"never_ran":true}"#;
     assert_eq!(serde_json::from_str::<Seen>(earlier).unwrap(), ended);
-    for key in ["attempts", "connects"] {
-        let limits: Limits = serde_json::from_value(json!({key: 4})).unwrap();
-        assert_eq!(limits.attempts, 4, "{key}");
+    for (attempts, retry_after) in [("attempts", "retry_after"), ("connects", "come_back")] {
+        let limits: Limits =
+            serde_json::from_value(json!({attempts: 4, retry_after: 9.0})).unwrap();
+        assert_eq!(
+            (limits.attempts, limits.retry_after),
+            (4, 9.0),
+            "{attempts}"
+        );
     }
 }
 
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -101,7 +101,7 @@
     },
     Reject {
         flow: FlowId,
-        come_back: Option<Time>,
+        retry_after: Option<Time>,
     },
     Abort {
         flow: FlowId,
@@ -260,7 +260,7 @@
                     self.settle(flow);
                     acts.push(Act::Reject {
                         flow,
-                        come_back: self.tells.then_some(wait),
+                        retry_after: self.tells.then_some(wait),
                     });
                 }
             }
@@ -487,16 +487,14 @@
                 }
             }
             Placement::Wait => return self.held.push(id),
-            Placement::Reject {
-                retry_after: come_back,
-            } => {
+            Placement::Reject { retry_after } => {
                 in_hand.owed = false;
                 // What the queue really needs, where there is one.
-                let door = self.door.as_mut().filter(|_| come_back.is_some());
-                let told = door.and_then(|door| door.come_back_of(now, id));
+                let door = self.door.as_mut().filter(|_| retry_after.is_some());
+                let told = door.and_then(|door| door.retry_after_for(now, id));
                 Act::Reject {
                     flow: id,
-                    come_back: told.or(come_back),
+                    retry_after: told.or(retry_after),
                 }
             }
             Placement::Fail => {
@@ -645,7 +643,7 @@
                 },
                 Act::Reject {
                     flow: 7,
-                    come_back: Some(8)
+                    retry_after: Some(8)
                 },
             ]
         );
@@ -801,7 +799,7 @@
         assert!(
             matches!(
                 acts[..],
-                [Act::Attempt { flow: 1, .. }, Act::Reject { flow: 3, come_back: Some(told) }] if told > 3
+                [Act::Attempt { flow: 1, .. }, Act::Reject { flow: 3, retry_after: Some(told) }] if told > 3
             ),
             "{acts:?}"
         );
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -55,7 +55,7 @@
 fn balancer(seed: u64, zone: u64, balancers: f64, whole: bool) -> Policy {
     let policy = Policy::new(seed, zone, vec![class()])
         .attempts(3, 4 * MS, false, true)
-        .come_back(Some(2 * SEC))
+        .retry_after(Some(2 * SEC))
         .probing(true, PROBE_PRICE)
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
         .among(balancers, false);
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -140,7 +140,7 @@
     surplus: f64,
     max_attempts: usize,
     margin: Time,
-    come_back: Option<Time>,
+    retry_after: Option<Time>,
     second_copies: bool,
     may_call_off: bool,
     probes: bool,
@@ -298,9 +298,9 @@
         self
     }
 
-    /// The longest time to come back that clients are told, where they are told any.
-    pub fn come_back(mut self, longest: Option<Time>) -> Self {
-        self.come_back = longest;
+    /// The longest Retry-After that clients are told, where they are told any.
+    pub fn retry_after(mut self, longest: Option<Time>) -> Self {
+        self.retry_after = longest;
         self
     }
 
@@ -1072,7 +1072,7 @@
             _ => {}
         }
         // Spread, lest clients rejected together come again together; in a jam as late as settings allow.
-        let retry_after = self.come_back.map(|most| {
+        let retry_after = self.retry_after.map(|most| {
             let most = if self.window.width < self.window.calm {
                 most
             } else {
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -95,7 +95,7 @@
     fn new(fleet: &Fleet, index: u64) -> Self {
         let mut policy = Policy::new(index, 0, vec![repeat(Idempotency::Idempotent)])
             .attempts(3, 4 * MS, false, true)
-            .come_back(Some(2 * SEC))
+            .retry_after(Some(2 * SEC))
             .probing(true, 0.0)
             .among(fleet.balancers as f64, false)
             .cold(START_CAPACITY, WARM_UP, MULTIPLE, FALL);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub fn balancer(kind: Idempotency) -> Policy {
     Policy::new(7, 0, vec![repeat(kind)])
         .attempts(3, 4 * MS, false, true)
-        .come_back(Some(2 * SEC))
+        .retry_after(Some(2 * SEC))
         .probing(true, 0.0)
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -284,7 +284,7 @@
             scope: DeduplicationScope::All,
             window,
         })
-        .come_back(Some(2 * SEC));
+        .retry_after(Some(2 * SEC));
         let earlier = Attempt {
             at: T0 - age,
             ..attempt(0, false)
@@ -297,11 +297,11 @@
         };
         match policy.place(T0, &one) {
             Placement::Reject {
-                retry_after: Some(come_back),
+                retry_after: Some(retry_after),
             } => {
                 assert!(
-                    rejected && T0 + come_back < earlier.at + window,
-                    "{age}: {come_back}"
+                    rejected && T0 + retry_after < earlier.at + window,
+                    "{age}: {retry_after}"
                 );
             }
             Placement::Fail => assert!(!rejected, "{age}: aborted"),
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -17,7 +17,7 @@
 fn balancer(seed: u64, zone: u64) -> Policy {
     Policy::new(seed, zone, vec![repeat(Idempotency::Idempotent)])
         .attempts(3, 4 * MS, false, true)
-        .come_back(Some(2 * SEC))
+        .retry_after(Some(2 * SEC))
         .probing(true, 0.01)
         .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
         .among(1_400.0, false)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -100,7 +100,7 @@
             )
             .among(self.number_or("replicas-of-me", 1.0)?, self.may_gossip()?)
             .tenants(self.shares()?, self.number_or("surplus-value", 1.0)?)
-            .come_back(self.come_back()?)
+            .retry_after(self.retry_after()?)
             .probing(
                 self.allowed("limits/probes")?,
                 self.number_or("costs/probe", 0.0)?,
@@ -115,7 +115,7 @@
     }
 
     /// The longest that clients are told to wait before they come back, where they may be told at all.
-    pub fn come_back(&self) -> Read<Option<Time>> {
+    pub fn retry_after(&self) -> Read<Option<Time>> {
         let longest = self.time_or("limits/max-retry-after", SEC)?;
         Ok(self.allowed("limits/retry-after")?.then_some(longest))
     }
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -16,7 +16,7 @@
 /// How long before an attempt timeout a balancer answers in virtual time, as one on sockets does.
 pub const MARGIN: Time = 15 * MS;
 /// What those who are turned away by a baseline are told at most.
-const COME_BACK: [f64; 2] = [0.25, 1.0];
+const RETRY_AFTER_SECONDS: [f64; 2] = [0.25, 1.0];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -131,7 +131,9 @@
                 Placement::Fail
             }
             _ => {
-                let seconds = self.dice.between(COME_BACK[0], COME_BACK[1]);
+                let seconds = self
+                    .dice
+                    .between(RETRY_AFTER_SECONDS[0], RETRY_AFTER_SECONDS[1]);
                 let retry_after = Some((seconds * 1e9) as Time);
                 Placement::Reject { retry_after }
             }
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -178,7 +178,7 @@
             "stop-sending-within": us(limits.grace)},
         "limits": {"max-connects": limits.attempts, "second-copies": limits.second_copies,
             "may-cancel": limits.may_cancel, "probes": limits.probes,
-            "retry-after": limits.come_back > 0.0, "max-retry-after": us(limits.come_back),
+            "retry-after": limits.retry_after > 0.0, "max-retry-after": us(limits.retry_after),
             "dial-timeout": us(DIAL)},
         "report": {"how": "pull", "fields": ["x0", "inflight"]},
         "service-types": types,
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -19,7 +19,7 @@
 /// Before it tries again, between these.
 const BACKOFF_MIN_S: f64 = 0.05;
 const BACKOFF_MAX_S: f64 = 0.5;
-/// The longest time to come back that it takes from a balancer.
+/// The longest Retry-After that it takes from a balancer.
 const COME_BACK_LIMIT: Duration = Duration::from_secs(2);
 /// The longest time until placed again that is told apart, in milliseconds.
 const LONGEST_MS: u64 = 120_000;
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -47,7 +47,9 @@
                 };
                 self.start_attempt(flow, attempt, limit);
             }
-            Act::Reject { flow, come_back } => self.send_answer(flow, Final::Rejected, come_back),
+            Act::Reject { flow, retry_after } => {
+                self.send_answer(flow, Final::Rejected, retry_after)
+            }
             Act::Abort { flow } => self.send_answer(flow, Final::Aborted, None),
             Act::Move { flow } => self.move_client(flow),
             Act::CallOff { flow, .. } => self.cancel_attempt(flow),
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -77,7 +77,7 @@
         match &self.model.scenario.door {
             None => flow_table,
             Some(keys) => {
-                let retry_after_max = seconds(self.model.scenario.limits.come_back);
+                let retry_after_max = seconds(self.model.scenario.limits.retry_after);
                 let admission = Door::new(file::door(keys, retry_after_max), seed);
                 flow_table.with_door(admission, retry_after_max > 0)
             }
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -288,9 +288,9 @@
             }
             Final::Rejected => {
                 self.second_answer(lines).await;
-                let come_back = rest.trim().parse::<u64>().ok().map(|ms| ms * MS);
+                let retry_after = rest.trim().parse::<u64>().ok().map(|ms| ms * MS);
                 let inner = &mut *stage.lock();
-                Came::Again(inner.crowd.rejected(self.id, come_back, &stage.scenario))
+                Came::Again(inner.crowd.rejected(self.id, retry_after, &stage.scenario))
             }
             Final::Aborted => {
                 self.second_answer(lines).await;
