--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -101,7 +101,7 @@
         parts.get::<u32>("send-no")?;
         parts.get::<ServerId>("server")?;
         let took = parts.time("time-taken")?;
-        self.acts(out, |hand, acts| hand.established(now, flow, took, acts));
+        self.acts(out, |hand, acts| hand.connected(now, flow, took, acts));
         Ok(())
     }
 
@@ -216,7 +216,7 @@
                         wire::micros(retry_after.unwrap_or(0))
                     )
                 }
-                Act::Abort { flow } => {
+                Act::Fail { flow } => {
                     self.give_back(flow);
                     writeln!(out, "REPORT_FAILURE {flow}")
                 }
--- a/crates/admission/benches/admission.rs
+++ b/crates/admission/benches/admission.rs
@@ -23,7 +23,7 @@
         1,
     );
     // A pace at which none of them is late.
-    (0..2_000_000).for_each(|k| door.established(k * SEC / 1_000_000));
+    (0..2_000_000).for_each(|k| door.flow_connected(k * SEC / 1_000_000));
     let mut out = Vec::new();
     (0..keys).for_each(|key| {
         door.arrives(
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -310,7 +310,7 @@
     }
 
     /// A flow that went in was established.
-    pub fn established(&mut self, now: Time) {
+    pub fn flow_connected(&mut self, now: Time) {
         self.pace.count(now);
         self.budget = (self.budget + self.config.retries).min(self.config.saved);
     }
@@ -394,7 +394,7 @@
     fn paced(config: Config, a_second: u64) -> Door {
         let mut door = Door::new(config, 7);
         for k in 0..20 * a_second {
-            door.established(k * SEC / a_second);
+            door.flow_connected(k * SEC / a_second);
             door.turns.count(k * SEC / a_second);
         }
         door
@@ -544,8 +544,8 @@
             Some(Why::Retries)
         );
         assert_eq!(arrive(&mut door, 0, ticket(4, 4)), None, "a first try");
-        door.established(0);
-        door.established(0);
+        door.flow_connected(0);
+        door.flow_connected(0);
         assert_eq!(arrive(&mut door, 0, retry(5)), None);
     }
 
@@ -627,7 +627,7 @@
                     Turn::Enters(flow) => {
                         entered += 1;
                         inside.push(flow);
-                        door.established(now);
+                        door.flow_connected(now);
                     }
                     Turn::SentAway(..) => sent += 1,
                 }
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -73,7 +73,7 @@
         self.core.desk.send(ask);
     }
 
-    pub fn established(&mut self, target: &Target) {
+    pub fn connected(&mut self, target: &Target) {
         self.owed = false;
         let took = clock::now().saturating_sub(self.accepted_at);
         debug!(
@@ -82,7 +82,7 @@
             took_ms = took / MS,
             "established"
         );
-        self.tell(Ask::Established {
+        self.tell(Ask::Connected {
             flow: self.id,
             took,
         });
@@ -125,9 +125,9 @@
         self.answer(wire::rejected(retry_after).as_bytes());
     }
 
-    pub fn abort(&mut self) {
+    pub fn fail(&mut self) {
         info!(id = self.id, "aborted");
-        self.answer(wire::ABORTED);
+        self.answer(wire::FAILED);
     }
 
     /// Whether the client still waits for an answer.
@@ -141,7 +141,7 @@
         if std::mem::take(&mut self.owed) {
             // Guards against a client that has only ended its sending and still waits: it can't be told from one
             // that has closed, to which this does no harm.
-            self.unwritten = wire::ABORTED;
+            self.unwritten = wire::FAILED;
             self.write_on();
             self.tell(Ask::Left { flow: self.id });
         }
@@ -187,7 +187,7 @@
         // Guards against a flow that is lost in silence when its coroutine panics.
         if self.owed {
             error!(id = self.id, "a flow ends without an answer; aborted");
-            let _ = self.caller.socket.write(wire::ABORTED);
+            let _ = self.caller.socket.write(wire::FAILED);
             self.caller.socket.end_sending();
         }
         self.core.desk.send(Ask::Over { flow: self.id });
@@ -242,7 +242,7 @@
         assert!(ids.take("9b1f").is_none() && ids.take("9b20").is_some());
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
-        assert_eq!(answer.as_bytes(), wire::ABORTED);
+        assert_eq!(answer.as_bytes(), wire::FAILED);
         let told = may::go!(move || asks.next(clock::now() + 1000 * MS))
             .join()
             .unwrap();
--- a/crates/dataplane/src/chain.rs
+++ b/crates/dataplane/src/chain.rs
@@ -29,11 +29,11 @@
                 // Open before the run: asked for again until its server is there.
                 match asked.again(core, &mut book) {
                     true => continue,
-                    false => return book.abort(),
+                    false => return book.fail(),
                 }
             }
             Next::Order(Order::Reject(retry_after)) => return book.reject(retry_after),
-            Next::Order(_) => return book.abort(),
+            Next::Order(_) => return book.fail(),
             Next::Left => {
                 book.left();
                 return book.finish_left();
@@ -50,7 +50,7 @@
             }
             Sent::Ended(_) => match asked.again(core, &mut book) {
                 true => {}
-                false => return book.abort(),
+                false => return book.fail(),
             },
             Sent::Left { unsent } => {
                 called_off(&book, &target, unsent);
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -183,7 +183,7 @@
                 error!(?flow, "a decision panicked; its flow is aborted");
                 if let Some(id) = flow {
                     let now = clock::now();
-                    self.acts(now, |hand, acts| hand.abort(now, id, acts));
+                    self.acts(now, |hand, acts| hand.fail(now, id, acts));
                 }
             }
             if self.terminated.is_some_and(|at| self.ending(at)) {
@@ -220,7 +220,7 @@
                 let (until, by) = (flow.deadline, flow.deadline);
                 let order = match self.servers.get(&server_id) {
                     // Nobody is waited for any more.
-                    _ if self.last_answer_passed => Order::Abort,
+                    _ if self.last_answer_passed => Order::Fail,
                     Some(server) => Order::Attempt(Target {
                         server_id,
                         number: 0,
@@ -239,13 +239,13 @@
                     },
                 );
             }
-            Ask::Established { flow, took } => {
+            Ask::Connected { flow, took } => {
                 let Some(client) = self.clients.get_mut(&flow) else {
                     return;
                 };
                 match client.inherited.take() {
                     Some((flow, server_id)) => self.hand.adopt_connection(flow, server_id),
-                    None => self.acts(now, |hand, acts| hand.established(now, flow, took, acts)),
+                    None => self.acts(now, |hand, acts| hand.connected(now, flow, took, acts)),
                 }
             }
             Ask::Ended {
@@ -438,11 +438,11 @@
                         server_id, "the module names a server without an address"
                     );
                     self.hand.settle(flow);
-                    self.order(flow, Order::Abort);
+                    self.order(flow, Order::Fail);
                 }
             },
             Act::Reject { flow, retry_after } => self.order(flow, Order::Reject(retry_after)),
-            Act::Abort { flow } => self.order(flow, Order::Abort),
+            Act::Fail { flow } => self.order(flow, Order::Fail),
             Act::Move { flow } => self.order(flow, Order::Move(now + LINE_END)),
             Act::CallOff { flow, .. } => self.order(flow, Order::CallOff),
             Act::Probe { server_id } => {
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -54,7 +54,7 @@
         at: String,
         mail: Sender<Event>,
     },
-    Established {
+    Connected {
         flow: FlowId,
         took: Time,
     },
@@ -107,7 +107,7 @@
 pub enum Order {
     Connect(Target),
     Reject(Option<Time>),
-    Abort,
+    Fail,
     /// The server that it was open at before the run isn't listed.
     NotListed,
     /// Send the client away: between two lines of the server while it is not yet that time, beside half a line from then on.
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -38,7 +38,7 @@
     server: Socket,
     (bytes, held): (Buffer, usize),
 ) {
-    book.established(target);
+    book.connected(target);
     let mut down = Direction::of_lines(bytes, held);
     let mut up = Direction::default();
     let mut passing = Passing::new(core.terms.now().reports);
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -82,7 +82,7 @@
             None => {
                 // Guards against a flow without an answer where the desk is stuck.
                 error!(id = book.id, "no word from the desk in time");
-                return Next::Order(Order::Abort);
+                return Next::Order(Order::Fail);
             }
         }
     }
--- a/crates/dataplane/src/send/tests.rs
+++ b/crates/dataplane/src/send/tests.rs
@@ -78,7 +78,7 @@
             false,
         );
         if book.owed() {
-            book.abort();
+            book.fail();
         }
         matches!(sent, Sent::Left { unsent: true })
     });
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -76,7 +76,7 @@
     (word == "PONG", reports.read(rest, '=').unwrap_or_default())
 }
 
-pub const ABORTED: &[u8] = b"ERR\r\n";
+pub const FAILED: &[u8] = b"ERR\r\n";
 pub const PONG: &[u8] = b"PONG\r\n";
 pub const NO: &[u8] = b"NO\r\n";
 pub const MOVE: &[u8] = b"MOVE\r\n";
--- a/crates/fleet-model/src/crowd.rs
+++ b/crates/fleet-model/src/crowd.rs
@@ -168,7 +168,7 @@
     }
 
     /// It is served.
-    pub fn established(&mut self, id: u64) {
+    pub fn connected(&mut self, id: u64) {
         if let Some(client) = self.clients.get_mut(&id) {
             (client.tries, client.told) = (0, false);
         }
@@ -195,7 +195,7 @@
     }
 
     /// Its flow failed, and may have run: only what may be repeated is tried again.
-    pub fn aborted(&mut self, id: u64, scenario: &Scenario) -> Option<Time> {
+    pub fn failed(&mut self, id: u64, scenario: &Scenario) -> Option<Time> {
         if self.idempotency(id, scenario) == Idempotency::NonIdempotent {
             self.clients.get_mut(&id)?.gone = true;
             return None;
--- a/crates/fleet-model/src/seen.rs
+++ b/crates/fleet-model/src/seen.rs
@@ -35,9 +35,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Final {
-    Established,
+    #[serde(alias = "established")]
+    Connected,
     Rejected,
-    Aborted,
+    #[serde(alias = "aborted")]
+    Failed,
 }
 
 /// Who ended an established connection first.
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -2,7 +2,7 @@
 
 use nettlemux_fleet_model::fault::{Fault, What};
 use nettlemux_fleet_model::scenario::{IdempotencySetting, Limits, Scenario, Type};
-use nettlemux_fleet_model::seen::{DeduplicationScope, Idempotency, Seen};
+use nettlemux_fleet_model::seen::{DeduplicationScope, Final, Idempotency, Seen};
 use nettlemux_settings::operator::By;
 use serde_json::json;
 
@@ -195,3 +195,16 @@
         assert_eq!(serde_json::from_str::<Seen>(text).unwrap(), accepted);
     }
 }
+
+#[test]
+fn records_of_earlier_versions_say_established_and_aborted() {
+    for (text, want) in [
+        (r#""established""#, Final::Connected),
+        (r#""connected""#, Final::Connected),
+        (r#""aborted""#, Final::Failed),
+        (r#""failed""#, Final::Failed),
+        (r#""rejected""#, Final::Rejected),
+    ] {
+        assert_eq!(serde_json::from_str::<Final>(text).unwrap(), want, "{text}");
+    }
+}
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -103,7 +103,7 @@
         flow: FlowId,
         retry_after: Option<Time>,
     },
-    Abort {
+    Fail {
         flow: FlowId,
     },
     /// Send its client away.
@@ -274,10 +274,10 @@
     }
 
     /// An attempt was answered with a connection: the client has its answer.
-    pub fn established(&mut self, now: Time, flow: FlowId, took: Time, acts: &mut Vec<Act>) {
+    pub fn connected(&mut self, now: Time, flow: FlowId, took: Time, acts: &mut Vec<Act>) {
         self.settle(flow);
         if let Some(door) = &mut self.door {
-            door.established(now);
+            door.flow_connected(now);
         }
         let actions = self
             .brain
@@ -397,7 +397,7 @@
     }
 
     /// Aborts a flow without asking the module, which has failed on it.
-    pub fn abort(&mut self, now: Time, flow: FlowId, acts: &mut Vec<Act>) {
+    pub fn fail(&mut self, now: Time, flow: FlowId, acts: &mut Vec<Act>) {
         self.answer(now, flow, Placement::Fail, acts);
     }
 
@@ -499,7 +499,7 @@
             }
             Placement::Fail => {
                 in_hand.owed = false;
-                Act::Abort { flow: id }
+                Act::Fail { flow: id }
             }
         });
     }
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -4,7 +4,7 @@
 use nettlemux_dataplane::clock;
 use nettlemux_dataplane::net::LINGER;
 use nettlemux_dataplane::shared::{Admitted, Core};
-use nettlemux_dataplane::wire::{ABORTED, NO, PONG, rejected};
+use nettlemux_dataplane::wire::{FAILED, NO, PONG, rejected};
 
 use nettlemux_policy::{Flow, MS, SEC, Time};
 use tracing::{debug, warn};
@@ -99,6 +99,6 @@
 /// Answers a line that can't be used, and ends.
 fn refuse(taken: Taken, why: &str) -> Option<Admitted> {
     warn!(why, line = %String::from_utf8_lossy(&taken.bytes[..taken.line.0.min(200)]), "malformed first line");
-    taken.refuse(ABORTED);
+    taken.refuse(FAILED);
     None
 }
--- a/crates/line-protocol/src/take_in.rs
+++ b/crates/line-protocol/src/take_in.rs
@@ -143,7 +143,7 @@
             }
             Err(ConnectionError::Malformed(_)) => {
                 warn!("overlong first line");
-                self.refuse(wire::ABORTED);
+                self.refuse(wire::FAILED);
             }
             // Never whole, or its place is needed: nothing has run.
             Err(e @ (ConnectionError::Deadline | ConnectionError::Stopped)) => {
--- a/crates/policy/src/book.rs
+++ b/crates/policy/src/book.rs
@@ -5,12 +5,12 @@
 use crate::types::{Flow, FlowId, ServerId, Time};
 
 /// A connection of ours, or an attempt in flight.
-pub(crate) struct Own {
+pub(crate) struct OwnConnection {
     pub(crate) server_id: ServerId,
     pub(crate) class: usize,
     pub(crate) tenant: usize,
     pub(crate) group: Option<String>,
-    pub(crate) established: bool,
+    pub(crate) connected: bool,
     /// Its client has been told to move.
     pub(crate) moved: bool,
     /// As told, where it is.
@@ -22,7 +22,7 @@
 /// Our connections and attempts in flight, with what is asked of them at each flow.
 #[derive(Default)]
 pub(crate) struct Book {
-    pub(crate) own: BTreeMap<FlowId, Own>,
+    pub(crate) own: BTreeMap<FlowId, OwnConnection>,
     pub(crate) by_server: BTreeMap<ServerId, BTreeSet<FlowId>>,
     pub(crate) by_group: BTreeMap<String, BTreeMap<ServerId, usize>>,
     pub(crate) by_tenant: BTreeMap<usize, usize>,
@@ -33,7 +33,7 @@
 }
 
 impl Book {
-    pub(crate) fn enter(&mut self, now: Time, flow: &Flow, server_id: ServerId, established: bool) {
+    pub(crate) fn enter(&mut self, now: Time, flow: &Flow, server_id: ServerId, connected: bool) {
         self.strike(flow.id);
         let group = flow.group.clone();
         *self.by_tenant.entry(flow.tenant).or_default() += 1;
@@ -46,18 +46,18 @@
                 .entry(server_id)
                 .or_default() += 1;
         }
-        if !established {
+        if !connected {
             self.in_flight.insert(flow.id, (server_id, now));
         }
         let (&Flow { class, tenant, .. }, moved, load, estimate) = (flow, false, None, None);
         self.own.insert(
             flow.id,
-            Own {
+            OwnConnection {
                 server_id,
                 class,
                 tenant,
                 group,
-                established,
+                connected,
                 moved,
                 load,
                 estimate,
@@ -74,14 +74,14 @@
         *sum += load - own.load.replace(load).unwrap_or(0.0);
     }
 
-    pub(crate) fn established(&mut self, flow: FlowId) -> Option<ServerId> {
-        let own = self.own.get_mut(&flow).filter(|own| !own.established)?;
-        own.established = true;
+    pub(crate) fn connected(&mut self, flow: FlowId) -> Option<ServerId> {
+        let own = self.own.get_mut(&flow).filter(|own| !own.connected)?;
+        own.connected = true;
         self.in_flight.remove(&flow);
         Some(own.server_id)
     }
 
-    pub(crate) fn strike(&mut self, flow: FlowId) -> Option<Own> {
+    pub(crate) fn strike(&mut self, flow: FlowId) -> Option<OwnConnection> {
         let own = self.own.remove(&flow)?;
         self.in_flight.remove(&flow);
         if self
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -13,7 +13,7 @@
 use nanorand::{Rng, WyRand};
 use nettlemux_candidates::{LongList, WHOLE_LIST, hash, hash_name, usable_weight};
 
-use crate::book::{Book, Own};
+use crate::book::{Book, OwnConnection};
 use crate::holders::GroupHolders;
 use crate::rng::SeededRng;
 use crate::types::*;
@@ -100,7 +100,7 @@
     /// Reports, newest first.
     reports: ArrayVec<(Time, f64), SAMPLES>,
     turn: f64,
-    last_established: Time,
+    last_connected: Time,
     next_probe: Time,
     /// When a flow last asked for its figure, and when a probe last ended, whatever it brought.
     asked: Time,
@@ -705,7 +705,7 @@
         let mut actions = Actions::default();
         match event {
             PolicyEvent::Connected { flow, .. } => {
-                if let Some(server_id) = self.book.established(flow) {
+                if let Some(server_id) = self.book.connected(flow) {
                     actions.gossip = self.tell(now, flow, server_id);
                     self.window.widen();
                     let warm = self
@@ -714,7 +714,7 @@
                         .is_some_and(|server| self.warmth(now, server) >= 1.0);
                     if let Some(server) = self.servers.get_mut(&server_id) {
                         server.failed.clear();
-                        server.last_established = now;
+                        server.last_connected = now;
                         self.settled.extend(warm.then_some((now, server_id)));
                     }
                     let old = self.settled.partition_point(|(at, _)| at + RATE_SPAN < now);
@@ -728,9 +728,9 @@
                 owed,
             } => {
                 let own = self.book.strike(flow);
-                let setting_up = own.as_ref().is_some_and(|own| !own.established);
+                let setting_up = own.as_ref().is_some_and(|own| !own.connected);
                 self.they_move |= end == AttemptEnd::Cancelled
-                    && own.is_some_and(|own| own.established && !own.moved);
+                    && own.is_some_and(|own| own.connected && !own.moved);
                 let shared = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Error);
                 if shared
                     && self
@@ -761,7 +761,7 @@
                 actions.placement = owed.map(|flow| self.place(now, flow));
             }
             PolicyEvent::ClientLeft { flow } => {
-                let in_flight = self.book.own.get(&flow).is_some_and(|own| !own.established);
+                let in_flight = self.book.own.get(&flow).is_some_and(|own| !own.connected);
                 actions
                     .cancel
                     .extend((self.may_call_off && in_flight).then_some(flow));
@@ -1125,7 +1125,7 @@
             .back()
             .is_some_and(|last| now < last + (REST << server.failed.len().min(4)));
         // A broken probe path alone tells nothing while flows are established.
-        let silent = server.unprobed.len() >= 2 && server.last_established < server.unprobed[0];
+        let silent = server.unprobed.len() >= 2 && server.last_connected < server.unprobed[0];
         !resting && !silent
     }
 
@@ -1250,7 +1250,7 @@
             .iter()
             .filter(|_| !self.they_move)
             .filter_map(|server_id| self.servers.get(server_id));
-        let stays = |flow: &&FlowId| self.book.own[flow].established && !self.book.own[flow].moved;
+        let stays = |flow: &&FlowId| self.book.own[flow].connected && !self.book.own[flow].moved;
         let next = |server: &Server| {
             let mut held = self
                 .book
@@ -1293,10 +1293,10 @@
         let here = || {
             flows()
                 .map(|id| (id, &self.book.own[id]))
-                .filter(|(_, own)| own.established)
+                .filter(|(_, own)| own.connected)
         };
         let any_told = here().any(|(_, own)| own.load.is_some());
-        let figure = |own: &Own| if any_told { own.load } else { own.estimate };
+        let figure = |own: &OwnConnection| if any_told { own.load } else { own.estimate };
         let mut mine: Vec<(FlowId, Option<f64>)> =
             here().map(|(id, own)| (*id, figure(own))).collect();
         let told: Vec<f64> = mine.iter().filter_map(|m| m.1).collect();
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -220,7 +220,7 @@
             return;
         }
         *self.answers.entry(with).or_default() += 1;
-        if with == Final::Established {
+        if with == Final::Connected {
             self.setup.saturating_record(took / 1000);
             self.in_target += u64::from(took <= target);
         }
@@ -242,7 +242,7 @@
         if now < self.settle {
             return;
         }
-        let established = with == Final::Established;
+        let established = with == Final::Connected;
         if client.told {
             self.told_answers += 1;
             self.told_served += u64::from(established);
@@ -275,7 +275,7 @@
     pub fn finish(self, standing: usize, verdict: &Verdict) -> Figures {
         let answer = |with| self.answers.get(&with).copied().unwrap_or(0) as f64;
         let answered: f64 = self.answers.values().sum::<u64>() as f64;
-        let established = answer(Final::Established);
+        let established = answer(Final::Connected);
         let seconds = |histogram: &Histogram<u64>, at| histogram.value_at_quantile(at) as f64 / 1e6;
         let values = [
             part(self.served, self.wanted),
@@ -289,7 +289,7 @@
             self.flows as f64,
             part(established, answered),
             part(answer(Final::Rejected), answered),
-            part(answer(Final::Aborted), answered),
+            part(answer(Final::Failed), answered),
             self.unanswered as f64,
             part(self.attempts as f64, self.flows as f64),
             part(self.moves as f64, established),
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -305,7 +305,7 @@
                 Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
                 Idempotency::NonIdempotent => true,
             };
-        if with != Final::Established {
+        if with != Final::Connected {
             self.ends(at, id);
         }
         if let Some(before) = before {
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -58,7 +58,7 @@
         scope: DeduplicationScope::Zone,
         window: 50,
     };
-    let up = answered(5, Final::Established);
+    let up = answered(5, Final::Connected);
     let cut = |told, sound| Seen::Ended {
         at: 7,
         flow: 1,
@@ -105,7 +105,7 @@
             vec![Rule::AnsweredTwice],
         ),
         (
-            vec![free.clone(), answered(SEC + 1, Final::Aborted)],
+            vec![free.clone(), answered(SEC + 1, Final::Failed)],
             vec![Rule::Late],
         ),
         (
@@ -195,7 +195,7 @@
                 free.clone(),
                 told,
                 connect(401 * MS, 0, 0),
-                answered(500 * MS, Final::Established),
+                answered(500 * MS, Final::Connected),
             ],
             vec![Rule::Drain],
         ),
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -365,9 +365,7 @@
                 self.first_server += 1;
                 self.flow_table.update_endpoints(now, &[gone, ready], false);
             }
-            Event::Connected(id) => self
-                .flow_table
-                .established(now, id, CONNECT_TIME, &mut acts),
+            Event::Connected(id) => self.flow_table.connected(now, id, CONNECT_TIME, &mut acts),
         }
         self.carry_out(acts);
     }
@@ -383,7 +381,7 @@
                     self.probes += 1;
                     self.plan(self.now + PROBE_ROUND_TRIP, Event::ProbeAnswered(server_id));
                 }
-                Act::Reject { .. } | Act::Abort { .. } | Act::Move { .. } => {}
+                Act::Reject { .. } | Act::Fail { .. } | Act::Move { .. } => {}
                 Act::CallOff { .. } | Act::AskList | Act::Gossip(_) => {}
             }
         }
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -22,7 +22,7 @@
             Final::Rejected => self
                 .clients
                 .rejected(client, retry_after, &self.model.scenario),
-            _ => self.clients.aborted(client, &self.model.scenario),
+            _ => self.clients.failed(client, &self.model.scenario),
         };
         self.retry_after(client, wait);
         if !in_flight {
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -148,8 +148,8 @@
             number,
             known_unexecuted: false,
         });
-        self.observe_answer(flow, Final::Established);
-        self.clients.established(client);
+        self.observe_answer(flow, Final::Connected);
+        self.clients.connected(client);
         self.report_connected(flow);
         self.connection_opened(flow, client);
         if moving {
@@ -163,7 +163,7 @@
         let (balancer, accepted) = (state.balancer, state.accepted);
         let load = self.clients.get(state.client).map(|known| known.load);
         self.ask(balancer, |flow_table, now, actions| {
-            flow_table.established(now, flow, now - accepted, actions);
+            flow_table.connected(now, flow, now - accepted, actions);
             if let Some(load) = load {
                 flow_table.update_connection_load(flow, load);
             }
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -119,7 +119,7 @@
         };
         self.figures.unanswered += 1;
         self.client_leaves(flow);
-        let wait = self.clients.aborted(client, &self.model.scenario);
+        let wait = self.clients.failed(client, &self.model.scenario);
         self.retry_after(client, wait);
     }
 
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -50,7 +50,7 @@
             Act::Reject { flow, retry_after } => {
                 self.send_answer(flow, Final::Rejected, retry_after)
             }
-            Act::Abort { flow } => self.send_answer(flow, Final::Aborted, None),
+            Act::Fail { flow } => self.send_answer(flow, Final::Failed, None),
             Act::Move { flow } => self.move_client(flow),
             Act::CallOff { flow, .. } => self.cancel_attempt(flow),
             Act::Probe { server_id } => self.start_probe(balancer, server_id as usize),
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -160,7 +160,7 @@
     /// A client lost its balancer while it waited. It takes a non-idempotent flow for failed, since it may have run.
     fn retry_unanswered(&mut self, client: ClientId) {
         let wait = match self.clients.idempotency(client, &self.model.scenario) {
-            Idempotency::NonIdempotent => self.clients.aborted(client, &self.model.scenario),
+            Idempotency::NonIdempotent => self.clients.failed(client, &self.model.scenario),
             _ => self.clients.rejected(client, None, &self.model.scenario),
         };
         self.retry_after(client, wait);
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -255,14 +255,14 @@
             // Nothing, or an end without a word: lost, unless the balancer has died, which its end will tell.
             stage.lock().gather.unanswered += u64::from(!self.balancer_gone().await);
             let inner = &mut *stage.lock();
-            return Came::Again(inner.crowd.aborted(self.id, &stage.scenario));
+            return Came::Again(inner.crowd.failed(self.id, &stage.scenario));
         };
         let now = stage.now();
         let (word, rest) = answer.split_once(' ').unwrap_or((&answer, ""));
         let with = match word {
-            "UP" => Final::Established,
+            "UP" => Final::Connected,
             "BUSY" => Final::Rejected,
-            _ => Final::Aborted,
+            _ => Final::Failed,
         };
         if !standing {
             let target = seconds(stage.scenario.types[client.class].target);
@@ -278,10 +278,10 @@
             });
         }
         match with {
-            Final::Established => {
+            Final::Connected => {
                 {
                     let mut inner = stage.lock();
-                    inner.crowd.established(self.id);
+                    inner.crowd.connected(self.id);
                     inner.standing += usize::from(standing);
                 }
                 self.open(lines, out, client).await
@@ -292,12 +292,12 @@
                 let inner = &mut *stage.lock();
                 Came::Again(inner.crowd.rejected(self.id, retry_after, &stage.scenario))
             }
-            Final::Aborted => {
+            Final::Failed => {
                 self.second_answer(lines).await;
                 let inner = &mut *stage.lock();
                 Came::Again(match self.kind {
                     Idempotency::NonIdempotent if standing => None,
-                    _ => inner.crowd.aborted(self.id, &stage.scenario),
+                    _ => inner.crowd.failed(self.id, &stage.scenario),
                 })
             }
         }
@@ -310,7 +310,7 @@
             let with = if line.starts_with("BUSY") {
                 Final::Rejected
             } else {
-                Final::Aborted
+                Final::Failed
             };
             self.stage.see(Seen::Answered {
                 at: self.stage.now(),
@@ -371,7 +371,7 @@
                     Ok(Some(line)) if line.starts_with("LOAD ") => {}
                     Ok(Some(line)) => {
                         // No server of ours made it.
-                        let with = if line.starts_with("UP") { Final::Established } else { Final::Aborted };
+                        let with = if line.starts_with("UP") { Final::Connected } else { Final::Failed };
                         stage.see(Seen::Answered { at: stage.now(), flow: self.flow, with });
                     }
                     Ok(None) | Err(_) => return self.ended(false).await,
