--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -105,7 +105,7 @@
 
 /// What a flow's coroutine is told to do.
 pub enum Order {
-    Connect(Target),
+    Attempt(Target),
     Reject(Option<Time>),
     Fail,
     /// The server that it was open at before the run isn't listed.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -7,7 +7,7 @@
     TrafficClass {
         latency_objective: 100 * MS,
         priority_weight: 1.0,
-        repeat,
+        idempotency,
     }
 }
 
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -55,7 +55,7 @@
             Act::CallOff { flow, .. } => self.cancel_attempt(flow),
             Act::Probe { server_id } => self.start_probe(balancer, server_id as usize),
             // The list is delivered whenever it changes, and nothing is simulated between balancers.
-            Act::AskList | Act::Tell(_) => {}
+            Act::AskList | Act::Gossip(_) => {}
         }
     }
 
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -81,7 +81,7 @@
             match self.flows.get(&flow).and_then(|state| state.attempt) {
                 Some(attempt) => self.attempt_deadline(flow, attempt.number),
                 None => self.ask(balancer, |flow_table, now, actions| {
-                    flow_table.abort(now, flow, actions)
+                    flow_table.fail(now, flow, actions)
                 }),
             }
         }
