--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use nettlemux_flow_table::{Act, Hand, Who};
+use nettlemux_flow_table::{ClientIdentity, FlowTable, PolicyCommand};
 use nettlemux_policy::{Endpoint, Flow, FlowId, GroupPlacement, ServerId, Time};
 use nettlemux_settings::{LoadReportFormat, Settings};
 
 use crate::wire::{self, Malformed, Parts, Read};
 
 pub struct Instance {
-    hand: Hand,
+    flow_table: FlowTable,
     reports: LoadReportFormat,
     timers: u64,
     armed: Option<Time>,
@@ -22,7 +22,7 @@
         let margin = 2 * settings.time("tick")?;
         let policy = settings.policy(seed, margin, false)?;
         Ok(Instance {
-            hand: Hand::new(policy),
+            flow_table: FlowTable::new(policy),
             reports: settings.reports(),
             timers: 0,
             armed: None,
@@ -45,9 +45,9 @@
                 .ok_or_else(|| Malformed::new("table", format!("no list {number}")))
         };
         match kind {
-            "patch" => self.hand.update_endpoints(now, entries()?, false),
-            "whole" | "stale_copy" => self.hand.update_endpoints(now, entries()?, true),
-            "broken" => self.hand.endpoint_poll_failed(now),
+            "patch" => self.flow_table.update_endpoints(now, entries()?, false),
+            "whole" | "stale_copy" => self.flow_table.update_endpoints(now, entries()?, true),
+            "broken" => self.flow_table.endpoint_poll_failed(now),
             other => {
                 return Err(Malformed::new(
                     "kind",
@@ -73,7 +73,9 @@
         parts.flag("resent")?;
         parts.flag("rerouted")?;
         flow.reconnecting = parts.flag("came-back")?;
-        self.acts(out, |hand, acts| hand.take(now, flow, Who::default(), acts));
+        self.commands(out, |flow_table, commands| {
+            flow_table.accept(now, flow, ClientIdentity::default(), commands)
+        });
         Ok(())
     }
 
@@ -92,7 +94,7 @@
         flow.class = parts.maybe("category")?.unwrap_or(0);
         let _effort: Option<f64> = parts.maybe("effort")?;
         let server_id: ServerId = parts.get("server")?;
-        self.hand.adopt_connection(flow, server_id);
+        self.flow_table.adopt_connection(flow, server_id);
         Ok(())
     }
 
@@ -101,7 +103,9 @@
         parts.get::<u32>("send-no")?;
         parts.get::<ServerId>("server")?;
         let took = parts.time("time-taken")?;
-        self.acts(out, |hand, acts| hand.connected(now, flow, took, acts));
+        self.commands(out, |flow_table, commands| {
+            flow_table.connected(now, flow, took, commands)
+        });
         Ok(())
     }
 
@@ -112,7 +116,7 @@
         parts.maybe::<u32>("send-no")?;
         let x: f64 = parts.get("x")?;
         if topic == 1 {
-            self.hand.update_connection_load(flow, x);
+            self.flow_table.update_connection_load(flow, x);
         }
         Ok(())
     }
@@ -126,16 +130,16 @@
         let closed = parts.flag("closed")?;
         let report = wire::report(parts.word("report")?, &self.reports)?;
         if closed {
-            self.hand.settle(flow);
+            self.flow_table.mark_answered(flow);
         }
-        self.acts(out, |hand, acts| {
-            hand.ended(
+        self.commands(out, |flow_table, commands| {
+            flow_table.attempt_ended(
                 now,
                 (flow, number),
                 server_id,
                 (end, known_unexecuted),
                 report,
-                acts,
+                commands,
             )
         });
         self.give_back(flow);
@@ -144,7 +148,9 @@
 
     pub fn lapsed(&mut self, now: Time, parts: &mut Parts, out: &mut String) -> Read<()> {
         let flow = parts.get("ref")?;
-        self.acts(out, |hand, acts| hand.left(now, flow, acts));
+        self.commands(out, |flow_table, commands| {
+            flow_table.client_left(now, flow, commands)
+        });
         self.give_back(flow);
         Ok(())
     }
@@ -155,8 +161,8 @@
         let (end, _) = wire::end(parts.word("reason")?)?;
         let report = wire::report(parts.word("report")?, &self.reports)?;
         let passed = end == nettlemux_policy::AttemptEnd::Done;
-        self.acts(out, |hand, acts| {
-            hand.probed(now, server_id, passed, report, acts)
+        self.commands(out, |flow_table, commands| {
+            flow_table.health_checked(now, server_id, passed, report, commands)
         });
         Ok(())
     }
@@ -166,7 +172,7 @@
         let bytes = wire::bytes(parts.word("content")?)?;
         // What another version tells is none of ours to judge.
         if let Some(placement) = GroupPlacement::from_bytes(&bytes) {
-            self.hand.receive_gossip(now, placement);
+            self.flow_table.receive_gossip(now, placement);
         }
         Ok(())
     }
@@ -175,13 +181,15 @@
         if parts.get::<u64>("ref")? == self.timers {
             self.armed = None;
         }
-        self.acts(out, |hand, acts| hand.elapsed(now, acts));
+        self.commands(out, |flow_table, commands| {
+            flow_table.timer_expired(now, commands)
+        });
         Ok(())
     }
 
     /// Sets the timer where the module wants to be asked sooner than it is set.
     pub fn arm(&mut self, now: Time, out: &mut String) {
-        let Some(wait) = self.hand.time_to_next_timer(now) else {
+        let Some(wait) = self.flow_table.time_to_next_timer(now) else {
             return;
         };
         // Never in the batch that is being answered, and no longer than the wire takes.
@@ -195,20 +203,24 @@
     }
 
     /// Asks the module by way of the hand, and writes what it says.
-    fn acts(&mut self, out: &mut String, ask: impl FnOnce(&mut Hand, &mut Vec<Act>)) {
-        let mut acts = Vec::new();
-        ask(&mut self.hand, &mut acts);
-        for act in acts {
-            let write = match act {
-                Act::Attempt {
+    fn commands(
+        &mut self,
+        out: &mut String,
+        ask: impl FnOnce(&mut FlowTable, &mut Vec<PolicyCommand>),
+    ) {
+        let mut commands = Vec::new();
+        ask(&mut self.flow_table, &mut commands);
+        for command in commands {
+            let write = match command {
+                PolicyCommand::StartAttempt {
                     flow,
                     server_id,
-                    limit,
+                    timeout,
                     ..
                 } => {
-                    writeln!(out, "SUBMIT_TO {flow} {server_id} {}", wire::micros(limit))
+                    writeln!(out, "SUBMIT_TO {flow} {server_id} {}", wire::micros(timeout))
                 }
-                Act::Reject { flow, retry_after } => {
+                PolicyCommand::Reject { flow, retry_after } => {
                     self.give_back(flow);
                     writeln!(
                         out,
@@ -216,20 +228,22 @@
                         wire::micros(retry_after.unwrap_or(0))
                     )
                 }
-                Act::Fail { flow } => {
+                PolicyCommand::Fail { flow } => {
                     self.give_back(flow);
                     writeln!(out, "REPORT_FAILURE {flow}")
                 }
-                Act::Probe { server_id } => writeln!(out, "PROBE {server_id}"),
-                Act::Move { flow } => writeln!(out, "GO_AWAY {flow}"),
-                Act::CallOff { flow, number } if self.hand.has_attempt_in_flight(flow) => {
+                PolicyCommand::CheckHealth { server_id } => writeln!(out, "PROBE {server_id}"),
+                PolicyCommand::Migrate { flow } => writeln!(out, "GO_AWAY {flow}"),
+                PolicyCommand::CancelAttempt { flow, number }
+                    if self.flow_table.has_attempt_in_flight(flow) =>
+                {
                     writeln!(out, "RECALL {flow} {number}")
                 }
-                Act::CallOff { .. } => Ok(()),
-                Act::Gossip(placement) => {
+                PolicyCommand::CancelAttempt { .. } => Ok(()),
+                PolicyCommand::Gossip(placement) => {
                     writeln!(out, "NOTIFY -1 {}", wire::hex(&placement.to_bytes()))
                 }
-                Act::AskList => writeln!(out, "TRACK 1"),
+                PolicyCommand::PollEndpoints => writeln!(out, "TRACK 1"),
             };
             write.expect("a string takes all");
         }
@@ -237,9 +251,9 @@
 
     /// Lets go of a flow that is owed nothing and has no attempt in flight: it has ended.
     fn give_back(&mut self, flow: FlowId) {
-        if !self.hand.owed(flow) && !self.hand.has_attempt_in_flight(flow) {
+        if !self.flow_table.awaits_answer(flow) && !self.flow_table.has_attempt_in_flight(flow) {
             // Nothing is out, so nothing is said.
-            self.hand.over(0, flow, &mut Vec::new());
+            self.flow_table.remove(0, flow, &mut Vec::new());
         }
     }
 }
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -26,7 +26,7 @@
 use nettlemux_dataplane::probe::{self, Prober};
 use nettlemux_dataplane::shared::{Core, Terms};
 use nettlemux_dataplane::shutdown::AnswerDeadline;
-use nettlemux_flow_table::Hand;
+use nettlemux_flow_table::FlowTable;
 use nettlemux_line_protocol::first::Known;
 use nettlemux_line_protocol::take_in::{self, Front};
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
@@ -205,7 +205,7 @@
         terms: terms.clone(),
     });
     let mut known = Known::new(settings).map_err(faulty)?;
-    let mut hand = Hand::new(policy);
+    let mut flow_table = FlowTable::new(policy);
     if let Some(keys) = &operator.door {
         // New with each start: nobody can aim at another's place.
         let seed = config.seed ^ RandomState::new().hash_one(config.seed);
@@ -215,7 +215,7 @@
             seed,
         );
         known.by = Some((keys.by, seed));
-        hand = hand.with_door(door, longest.is_some());
+        flow_table = flow_table.with_door(door, longest.is_some());
         info!(by = ?keys.by, waiting = keys.waiting, "a door with fair queues");
     }
     let door_seed = known.by.map(|(_, seed)| seed);
@@ -261,7 +261,7 @@
         answer_deadline,
         lobby,
     };
-    let whole_desk = Desk::new(hand, asks, zones, machines, prober, gossip, given);
+    let whole_desk = Desk::new(flow_table, asks, zones, machines, prober, gossip, given);
     let running = may::go!(move || whole_desk.run());
     let agent = Agent::new(config.discovery);
     let in_file = config.settings.clone();
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use nettlemux_flow_table::{Act, Hand};
+use nettlemux_flow_table::{FlowTable, PolicyCommand};
 use nettlemux_policy::{
     Endpoint, EndpointState, Flow, FlowId, GroupPlacement, MS, SEC, ServerId, Time,
 };
@@ -93,7 +93,7 @@
 }
 
 pub struct Desk {
-    hand: Hand,
+    flow_table: FlowTable,
     asks: Mailbox<Ask>,
     clients: BTreeMap<FlowId, Client>,
     servers: BTreeMap<ServerId, Arc<Server>>,
@@ -118,7 +118,7 @@
 
 impl Desk {
     pub fn new(
-        hand: Hand,
+        flow_table: FlowTable,
         asks: Mailbox<Ask>,
         zones: Vec<String>,
         machines: Vec<String>,
@@ -127,7 +127,7 @@
         given: Given,
     ) -> Self {
         Desk {
-            hand,
+            flow_table,
             asks,
             clients: BTreeMap::new(),
             servers: BTreeMap::new(),
@@ -155,7 +155,7 @@
     pub fn run(mut self) -> Result<(), &'static str> {
         loop {
             let now = clock::now();
-            if let Some(wait) = self.hand.time_to_next_timer(now) {
+            if let Some(wait) = self.flow_table.time_to_next_timer(now) {
                 // Never at once again, so that a due time that is not met can't keep the core busy.
                 let at = now + wait.max(MS);
                 self.due = Some(self.due.map_or(at, |due| due.min(at)));
@@ -183,7 +183,9 @@
                 error!(?flow, "a decision panicked; its flow is aborted");
                 if let Some(id) = flow {
                     let now = clock::now();
-                    self.acts(now, |hand, acts| hand.fail(now, id, acts));
+                    self.commands(now, |flow_table, commands| {
+                        flow_table.fail(now, id, commands)
+                    });
                 }
             }
             if self.terminated.is_some_and(|at| self.ending(at)) {
@@ -199,7 +201,9 @@
         }
         if self.due.is_some_and(|due| due <= now) {
             self.due = None;
-            self.acts(now, |hand, acts| hand.elapsed(now, acts));
+            self.commands(now, |flow_table, commands| {
+                flow_table.timer_expired(now, commands)
+            });
         }
     }
 
@@ -213,7 +217,9 @@
                         inherited: None,
                     },
                 );
-                self.acts(now, |hand, acts| hand.take(now, flow, who, acts));
+                self.commands(now, |flow_table, commands| {
+                    flow_table.accept(now, flow, who, commands)
+                });
             }
             Ask::Inherit { flow, at, mail } => {
                 let server_id = self.ids.lasting(&at);
@@ -244,8 +250,10 @@
                     return;
                 };
                 match client.inherited.take() {
-                    Some((flow, server_id)) => self.hand.adopt_connection(flow, server_id),
-                    None => self.acts(now, |hand, acts| hand.connected(now, flow, took, acts)),
+                    Some((flow, server_id)) => self.flow_table.adopt_connection(flow, server_id),
+                    None => self.commands(now, |flow_table, commands| {
+                        flow_table.connected(now, flow, took, commands)
+                    }),
                 }
             }
             Ask::Ended {
@@ -258,15 +266,26 @@
             } => {
                 let how = (end, known_unexecuted);
                 if self.clients.contains_key(&flow) {
-                    self.acts(now, |hand, acts| {
-                        hand.ended(now, (flow, number), server_id, how, report, acts)
+                    self.commands(now, |flow_table, commands| {
+                        flow_table.attempt_ended(
+                            now,
+                            (flow, number),
+                            server_id,
+                            how,
+                            report,
+                            commands,
+                        )
                     });
                 }
             }
-            Ask::Load { flow, load } => self.hand.update_connection_load(flow, load),
-            Ask::Left { flow } => self.acts(now, |hand, acts| hand.left(now, flow, acts)),
+            Ask::Load { flow, load } => self.flow_table.update_connection_load(flow, load),
+            Ask::Left { flow } => self.commands(now, |flow_table, commands| {
+                flow_table.client_left(now, flow, commands)
+            }),
             Ask::Over { flow } => {
-                self.acts(now, |hand, acts| hand.over(now, flow, acts));
+                self.commands(now, |flow_table, commands| {
+                    flow_table.remove(now, flow, commands)
+                });
                 self.clients.remove(&flow);
             }
             Ask::Probed {
@@ -274,8 +293,8 @@
                 passed,
                 report,
             } => {
-                self.acts(now, |hand, acts| {
-                    hand.probed(now, server_id, passed, report, acts)
+                self.commands(now, |flow_table, commands| {
+                    flow_table.health_checked(now, server_id, passed, report, commands)
                 });
             }
             Ask::StoredList(entries) => self.update_endpoints(now, entries, true),
@@ -286,7 +305,7 @@
                 self.update_endpoints(now, entries, is_complete);
                 self.starts.watch();
             }
-            Ask::ListFailed => self.hand.endpoint_poll_failed(now),
+            Ask::ListFailed => self.flow_table.endpoint_poll_failed(now),
             Ask::GossipReceived(message) => {
                 // One that our list doesn't name is none of ours.
                 if let Some(server_id) = self
@@ -294,7 +313,7 @@
                     .known(&message.server)
                     .filter(|server_id| self.servers.contains_key(server_id))
                 {
-                    self.hand.receive_gossip(
+                    self.flow_table.receive_gossip(
                         now,
                         GroupPlacement {
                             group: message.group,
@@ -304,7 +323,7 @@
                 }
             }
             Ask::Change(settings) => self.change(*settings),
-            Ask::Door(config) => self.hand.change_door(config),
+            Ask::Door(config) => self.flow_table.change_door(config),
             Ask::Broken(_) => {}
             Ask::Terminate => {
                 info!(flows = self.clients.len(), "asked to end");
@@ -323,7 +342,7 @@
         };
         match settings.policy(self.given.seed, self.given.margin, true) {
             Ok(policy) => {
-                self.hand.apply_settings(policy);
+                self.flow_table.apply_settings(policy);
                 self.given
                     .answer_deadline
                     .reload(clock::now(), settings.longest_wait());
@@ -391,36 +410,36 @@
             .keep(|server_id| servers.contains_key(&server_id));
         self.starts
             .keep(servers.len(), |server_id| servers.contains_key(&server_id));
-        self.hand.update_endpoints(now, &listed, is_complete);
+        self.flow_table.update_endpoints(now, &listed, is_complete);
     }
 
     /// Asks the module by way of the hand, and carries out what it says.
-    fn acts(&mut self, now: Time, ask: impl FnOnce(&mut Hand, &mut Vec<Act>)) {
-        let mut acts = Vec::new();
-        ask(&mut self.hand, &mut acts);
-        let moves = acts
+    fn commands(&mut self, now: Time, ask: impl FnOnce(&mut FlowTable, &mut Vec<PolicyCommand>)) {
+        let mut commands = Vec::new();
+        ask(&mut self.flow_table, &mut commands);
+        let moves = commands
             .iter()
-            .filter(|act| matches!(act, Act::Move { .. }))
+            .filter(|command| matches!(command, PolicyCommand::Migrate { .. }))
             .count();
         if moves > 0 {
             info!(count = moves, "moving connections off a hot server");
         }
-        for act in acts {
-            self.carry_out(now, act);
+        for command in commands {
+            self.carry_out(now, command);
         }
     }
 
-    fn carry_out(&mut self, now: Time, act: Act) {
-        match act {
-            Act::Attempt {
+    fn carry_out(&mut self, now: Time, command: PolicyCommand) {
+        match command {
+            PolicyCommand::StartAttempt {
                 flow,
                 server_id,
                 number,
-                limit,
-                by,
+                timeout,
+                send_within,
             } => match self.servers.get(&server_id) {
                 Some(server) => {
-                    let (server, until, by) = (server.clone(), now + limit, now + by);
+                    let (server, until, by) = (server.clone(), now + timeout, now + send_within);
                     self.order(
                         flow,
                         Order::Attempt(Target {
@@ -437,22 +456,24 @@
                         id = flow,
                         server_id, "the module names a server without an address"
                     );
-                    self.hand.settle(flow);
+                    self.flow_table.mark_answered(flow);
                     self.order(flow, Order::Fail);
                 }
             },
-            Act::Reject { flow, retry_after } => self.order(flow, Order::Reject(retry_after)),
-            Act::Fail { flow } => self.order(flow, Order::Fail),
-            Act::Move { flow } => self.order(flow, Order::Move(now + LINE_END)),
-            Act::CallOff { flow, .. } => self.order(flow, Order::CallOff),
-            Act::Probe { server_id } => {
+            PolicyCommand::Reject { flow, retry_after } => {
+                self.order(flow, Order::Reject(retry_after))
+            }
+            PolicyCommand::Fail { flow } => self.order(flow, Order::Fail),
+            PolicyCommand::Migrate { flow } => self.order(flow, Order::Move(now + LINE_END)),
+            PolicyCommand::CancelAttempt { flow, .. } => self.order(flow, Order::CallOff),
+            PolicyCommand::CheckHealth { server_id } => {
                 if let Some(server) = self.servers.get(&server_id) {
                     self.prober.probe(server_id, server.clone());
                 }
             }
             // The watch always runs, so there is nothing to ask for.
-            Act::AskList => {}
-            Act::Gossip(GroupPlacement { group, server_id }) => {
+            PolicyCommand::PollEndpoints => {}
+            PolicyCommand::Gossip(GroupPlacement { group, server_id }) => {
                 if let (Some(gossip), Some(server)) = (&self.gossip, self.servers.get(&server_id)) {
                     gossip.send(GossipMessage {
                         group,
@@ -500,7 +521,9 @@
         if passed >= last_answer && now >= self.next_cut {
             (self.last_answer_passed, self.next_cut) = (true, now + STEP);
             let mut owed = Vec::new();
-            self.acts(now, |hand, acts| owed = hand.cut_short(now, acts));
+            self.commands(now, |flow_table, commands| {
+                owed = flow_table.shorten_deadlines(now, commands)
+            });
             for id in owed {
                 self.order(id, Order::TimeUp);
             }
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use nettlemux_admission::Config;
-use nettlemux_flow_table::Who;
+use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{AttemptEnd, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
 use nettlemux_settings::Settings;
 
@@ -45,7 +45,7 @@
 pub enum Ask {
     Place {
         flow: Flow,
-        who: Who,
+        who: ClientIdentity,
         mail: Sender<Event>,
     },
     /// A connection that was open at that server before the run.
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use nettlemux_flow_table::Who;
+use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{Flow, MS, Time};
 use tracing::error;
 
@@ -25,11 +25,17 @@
 /// A flow as it was asked about.
 pub struct Asked {
     flow: Flow,
-    who: Who,
+    who: ClientIdentity,
     at: Option<String>,
 }
 
-pub fn ask(core: &Core, book: &mut Book, flow: Flow, who: Who, at: Option<&str>) -> Asked {
+pub fn ask(
+    core: &Core,
+    book: &mut Book,
+    flow: Flow,
+    who: ClientIdentity,
+    at: Option<&str>,
+) -> Asked {
     let mail = book.caller.mailbox.sender();
     let ask = match at {
         Some(at) => Ask::Inherit {
--- a/crates/dataplane/src/shared.rs
+++ b/crates/dataplane/src/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use nettlemux_flow_table::Who;
+use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{Flow, Time};
 use nettlemux_settings::LoadReportFormat;
 
@@ -65,7 +65,7 @@
 /// A flow that a front has taken, with all that the stages need of it.
 pub struct Admitted {
     pub flow: Flow,
-    pub who: Who,
+    pub who: ClientIdentity,
     /// The server that held it before the run.
     pub at: Option<String>,
     pub caller: Caller,
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -1,5 +1,5 @@
-//! The flows in a balancer's hands. A [`Hand`] owns one decision module, the flows that it has been asked about and the
-//! time at which it wants to be asked again; it turns what the module says into [`Act`]s, in the order in which they are to
+//! The flows in a balancer's hands. A [`FlowTable`] owns one decision module, the flows that it has been asked about and the
+//! time at which it wants to be asked again; it turns what the module says into [`PolicyCommand`]s, in the order in which they are to
 //! be carried out. The balancer on sockets, the adapter and the laboratory all keep their flows here, so that none of
 //! them keeps them differently. It has no I/O, clock, thread or chance of its own and must never decide
 //! anything: where a flow goes, whether it goes again and what is refused is the module's word.
@@ -14,7 +14,7 @@
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
 /// the laboratory has others to compare it with.
-pub trait Brain {
+pub trait LoadBalancingPolicy {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement;
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions;
     fn time_to_next_timer(&self, now: Time) -> Option<Time>;
@@ -28,7 +28,7 @@
     fn receive_gossip(&mut self, _now: Time, _placement: GroupPlacement) {}
 }
 
-impl Brain for Policy {
+impl LoadBalancingPolicy for Policy {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         Policy::place(self, now, flow)
     }
@@ -58,7 +58,7 @@
     }
 }
 
-impl Brain for Box<dyn Brain> {
+impl LoadBalancingPolicy for Box<dyn LoadBalancingPolicy> {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         (**self).place(now, flow)
     }
@@ -90,14 +90,16 @@
 
 /// What is to be carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// Make this flow's attempt of that number, and wait for it so long; it is not made if it isn't sent within `by`.
-    Attempt {
+pub enum PolicyCommand {
+    /// Start the flow's attempt of that number.
+    StartAttempt {
         flow: FlowId,
         server_id: ServerId,
         number: usize,
-        limit: Time,
-        by: Time,
+        /// How long the server's answer is waited for.
+        timeout: Time,
+        /// The attempt is made only if its last byte is written within this span.
+        send_within: Time,
     },
     Reject {
         flow: FlowId,
@@ -107,26 +109,26 @@
         flow: FlowId,
     },
     /// Send its client away.
-    Move {
+    Migrate {
         flow: FlowId,
     },
     /// Stop waiting for the attempt of that number: its client is gone.
-    CallOff {
+    CancelAttempt {
         flow: FlowId,
         number: usize,
     },
-    Probe {
+    CheckHealth {
         server_id: ServerId,
     },
     /// Ask for the list.
-    AskList,
+    PollEndpoints,
     /// Tell the other balancers.
     Gossip(GroupPlacement),
 }
 
 /// Who asks, for the door: whose turn a flow takes, and when it is too late for one. Nobody's where there is no door.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Who {
+pub struct ClientIdentity {
     /// The tenant or client whose turn it takes.
     pub key: u64,
     /// The client, to be known again.
@@ -137,30 +139,30 @@
     pub target: Time,
 }
 
-struct InHand {
+struct FlowEntry {
     flow: Flow,
     /// Still owed an answer.
-    owed: bool,
+    awaits_answer: bool,
 }
 
 /// The flows in hand and the module that says what becomes of them.
-pub struct Hand<B = Policy> {
-    brain: B,
-    flows: BTreeMap<FlowId, InHand>,
+pub struct FlowTable<B = Policy> {
+    policy: B,
+    flows: BTreeMap<FlowId, FlowEntry>,
     /// Flows to ask about again.
-    held: Vec<FlowId>,
+    queued: Vec<FlowId>,
     /// Before the module, where there is one.
     door: Option<Door>,
     /// Clients may be told when to come back.
     tells: bool,
 }
 
-impl<B: Brain> Hand<B> {
-    pub fn new(brain: B) -> Self {
-        Hand {
-            brain,
+impl<B: LoadBalancingPolicy> FlowTable<B> {
+    pub fn new(policy: B) -> Self {
+        FlowTable {
+            policy,
             flows: BTreeMap::new(),
-            held: Vec::new(),
+            queued: Vec::new(),
             door: None,
             tells: true,
         }
@@ -174,7 +176,7 @@
 
     /// The module goes on under other settings, with all flows that are in hand.
     pub fn apply_settings(&mut self, new: Policy) {
-        self.brain.apply_settings(new);
+        self.policy.apply_settings(new);
     }
 
     /// New limits and weights for the door, where there is one; nobody who waits is dropped.
@@ -188,13 +190,13 @@
         self.door.as_ref()
     }
 
-    /// How long until [`Hand::elapsed`] is to be called at the latest; none where nothing is due.
+    /// How long until [`FlowTable::elapsed`] is to be called at the latest; none where nothing is due.
     pub fn time_to_next_timer(&self, now: Time) -> Option<Time> {
         let door = self.door.as_ref().filter(|door| door.waiting() > 0);
         let door = door
             .and_then(Door::due)
             .map(|at| at.saturating_sub(now).min(LOOK_AGAIN));
-        self.brain
+        self.policy
             .time_to_next_timer(now)
             .into_iter()
             .chain(door)
@@ -202,16 +204,34 @@
     }
 
     /// A flow that has just been taken: it is owed an answer from now on.
-    pub fn take(&mut self, now: Time, flow: Flow, who: Who, acts: &mut Vec<Act>) {
+    pub fn accept(
+        &mut self,
+        now: Time,
+        flow: Flow,
+        who: ClientIdentity,
+        commands: &mut Vec<PolicyCommand>,
+    ) {
         let id = flow.id;
         let Some(door) = &mut self.door else {
-            let place = self.brain.place(now, &flow);
-            self.flows.insert(id, InHand { flow, owed: true });
-            return self.answer(now, id, place, acts);
+            let place = self.policy.place(now, &flow);
+            self.flows.insert(
+                id,
+                FlowEntry {
+                    flow,
+                    awaits_answer: true,
+                },
+            );
+            return self.apply_placement(now, id, place, commands);
         };
-        self.flows.insert(id, InHand { flow, owed: true });
+        self.flows.insert(
+            id,
+            FlowEntry {
+                flow,
+                awaits_answer: true,
+            },
+        );
         let mut turns = Vec::new();
-        let Who {
+        let ClientIdentity {
             key,
             client,
             retry,
@@ -228,37 +248,37 @@
             },
             &mut turns,
         );
-        self.turned(now, turns, acts);
-        self.let_in(now, acts);
+        self.apply_decisions(now, turns, commands);
+        self.admit_queued(now, commands);
     }
 
     /// Lets in whose turn it is, until the module holds as many as it may or nobody waits.
-    fn let_in(&mut self, now: Time, acts: &mut Vec<Act>) {
+    fn admit_queued(&mut self, now: Time, commands: &mut Vec<PolicyCommand>) {
         while let Some(door) = &mut self.door {
-            door.holds(&self.held);
+            door.holds(&self.queued);
             let mut turns = Vec::new();
             door.turns(now, &mut turns);
             if turns.is_empty() {
                 return;
             }
-            self.turned(now, turns, acts);
+            self.apply_decisions(now, turns, commands);
         }
     }
 
-    fn turned(&mut self, now: Time, turns: Vec<Turn>, acts: &mut Vec<Act>) {
+    fn apply_decisions(&mut self, now: Time, turns: Vec<Turn>, commands: &mut Vec<PolicyCommand>) {
         for turn in turns {
             match turn {
                 Turn::Enters(id) => {
-                    let Some(in_hand) = self.flows.get(&id).filter(|f| f.owed) else {
+                    let Some(entry) = self.flows.get(&id).filter(|f| f.awaits_answer) else {
                         continue;
                     };
-                    let place = self.brain.place(now, &in_hand.flow);
-                    self.answer(now, id, place, acts);
+                    let place = self.policy.place(now, &entry.flow);
+                    self.apply_placement(now, id, place, commands);
                 }
                 // No attempt was made, so coming again is safe whatever the traffic class.
                 Turn::SentAway(flow, _, wait) => {
-                    self.settle(flow);
-                    acts.push(Act::Reject {
+                    self.mark_answered(flow);
+                    commands.push(PolicyCommand::Reject {
                         flow,
                         retry_after: self.tells.then_some(wait),
                     });
@@ -269,83 +289,95 @@
 
     /// A connection that was open at that server before the balancer started.
     pub fn adopt_connection(&mut self, flow: Flow, server_id: ServerId) {
-        self.brain.adopt_connection(&flow, server_id);
-        self.flows.insert(flow.id, InHand { flow, owed: false });
+        self.policy.adopt_connection(&flow, server_id);
+        self.flows.insert(
+            flow.id,
+            FlowEntry {
+                flow,
+                awaits_answer: false,
+            },
+        );
     }
 
     /// An attempt was answered with a connection: the client has its answer.
-    pub fn connected(&mut self, now: Time, flow: FlowId, took: Time, acts: &mut Vec<Act>) {
-        self.settle(flow);
+    pub fn connected(
+        &mut self,
+        now: Time,
+        flow: FlowId,
+        took: Time,
+        commands: &mut Vec<PolicyCommand>,
+    ) {
+        self.mark_answered(flow);
         if let Some(door) = &mut self.door {
             door.flow_connected(now);
         }
         let actions = self
-            .brain
+            .policy
             .on_event(now, PolicyEvent::Connected { flow, took });
-        self.carry_out(actions, acts);
-        self.let_in(now, acts);
+        self.apply_actions(actions, commands);
+        self.admit_queued(now, commands);
     }
 
     /// An attempt, or the connection that it became, has ended. `known_unexecuted`: the attempt is known not to have run.
     #[allow(clippy::too_many_arguments)]
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Time,
         (flow, number): (FlowId, usize),
         server_id: ServerId,
         (end, known_unexecuted): (AttemptEnd, bool),
         report: LoadReport,
-        acts: &mut Vec<Act>,
+        commands: &mut Vec<PolicyCommand>,
     ) {
         // A load report that came with an answer counts like a probe's: it is the server's own.
         if report.utilization.is_some() {
-            self.probed(now, server_id, true, report, acts);
+            self.health_checked(now, server_id, true, report, commands);
         }
-        let mut owed = None;
-        if let Some(in_hand) = self.flows.get_mut(&flow) {
-            if let Some(attempt) = in_hand.flow.attempts.get_mut(number) {
+        let mut unanswered = None;
+        if let Some(entry) = self.flows.get_mut(&flow) {
+            if let Some(attempt) = entry.flow.attempts.get_mut(number) {
                 (attempt.in_flight, attempt.known_unexecuted) = (false, known_unexecuted);
             }
-            owed = in_hand.owed.then_some(&in_hand.flow);
+            unanswered = entry.awaits_answer.then_some(&entry.flow);
         }
-        let actions = self.brain.on_event(
+        let actions = self.policy.on_event(
             now,
             PolicyEvent::AttemptEnded {
                 flow,
                 server_id,
                 end,
-                owed,
+                unanswered,
             },
         );
         if let Some(place) = actions.placement {
-            self.answer(now, flow, place, acts);
+            self.apply_placement(now, flow, place, commands);
         }
-        self.carry_out(actions, acts);
-        self.let_in(now, acts);
+        self.apply_actions(actions, commands);
+        self.admit_queued(now, commands);
     }
 
     /// The client went away: it is owed nothing any more.
-    pub fn left(&mut self, now: Time, flow: FlowId, acts: &mut Vec<Act>) {
-        self.settle(flow);
+    pub fn client_left(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
+        self.mark_answered(flow);
         if let Some(door) = &mut self.door
             && door.waits(flow)
         {
             // The module was never asked about it.
             return door.over(flow);
         }
-        let actions = self.brain.on_event(now, PolicyEvent::ClientLeft { flow });
-        self.carry_out(actions, acts);
+        let actions = self.policy.on_event(now, PolicyEvent::ClientLeft { flow });
+        self.apply_actions(actions, commands);
     }
 
-    pub fn probed(
+    pub fn health_checked(
         &mut self,
         now: Time,
         server_id: ServerId,
         passed: bool,
         report: LoadReport,
-        acts: &mut Vec<Act>,
+        commands: &mut Vec<PolicyCommand>,
     ) {
-        let actions = self.brain.on_event(
+        let actions = self.policy.on_event(
             now,
             PolicyEvent::HealthChecked {
                 server_id,
@@ -353,101 +385,106 @@
                 report,
             },
         );
-        self.carry_out(actions, acts);
+        self.apply_actions(actions, commands);
     }
 
     /// The wait has passed: what was held is asked about again.
-    pub fn elapsed(&mut self, now: Time, acts: &mut Vec<Act>) {
-        let actions = self.brain.on_event(now, PolicyEvent::TimerExpired);
-        for id in std::mem::take(&mut self.held) {
-            if let Some(in_hand) = self.flows.get(&id).filter(|f| f.owed) {
-                let place = self.brain.place(now, &in_hand.flow);
-                self.answer(now, id, place, acts);
+    pub fn timer_expired(&mut self, now: Time, commands: &mut Vec<PolicyCommand>) {
+        let actions = self.policy.on_event(now, PolicyEvent::TimerExpired);
+        for id in std::mem::take(&mut self.queued) {
+            if let Some(entry) = self.flows.get(&id).filter(|f| f.awaits_answer) {
+                let place = self.policy.place(now, &entry.flow);
+                self.apply_placement(now, id, place, commands);
             }
         }
-        self.carry_out(actions, acts);
+        self.apply_actions(actions, commands);
         if let Some(door) = &mut self.door {
             door.look(now);
         }
-        self.let_in(now, acts);
+        self.admit_queued(now, commands);
     }
 
     pub fn update_connection_load(&mut self, flow: FlowId, load: f64) {
-        self.brain.update_connection_load(flow, load);
+        self.policy.update_connection_load(flow, load);
     }
 
     pub fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
-        self.brain.update_endpoints(now, entries, is_complete);
+        self.policy.update_endpoints(now, entries, is_complete);
     }
 
     /// A gossip message of another balancer.
     pub fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
-        self.brain.receive_gossip(now, placement);
+        self.policy.receive_gossip(now, placement);
     }
 
     pub fn endpoint_poll_failed(&mut self, now: Time) {
-        self.brain.endpoint_poll_failed(now);
+        self.policy.endpoint_poll_failed(now);
     }
 
     /// The flow is owed no answer any more, for a reason that the module is not asked about.
-    pub fn settle(&mut self, flow: FlowId) {
-        if let Some(in_hand) = self.flows.get_mut(&flow) {
-            in_hand.owed = false;
+    pub fn mark_answered(&mut self, flow: FlowId) {
+        if let Some(entry) = self.flows.get_mut(&flow) {
+            entry.awaits_answer = false;
         }
     }
 
     /// Aborts a flow without asking the module, which has failed on it.
-    pub fn fail(&mut self, now: Time, flow: FlowId, acts: &mut Vec<Act>) {
-        self.answer(now, flow, Placement::Fail, acts);
+    pub fn fail(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
+        self.apply_placement(now, flow, Placement::Fail, commands);
     }
 
     /// From now on no flow that is owed an answer has longer than till then; returns these. Nobody waits at the door any
     /// more.
-    pub fn cut_short(&mut self, at: Time, acts: &mut Vec<Act>) -> Vec<FlowId> {
+    pub fn shorten_deadlines(
+        &mut self,
+        at: Time,
+        commands: &mut Vec<PolicyCommand>,
+    ) -> Vec<FlowId> {
         if let Some(door) = &mut self.door {
             door.close();
-            self.let_in(at, acts);
+            self.admit_queued(at, commands);
         }
-        let owed = self.flows.iter_mut().filter(|(_, f)| f.owed);
-        owed.map(|(id, in_hand)| {
-            in_hand.flow.deadline = in_hand.flow.deadline.min(at);
-            *id
-        })
-        .collect()
+        let awaits_answer = self.flows.iter_mut().filter(|(_, f)| f.awaits_answer);
+        awaits_answer
+            .map(|(id, entry)| {
+                entry.flow.deadline = entry.flow.deadline.min(at);
+                *id
+            })
+            .collect()
     }
 
     /// Nothing more comes of this flow: the one place where it is given back.
-    pub fn over(&mut self, now: Time, flow: FlowId, acts: &mut Vec<Act>) {
-        let in_hand = self.flows.remove(&flow);
+    pub fn remove(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
+        let entry = self.flows.remove(&flow);
         if let Some(door) = &mut self.door {
             door.over(flow);
         }
         // Guards against an attempt that was ordered just as the client left, or whose flow has panicked: nobody else says
         // that nothing comes of it, and the module would count it as in flight for good.
-        let out = in_hand.and_then(|in_hand| {
-            in_hand
+        let out = entry.and_then(|entry| {
+            entry
                 .flow
                 .attempts
                 .into_iter()
                 .find(|attempt| attempt.in_flight)
         });
         if let Some(Attempt { server_id, .. }) = out {
-            let actions = self.brain.on_event(
+            let actions = self.policy.on_event(
                 now,
                 PolicyEvent::AttemptEnded {
                     flow,
                     server_id,
                     end: AttemptEnd::NotSent,
-                    owed: None,
+                    unanswered: None,
                 },
             );
-            self.carry_out(actions, acts);
+            self.apply_actions(actions, commands);
         }
     }
 
     /// Whether the flow is still owed an answer.
-    pub fn owed(&self, flow: FlowId) -> bool {
-        self.flows.get(&flow).is_some_and(|f| f.owed)
+    pub fn awaits_answer(&self, flow: FlowId) -> bool {
+        self.flows.get(&flow).is_some_and(|f| f.awaits_answer)
     }
 
     /// Whether an attempt of this flow is still out.
@@ -459,69 +496,89 @@
 
     /// The flow as it was taken, with its attempts so far.
     pub fn flow(&self, flow: FlowId) -> Option<&Flow> {
-        self.flows.get(&flow).map(|in_hand| &in_hand.flow)
+        self.flows.get(&flow).map(|entry| &entry.flow)
     }
 
-    fn answer(&mut self, now: Time, id: FlowId, place: Placement, acts: &mut Vec<Act>) {
-        let Some(in_hand) = self.flows.get_mut(&id) else {
+    fn apply_placement(
+        &mut self,
+        now: Time,
+        id: FlowId,
+        place: Placement,
+        commands: &mut Vec<PolicyCommand>,
+    ) {
+        let Some(entry) = self.flows.get_mut(&id) else {
             return;
         };
-        acts.push(match place {
+        commands.push(match place {
             Placement::Forward {
                 server_id,
-                timeout: limit,
-                send_within: by,
+                timeout,
+                send_within,
             } => {
-                in_hand.flow.attempts.push(Attempt {
+                entry.flow.attempts.push(Attempt {
                     server_id,
                     at: now,
                     in_flight: true,
                     known_unexecuted: false,
                 });
-                Act::Attempt {
+                PolicyCommand::StartAttempt {
                     flow: id,
                     server_id,
-                    number: in_hand.flow.attempts.len() - 1,
-                    limit,
-                    by,
+                    number: entry.flow.attempts.len() - 1,
+                    timeout,
+                    send_within,
                 }
             }
-            Placement::Wait => return self.held.push(id),
+            Placement::Wait => return self.queued.push(id),
             Placement::Reject { retry_after } => {
-                in_hand.owed = false;
+                entry.awaits_answer = false;
                 // What the queue really needs, where there is one.
                 let door = self.door.as_mut().filter(|_| retry_after.is_some());
                 let told = door.and_then(|door| door.retry_after_for(now, id));
-                Act::Reject {
+                PolicyCommand::Reject {
                     flow: id,
                     retry_after: told.or(retry_after),
                 }
             }
             Placement::Fail => {
-                in_hand.owed = false;
-                Act::Fail { flow: id }
+                entry.awaits_answer = false;
+                PolicyCommand::Fail { flow: id }
             }
         });
     }
 
-    fn carry_out(&mut self, actions: Actions, acts: &mut Vec<Act>) {
-        acts.extend(
+    fn apply_actions(&mut self, actions: Actions, commands: &mut Vec<PolicyCommand>) {
+        commands.extend(
             actions
                 .health_checks
                 .into_iter()
-                .map(|server_id| Act::Probe { server_id }),
+                .map(|server_id| PolicyCommand::CheckHealth { server_id }),
+        );
+        commands.extend(
+            actions
+                .migrate
+                .into_iter()
+                .map(|flow| PolicyCommand::Migrate { flow }),
         );
-        acts.extend(actions.migrate.into_iter().map(|flow| Act::Move { flow }));
         let number = |flow| {
             self.flow(flow)
                 .map_or(0, |f: &Flow| f.attempts.len().saturating_sub(1))
         };
-        acts.extend(actions.cancel.into_iter().map(|flow| Act::CallOff {
-            flow,
-            number: number(flow),
-        }));
-        acts.extend(actions.poll_endpoints.then_some(Act::AskList));
-        acts.extend(actions.gossip.map(Act::Gossip));
+        commands.extend(
+            actions
+                .cancel
+                .into_iter()
+                .map(|flow| PolicyCommand::CancelAttempt {
+                    flow,
+                    number: number(flow),
+                }),
+        );
+        commands.extend(
+            actions
+                .poll_endpoints
+                .then_some(PolicyCommand::PollEndpoints),
+        );
+        commands.extend(actions.gossip.map(PolicyCommand::Gossip));
     }
 }
 
@@ -531,21 +588,21 @@
 
     /// Says what the test wants next, and keeps what it was asked.
     #[derive(Default)]
-    struct Script {
+    struct ScriptedPolicy {
         places: Vec<Placement>,
-        owed: Vec<bool>,
+        awaits_answer: Vec<bool>,
     }
 
-    impl Brain for Script {
+    impl LoadBalancingPolicy for ScriptedPolicy {
         fn place(&mut self, _: Time, _: &Flow) -> Placement {
             self.places.remove(0)
         }
         fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
             let mut actions = Actions::default();
             match event {
-                PolicyEvent::AttemptEnded { owed, .. } => {
-                    self.owed.push(owed.is_some());
-                    actions.placement = owed.map(|flow| self.place(now, flow));
+                PolicyEvent::AttemptEnded { unanswered, .. } => {
+                    self.awaits_answer.push(unanswered.is_some());
+                    actions.placement = unanswered.map(|flow| self.place(now, flow));
                 }
                 PolicyEvent::ClientLeft { flow } => actions.cancel.push(flow),
                 PolicyEvent::HealthChecked { server_id, .. } => {
@@ -564,16 +621,16 @@
         fn update_connection_load(&mut self, _: FlowId, _: f64) {}
     }
 
-    fn hand(places: &[Placement]) -> Hand<Script> {
-        Hand::new(Script {
+    fn flow_table(places: &[Placement]) -> FlowTable<ScriptedPolicy> {
+        FlowTable::new(ScriptedPolicy {
             places: places.to_vec(),
-            ..Script::default()
+            ..ScriptedPolicy::default()
         })
     }
 
     #[test]
     fn a_flow_is_connected_again_and_answered_once() {
-        let mut hand = hand(&[
+        let mut flow_table = flow_table(&[
             Placement::Forward {
                 server_id: 4,
                 timeout: 70,
@@ -588,81 +645,83 @@
                 retry_after: Some(8),
             },
         ]);
-        let mut acts = Vec::new();
-        hand.take(
+        let mut commands = Vec::new();
+        flow_table.accept(
             1,
             Flow {
                 id: 7,
                 ..Flow::default()
             },
-            Who::default(),
-            &mut acts,
+            ClientIdentity::default(),
+            &mut commands,
         );
         let report = LoadReport {
             utilization: Some(0.4),
             connections: None,
         };
-        hand.ended(
+        flow_table.attempt_ended(
             2,
             (7, 0),
             4,
             (AttemptEnd::Overloaded, true),
             report,
-            &mut acts,
+            &mut commands,
         );
         assert!(
-            hand.has_attempt_in_flight(7)
-                && hand.flow(7).is_some_and(|f| f.attempts[0].known_unexecuted)
+            flow_table.has_attempt_in_flight(7)
+                && flow_table
+                    .flow(7)
+                    .is_some_and(|f| f.attempts[0].known_unexecuted)
         );
-        hand.ended(
+        flow_table.attempt_ended(
             3,
             (7, 1),
             5,
             (AttemptEnd::ConnectionLost, false),
             LoadReport::default(),
-            &mut acts,
+            &mut commands,
         );
         assert_eq!(
-            acts,
+            commands,
             [
-                Act::Attempt {
+                PolicyCommand::StartAttempt {
                     flow: 7,
                     server_id: 4,
                     number: 0,
-                    limit: 70,
-                    by: 70
+                    timeout: 70,
+                    send_within: 70
                 },
-                Act::Probe { server_id: 4 },
-                Act::Move { flow: 9 },
-                Act::Attempt {
+                PolicyCommand::CheckHealth { server_id: 4 },
+                PolicyCommand::Migrate { flow: 9 },
+                PolicyCommand::StartAttempt {
                     flow: 7,
                     server_id: 5,
                     number: 1,
-                    limit: 60,
-                    by: 30
+                    timeout: 60,
+                    send_within: 30
                 },
-                Act::Reject {
+                PolicyCommand::Reject {
                     flow: 7,
                     retry_after: Some(8)
                 },
             ]
         );
         // Guards against a second answer for a flow that has had its own.
-        hand.ended(
+        flow_table.attempt_ended(
             4,
             (7, 1),
             5,
             (AttemptEnd::ConnectionLost, false),
             LoadReport::default(),
-            &mut acts,
+            &mut commands,
         );
         assert_eq!(
-            (acts.len(), hand.brain.owed.as_slice()),
+            (commands.len(), flow_table.policy.awaits_answer.as_slice()),
             (5, &[true, true, false][..])
         );
-        hand.over(5, 7, &mut acts);
+        flow_table.remove(5, 7, &mut commands);
         assert!(
-            hand.flows.is_empty() && hand.brain.owed.len() == 3,
+            flow_table.flows.is_empty() && flow_table.policy.awaits_answer.len() == 3,
             "nothing is out, nothing is told"
         );
     }
@@ -670,36 +729,36 @@
     /// Guards against an attempt that is ordered just as its client leaves and counts as in flight for good.
     #[test]
     fn a_connect_that_nobody_made_is_told_when_its_flow_is_over() {
-        let mut hand = hand(&[Placement::Forward {
+        let mut flow_table = flow_table(&[Placement::Forward {
             server_id: 4,
             timeout: 9,
             send_within: 9,
         }]);
-        let mut acts = Vec::new();
-        hand.take(
+        let mut commands = Vec::new();
+        flow_table.accept(
             1,
             Flow {
                 id: 1,
                 ..Flow::default()
             },
-            Who::default(),
-            &mut acts,
+            ClientIdentity::default(),
+            &mut commands,
         );
         // The client's leave was on its way to us as the order was on its way out.
-        hand.left(2, 1, &mut acts);
-        hand.over(3, 1, &mut acts);
+        flow_table.client_left(2, 1, &mut commands);
+        flow_table.remove(3, 1, &mut commands);
         assert_eq!(
-            hand.brain.owed,
+            flow_table.policy.awaits_answer,
             [false],
             "the module is told once that it is not out"
         );
-        hand.over(4, 1, &mut acts);
-        assert_eq!(hand.brain.owed, [false]);
+        flow_table.remove(4, 1, &mut commands);
+        assert_eq!(flow_table.policy.awaits_answer, [false]);
     }
 
     #[test]
     fn what_is_held_is_asked_about_again_unless_its_client_has_left() {
-        let mut hand = hand(&[
+        let mut flow_table = flow_table(&[
             Placement::Wait,
             Placement::Wait,
             Placement::Forward {
@@ -708,42 +767,42 @@
                 send_within: 9,
             },
         ]);
-        let mut acts = Vec::new();
-        hand.take(
+        let mut commands = Vec::new();
+        flow_table.accept(
             1,
             Flow {
                 id: 1,
                 ..Flow::default()
             },
-            Who::default(),
-            &mut acts,
+            ClientIdentity::default(),
+            &mut commands,
         );
-        hand.take(
+        flow_table.accept(
             1,
             Flow {
                 id: 2,
                 ..Flow::default()
             },
-            Who::default(),
-            &mut acts,
+            ClientIdentity::default(),
+            &mut commands,
         );
-        hand.left(2, 1, &mut acts);
-        hand.elapsed(3, &mut acts);
+        flow_table.client_left(2, 1, &mut commands);
+        flow_table.timer_expired(3, &mut commands);
         assert_eq!(
-            acts,
+            commands,
             [
-                Act::CallOff { flow: 1, number: 0 },
-                Act::Attempt {
+                PolicyCommand::CancelAttempt { flow: 1, number: 0 },
+                PolicyCommand::StartAttempt {
                     flow: 2,
                     server_id: 4,
                     number: 0,
-                    limit: 9,
-                    by: 9
+                    timeout: 9,
+                    send_within: 9
                 }
             ]
         );
-        assert_eq!(hand.cut_short(5, &mut acts), [2]);
-        assert_eq!(hand.flow(2).map(|f| f.deadline), Some(0));
+        assert_eq!(flow_table.shorten_deadlines(5, &mut commands), [2]);
+        assert_eq!(flow_table.flow(2).map(|f| f.deadline), Some(0));
     }
 
     /// Guards against a door that holds a flow past its client's leaving or the balancer's end, and one that lets in more
@@ -768,48 +827,48 @@
             held: 2,
             ..Config::default()
         };
-        let mut hand = hand(&places).with_door(Door::new(config, 1), true);
-        let mut acts = Vec::new();
+        let mut flow_table = flow_table(&places).with_door(Door::new(config, 1), true);
+        let mut commands = Vec::new();
         for id in 1..=5 {
-            let who = Who {
+            let who = ClientIdentity {
                 key: id,
                 client: id,
                 retry: false,
                 target: 1_000_000_000,
             };
-            hand.take(
+            flow_table.accept(
                 0,
                 Flow {
                     id,
                     ..Flow::default()
                 },
                 who,
-                &mut acts,
+                &mut commands,
             );
         }
         assert_eq!(
-            (acts.as_slice(), hand.door().unwrap().waiting()),
+            (commands.as_slice(), flow_table.door().unwrap().waiting()),
             (&[][..], 3),
             "the module holds two"
         );
-        hand.left(1, 5, &mut acts);
-        assert_eq!(hand.door().unwrap().waiting(), 2);
+        flow_table.client_left(1, 5, &mut commands);
+        assert_eq!(flow_table.door().unwrap().waiting(), 2);
         // One is placed, one held again; so one more is let in, and refused by the module with the door's time.
-        hand.elapsed(2, &mut acts);
+        flow_table.timer_expired(2, &mut commands);
         assert!(
             matches!(
-                acts[..],
-                [Act::Attempt { flow: 1, .. }, Act::Reject { flow: 3, retry_after: Some(told) }] if told > 3
+                commands[..],
+                [PolicyCommand::StartAttempt { flow: 1, .. }, PolicyCommand::Reject { flow: 3, retry_after: Some(told) }] if told > 3
             ),
-            "{acts:?}"
+            "{commands:?}"
         );
-        acts.clear();
-        let owed = hand.cut_short(4, &mut acts);
+        commands.clear();
+        let awaits_answer = flow_table.shorten_deadlines(4, &mut commands);
         assert!(
-            owed.contains(&1) && owed.contains(&2) && !owed.contains(&5),
-            "{owed:?}"
+            awaits_answer.contains(&1) && awaits_answer.contains(&2) && !awaits_answer.contains(&5),
+            "{awaits_answer:?}"
         );
-        (1..=5).for_each(|id| hand.over(5, id, &mut acts));
-        assert_eq!(hand.door().unwrap().waiting(), 0);
+        (1..=5).for_each(|id| flow_table.remove(5, id, &mut commands));
+        assert_eq!(flow_table.door().unwrap().waiting(), 0);
     }
 }
--- a/crates/line-protocol/src/first.rs
+++ b/crates/line-protocol/src/first.rs
@@ -2,7 +2,7 @@
 //! touch a socket, a clock or a flow. Names of the wire end here.
 
 use arrayvec::ArrayVec;
-use nettlemux_flow_table::Who;
+use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{MS, Time};
 use nettlemux_settings::operator::By;
 use nettlemux_settings::{Read, Settings, figure};
@@ -138,9 +138,9 @@
     }
 
     /// Who asks, as the door tells clients apart; nobody in particular where there is none.
-    pub fn who(&self, open: &Open, class: usize, accepted_at: Time) -> Who {
+    pub fn who(&self, open: &Open, class: usize, accepted_at: Time) -> ClientIdentity {
         let Some((by, seed)) = self.by else {
-            return Who::default();
+            return ClientIdentity::default();
         };
         // A client is its group where it tells one, else the flow's key.
         let client = nettlemux_admission::key(seed, open.group.unwrap_or(open.key).as_bytes());
@@ -149,7 +149,7 @@
             By::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
         };
         let target = accepted_at + self.classes[class].target;
-        Who {
+        ClientIdentity {
             key,
             client,
             retry: open.retry,
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -157,7 +157,7 @@
                     flow,
                     server_id,
                     end: AttemptEnd::Done,
-                    owed: None,
+                    unanswered: None,
                 });
             }
             _ => self.refused += 1,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -725,7 +725,7 @@
                 flow,
                 server_id,
                 end,
-                owed,
+                unanswered,
             } => {
                 let own = self.book.strike(flow);
                 let setting_up = own.as_ref().is_some_and(|own| !own.connected);
@@ -758,7 +758,7 @@
                         keep(&mut server.failed, now);
                     }
                 }
-                actions.placement = owed.map(|flow| self.place(now, flow));
+                actions.placement = unanswered.map(|flow| self.place(now, flow));
             }
             PolicyEvent::ClientLeft { flow } => {
                 let in_flight = self.book.own.get(&flow).is_some_and(|own| !own.connected);
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -57,7 +57,7 @@
     pub known_unexecuted: bool,
 }
 
-/// A flow in the caller's hands that is owed an answer.
+/// A flow in the caller's hands that awaits an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Flow {
     pub id: FlowId,
@@ -156,12 +156,12 @@
         flow: FlowId,
         took: Time,
     },
-    /// `owed` is the flow, where it still waits for an answer.
+    /// `unanswered` is the flow, where it still waits for an answer.
     AttemptEnded {
         flow: FlowId,
         server_id: ServerId,
         end: AttemptEnd,
-        owed: Option<&'a Flow>,
+        unanswered: Option<&'a Flow>,
     },
     /// The client went away.
     ClientLeft {
@@ -201,7 +201,7 @@
 /// What to do after an outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
-    /// The flow that was still owed an answer.
+    /// The flow that was still awaits an answer.
     pub placement: Option<Placement>,
     /// Servers to probe.
     pub health_checks: Vec<ServerId>,
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -127,7 +127,7 @@
                     flow,
                     server_id,
                     end: AttemptEnd::Done,
-                    owed: None,
+                    unanswered: None,
                 },
             );
         }
@@ -183,7 +183,7 @@
                 flow: flow.id,
                 server_id,
                 end: AttemptEnd::Overloaded,
-                owed: Some(&flow),
+                unanswered: Some(&flow),
             };
             let Some(next) = self.policy.on_event(now, refused).placement else {
                 break;
@@ -206,7 +206,7 @@
                     flow,
                     server_id,
                     end: AttemptEnd::ConnectionLost,
-                    owed: None,
+                    unanswered: None,
                 },
             );
         }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -38,7 +38,7 @@
                     flow: id,
                     server_id: 0,
                     end: AttemptEnd::Done,
-                    owed: None,
+                    unanswered: None,
                 },
             );
         }
@@ -530,7 +530,7 @@
             flow: 1,
             server_id: 1,
             end: AttemptEnd::Cancelled,
-            owed: None,
+            unanswered: None,
         },
     );
     assert!(
@@ -685,7 +685,7 @@
                     flow: id,
                     server_id,
                     end: AttemptEnd::ConnectionLost,
-                    owed: None,
+                    unanswered: None,
                 },
             );
             server_id
@@ -767,7 +767,7 @@
                 flow: id,
                 server_id: 99,
                 end: AttemptEnd::TimedOut,
-                owed: None,
+                unanswered: None,
             },
         );
         policy.on_event(
@@ -776,7 +776,7 @@
                 flow: id,
                 server_id: id % 9,
                 end: AttemptEnd::TimedOut,
-                owed: None,
+                unanswered: None,
             },
         );
     }
@@ -818,7 +818,7 @@
                 flow: 0,
                 server_id: 0,
                 end: AttemptEnd::TimedOut,
-                owed: None,
+                unanswered: None,
             },
         );
         if first > 1 {
@@ -829,7 +829,7 @@
                         flow: id,
                         server_id: 0,
                         end: AttemptEnd::Done,
-                        owed: None,
+                        unanswered: None,
                     },
                 ))
             });
@@ -921,7 +921,7 @@
                 flow: id,
                 server_id,
                 end: AttemptEnd::Error,
-                owed: Some(&tried),
+                unanswered: Some(&tried),
             };
             assert!(matches!(
                 policy.on_event(now, ended).placement,
@@ -1003,7 +1003,7 @@
                 flow: 999,
                 server_id: 42,
                 end,
-                owed: None,
+                unanswered: None,
             },
         );
         policy.on_event(
@@ -1012,7 +1012,7 @@
                 flow: 7,
                 server_id: 0,
                 end,
-                owed: None,
+                unanswered: None,
             },
         );
     }
@@ -1395,7 +1395,7 @@
                     flow: id,
                     server_id: 0,
                     end: AttemptEnd::Done,
-                    owed: None,
+                    unanswered: None,
                 },
             );
         }
@@ -1438,7 +1438,7 @@
             flow: 9,
             server_id: 2,
             end: AttemptEnd::Error,
-            owed: None,
+            unanswered: None,
         },
     );
     for may_gossip in [true, false, true, false] {
@@ -1472,7 +1472,7 @@
                     flow: id,
                     server_id: 1,
                     end: AttemptEnd::Done,
-                    owed: None,
+                    unanswered: None,
                 },
             );
         }
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -87,7 +87,7 @@
                 flow: id,
                 server_id,
                 end: AttemptEnd::Done,
-                owed: None,
+                unanswered: None,
             },
         );
         homes.push(server_id);
@@ -318,7 +318,7 @@
                 flow: 1,
                 server_id: first,
                 end: AttemptEnd::Done,
-                owed: None,
+                unanswered: None,
             },
         );
         policy.update_endpoints(
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 
 use nettlemux_fleet_model::dice::Dice;
-use nettlemux_flow_table::Brain;
+use nettlemux_flow_table::LoadBalancingPolicy;
 use nettlemux_policy::{
     Actions, DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Placement,
     Policy, PolicyEvent, ServerId, Time, TrafficClass,
@@ -46,7 +46,7 @@
     }
 
     /// A brain for one balancer.
-    pub fn brain(self, settings: &Settings, seed: u64) -> Box<dyn Brain> {
+    pub fn brain(self, settings: &Settings, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         match self {
             Kind::Module => Box::new(module(settings, seed)),
             _ => Box::new(Baseline::new(self, settings, seed)),
@@ -159,7 +159,7 @@
     }
 }
 
-impl Brain for Baseline {
+impl LoadBalancingPolicy for Baseline {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         let left = flow.deadline.saturating_sub(now + MARGIN);
         if left == 0
@@ -214,9 +214,9 @@
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
         let mut actions = Actions::default();
         match event {
-            PolicyEvent::AttemptEnded { flow, owed, .. } => {
+            PolicyEvent::AttemptEnded { flow, unanswered, .. } => {
                 self.strike(flow);
-                actions.placement = owed.map(|flow| self.place(now, flow));
+                actions.placement = unanswered.map(|flow| self.place(now, flow));
             }
             PolicyEvent::ClientLeft { flow } => actions
                 .cancel
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -84,7 +84,10 @@
     let scenario = scenario(SCENARIO)?;
     let run = |who| simulate(&scenario, scenario.seed, who, None).map_err(|e| e.to_string());
     let mut said = Said::default();
-    said.sound("sound", &run(Who::Brain(Kind::Module))?.verdict);
+    said.sound(
+        "sound",
+        &run(Who::LoadBalancingPolicy(Kind::Module))?.verdict,
+    );
     for mischief in Mischief::ALL {
         said.caught(
             mischief.name(),
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -135,7 +135,7 @@
     let baselines = [Kind::LeastConnections, Kind::RoundRobin];
     let each = |s: &Scenario| {
         let whos = std::iter::once(Kind::Module).chain(baselines);
-        whos.map(|kind| (s.clone(), s.seed, Who::Brain(kind)))
+        whos.map(|kind| (s.clone(), s.seed, Who::LoadBalancingPolicy(kind)))
             .collect::<Vec<_>>()
     };
     let runs: Vec<_> = scenarios.iter().flat_map(each).collect();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -227,8 +227,13 @@
                 .map(|file| Writer::create(file))
                 .transpose()
                 .map_err(at)?;
-            let outcome =
-                simulate(&scenario, seed, Who::Brain(policy), writer.as_mut()).map_err(at)?;
+            let outcome = simulate(
+                &scenario,
+                seed,
+                Who::LoadBalancingPolicy(policy),
+                writer.as_mut(),
+            )
+            .map_err(at)?;
             writer.map_or(Ok(()), Writer::finish).map_err(at)?;
             let (figures, verdict) = (outcome.figures, outcome.verdict);
             let run = Told {
@@ -260,7 +265,8 @@
                         Some(Side::Program(_)) => return Err(UNLIKE.into()),
                     };
                     for b in others {
-                        let (one, other) = (Who::Brain(a), Who::Brain(b));
+                        let (one, other) =
+                            (Who::LoadBalancingPolicy(a), Who::LoadBalancingPolicy(b));
                         let rows = experiment::compare(&scenario, one, other, seeds, threads);
                         out += &compared(
                             &scenario,
@@ -305,7 +311,13 @@
                 file::set(&mut table, &key, number).map_err(|why| format!("--key: {why}"))?;
                 let scenario = file::read(&table, &path).map_err(|e| e.to_string())?;
                 let runs: Vec<_> = (0..seeds.max(1))
-                    .map(|k| (scenario.clone(), scenario.seed + k, Who::Brain(policy)))
+                    .map(|k| {
+                        (
+                            scenario.clone(),
+                            scenario.seed + k,
+                            Who::LoadBalancingPolicy(policy),
+                        )
+                    })
                     .collect();
                 let outcomes = experiment::all(&runs, threads);
                 let mean = |name: &str| {
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -1,8 +1,8 @@
 //! Balancers that break one rule each on purpose, to show that the judge catches them. What can be done in the decisions is done
-//! by a [`Brain`] around the sound one; the rest is done by the driver where it carries acts out. It owns nothing else and is
+//! by a [`LoadBalancingPolicy`] around the sound one; the rest is done by the driver where it carries acts out. It owns nothing else and is
 //! never part of a run that isn't asked for it.
 
-use nettlemux_flow_table::Brain;
+use nettlemux_flow_table::LoadBalancingPolicy;
 use nettlemux_policy::{
     Actions, Endpoint, EndpointState, Flow, FlowId, Placement, PolicyEvent, ServerId, Time,
 };
@@ -66,8 +66,8 @@
     }
 
     /// The brain of one that breaks its rule in its decisions; else the sound one.
-    pub fn brain(self, settings: &Value, seed: u64) -> Box<dyn Brain> {
-        let sound = |settings: &Value| -> Box<dyn Brain> {
+    pub fn brain(self, settings: &Value, seed: u64) -> Box<dyn LoadBalancingPolicy> {
+        let sound = |settings: &Value| -> Box<dyn LoadBalancingPolicy> {
             let settings = Settings::within(settings).expect("an object");
             Box::new(crate::brains::module(&settings, seed))
         };
@@ -97,7 +97,7 @@
 
 /// A sound brain that is misled, or whose word is bent.
 struct Bent {
-    inner: Box<dyn Brain>,
+    inner: Box<dyn LoadBalancingPolicy>,
     mischief: Mischief,
     /// The server that started last.
     youngest: Option<(Time, ServerId)>,
@@ -127,7 +127,7 @@
     }
 }
 
-impl Brain for Bent {
+impl LoadBalancingPolicy for Bent {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         let place = self.inner.place(now, flow);
         self.bend(place, flow)
@@ -138,7 +138,7 @@
         if let (
             Some(place),
             PolicyEvent::AttemptEnded {
-                owed: Some(flow), ..
+                unanswered: Some(flow), ..
             },
         ) = (actions.placement, event)
         {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -9,7 +9,7 @@
 
 use hdrhistogram::Histogram;
 use nettlemux_fleet_model::dice::Dice;
-use nettlemux_flow_table::{Act, Brain, Hand, Who};
+use nettlemux_flow_table::{ClientIdentity, FlowTable, LoadBalancingPolicy, PolicyCommand};
 use nettlemux_policy::{
     Actions, Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Placement,
     Policy, PolicyEvent, SEC, ServerId, Time,
@@ -114,7 +114,7 @@
     calls: Rc<RefCell<Calls>>,
 }
 
-impl Brain for MeasuredPolicy {
+impl LoadBalancingPolicy for MeasuredPolicy {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         let began = Instant::now();
         let place = self.policy.place(now, flow);
@@ -172,7 +172,7 @@
 }
 
 struct Driver {
-    flow_table: Hand<MeasuredPolicy>,
+    flow_table: FlowTable<MeasuredPolicy>,
     calls: Rc<RefCell<Calls>>,
     rng: Dice,
     now: Time,
@@ -204,7 +204,7 @@
             .map_err(|e| e.to_string())?;
         let calls = Rc::new(RefCell::new(Calls::new()));
         Ok(Driver {
-            flow_table: Hand::new(MeasuredPolicy {
+            flow_table: FlowTable::new(MeasuredPolicy {
                 policy,
                 calls: calls.clone(),
             }),
@@ -325,20 +325,21 @@
             }
             if self.due.is_some_and(|due| due <= self.now) {
                 self.due = None;
-                let mut acts = Vec::new();
-                self.flow_table.elapsed(self.now, &mut acts);
-                self.carry_out(acts);
+                let mut commands = Vec::new();
+                self.flow_table.timer_expired(self.now, &mut commands);
+                self.carry_out(commands);
             }
         }
         self.now = self.now.max(end);
     }
 
     fn handle(&mut self, event: Event) {
-        let (now, mut acts) = (self.now, Vec::new());
+        let (now, mut commands) = (self.now, Vec::new());
         match event {
             Event::Arrival => {
                 let flow = self.new_flow(now);
-                self.flow_table.take(now, flow, Who::default(), &mut acts);
+                self.flow_table
+                    .accept(now, flow, ClientIdentity::default(), &mut commands);
             }
             Event::ProbeAnswered(server_id) => {
                 let load = self.rng.between(LEAST_LOAD, MOST_LOAD);
@@ -347,7 +348,7 @@
                     connections: None,
                 };
                 self.flow_table
-                    .probed(now, server_id, true, report, &mut acts);
+                    .health_checked(now, server_id, true, report, &mut commands);
             }
             Event::ListChange => {
                 let gone = Endpoint {
@@ -365,24 +366,30 @@
                 self.first_server += 1;
                 self.flow_table.update_endpoints(now, &[gone, ready], false);
             }
-            Event::Connected(id) => self.flow_table.connected(now, id, CONNECT_TIME, &mut acts),
+            Event::Connected(id) => self
+                .flow_table
+                .connected(now, id, CONNECT_TIME, &mut commands),
         }
-        self.carry_out(acts);
+        self.carry_out(commands);
     }
 
-    fn carry_out(&mut self, acts: Vec<Act>) {
-        for act in acts {
-            match act {
-                Act::Attempt { flow, .. } => {
+    fn carry_out(&mut self, commands: Vec<PolicyCommand>) {
+        for command in commands {
+            match command {
+                PolicyCommand::StartAttempt { flow, .. } => {
                     self.placed += 1;
                     self.plan(self.now + CONNECT_TIME, Event::Connected(flow));
                 }
-                Act::Probe { server_id } => {
+                PolicyCommand::CheckHealth { server_id } => {
                     self.probes += 1;
                     self.plan(self.now + PROBE_ROUND_TRIP, Event::ProbeAnswered(server_id));
                 }
-                Act::Reject { .. } | Act::Fail { .. } | Act::Move { .. } => {}
-                Act::CallOff { .. } | Act::AskList | Act::Gossip(_) => {}
+                PolicyCommand::Reject { .. }
+                | PolicyCommand::Fail { .. }
+                | PolicyCommand::Migrate { .. } => {}
+                PolicyCommand::CancelAttempt { .. }
+                | PolicyCommand::PollEndpoints
+                | PolicyCommand::Gossip(_) => {}
             }
         }
     }
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Who {
     /// A sound policy.
-    Brain(brains::Kind),
+    LoadBalancingPolicy(brains::Kind),
     /// A mutant that breaks one rule on purpose.
     Mischief(Mischief),
 }
@@ -48,7 +48,7 @@
     /// The name as the command line has it.
     pub fn name(self) -> &'static str {
         match self {
-            Who::Brain(kind) => kind.name(),
+            Who::LoadBalancingPolicy(kind) => kind.name(),
             Who::Mischief(mischief) => mischief.name(),
         }
     }
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -60,7 +60,7 @@
         }
         let mut actions = Vec::new();
         if let Some(flow_table) = &mut self.balancers[state.balancer].flow_table {
-            flow_table.over(self.now, flow, &mut actions);
+            flow_table.remove(self.now, flow, &mut actions);
         }
         self.execute_all(state.balancer, actions);
     }
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -225,7 +225,7 @@
         } = ending;
         self.ask(balancer, |flow_table, now, actions| {
             let report = LoadReport::default();
-            flow_table.ended(
+            flow_table.attempt_ended(
                 now,
                 (flow, number),
                 server as u64,
--- a/crates/testbed/src/simulate/balancer.rs
+++ b/crates/testbed/src/simulate/balancer.rs
@@ -1,10 +1,10 @@
 //! The state of one simulated balancer.
 
-use nettlemux_flow_table::{Brain, Hand};
+use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy};
 use nettlemux_policy::Time;
 
 /// The flow table of a simulated balancer, with any policy.
-pub(super) type FlowTable = Hand<Box<dyn Brain>>;
+pub(super) type SimulatedFlowTable = FlowTable<Box<dyn LoadBalancingPolicy>>;
 
 /// One run of a balancer's process. Events for an earlier run are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
 /// A balancer, running or not.
 pub(super) struct Balancer {
     /// None while the process is down.
-    pub(super) flow_table: Option<FlowTable>,
+    pub(super) flow_table: Option<SimulatedFlowTable>,
     /// How often the process has ended.
     pub(super) epoch: u32,
     pub(super) zone: usize,
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -3,7 +3,7 @@
 use nettlemux_fleet_model::crowd::Client;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Ender, Seen};
-use nettlemux_flow_table::Who as Requester;
+use nettlemux_flow_table::ClientIdentity as Requester;
 use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
 use nettlemux_settings::operator::By;
 
@@ -83,7 +83,7 @@
             target,
         };
         self.ask(balancer, |flow_table, now, actions| {
-            flow_table.take(now, flow, requester, actions)
+            flow_table.accept(now, flow, requester, actions)
         });
     }
 
@@ -133,7 +133,7 @@
         self.flow_of_client.remove(&client);
         self.observe(Seen::Left { at: self.now, flow });
         self.ask(balancer, |flow_table, now, actions| {
-            flow_table.left(now, flow, actions)
+            flow_table.client_left(now, flow, actions)
         });
         if !in_flight {
             self.close(flow);
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -1,10 +1,10 @@
 //! Calls into a balancer's flow table, and the actions that it answers with.
 
 use nettlemux_fleet_model::seen::Final;
-use nettlemux_flow_table::Act;
+use nettlemux_flow_table::PolicyCommand;
 use nettlemux_policy::{MS, Time};
 
-use super::balancer::{FlowTable, Incarnation};
+use super::balancer::{Incarnation, SimulatedFlowTable};
 use super::event::Event;
 use super::flow::Attempt;
 use super::simulation::Simulation;
@@ -14,7 +14,7 @@
     pub(super) fn ask(
         &mut self,
         balancer: usize,
-        call: impl FnOnce(&mut FlowTable, Time, &mut Vec<Act>),
+        call: impl FnOnce(&mut SimulatedFlowTable, Time, &mut Vec<PolicyCommand>),
     ) {
         let Some(flow_table) = &mut self.balancers[balancer].flow_table else {
             return;
@@ -26,36 +26,38 @@
     }
 
     /// Executes a flow table's actions in order.
-    pub(super) fn execute_all(&mut self, balancer: usize, actions: Vec<Act>) {
+    pub(super) fn execute_all(&mut self, balancer: usize, actions: Vec<PolicyCommand>) {
         for action in actions {
             self.execute(balancer, action);
         }
     }
 
-    fn execute(&mut self, balancer: usize, action: Act) {
+    fn execute(&mut self, balancer: usize, action: PolicyCommand) {
         match action {
-            Act::Attempt {
+            PolicyCommand::StartAttempt {
                 flow,
                 server_id,
                 number,
-                limit,
+                timeout,
                 ..
             } => {
                 let attempt = Attempt {
                     number,
                     server: server_id as usize,
                 };
-                self.start_attempt(flow, attempt, limit);
+                self.start_attempt(flow, attempt, timeout);
             }
-            Act::Reject { flow, retry_after } => {
+            PolicyCommand::Reject { flow, retry_after } => {
                 self.send_answer(flow, Final::Rejected, retry_after)
             }
-            Act::Fail { flow } => self.send_answer(flow, Final::Failed, None),
-            Act::Move { flow } => self.move_client(flow),
-            Act::CallOff { flow, .. } => self.cancel_attempt(flow),
-            Act::Probe { server_id } => self.start_probe(balancer, server_id as usize),
+            PolicyCommand::Fail { flow } => self.send_answer(flow, Final::Failed, None),
+            PolicyCommand::Migrate { flow } => self.move_client(flow),
+            PolicyCommand::CancelAttempt { flow, .. } => self.cancel_attempt(flow),
+            PolicyCommand::CheckHealth { server_id } => {
+                self.start_probe(balancer, server_id as usize)
+            }
             // The list is delivered whenever it changes, and nothing is simulated between balancers.
-            Act::AskList | Act::Gossip(_) => {}
+            PolicyCommand::PollEndpoints | PolicyCommand::Gossip(_) => {}
         }
     }
 
@@ -86,7 +88,7 @@
         if self.is_current(incarnation) && self.balancers[balancer].wakeup == Some(self.now) {
             self.balancers[balancer].wakeup = None;
             self.ask(balancer, |flow_table, now, actions| {
-                flow_table.elapsed(now, actions)
+                flow_table.timer_expired(now, actions)
             });
         }
     }
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -39,7 +39,7 @@
         };
         self.ask(balancer, |flow_table, now, actions| {
             let (passed, report) = (report.is_some(), report.unwrap_or_default());
-            flow_table.probed(now, server as u64, passed, report, actions);
+            flow_table.health_checked(now, server as u64, passed, report, actions);
         });
     }
 
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -3,12 +3,12 @@
 use nettlemux_admission::Door;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Seen, VERSION};
-use nettlemux_flow_table::{Brain, Hand};
+use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy};
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
 
 use super::Who;
-use super::balancer::FlowTable;
+use super::balancer::SimulatedFlowTable;
 use super::event::Event;
 use super::flow::FlowState;
 use super::sampling::{SAMPLE_INTERVAL, TICK_INTERVAL};
@@ -71,9 +71,9 @@
         self.deliver_list(balancer);
     }
 
-    fn new_flow_table(&self, balancer: usize) -> FlowTable {
+    fn new_flow_table(&self, balancer: usize) -> SimulatedFlowTable {
         let seed = self.balancer_seed(balancer);
-        let flow_table = Hand::new(self.new_policy(balancer, seed));
+        let flow_table = FlowTable::new(self.new_policy(balancer, seed));
         match &self.model.scenario.door {
             None => flow_table,
             Some(keys) => {
@@ -84,10 +84,12 @@
         }
     }
 
-    fn new_policy(&self, balancer: usize, seed: u64) -> Box<dyn Brain> {
+    fn new_policy(&self, balancer: usize, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         let settings = &self.settings[self.balancers[balancer].zone];
         match self.policy {
-            Who::Brain(kind) => kind.brain(&Settings::within(settings).expect("an object"), seed),
+            Who::LoadBalancingPolicy(kind) => {
+                kind.brain(&Settings::within(settings).expect("an object"), seed)
+            }
             Who::Mischief(mischief) => mischief.brain(settings, seed),
         }
     }
