--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -218,7 +218,11 @@
                     timeout,
                     ..
                 } => {
-                    writeln!(out, "SUBMIT_TO {flow} {server_id} {}", wire::micros(timeout))
+                    writeln!(
+                        out,
+                        "SUBMIT_TO {flow} {server_id} {}",
+                        wire::micros(timeout)
+                    )
                 }
                 PolicyCommand::Reject { flow, retry_after } => {
                     self.give_back(flow);
--- a/crates/admission/src/book.rs
+++ b/crates/admission/src/book.rs
@@ -11,15 +11,15 @@
 }
 
 /// Token buckets in two rows: a key is over its rate only if both its places are empty.
-pub struct Buckets {
+pub struct TokenBuckets {
     rows: [Vec<(f64, Time)>; 2],
     seeds: [u64; 2],
 }
 
-impl Buckets {
+impl TokenBuckets {
     pub fn new(size: usize, seed: u64) -> Self {
         let size = size.max(1);
-        Buckets {
+        TokenBuckets {
             rows: [
                 vec![(f64::INFINITY, 0); size],
                 vec![(f64::INFINITY, 0); size],
@@ -52,7 +52,7 @@
     }
 }
 
-impl Buckets {
+impl TokenBuckets {
     /// How long until a key has its next one; it must have been asked for a moment ago.
     pub fn wait(&self, now: Time, key: u64, rate: f64) -> Time {
         let each = |row: usize| {
@@ -70,14 +70,14 @@
 const LATE: Time = SEC;
 
 /// Promises: who was told to come when. A place that two share keeps the later one's.
-pub struct Promises {
+pub struct RetryAfterPromises {
     places: Vec<(u32, Time)>,
     seed: u64,
 }
 
-impl Promises {
+impl RetryAfterPromises {
     pub fn new(size: usize, seed: u64) -> Self {
-        Promises {
+        RetryAfterPromises {
             places: vec![(0, 0); size.max(1)],
             seed: seed.rotate_left(32),
         }
@@ -112,17 +112,17 @@
 pub const SLICE: Time = 100 * MS;
 
 /// The calendar of returns: how many were told to come in each slice from now to the longest time.
-pub struct Returns {
+pub struct RetryAfterSchedule {
     /// Counts from the slice `first` on.
     counts: Vec<u32>,
     first: u64,
     longest: Time,
 }
 
-impl Returns {
+impl RetryAfterSchedule {
     pub fn new(longest: Time) -> Self {
         let slices = (longest / SLICE).max(1) as usize + 1;
-        Returns {
+        RetryAfterSchedule {
             counts: vec![0; slices],
             first: 0,
             longest,
@@ -164,7 +164,7 @@
     /// Guards against all coming back at one moment: no slice holds more than twice the mean.
     #[test]
     fn returns_are_spread_and_never_sooner_than_needed() {
-        let (mut returns, mut rng) = (Returns::new(2 * SEC), WyRand::new_seed(1));
+        let (mut returns, mut rng) = (RetryAfterSchedule::new(2 * SEC), WyRand::new_seed(1));
         let mut slices = std::collections::BTreeMap::<Time, u32>::new();
         for k in 0..5000u64 {
             let now = 7 * SEC + k * MS / 5;
@@ -183,13 +183,13 @@
 
     #[test]
     fn a_rate_is_kept_and_a_shared_place_costs_nobody_his() {
-        let mut buckets = Buckets::new(64, 9);
+        let mut buckets = TokenBuckets::new(64, 9);
         let taken = (0..1000)
             .filter(|k| buckets.take(k * 10 * MS, 5, 10.0, 5.0))
             .count();
         assert!((100..=106).contains(&taken), "{taken}");
         // A hundred floods in 64 places: most of the quiet ones still get theirs.
-        let mut buckets = Buckets::new(1024, 9);
+        let mut buckets = TokenBuckets::new(1024, 9);
         for k in 0..100 {
             (0..100u64).for_each(|flood| _ = buckets.take(k * 10 * MS, flood, 10.0, 5.0));
         }
@@ -201,7 +201,7 @@
 
     #[test]
     fn a_promise_is_kept_once_and_only_on_time() {
-        let mut promises = Promises::new(4096, 5);
+        let mut promises = RetryAfterPromises::new(4096, 5);
         promises.give(10 * SEC, 7);
         assert!(!promises.kept(9 * SEC, 7) && !promises.kept(10 * SEC, 8));
         assert!(promises.kept(10 * SEC, 7) && !promises.kept(10 * SEC, 7));
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,17 +4,17 @@
 //! come. It has no I/O, clock, threads or hash order; its draws and its hashes come from one seed, which is new with each start.
 //!
 //! It must never say which server a flow goes to, nor refuse one for the fleet's load: that is the decision module's to say. While the
-//! module has a few flows that it can't place yet ([`Config::held`]), the door lets nobody else in: what waits, waits here, in
+//! module has a few flows that it can't place yet ([`AdmissionConfig::held`]), the door lets nobody else in: what waits, waits here, in
 //! fair order. So the one adaptive limit towards the fleet stays the module's window, and the door can't fight it.
 
 mod book;
 mod pace;
 mod queue;
 
-pub use crate::book::Returns;
-use crate::book::{Buckets, Promises};
-use crate::pace::Pace;
-use crate::queue::Queues;
+pub use crate::book::RetryAfterSchedule;
+use crate::book::{RetryAfterPromises, TokenBuckets};
+use crate::pace::ServiceRate;
+use crate::queue::FairQueues;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
 
 /// What the operator says of the door.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Config {
+pub struct AdmissionConfig {
     /// Flows that may wait at once, and of one key.
     pub waiting: usize,
     pub waiting_each: usize,
@@ -45,9 +45,9 @@
     pub weights: BTreeMap<u64, f64>,
 }
 
-impl Default for Config {
+impl Default for AdmissionConfig {
     fn default() -> Self {
-        Config {
+        AdmissionConfig {
             waiting: 1024,
             waiting_each: 64,
             held: 4,
@@ -65,7 +65,7 @@
 
 /// A flow at the door.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ticket {
+pub struct AdmissionRequest {
     pub flow: FlowId,
     /// Whose turn it takes.
     pub key: u64,
@@ -79,7 +79,7 @@
 
 /// Why a flow was sent away by the door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum RejectReason {
     /// All places to wait are taken, or its key's are.
     Full,
     /// Its turn can't come, or hasn't, before its latency objective runs out.
@@ -95,52 +95,57 @@
 
 /// What becomes of a flow at the door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// It goes on to the decision module.
-    Enters(FlowId),
-    /// It comes again after so long.
-    SentAway(FlowId, Why, Time),
+pub enum AdmissionDecision {
+    /// The flow goes on to the policy.
+    Admit(FlowId),
+    /// The flow is rejected; none of its attempts has been made.
+    Reject {
+        flow: FlowId,
+        reason: RejectReason,
+        /// How long its client is told to wait before it tries again.
+        retry_after: Time,
+    },
 }
 
 /// One balancer's door.
-pub struct Door {
-    config: Config,
-    queues: Queues,
+pub struct AdmissionController {
+    config: AdmissionConfig,
+    queues: FairQueues,
     /// When each flow that waits is given up, and its key.
     targets: BTreeSet<(Time, FlowId)>,
-    waiting: BTreeMap<FlowId, Ticket>,
+    waiting: BTreeMap<FlowId, AdmissionRequest>,
     /// Those that went in and aren't over: their keys, and whether each is still being set up.
     inside: BTreeMap<FlowId, (u64, u64)>,
     open: BTreeMap<u64, usize>,
     /// Flows that the module holds, by key.
     held: BTreeMap<u64, usize>,
-    buckets: Buckets,
-    promises: Promises,
-    returns: Returns,
+    buckets: TokenBuckets,
+    promises: RetryAfterPromises,
+    returns: RetryAfterSchedule,
     /// The paces at which flows get their turns, and at which they are established.
-    turns: Pace,
-    pace: Pace,
+    turns: ServiceRate,
+    pace: ServiceRate,
     budget: f64,
     closing: bool,
     rng: WyRand,
 }
 
-impl Door {
-    pub fn new(config: Config, seed: u64) -> Self {
+impl AdmissionController {
+    pub fn new(config: AdmissionConfig, seed: u64) -> Self {
         let mut rng = WyRand::new_seed(seed);
         let hash = rng.generate::<u64>();
-        Door {
-            queues: Queues::default(),
+        AdmissionController {
+            queues: FairQueues::default(),
             targets: BTreeSet::new(),
             waiting: BTreeMap::new(),
             inside: BTreeMap::new(),
             open: BTreeMap::new(),
             held: BTreeMap::new(),
-            buckets: Buckets::new(config.table, hash),
-            promises: Promises::new(config.table, hash),
-            returns: Returns::new(config.longest),
-            turns: Pace::default(),
-            pace: Pace::default(),
+            buckets: TokenBuckets::new(config.table, hash),
+            promises: RetryAfterPromises::new(config.table, hash),
+            returns: RetryAfterSchedule::new(config.longest),
+            turns: ServiceRate::default(),
+            pace: ServiceRate::default(),
             budget: config.saved,
             closing: false,
             rng,
@@ -149,11 +154,11 @@
     }
 
     /// Takes new limits and weights. Nobody who waits is dropped; what is over a lowered limit waits its time out.
-    pub fn change(&mut self, config: Config) {
+    pub fn change(&mut self, config: AdmissionConfig) {
         self.queues
             .weigh(|key| config.weights.get(&key).copied().unwrap_or(1.0));
         self.budget = self.budget.min(config.saved);
-        self.config = Config {
+        self.config = AdmissionConfig {
             table: self.config.table,
             longest: self.config.longest,
             ..config
@@ -177,44 +182,53 @@
             .max(1e-3)
     }
 
-    /// A flow has come; whether it may go on is told by [`Door::turns`], which is to be asked next.
-    pub fn arrives(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Turn>) {
-        let promised = self.promises.kept(now, ticket.client);
+    /// A flow has come; whether it may go on is told by [`AdmissionController::turns`], which is to be asked next.
+    pub fn arrives(
+        &mut self,
+        now: Time,
+        ticket: AdmissionRequest,
+        out: &mut Vec<AdmissionDecision>,
+    ) {
+        let keeps_promise = self.promises.kept(now, ticket.client);
         let config = &self.config;
         let held = self.open.get(&ticket.key).copied().unwrap_or(0);
         let full = self.waiting.len() >= config.waiting
             || self.queues.length(ticket.key) >= config.waiting_each;
         let why = match () {
-            () if self.closing => Some(Why::Closing),
-            () if config.open > 0 && held >= config.open => Some(Why::Open),
+            () if self.closing => Some(RejectReason::Closing),
+            () if config.open > 0 && held >= config.open => Some(RejectReason::Open),
             // One that comes when it was told to has paid for its turn already.
-            () if !promised
+            () if !keeps_promise
                 && !self
                     .buckets
                     .take(now, ticket.key, config.rate, config.burst) =>
             {
-                Some(Why::Rate)
+                Some(RejectReason::Rate)
             }
-            () if !promised && ticket.retry && config.retries > 0.0 && self.budget < 1.0 => {
-                Some(Why::Retries)
+            () if !keeps_promise && ticket.retry && config.retries > 0.0 && self.budget < 1.0 => {
+                Some(RejectReason::Retries)
             }
-            () if full => Some(Why::Full),
+            () if full => Some(RejectReason::Full),
             () => None,
         };
-        if why.is_none() && !promised && ticket.retry && self.config.retries > 0.0 {
+        if why.is_none() && !keeps_promise && ticket.retry && self.config.retries > 0.0 {
             self.budget -= 1.0;
         }
         // Given up at once where its turn can't come in time: held it would only be late.
         let why = why.or_else(|| {
             let need = self.need(ticket.key, self.turns.slowest());
             (self.waiting.len() > self.config.held && now + need > ticket.target)
-                .then_some(Why::Late)
+                .then_some(RejectReason::Late)
         });
         match why {
             Some(why) => self.send_away(now, ticket, why, out),
             None => {
-                self.queues
-                    .push(ticket.key, ticket.flow, self.weight(ticket.key), promised);
+                self.queues.push(
+                    ticket.key,
+                    ticket.flow,
+                    self.weight(ticket.key),
+                    keeps_promise,
+                );
                 self.targets.insert((ticket.target, ticket.flow));
                 self.waiting.insert(ticket.flow, ticket);
             }
@@ -228,7 +242,7 @@
     }
 
     /// Lets in whose turn it is, and gives up what has waited past its target.
-    pub fn turns(&mut self, now: Time, out: &mut Vec<Turn>) {
+    pub fn turns(&mut self, now: Time, out: &mut Vec<AdmissionDecision>) {
         while let Some((_, flow)) = self
             .targets
             .first()
@@ -237,9 +251,9 @@
         {
             if let Some(ticket) = self.forget(flow) {
                 let why = if self.closing {
-                    Why::Closing
+                    RejectReason::Closing
                 } else {
-                    Why::Late
+                    RejectReason::Late
                 };
                 self.send_away(now, ticket, why, out);
             }
@@ -257,32 +271,42 @@
             self.turns.count(now);
             *self.open.entry(ticket.key).or_default() += 1;
             self.inside.insert(flow, (ticket.key, ticket.client));
-            out.push(Turn::Enters(flow));
+            out.push(AdmissionDecision::Admit(flow));
         }
     }
 
-    /// When [`Door::turns`] is to be asked at the latest.
+    /// When [`AdmissionController::turns`] is to be asked at the latest.
     pub fn due(&self) -> Option<Time> {
         self.targets.first().map(|(at, _)| *at)
     }
 
-    fn forget(&mut self, flow: FlowId) -> Option<Ticket> {
+    fn forget(&mut self, flow: FlowId) -> Option<AdmissionRequest> {
         let ticket = self.waiting.remove(&flow)?;
         self.targets.remove(&(ticket.target, flow));
         self.queues.remove(ticket.key, flow);
         Some(ticket)
     }
 
-    fn send_away(&mut self, now: Time, ticket: Ticket, why: Why, out: &mut Vec<Turn>) {
+    fn send_away(
+        &mut self,
+        now: Time,
+        ticket: AdmissionRequest,
+        why: RejectReason,
+        out: &mut Vec<AdmissionDecision>,
+    ) {
         // Besides the queue's need: a key over its rate waits for its next token, one that holds all it may for an end,
         // of which nothing is known.
         let least = match why {
-            Why::Rate => self.buckets.wait(now, ticket.key, self.config.rate),
-            Why::Open => self.config.longest,
+            RejectReason::Rate => self.buckets.wait(now, ticket.key, self.config.rate),
+            RejectReason::Open => self.config.longest,
             _ => 0,
         };
         let wait = self.retry_after(now, ticket.key, ticket.client, least);
-        out.push(Turn::SentAway(ticket.flow, why, wait));
+        out.push(AdmissionDecision::Reject {
+            flow: ticket.flow,
+            reason: why,
+            retry_after: wait,
+        });
     }
 
     /// A time to come back for one that is sent away: never shorter than the queue needs, in a slice that few others were
@@ -356,8 +380,8 @@
 mod tests {
     use super::*;
 
-    fn ticket(flow: FlowId, key: u64) -> Ticket {
-        Ticket {
+    fn ticket(flow: FlowId, key: u64) -> AdmissionRequest {
+        AdmissionRequest {
             flow,
             key,
             client: flow,
@@ -367,53 +391,61 @@
     }
 
     /// The module holds all that it may, of keys that are nobody's here.
-    fn hold(door: &mut Door) {
+    fn hold(admission: &mut AdmissionController) {
         let flows = [9001, 9002, 9003, 9004];
         flows
             .iter()
-            .for_each(|flow| _ = door.inside.insert(*flow, (*flow, *flow)));
-        door.holds(&flows);
+            .for_each(|flow| _ = admission.inside.insert(*flow, (*flow, *flow)));
+        admission.holds(&flows);
     }
 
-    fn arrive(door: &mut Door, now: Time, ticket: Ticket) -> Option<(Why, Time)> {
+    fn arrive(
+        admission: &mut AdmissionController,
+        now: Time,
+        ticket: AdmissionRequest,
+    ) -> Option<(RejectReason, Time)> {
         let mut out = Vec::new();
-        door.arrives(now, ticket, &mut out);
+        admission.arrives(now, ticket, &mut out);
         out.first().map(|turn| match turn {
-            Turn::SentAway(_, why, wait) => (*why, *wait),
+            AdmissionDecision::Reject {
+                reason,
+                retry_after,
+                ..
+            } => (*reason, *retry_after),
             other => panic!("{other:?}"),
         })
     }
 
-    fn next(door: &mut Door, now: Time) -> Vec<Turn> {
+    fn next(admission: &mut AdmissionController, now: Time) -> Vec<AdmissionDecision> {
         let mut out = Vec::new();
-        door.turns(now, &mut out);
+        admission.turns(now, &mut out);
         out
     }
 
     /// A door whose pace is known: so many a second.
-    fn paced(config: Config, a_second: u64) -> Door {
-        let mut door = Door::new(config, 7);
+    fn paced(config: AdmissionConfig, a_second: u64) -> AdmissionController {
+        let mut admission = AdmissionController::new(config, 7);
         for k in 0..20 * a_second {
-            door.flow_connected(k * SEC / a_second);
-            door.turns.count(k * SEC / a_second);
+            admission.flow_connected(k * SEC / a_second);
+            admission.turns.count(k * SEC / a_second);
         }
-        door
+        admission
     }
 
     #[test]
     fn turns_go_round_the_keys_by_weight_however_many_one_sends() {
-        let config = Config {
+        let config = AdmissionConfig {
             weights: BTreeMap::from([(3, 2.0)]),
-            ..Config::default()
+            ..AdmissionConfig::default()
         };
-        let mut door = Door::new(config, 1);
-        (0..50).for_each(|flow| assert_eq!(arrive(&mut door, 0, ticket(flow, 1)), None));
-        assert_eq!(arrive(&mut door, 0, ticket(100, 2)), None);
-        (200..204).for_each(|flow| assert_eq!(arrive(&mut door, 0, ticket(flow, 3)), None));
+        let mut admission = AdmissionController::new(config, 1);
+        (0..50).for_each(|flow| assert_eq!(arrive(&mut admission, 0, ticket(flow, 1)), None));
+        assert_eq!(arrive(&mut admission, 0, ticket(100, 2)), None);
+        (200..204).for_each(|flow| assert_eq!(arrive(&mut admission, 0, ticket(flow, 3)), None));
         let entered: Vec<FlowId> = (0..8)
-            .flat_map(|_| next(&mut door, 0))
+            .flat_map(|_| next(&mut admission, 0))
             .map(|turn| match turn {
-                Turn::Enters(flow) => flow,
+                AdmissionDecision::Admit(flow) => flow,
                 other => panic!("{other:?}"),
             })
             .collect();
@@ -422,72 +454,84 @@
 
     #[test]
     fn nobody_enters_while_the_module_holds_and_nobody_waits_past_its_target() {
-        let mut door = Door::new(Config::default(), 1);
-        hold(&mut door);
+        let mut admission = AdmissionController::new(AdmissionConfig::default(), 1);
+        hold(&mut admission);
         assert_eq!(
             arrive(
-                &mut door,
+                &mut admission,
                 0,
-                Ticket {
+                AdmissionRequest {
                     target: SEC,
                     ..ticket(1, 1)
                 }
             ),
             None
         );
-        assert_eq!((next(&mut door, 0), door.due()), (vec![], Some(SEC)));
+        assert_eq!(
+            (next(&mut admission, 0), admission.due()),
+            (vec![], Some(SEC))
+        );
         assert!(matches!(
-            next(&mut door, SEC)[..],
-            [Turn::SentAway(1, Why::Late, _)]
+            next(&mut admission, SEC)[..],
+            [AdmissionDecision::Reject {
+                flow: 1,
+                reason: RejectReason::Late,
+                ..
+            }]
         ));
-        assert_eq!((door.waiting(), door.due()), (0, None));
-        door.holds(&[]);
-        assert_eq!(next(&mut door, SEC), []);
+        assert_eq!((admission.waiting(), admission.due()), (0, None));
+        admission.holds(&[]);
+        assert_eq!(next(&mut admission, SEC), []);
         // One key's flows that find no room take half of the places, and another's still enter.
-        (10..13).for_each(|flow| assert_eq!(arrive(&mut door, SEC, ticket(flow, 1)), None));
-        assert_eq!(next(&mut door, SEC), [Turn::Enters(10)]);
-        assert_eq!(next(&mut door, SEC), [Turn::Enters(11)]);
-        door.holds(&[10, 11]);
-        assert_eq!(next(&mut door, SEC), []);
-        assert_eq!(arrive(&mut door, SEC, ticket(20, 2)), None);
-        assert_eq!(next(&mut door, SEC), [Turn::Enters(20)]);
+        (10..13).for_each(|flow| assert_eq!(arrive(&mut admission, SEC, ticket(flow, 1)), None));
+        assert_eq!(next(&mut admission, SEC), [AdmissionDecision::Admit(10)]);
+        assert_eq!(next(&mut admission, SEC), [AdmissionDecision::Admit(11)]);
+        admission.holds(&[10, 11]);
+        assert_eq!(next(&mut admission, SEC), []);
+        assert_eq!(arrive(&mut admission, SEC, ticket(20, 2)), None);
+        assert_eq!(next(&mut admission, SEC), [AdmissionDecision::Admit(20)]);
     }
 
     #[test]
     fn what_cannot_be_in_time_is_sent_away_at_once_and_told_no_less_than_it_takes() {
-        let mut door = paced(
-            Config {
+        let mut admission = paced(
+            AdmissionConfig {
                 waiting_each: 500,
-                ..Config::default()
+                ..AdmissionConfig::default()
             },
             20,
         );
         let now = 20 * SEC;
-        hold(&mut door);
+        hold(&mut admission);
         let mut sent = Vec::new();
         for flow in 0..100 {
             sent.extend(arrive(
-                &mut door,
+                &mut admission,
                 now,
-                Ticket {
+                AdmissionRequest {
                     target: now + SEC,
                     ..ticket(flow, 1)
                 },
             ));
         }
         // At 20 a second some 20 can be in time.
-        assert!((15..25).contains(&door.waiting()), "{}", door.waiting());
         assert!(
-            sent.iter()
-                .all(|(why, wait)| *why == Why::Late && *wait >= 700 * MS && *wait <= 2 * SEC),
+            (15..25).contains(&admission.waiting()),
+            "{}",
+            admission.waiting()
+        );
+        assert!(
+            sent.iter().all(|(why, wait)| *why == RejectReason::Late
+                && *wait >= 700 * MS
+                && *wait <= 2 * SEC),
             "{sent:?}"
         );
         // Another key's turn is next to come.
         assert_eq!(
             arrive(
-                &mut door,
+                &mut admission,
                 now,
-                Ticket {
+                AdmissionRequest {
                     target: now + SEC,
                     ..ticket(500, 2)
                 }
@@ -498,99 +542,111 @@
 
     #[test]
     fn limits_hold_by_key() {
-        let config = Config {
+        let config = AdmissionConfig {
             rate: 2.0,
             burst: 3.0,
             open: 5,
-            ..Config::default()
+            ..AdmissionConfig::default()
         };
-        let mut door = Door::new(config, 1);
-        let whys = |door: &mut Door, now, from: u64| {
+        let mut admission = AdmissionController::new(config, 1);
+        let whys = |admission: &mut AdmissionController, now, from: u64| {
             (from..from + 5)
-                .map(|flow| arrive(door, now, ticket(flow, 9)).map(|sent| sent.0))
+                .map(|flow| arrive(admission, now, ticket(flow, 9)).map(|sent| sent.0))
                 .collect::<Vec<_>>()
         };
-        let rate = Some(Why::Rate);
-        assert_eq!(whys(&mut door, 0, 0), [None, None, None, rate, rate]);
-        assert_eq!(whys(&mut door, SEC, 10), [None, None, rate, rate, rate]);
+        let rate = Some(RejectReason::Rate);
+        assert_eq!(whys(&mut admission, 0, 0), [None, None, None, rate, rate]);
+        assert_eq!(
+            whys(&mut admission, SEC, 10),
+            [None, None, rate, rate, rate]
+        );
         // The next token comes after half a second, and not sooner than told.
-        assert!(arrive(&mut door, SEC, ticket(98, 9)).is_some_and(|(_, wait)| wait >= 490 * MS));
-        assert_eq!(arrive(&mut door, SEC, ticket(99, 8)), None, "another key");
+        assert!(
+            arrive(&mut admission, SEC, ticket(98, 9)).is_some_and(|(_, wait)| wait >= 490 * MS)
+        );
+        assert_eq!(
+            arrive(&mut admission, SEC, ticket(99, 8)),
+            None,
+            "another key"
+        );
         // Five are in: the key holds all it may, until one is over.
-        while !next(&mut door, SEC).is_empty() {}
-        assert_eq!(whys(&mut door, 9 * SEC, 20)[0], Some(Why::Open));
-        door.over(0);
-        assert_eq!(whys(&mut door, 9 * SEC, 30)[0], None);
+        while !next(&mut admission, SEC).is_empty() {}
+        assert_eq!(
+            whys(&mut admission, 9 * SEC, 20)[0],
+            Some(RejectReason::Open)
+        );
+        admission.over(0);
+        assert_eq!(whys(&mut admission, 9 * SEC, 30)[0], None);
     }
 
     #[test]
     fn retries_are_paid_for_by_established_flows() {
-        let mut door = Door::new(
-            Config {
+        let mut admission = AdmissionController::new(
+            AdmissionConfig {
                 retries: 0.5,
                 saved: 2.0,
-                ..Config::default()
+                ..AdmissionConfig::default()
             },
             1,
         );
-        let retry = |flow| Ticket {
+        let retry = |flow| AdmissionRequest {
             retry: true,
             ..ticket(flow, flow)
         };
-        assert_eq!(arrive(&mut door, 0, retry(1)), None);
-        assert_eq!(arrive(&mut door, 0, retry(2)), None);
+        assert_eq!(arrive(&mut admission, 0, retry(1)), None);
+        assert_eq!(arrive(&mut admission, 0, retry(2)), None);
         assert_eq!(
-            arrive(&mut door, 0, retry(3)).map(|sent| sent.0),
-            Some(Why::Retries)
+            arrive(&mut admission, 0, retry(3)).map(|sent| sent.0),
+            Some(RejectReason::Retries)
         );
-        assert_eq!(arrive(&mut door, 0, ticket(4, 4)), None, "a first try");
-        door.flow_connected(0);
-        door.flow_connected(0);
-        assert_eq!(arrive(&mut door, 0, retry(5)), None);
+        assert_eq!(arrive(&mut admission, 0, ticket(4, 4)), None, "a first try");
+        admission.flow_connected(0);
+        admission.flow_connected(0);
+        assert_eq!(arrive(&mut admission, 0, retry(5)), None);
     }
 
     #[test]
     fn one_that_comes_when_it_was_told_is_before_newcomers_and_one_that_comes_early_is_not() {
         for (early, first) in [(false, 2), (true, 1)] {
-            let mut door = paced(
-                Config {
+            let mut admission = paced(
+                AdmissionConfig {
                     waiting_each: 1,
-                    ..Config::default()
+                    ..AdmissionConfig::default()
                 },
                 10,
             );
             let now = 20 * SEC;
-            hold(&mut door);
-            assert_eq!(arrive(&mut door, now, ticket(0, 1)), None);
+            hold(&mut admission);
+            assert_eq!(arrive(&mut admission, now, ticket(0, 1)), None);
             let (why, wait) = arrive(
-                &mut door,
+                &mut admission,
                 now,
-                Ticket {
+                AdmissionRequest {
                     client: 77,
                     ..ticket(9, 1)
                 },
             )
             .unwrap();
-            assert_eq!(why, Why::Full);
-            door.over(0);
+            assert_eq!(why, RejectReason::Full);
+            admission.over(0);
             let comes = if early { now + wait / 3 } else { now + wait };
             // A newcomer was there a moment before.
-            assert_eq!(arrive(&mut door, comes, ticket(1, 5)), None);
+            assert_eq!(arrive(&mut admission, comes, ticket(1, 5)), None);
             assert_eq!(
                 arrive(
-                    &mut door,
+                    &mut admission,
                     comes,
-                    Ticket {
+                    AdmissionRequest {
                         client: 77,
                         ..ticket(2, 6)
                     }
                 ),
                 None
             );
-            door.holds(&[]);
+            admission.holds(&[]);
             assert_eq!(
-                next(&mut door, comes),
-                [Turn::Enters(first)],
+                next(&mut admission, comes),
+                [AdmissionDecision::Admit(first)],
                 "early {early}"
             );
         }
@@ -599,7 +655,7 @@
     /// Guards against memory that grows with the clients: 50,000 of them, one attempt each, some of which hang up.
     #[test]
     fn memory_is_bounded_and_every_flow_leaves_once() {
-        let mut door = paced(Config::default(), 100);
+        let mut admission = paced(AdmissionConfig::default(), 100);
         let mut rng = WyRand::new_seed(3);
         let (mut entered, mut sent, mut hung_up) = (0, 0, 0);
         let mut inside = Vec::new();
@@ -607,55 +663,59 @@
             let now = 20 * SEC + flow * MS / 10;
             let mut out = Vec::new();
             let target = now + 300 * MS;
-            door.arrives(
+            admission.arrives(
                 now,
-                Ticket {
+                AdmissionRequest {
                     target,
                     ..ticket(flow, key(1, &flow.to_le_bytes()))
                 },
                 &mut out,
             );
-            if rng.generate_range(0..10u32) == 0 && door.waits(flow) {
-                door.over(flow);
+            if rng.generate_range(0..10u32) == 0 && admission.waits(flow) {
+                admission.over(flow);
                 hung_up += 1;
             }
             if flow % 10 == 0 {
-                door.turns(now, &mut out);
+                admission.turns(now, &mut out);
             }
             for turn in out {
                 match turn {
-                    Turn::Enters(flow) => {
+                    AdmissionDecision::Admit(flow) => {
                         entered += 1;
                         inside.push(flow);
-                        door.flow_connected(now);
+                        admission.flow_connected(now);
                     }
-                    Turn::SentAway(..) => sent += 1,
+                    AdmissionDecision::Reject { .. } => sent += 1,
                 }
             }
-            assert!(door.waiting() <= 1024);
+            assert!(admission.waiting() <= 1024);
         }
-        inside.into_iter().for_each(|flow| door.over(flow));
-        door.close();
+        inside.into_iter().for_each(|flow| admission.over(flow));
+        admission.close();
         let mut out = Vec::new();
-        door.turns(60 * SEC, &mut out);
+        admission.turns(60 * SEC, &mut out);
         let left = out.len();
         assert_eq!(entered + sent + hung_up + left, 50_000);
         assert!(
             entered > 4000 && sent > 0 && hung_up > 0,
             "{entered} {sent} {hung_up}"
         );
-        assert!(door.waiting.is_empty() && door.targets.is_empty() && door.queues.is_empty());
-        assert!(door.inside.is_empty() && door.open.is_empty());
+        assert!(
+            admission.waiting.is_empty()
+                && admission.targets.is_empty()
+                && admission.queues.is_empty()
+        );
+        assert!(admission.inside.is_empty() && admission.open.is_empty());
     }
 
     /// Work conserving: while anyone waits and the module holds nothing, each look lets one in; and none starves.
     #[test]
     fn a_look_lets_someone_in_while_anyone_waits_and_no_key_starves() {
-        let mut door = Door::new(
-            Config {
+        let mut admission = AdmissionController::new(
+            AdmissionConfig {
                 waiting: 5000,
                 waiting_each: 500,
-                ..Config::default()
+                ..AdmissionConfig::default()
             },
             1,
         );
@@ -671,11 +731,11 @@
                 } else {
                     rng.generate_range(0..20u64)
                 };
-                let _ = arrive(&mut door, 0, ticket(flow * 32 + key, key));
+                let _ = arrive(&mut admission, 0, ticket(flow * 32 + key, key));
             }
-            let waited = door.waiting();
-            match next(&mut door, 0)[..] {
-                [Turn::Enters(flow)] => last[(flow % 32) as usize] = step,
+            let waited = admission.waiting();
+            match next(&mut admission, 0)[..] {
+                [AdmissionDecision::Admit(flow)] => last[(flow % 32) as usize] = step,
                 ref other => assert!(
                     waited == 0 && other.is_empty(),
                     "{other:?} with {waited} waiting"
@@ -688,22 +748,23 @@
 
     #[test]
     fn weights_and_limits_change_while_it_is_full() {
-        let mut door = Door::new(Config::default(), 1);
-        (0..40).for_each(|flow| assert_eq!(arrive(&mut door, 0, ticket(flow, flow % 2)), None));
+        let mut admission = AdmissionController::new(AdmissionConfig::default(), 1);
+        (0..40)
+            .for_each(|flow| assert_eq!(arrive(&mut admission, 0, ticket(flow, flow % 2)), None));
         let weights = BTreeMap::from([(1, 3.0)]);
-        door.change(Config {
+        admission.change(AdmissionConfig {
             waiting: 10,
             weights,
-            ..Config::default()
+            ..AdmissionConfig::default()
         });
-        assert_eq!(door.waiting(), 40, "nobody is dropped");
+        assert_eq!(admission.waiting(), 40, "nobody is dropped");
         assert_eq!(
-            arrive(&mut door, 0, ticket(99, 5)).map(|sent| sent.0),
-            Some(Why::Full)
+            arrive(&mut admission, 0, ticket(99, 5)).map(|sent| sent.0),
+            Some(RejectReason::Full)
         );
-        let entered = (0..16).flat_map(|_| next(&mut door, 0));
+        let entered = (0..16).flat_map(|_| next(&mut admission, 0));
         let odd = entered
-            .filter(|turn| matches!(turn, Turn::Enters(flow) if flow % 2 == 1))
+            .filter(|turn| matches!(turn, AdmissionDecision::Admit(flow) if flow % 2 == 1))
             .count();
         assert!((11..=13).contains(&odd), "{odd} of 16");
     }
--- a/crates/admission/src/pace.rs
+++ b/crates/admission/src/pace.rs
@@ -10,13 +10,13 @@
 const LEAST: f64 = 0.1;
 
 #[derive(Default)]
-pub struct Pace {
+pub struct ServiceRate {
     means: [f64; 2],
     at: Time,
     counted: bool,
 }
 
-impl Pace {
+impl ServiceRate {
     /// One was served.
     pub fn count(&mut self, now: Time) {
         if !self.counted {
@@ -53,9 +53,9 @@
 
     #[test]
     fn a_fall_is_believed_at_once_and_a_rise_later() {
-        let mut pace = Pace::default();
+        let mut pace = ServiceRate::default();
         assert_eq!(pace.slowest(), UNKNOWN);
-        let serve = |pace: &mut Pace, from: Time, seconds: u64, a_second: u64| {
+        let serve = |pace: &mut ServiceRate, from: Time, seconds: u64, a_second: u64| {
             (0..seconds * a_second).for_each(|k| pace.count(from + k * SEC / a_second));
         };
         serve(&mut pace, 0, 20, 50);
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 struct Queue {
     /// Those that came when they were told to, before the others.
-    promised: VecDeque<FlowId>,
+    keeps_promise: VecDeque<FlowId>,
     fresh: VecDeque<FlowId>,
     weight: f64,
     /// Turns that it may still take in this round.
@@ -17,12 +17,12 @@
 
 impl Queue {
     fn length(&self) -> usize {
-        self.promised.len() + self.fresh.len()
+        self.keeps_promise.len() + self.fresh.len()
     }
 }
 
 #[derive(Default)]
-pub struct Queues {
+pub struct FairQueues {
     by_key: BTreeMap<u64, Queue>,
     /// Keys in order of their turns.
     round: VecDeque<u64>,
@@ -31,22 +31,22 @@
     weights: f64,
 }
 
-impl Queues {
-    pub fn push(&mut self, key: u64, flow: FlowId, weight: f64, promised: bool) {
+impl FairQueues {
+    pub fn push(&mut self, key: u64, flow: FlowId, weight: f64, keeps_promise: bool) {
         let queue = self.by_key.entry(key).or_default();
         if queue.length() == 0 {
             (queue.weight, queue.credit) = (weight, 0.0);
             self.weights += weight;
             // One that comes on time isn't put behind newcomers; a key that has others waiting keeps its place, so
             // that nobody gets ahead by being told to come back often.
-            if promised {
+            if keeps_promise {
                 self.round.push_front(key)
             } else {
                 self.round.push_back(key)
             }
         }
-        match promised {
-            true => queue.promised.push_back(flow),
+        match keeps_promise {
+            true => queue.keeps_promise.push_back(flow),
             false => queue.fresh.push_back(flow),
         }
         self.length += 1;
@@ -76,7 +76,7 @@
             }
             queue.credit -= 1.0;
             let flow = queue
-                .promised
+                .keeps_promise
                 .pop_front()
                 .or_else(|| queue.fresh.pop_front())?;
             self.length -= 1;
@@ -111,7 +111,7 @@
             return;
         };
         let before = queue.length();
-        queue.promised.retain(|one| *one != flow);
+        queue.keeps_promise.retain(|one| *one != flow);
         queue.fresh.retain(|one| *one != flow);
         self.length -= before - queue.length();
         if queue.length() == 0 {
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use nettlemux_admission::Config as DoorConfig;
+use nettlemux_admission::AdmissionConfig;
 use nettlemux_dataplane::discovery::{self, ListUpdate};
 use nettlemux_dataplane::retry;
 use nettlemux_dataplane::shared::Term;
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
-use nettlemux_settings::operator::{self, Operator};
+use nettlemux_settings::operator::{self, Deprecated, Operator};
 use serde_json::Value;
 use tracing::warn;
 
@@ -166,8 +166,15 @@
     operator::parse(&text).map_err(|e| e.to_string())
 }
 
+/// Warns of each key of the operator's file that has the name of an earlier version.
+pub fn warn_of_deprecated(operator: &Operator) {
+    for Deprecated { old, new } in &operator.deprecated {
+        warn!(old, new, "deprecated name in the operator's file");
+    }
+}
+
 /// The door as the operator's file has it, its tenants' names turned into keys of this run.
-pub fn door(keys: &operator::Door, seed: u64, longest: Time) -> DoorConfig {
+pub fn admission(keys: &operator::AdmissionSettings, seed: u64, longest: Time) -> AdmissionConfig {
     keys.config(longest, |name| {
         Some(nettlemux_admission::key(seed, name.as_bytes()))
     })
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::AtomicU64;
 
 use bpaf::{Parser, construct, long, pure};
-use nettlemux_admission::Door;
+use nettlemux_admission::AdmissionController;
 use nettlemux_dataplane::desk::{Desk, Given};
 use nettlemux_dataplane::discovery::{self, Agent};
 use nettlemux_dataplane::mail::Mailbox;
@@ -30,7 +30,7 @@
 use nettlemux_line_protocol::first::Known;
 use nettlemux_line_protocol::take_in::{self, Front};
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
-use nettlemux_settings::operator::{self, Format, Operator};
+use nettlemux_settings::operator::{self, Deprecated, Format, Operator};
 use signal_hook::iterator::Signals;
 use tracing::{Level, error, info};
 
@@ -126,16 +126,20 @@
                 let level = log.unwrap_or(level(operator.log.level));
                 let _guard = log::start(level, format.unwrap_or(operator.log.format));
                 config.warn_of_unknown();
+                config::warn_of_deprecated(&operator);
                 let signals = signals.map_err(|e| format!("can't listen for signals: {e}"))?;
                 serve(config, file, operator, operator_file, signals)
             }),
         Command::Check { config, operator } => config::load(config.as_deref())
             .map_err(|e| e.to_string())
             .and_then(|config| {
-                config::operator(operator.as_deref())?;
+                let operator = config::operator(operator.as_deref())?;
                 for unknown in &config.unknown {
                     println!("{unknown}");
                 }
+                for Deprecated { old, new } in &operator.deprecated {
+                    println!("operator's file: '{old}' is called '{new}' now");
+                }
                 println!(
                     "{}: listens at {}, asks {}: good",
                     config.name, config.listen, config.discovery
@@ -206,19 +210,19 @@
     });
     let mut known = Known::new(settings).map_err(faulty)?;
     let mut flow_table = FlowTable::new(policy);
-    if let Some(keys) = &operator.door {
+    if let Some(keys) = &operator.admission {
         // New with each start: nobody can aim at another's place.
         let seed = config.seed ^ RandomState::new().hash_one(config.seed);
         let longest = settings.retry_after().map_err(faulty)?;
-        let door = Door::new(
-            config::door(keys, seed, longest.unwrap_or(SEC).max(100 * MS)),
+        let admission = AdmissionController::new(
+            config::admission(keys, seed, longest.unwrap_or(SEC).max(100 * MS)),
             seed,
         );
         known.by = Some((keys.by, seed));
-        flow_table = flow_table.with_door(door, longest.is_some());
+        flow_table = flow_table.with_admission(admission, longest.is_some());
         info!(by = ?keys.by, waiting = keys.waiting, "a door with fair queues");
     }
-    let door_seed = known.by.map(|(_, seed)| seed);
+    let admission_seed = known.by.map(|(_, seed)| seed);
     let core = Arc::new(Core {
         desk: desk.clone(),
         buffers: buffers.clone(),
@@ -246,7 +250,7 @@
     let answer_deadline = AnswerDeadline::new(settings.longest_wait());
     let (peers, gossip) = match operator.peers {
         Some(keys) => {
-            let started = Peers::start(keys.listen, keys.to, desk.clone());
+            let started = Peers::start(keys.listen, keys.addresses, desk.clone());
             let (peers, gossip) =
                 started.map_err(|e| format!("can't listen for words at {}: {e}", keys.listen))?;
             (Some((keys.listen, peers)), Some(gossip))
@@ -269,7 +273,7 @@
     let reload = signals::Reload {
         file,
         operator: operator_file,
-        door_seed,
+        admission_seed,
         config,
         in_file,
         terms: terms.clone(),
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -51,7 +51,7 @@
     pub file: Option<PathBuf>,
     pub operator: Option<PathBuf>,
     /// The seed of the door's keys, where there is a door.
-    pub door_seed: Option<u64>,
+    pub admission_seed: Option<u64>,
     pub config: Config,
 }
 
@@ -123,6 +123,7 @@
         let known = merged.and_then(|merged| Ok((Known::new(&merged)?, merged)));
         let (known, merged) = known.map_err(|why| why.to_string())?;
         new.warn_of_unknown();
+        config::warn_of_deprecated(&operator);
         if new.settings != self.in_file {
             // Before the front names what is new: the desk reads its mail in order.
             desk.send(Ask::Change(Box::new(
@@ -135,7 +136,7 @@
         }
         match (&operator.peers, &self.peers) {
             (Some(keys), Some((listen, peers))) if keys.listen == *listen => {
-                peers.change(keys.to.clone())
+                peers.change(keys.addresses.clone())
             }
             (None, None) => {}
             _ => warn!(key = "peers", "a change of this key needs a restart"),
@@ -144,10 +145,12 @@
         for key in self.config.needing_a_restart(&new) {
             warn!(key, "a change of this key needs a restart");
         }
-        match (&operator.door, self.door_seed) {
-            (Some(keys), Some(seed)) => desk.send(Ask::Door(config::door(keys, seed, 0))),
+        match (&operator.admission, self.admission_seed) {
+            (Some(keys), Some(seed)) => {
+                desk.send(Ask::AdmissionController(config::admission(keys, seed, 0)))
+            }
             (None, None) => {}
-            _ => warn!(key = "door", "a change of this key needs a restart"),
+            _ => warn!(key = "admission", "a change of this key needs a restart"),
         }
         info!(discovery = %new.discovery, changed = new.discovery != self.config.discovery, "reloaded");
         if new.discovery != self.config.discovery {
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/desk.rs
@@ -323,7 +323,7 @@
                 }
             }
             Ask::Change(settings) => self.change(*settings),
-            Ask::Door(config) => self.flow_table.change_door(config),
+            Ask::AdmissionController(config) => self.flow_table.change_admission(config),
             Ask::Broken(_) => {}
             Ask::Terminate => {
                 info!(flows = self.clients.len(), "asked to end");
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/orders.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use nettlemux_admission::Config;
+use nettlemux_admission::AdmissionConfig;
 use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{AttemptEnd, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
 use nettlemux_settings::Settings;
@@ -96,7 +96,7 @@
     /// Other settings from now on.
     Change(Box<Settings>),
     /// New limits and weights for the door.
-    Door(Config),
+    AdmissionController(AdmissionConfig),
     /// The balancer is to end.
     Terminate,
     /// A part without which it is of no use has failed for good.
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -2,7 +2,7 @@
 //! and defaults of its keys and checks what they say. It must never read a file: whoever does names the place.
 
 use nettlemux_policy::{MS, SEC, Time};
-use nettlemux_settings::operator::Door;
+use nettlemux_settings::operator::AdmissionSettings;
 use serde::Deserialize;
 
 use crate::fault::Fault;
@@ -39,8 +39,8 @@
     #[serde(default)]
     pub limits: Limits,
     /// The balancers' door, as the operator's file has it; none where it is missing.
-    #[serde(default)]
-    pub door: Option<Door>,
+    #[serde(default, alias = "door")]
+    pub admission: Option<AdmissionSettings>,
     #[serde(default)]
     pub faults: Vec<Fault>,
     /// By figure: what it must be at least and at most.
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -107,8 +107,8 @@
         .unwrap();
         assert_eq!(scenario.clients.tenants, [0.5, 0.5], "{tenants}");
         assert_eq!(scenario.faults[0].what, What::TenantSurge, "{tenants}");
-        let door = scenario.door.as_ref().unwrap();
-        assert_eq!(door.by, By::Tenant, "{tenants}");
+        let admission = scenario.admission.as_ref().unwrap();
+        assert_eq!(admission.by, By::Tenant, "{tenants}");
     }
 }
 
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -6,7 +6,9 @@
 
 use std::collections::BTreeMap;
 
-use nettlemux_admission::{Config, Door, LOOK_AGAIN, Ticket, Turn};
+use nettlemux_admission::{
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, LOOK_AGAIN,
+};
 use nettlemux_policy::{
     Actions, Attempt, AttemptEnd, Endpoint, Flow, FlowId, GroupPlacement, LoadReport, Placement,
     Policy, PolicyEvent, ServerId, Time,
@@ -152,7 +154,7 @@
     /// Flows to ask about again.
     queued: Vec<FlowId>,
     /// Before the module, where there is one.
-    door: Option<Door>,
+    admission: Option<AdmissionController>,
     /// Clients may be told when to come back.
     tells: bool,
 }
@@ -163,14 +165,14 @@
             policy,
             flows: BTreeMap::new(),
             queued: Vec::new(),
-            door: None,
+            admission: None,
             tells: true,
         }
     }
 
     /// Puts a door before the module. `tells`: clients may be told when to come back.
-    pub fn with_door(mut self, door: Door, tells: bool) -> Self {
-        (self.door, self.tells) = (Some(door), tells);
+    pub fn with_admission(mut self, admission: AdmissionController, tells: bool) -> Self {
+        (self.admission, self.tells) = (Some(admission), tells);
         self
     }
 
@@ -180,26 +182,29 @@
     }
 
     /// New limits and weights for the door, where there is one; nobody who waits is dropped.
-    pub fn change_door(&mut self, config: Config) {
-        if let Some(door) = &mut self.door {
-            door.change(config);
+    pub fn change_admission(&mut self, config: AdmissionConfig) {
+        if let Some(admission) = &mut self.admission {
+            admission.change(config);
         }
     }
 
-    pub fn door(&self) -> Option<&Door> {
-        self.door.as_ref()
+    pub fn admission(&self) -> Option<&AdmissionController> {
+        self.admission.as_ref()
     }
 
     /// How long until [`FlowTable::elapsed`] is to be called at the latest; none where nothing is due.
     pub fn time_to_next_timer(&self, now: Time) -> Option<Time> {
-        let door = self.door.as_ref().filter(|door| door.waiting() > 0);
-        let door = door
-            .and_then(Door::due)
+        let admission = self
+            .admission
+            .as_ref()
+            .filter(|admission| admission.waiting() > 0);
+        let admission = admission
+            .and_then(AdmissionController::due)
             .map(|at| at.saturating_sub(now).min(LOOK_AGAIN));
         self.policy
             .time_to_next_timer(now)
             .into_iter()
-            .chain(door)
+            .chain(admission)
             .min()
     }
 
@@ -212,7 +217,7 @@
         commands: &mut Vec<PolicyCommand>,
     ) {
         let id = flow.id;
-        let Some(door) = &mut self.door else {
+        let Some(admission) = &mut self.admission else {
             let place = self.policy.place(now, &flow);
             self.flows.insert(
                 id,
@@ -237,9 +242,9 @@
             retry,
             target,
         } = who;
-        door.arrives(
+        admission.arrives(
             now,
-            Ticket {
+            AdmissionRequest {
                 flow: id,
                 key,
                 client,
@@ -254,10 +259,10 @@
 
     /// Lets in whose turn it is, until the module holds as many as it may or nobody waits.
     fn admit_queued(&mut self, now: Time, commands: &mut Vec<PolicyCommand>) {
-        while let Some(door) = &mut self.door {
-            door.holds(&self.queued);
+        while let Some(admission) = &mut self.admission {
+            admission.holds(&self.queued);
             let mut turns = Vec::new();
-            door.turns(now, &mut turns);
+            admission.turns(now, &mut turns);
             if turns.is_empty() {
                 return;
             }
@@ -265,10 +270,15 @@
         }
     }
 
-    fn apply_decisions(&mut self, now: Time, turns: Vec<Turn>, commands: &mut Vec<PolicyCommand>) {
+    fn apply_decisions(
+        &mut self,
+        now: Time,
+        turns: Vec<AdmissionDecision>,
+        commands: &mut Vec<PolicyCommand>,
+    ) {
         for turn in turns {
             match turn {
-                Turn::Enters(id) => {
+                AdmissionDecision::Admit(id) => {
                     let Some(entry) = self.flows.get(&id).filter(|f| f.awaits_answer) else {
                         continue;
                     };
@@ -276,11 +286,13 @@
                     self.apply_placement(now, id, place, commands);
                 }
                 // No attempt was made, so coming again is safe whatever the traffic class.
-                Turn::SentAway(flow, _, wait) => {
+                AdmissionDecision::Reject {
+                    flow, retry_after, ..
+                } => {
                     self.mark_answered(flow);
                     commands.push(PolicyCommand::Reject {
                         flow,
-                        retry_after: self.tells.then_some(wait),
+                        retry_after: self.tells.then_some(retry_after),
                     });
                 }
             }
@@ -308,8 +320,8 @@
         commands: &mut Vec<PolicyCommand>,
     ) {
         self.mark_answered(flow);
-        if let Some(door) = &mut self.door {
-            door.flow_connected(now);
+        if let Some(admission) = &mut self.admission {
+            admission.flow_connected(now);
         }
         let actions = self
             .policy
@@ -359,11 +371,11 @@
     /// The client went away: it is owed nothing any more.
     pub fn client_left(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
         self.mark_answered(flow);
-        if let Some(door) = &mut self.door
-            && door.waits(flow)
+        if let Some(admission) = &mut self.admission
+            && admission.waits(flow)
         {
             // The module was never asked about it.
-            return door.over(flow);
+            return admission.over(flow);
         }
         let actions = self.policy.on_event(now, PolicyEvent::ClientLeft { flow });
         self.apply_actions(actions, commands);
@@ -398,8 +410,8 @@
             }
         }
         self.apply_actions(actions, commands);
-        if let Some(door) = &mut self.door {
-            door.look(now);
+        if let Some(admission) = &mut self.admission {
+            admission.look(now);
         }
         self.admit_queued(now, commands);
     }
@@ -440,8 +452,8 @@
         at: Time,
         commands: &mut Vec<PolicyCommand>,
     ) -> Vec<FlowId> {
-        if let Some(door) = &mut self.door {
-            door.close();
+        if let Some(admission) = &mut self.admission {
+            admission.close();
             self.admit_queued(at, commands);
         }
         let awaits_answer = self.flows.iter_mut().filter(|(_, f)| f.awaits_answer);
@@ -456,8 +468,8 @@
     /// Nothing more comes of this flow: the one place where it is given back.
     pub fn remove(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
         let entry = self.flows.remove(&flow);
-        if let Some(door) = &mut self.door {
-            door.over(flow);
+        if let Some(admission) = &mut self.admission {
+            admission.over(flow);
         }
         // Guards against an attempt that was ordered just as the client left, or whose flow has panicked: nobody else says
         // that nothing comes of it, and the module would count it as in flight for good.
@@ -533,8 +545,8 @@
             Placement::Reject { retry_after } => {
                 entry.awaits_answer = false;
                 // What the queue really needs, where there is one.
-                let door = self.door.as_mut().filter(|_| retry_after.is_some());
-                let told = door.and_then(|door| door.retry_after_for(now, id));
+                let admission = self.admission.as_mut().filter(|_| retry_after.is_some());
+                let told = admission.and_then(|admission| admission.retry_after_for(now, id));
                 PolicyCommand::Reject {
                     flow: id,
                     retry_after: told.or(retry_after),
@@ -823,11 +835,12 @@
             },
             Placement::Wait,
         ];
-        let config = Config {
+        let config = AdmissionConfig {
             held: 2,
-            ..Config::default()
+            ..AdmissionConfig::default()
         };
-        let mut flow_table = flow_table(&places).with_door(Door::new(config, 1), true);
+        let mut flow_table =
+            flow_table(&places).with_admission(AdmissionController::new(config, 1), true);
         let mut commands = Vec::new();
         for id in 1..=5 {
             let who = ClientIdentity {
@@ -847,12 +860,15 @@
             );
         }
         assert_eq!(
-            (commands.as_slice(), flow_table.door().unwrap().waiting()),
+            (
+                commands.as_slice(),
+                flow_table.admission().unwrap().waiting()
+            ),
             (&[][..], 3),
             "the module holds two"
         );
         flow_table.client_left(1, 5, &mut commands);
-        assert_eq!(flow_table.door().unwrap().waiting(), 2);
+        assert_eq!(flow_table.admission().unwrap().waiting(), 2);
         // One is placed, one held again; so one more is let in, and refused by the module with the door's time.
         flow_table.timer_expired(2, &mut commands);
         assert!(
@@ -869,6 +885,6 @@
             "{awaits_answer:?}"
         );
         (1..=5).for_each(|id| flow_table.remove(5, id, &mut commands));
-        assert_eq!(flow_table.door().unwrap().waiting(), 0);
+        assert_eq!(flow_table.admission().unwrap().waiting(), 0);
     }
 }
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use nettlemux_admission::Config;
+use nettlemux_admission::AdmissionConfig;
 use nettlemux_policy::Time;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -18,14 +18,43 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
     pub log: Log,
-    /// Fair queues at the door; none where this table is missing.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub door: Option<Door>,
+    /// Admission control; none where this table is missing.
+    #[serde(alias = "door", skip_serializing_if = "Option::is_none")]
+    pub admission: Option<AdmissionSettings>,
     /// Words between balancers over UDP, where the settings allow them; none where this table is missing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peers: Option<Peers>,
+    /// Keys and values that the file has under the names of an earlier version.
+    #[serde(skip)]
+    pub deprecated: Vec<Deprecated>,
+}
+
+/// A key or value of an earlier version, which is still read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Deprecated {
+    /// What the file says, with its tables before it.
+    pub old: &'static str,
+    /// What it is called now.
+    pub new: &'static str,
 }
 
+/// Keys that have been renamed, by their paths.
+const RENAMED_KEYS: [Deprecated; 2] = [
+    Deprecated {
+        old: "door",
+        new: "admission",
+    },
+    Deprecated {
+        old: "peers.to",
+        new: "peers.addresses",
+    },
+];
+/// The value of `admission.by` that has been renamed.
+const RENAMED_BY: Deprecated = Deprecated {
+    old: "by = \"customer\"",
+    new: "by = \"tenant\"",
+};
+
 /// Where the other balancers are.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -33,40 +62,39 @@
     /// Our own address for words, an address with a port.
     pub listen: SocketAddr,
     /// The others'; our own among them is passed over, so that all may have one list.
-    #[serde(default)]
+    #[serde(default, alias = "to")]
     #[schemars(length(max = 1024))]
-    pub to: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
 }
 
 impl Peers {
-    fn check(&self) -> Result<(), Faulty> {
-        let faulty = |key: &str, why: String| {
+    /// What the form alone can't check. `key` is what the file calls the addresses.
+    fn check(&self, key: &str) -> Result<(), Faulty> {
+        let faulty = |why: String| {
             Err(Faulty {
-                key: format!("peers.{key}"),
+                key: key.into(),
                 why,
             })
         };
-        if self.to.len() > MOST_PEERS {
-            return faulty("to", format!("{} are over {MOST_PEERS}", self.to.len()));
+        if self.addresses.len() > PEERS_MAX {
+            return faulty(format!("{} are over {PEERS_MAX}", self.addresses.len()));
         }
-        match self
-            .to
-            .iter()
-            .find(|to| to.is_ipv4() != self.listen.is_ipv4() || to.port() == 0)
-        {
-            Some(to) => faulty("to", format!("{to} can't be reached from {}", self.listen)),
+        let unreachable =
+            |to: &&SocketAddr| to.is_ipv4() != self.listen.is_ipv4() || to.port() == 0;
+        match self.addresses.iter().find(unreachable) {
+            Some(to) => faulty(format!("{to} can't be reached from {}", self.listen)),
             None => Ok(()),
         }
     }
 }
 
 /// Each word goes to each of them in one turn.
-const MOST_PEERS: usize = 1024;
+const PEERS_MAX: usize = 1024;
 
 /// Fair queues before the decision module, limits of each key, and return times that tell what the queue needs.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Door {
+pub struct AdmissionSettings {
     /// Whose turns are taken in order.
     pub by: By,
     /// Flows that may wait in all, and of one key.
@@ -104,9 +132,9 @@
     Client,
 }
 
-impl Default for Door {
+impl Default for AdmissionSettings {
     fn default() -> Self {
-        Door {
+        AdmissionSettings {
             by: By::Tenant,
             waiting: 1024,
             waiting_each: 64,
@@ -122,14 +150,14 @@
     }
 }
 
-impl Door {
+impl AdmissionSettings {
     /// The door's own configuration; `key` turns a tenant's name into its key, or leaves its weight out.
-    pub fn config(&self, longest: Time, key: impl Fn(&str) -> Option<u64>) -> Config {
+    pub fn config(&self, longest: Time, key: impl Fn(&str) -> Option<u64>) -> AdmissionConfig {
         let weights = self
             .weights
             .iter()
             .filter_map(|(name, weight)| Some((key(name)?, *weight)));
-        Config {
+        AdmissionConfig {
             waiting: self.waiting,
             waiting_each: self.waiting_each,
             held: self.held,
@@ -144,11 +172,11 @@
         }
     }
 
-    /// What the form alone can't check: the key at fault and why.
-    fn check(&self) -> Result<(), Faulty> {
+    /// What the form alone can't check. `table` is what the file calls this table.
+    fn check(&self, table: &str) -> Result<(), Faulty> {
         let faulty = |key: &str, why: String| {
             Err(Faulty {
-                key: format!("door.{key}"),
+                key: format!("{table}.{key}"),
                 why,
             })
         };
@@ -254,12 +282,60 @@
         }
     };
     let table: toml::Table = text.parse().map_err(|e| place(&e))?;
+    let deprecated = deprecated(&table);
+    let file = toml::Value::Table(table);
     let schema = schema();
-    unknown(&toml::Value::Table(table), &schema, &schema, "")?;
+    unknown(&file, &schema, &schema, "")?;
     let operator: Operator = toml::from_str(text).map_err(|e| place(&e))?;
-    operator.door.iter().try_for_each(Door::check)?;
-    operator.peers.iter().try_for_each(Peers::check)?;
-    Ok(operator)
+    if let Some(admission) = &operator.admission {
+        admission.check(name_in_file("admission", &deprecated))?;
+    }
+    if let Some(peers) = &operator.peers {
+        peers.check(name_in_file("peers.addresses", &deprecated))?;
+    }
+    Ok(Operator {
+        deprecated,
+        ..operator
+    })
+}
+
+/// What the file has under the names of an earlier version.
+fn deprecated(file: &toml::Table) -> Vec<Deprecated> {
+    let value = |path: &str| {
+        let mut keys = path.split('.');
+        let first = file.get(keys.next()?)?;
+        keys.try_fold(first, |value, key| value.get(key))
+    };
+    let mut found: Vec<Deprecated> = RENAMED_KEYS
+        .into_iter()
+        .filter(|key| value(key.old).is_some())
+        .collect();
+    let by = value("admission.by").or(value("door.by"));
+    if by.and_then(toml::Value::as_str) == Some("customer") {
+        found.push(RENAMED_BY);
+    }
+    found
+}
+
+/// What the file calls this key, which may be the name of an earlier version.
+fn name_in_file(new: &'static str, deprecated: &[Deprecated]) -> &'static str {
+    let renamed = deprecated.iter().find(|key| key.new == new);
+    renamed.map_or(new, |key| key.old)
+}
+
+/// What this key of the file is called now.
+fn current_name<'a>(path: &str, key: &'a str) -> &'a str {
+    let full = join(path, key);
+    let renamed = RENAMED_KEYS.iter().find(|renamed| renamed.old == full);
+    renamed.map_or(key, |renamed| renamed.new.rsplit('.').next().unwrap_or(key))
+}
+
+fn join(path: &str, key: &str) -> String {
+    if path.is_empty() {
+        key.to_string()
+    } else {
+        format!("{path}.{key}")
+    }
 }
 
 /// Walks what the file says beside the schema, so that every table to come is checked alike.
@@ -290,20 +366,15 @@
         .flatten()
         .map(|(name, _)| name.as_str())
         .collect();
-    let full = |key: &str| {
-        if path.is_empty() {
-            key.to_string()
-        } else {
-            format!("{path}.{key}")
-        }
-    };
-    keys::known(table.keys().map(String::as_str), &names).map_err(|(key, why)| Faulty {
-        key: full(&key),
-        why,
-    })?;
-    table
-        .iter()
-        .try_for_each(|(key, inner)| unknown(inner, &properties[key.as_str()], whole, &full(key)))
+    for (key, inner) in table {
+        let current = current_name(path, key);
+        keys::known([current], &names).map_err(|(key, why)| Faulty {
+            key: join(path, &key),
+            why,
+        })?;
+        unknown(inner, &properties[current], whole, &join(path, key))?;
+    }
+    Ok(())
 }
 
 #[cfg(test)]
@@ -333,17 +404,44 @@
             ("[log]\nlevel = 3", "(line 2)", ""),
             ("log = 3", "(line 1)", ""),
             (
-                "[peers]\nlisten = \"127.0.0.1:7200\"\nt = []",
-                "peers.t",
-                "is 'to' meant?",
+                "[peers]\nlisten = \"127.0.0.1:7200\"\naddreses = []",
+                "peers.addreses",
+                "is 'addresses' meant?",
             ),
             ("[peers]\nlisten = \"here\"", "(line 2)", "address"),
             ("[peers]\nto = []", "(line 1)", "listen"),
+            (
+                "[peers]\nlisten = \"127.0.0.1:7200\"\naddresses = [\"[::1]:7200\"]",
+                "peers.addresses",
+                "can't be reached",
+            ),
             (
                 "[peers]\nlisten = \"127.0.0.1:7200\"\nto = [\"[::1]:7200\"]",
                 "peers.to",
                 "can't be reached",
             ),
+            (
+                "[admission]\nwaitng = 3",
+                "admission.waitng",
+                "is 'waiting' meant?",
+            ),
+            (
+                "[admission]\nwaiting = 0",
+                "admission.waiting",
+                "is not from 1 to",
+            ),
+            ("[admission]\nrate = -1.0", "admission.rate", "from 0 up"),
+            (
+                "[admission.weights]\ngold = 0.0",
+                "admission.weights.gold",
+                "0.001",
+            ),
+            (
+                "[admission]\nby = \"client\"\nweights = { gold = 2.0 }",
+                "admission.weights",
+                "by client",
+            ),
+            ("[admission]\n[door]", "(line 1)", "duplicate"),
             ("[door]\nwaitng = 3", "door.waitng", "is 'waiting' meant?"),
             ("[door]\nwaiting = 0", "door.waiting", "is not from 1 to"),
             ("[door]\nrate = -1.0", "door.rate", "from 0 up"),
@@ -360,4 +458,33 @@
         }
         assert!(schema()["properties"]["log"].is_object());
     }
+
+    #[test]
+    fn a_file_of_an_earlier_version_is_read_and_its_old_names_are_told() {
+        let peers = "[peers]\nlisten = \"127.0.0.1:7200\"\n";
+        let old = format!("[door]\nby = \"customer\"\nopen = 7\n{peers}to = [\"127.0.0.1:7201\"]");
+        let new = format!(
+            "[admission]\nby = \"tenant\"\nopen = 7\n{peers}addresses = [\"127.0.0.1:7201\"]"
+        );
+        let (old, new) = (parse(&old).unwrap(), parse(&new).unwrap());
+        let told: Vec<(&str, &str)> = old
+            .deprecated
+            .iter()
+            .map(|key| (key.old, key.new))
+            .collect();
+        assert_eq!(
+            told,
+            [
+                ("door", "admission"),
+                ("peers.to", "peers.addresses"),
+                ("by = \"customer\"", "by = \"tenant\""),
+            ]
+        );
+        assert!(new.deprecated.is_empty());
+        let read = Operator {
+            deprecated: Vec::new(),
+            ..old
+        };
+        assert_eq!(read, new);
+    }
 }
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -214,7 +214,9 @@
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
         let mut actions = Actions::default();
         match event {
-            PolicyEvent::AttemptEnded { flow, unanswered, .. } => {
+            PolicyEvent::AttemptEnded {
+                flow, unanswered, ..
+            } => {
                 self.strike(flow);
                 actions.placement = unanswered.map(|flow| self.place(now, flow));
             }
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -11,7 +11,7 @@
 use crate::file;
 use crate::mischief::Mischief;
 use crate::rules::Verdict;
-use crate::simulate::{Who, simulate};
+use crate::simulate::{PolicyChoice, simulate};
 use crate::sockets::{self, Program};
 
 const SCENARIO: (&str, &str) = (
@@ -84,15 +84,12 @@
     let scenario = scenario(SCENARIO)?;
     let run = |who| simulate(&scenario, scenario.seed, who, None).map_err(|e| e.to_string());
     let mut said = Said::default();
-    said.sound(
-        "sound",
-        &run(Who::LoadBalancingPolicy(Kind::Module))?.verdict,
-    );
+    said.sound("sound", &run(PolicyChoice::Policy(Kind::Module))?.verdict);
     for mischief in Mischief::ALL {
         said.caught(
             mischief.name(),
             mischief,
-            &run(Who::Mischief(mischief))?.verdict,
+            &run(PolicyChoice::Mutant(mischief))?.verdict,
         );
     }
     Ok(said.closed())
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -12,10 +12,10 @@
 use crate::brains::Kind;
 use crate::figures::Figures;
 use crate::rules::Verdict;
-use crate::simulate::{Outcome, Who, simulate};
+use crate::simulate::{Outcome, PolicyChoice, simulate};
 
 /// Runs without a record, in order of the list, on so many threads.
-pub fn all(runs: &[(Scenario, u64, Who)], threads: usize) -> Vec<Outcome> {
+pub fn all(runs: &[(Scenario, u64, PolicyChoice)], threads: usize) -> Vec<Outcome> {
     let next = AtomicUsize::new(0);
     let done: Mutex<Vec<Option<Outcome>>> = Mutex::new(runs.iter().map(|_| None).collect());
     std::thread::scope(|scope| {
@@ -76,7 +76,13 @@
 }
 
 /// The same seeds under two brains.
-pub fn compare(scenario: &Scenario, a: Who, b: Who, seeds: u64, threads: usize) -> Vec<Row> {
+pub fn compare(
+    scenario: &Scenario,
+    a: PolicyChoice,
+    b: PolicyChoice,
+    seeds: u64,
+    threads: usize,
+) -> Vec<Row> {
     let each = |who| (0..seeds).map(move |k| (scenario.clone(), scenario.seed + k, who));
     let runs: Vec<_> = each(a).chain(each(b)).collect();
     let outcomes = all(&runs, threads);
@@ -135,7 +141,7 @@
     let baselines = [Kind::LeastConnections, Kind::RoundRobin];
     let each = |s: &Scenario| {
         let whos = std::iter::once(Kind::Module).chain(baselines);
-        whos.map(|kind| (s.clone(), s.seed, Who::LoadBalancingPolicy(kind)))
+        whos.map(|kind| (s.clone(), s.seed, PolicyChoice::Policy(kind)))
             .collect::<Vec<_>>()
     };
     let runs: Vec<_> = scenarios.iter().flat_map(each).collect();
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use nettlemux_admission::Config;
+use nettlemux_admission::AdmissionConfig;
 use nettlemux_fleet_model::scenario::{IdempotencySetting, Scenario, Weights};
 use nettlemux_policy::Time;
 use nettlemux_settings::{nearest, operator};
@@ -188,7 +188,7 @@
 }
 
 /// The door as a scenario has it: tenants are told apart by number, and weights name them c0, c1 and so on.
-pub fn door(keys: &operator::Door, longest: Time) -> Config {
+pub fn admission(keys: &operator::AdmissionSettings, longest: Time) -> AdmissionConfig {
     keys.config(longest, |name| {
         name.strip_prefix('c')
             .and_then(|number| number.parse().ok())
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -21,7 +21,7 @@
 use nettlemux_testbed::scale::measurement::LineWriter;
 use nettlemux_testbed::scale::scenario::ScaleScenario;
 use nettlemux_testbed::scale::{self, plot, table};
-use nettlemux_testbed::simulate::{Who, simulate};
+use nettlemux_testbed::simulate::{PolicyChoice, simulate};
 use nettlemux_testbed::sockets::Program;
 use nettlemux_testbed::{check, file, sockets};
 use serde_json::json;
@@ -230,7 +230,7 @@
             let outcome = simulate(
                 &scenario,
                 seed,
-                Who::LoadBalancingPolicy(policy),
+                PolicyChoice::Policy(policy),
                 writer.as_mut(),
             )
             .map_err(at)?;
@@ -265,8 +265,7 @@
                         Some(Side::Program(_)) => return Err(UNLIKE.into()),
                     };
                     for b in others {
-                        let (one, other) =
-                            (Who::LoadBalancingPolicy(a), Who::LoadBalancingPolicy(b));
+                        let (one, other) = (PolicyChoice::Policy(a), PolicyChoice::Policy(b));
                         let rows = experiment::compare(&scenario, one, other, seeds, threads);
                         out += &compared(
                             &scenario,
@@ -315,7 +314,7 @@
                         (
                             scenario.clone(),
                             scenario.seed + k,
-                            Who::LoadBalancingPolicy(policy),
+                            PolicyChoice::Policy(policy),
                         )
                     })
                     .collect();
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mischief.rs
@@ -138,7 +138,8 @@
         if let (
             Some(place),
             PolicyEvent::AttemptEnded {
-                unanswered: Some(flow), ..
+                unanswered: Some(flow),
+                ..
             },
         ) = (actions.placement, event)
         {
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of a scenario in virtual time.
 //!
 //! [`simulate`] plays a scenario's model (servers, discovery, clients and faults) against simulated balancers. Their
-//! decisions come from a [`Who`]: the decision module, a baseline, or a balancer that breaks a rule on purpose. The
+//! decisions come from a [`PolicyChoice`]: the decision module, a baseline, or a balancer that breaks a rule on purpose. The
 //! simulation itself decides nothing: it delivers events between clients, balancers and servers, shows every observable
 //! fact to the rules' judge, and gathers the figures. Events take effect in order of time, and at the same time in the
 //! order in which they were scheduled, so the same scenario, seed and decisions always give the same record.
@@ -37,19 +37,19 @@
 
 /// The source of every balancer's decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum PolicyChoice {
     /// A sound policy.
-    LoadBalancingPolicy(brains::Kind),
+    Policy(brains::Kind),
     /// A mutant that breaks one rule on purpose.
-    Mischief(Mischief),
+    Mutant(Mischief),
 }
 
-impl Who {
+impl PolicyChoice {
     /// The name as the command line has it.
     pub fn name(self) -> &'static str {
         match self {
-            Who::LoadBalancingPolicy(kind) => kind.name(),
-            Who::Mischief(mischief) => mischief.name(),
+            PolicyChoice::Policy(kind) => kind.name(),
+            PolicyChoice::Mutant(mischief) => mischief.name(),
         }
     }
 }
@@ -69,7 +69,7 @@
 pub fn simulate(
     scenario: &Scenario,
     seed: u64,
-    who: Who,
+    who: PolicyChoice,
     record: Option<&mut Writer>,
 ) -> io::Result<Outcome> {
     Simulation::new(scenario.clone(), seed, who, record).run()
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -106,7 +106,13 @@
 
     /// The key that admission control counts a flow under.
     fn admission_key(&self, id: ClientId, client: &Client) -> u64 {
-        match self.model.scenario.door.as_ref().map(|door| door.by) {
+        match self
+            .model
+            .scenario
+            .admission
+            .as_ref()
+            .map(|admission| admission.by)
+        {
             Some(By::Tenant) => client.tenant as u64,
             _ => id,
         }
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -5,7 +5,7 @@
 use nettlemux_fleet_model::seen::{Final, Seen};
 use nettlemux_policy::{FlowId, MS, Time};
 
-use super::Who;
+use super::PolicyChoice;
 use super::clients::PATIENCE;
 use super::event::Event;
 use super::flow::Attempt;
@@ -21,7 +21,7 @@
 
 impl Simulation<'_> {
     fn is_mutant(&self, mutant: Mischief) -> bool {
-        self.policy == Who::Mischief(mutant)
+        self.policy == PolicyChoice::Mutant(mutant)
     }
 
     /// Sends a rejection or failure to a client; mutants may lose, delay or repeat it.
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -15,7 +15,7 @@
 use super::event::Event;
 use super::flow::{ClientId, FlowPhase, FlowState};
 use super::queue::EventQueue;
-use super::{Outcome, Who};
+use super::{Outcome, PolicyChoice};
 use crate::figures::Gather;
 use crate::file;
 use crate::record::Writer;
@@ -39,7 +39,7 @@
     pub(super) next_flow: FlowId,
     /// The balancers' settings by zone.
     pub(super) settings: Vec<Value>,
-    pub(super) policy: Who,
+    pub(super) policy: PolicyChoice,
     pub(super) seed: u64,
     pub(super) rng: Dice,
     judge: Rules,
@@ -55,7 +55,7 @@
     pub(super) fn new(
         scenario: Scenario,
         seed: u64,
-        policy: Who,
+        policy: PolicyChoice,
         record: Option<&'a mut Writer>,
     ) -> Self {
         let zones = scenario.zones.number;
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -1,13 +1,13 @@
 //! The state at time 0, and the start of a balancer's process.
 
-use nettlemux_admission::Door;
+use nettlemux_admission::AdmissionController;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Seen, VERSION};
 use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy};
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
 
-use super::Who;
+use super::PolicyChoice;
 use super::balancer::SimulatedFlowTable;
 use super::event::Event;
 use super::flow::FlowState;
@@ -74,12 +74,13 @@
     fn new_flow_table(&self, balancer: usize) -> SimulatedFlowTable {
         let seed = self.balancer_seed(balancer);
         let flow_table = FlowTable::new(self.new_policy(balancer, seed));
-        match &self.model.scenario.door {
+        match &self.model.scenario.admission {
             None => flow_table,
             Some(keys) => {
                 let retry_after_max = seconds(self.model.scenario.limits.retry_after);
-                let admission = Door::new(file::door(keys, retry_after_max), seed);
-                flow_table.with_door(admission, retry_after_max > 0)
+                let admission =
+                    AdmissionController::new(file::admission(keys, retry_after_max), seed);
+                flow_table.with_admission(admission, retry_after_max > 0)
             }
         }
     }
@@ -87,10 +88,10 @@
     fn new_policy(&self, balancer: usize, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         let settings = &self.settings[self.balancers[balancer].zone];
         match self.policy {
-            Who::LoadBalancingPolicy(kind) => {
+            PolicyChoice::Policy(kind) => {
                 kind.brain(&Settings::within(settings).expect("an object"), seed)
             }
-            Who::Mischief(mischief) => mischief.brain(settings, seed),
+            PolicyChoice::Mutant(mischief) => mischief.brain(settings, seed),
         }
     }
 
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -146,9 +146,9 @@
             .map_err(|e| format!("{}: {e}", log.display()))?;
         let mut command = Command::new(&self.program.path);
         command.args(&self.program.args);
-        if let Some(door) = &scenario.door {
+        if let Some(admission) = &scenario.admission {
             let operator = Operator {
-                door: Some(door.clone()),
+                admission: Some(admission.clone()),
                 ..Operator::default()
             };
             let text = toml::to_string(&operator).map_err(|e| e.to_string())?;
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -9,7 +9,7 @@
 use nettlemux_testbed::brains::Kind;
 use nettlemux_testbed::record::{self, Writer};
 use nettlemux_testbed::rules::Rules;
-use nettlemux_testbed::simulate::{Who, simulate};
+use nettlemux_testbed::simulate::{PolicyChoice, simulate};
 use nettlemux_testbed::{experiment, file};
 
 fn scenarios() -> PathBuf {
@@ -34,7 +34,7 @@
 }
 
 fn module(scenario: &Scenario, seed: u64) -> nettlemux_testbed::simulate::Outcome {
-    simulate(scenario, seed, Who::Brain(Kind::Module), None).unwrap()
+    simulate(scenario, seed, PolicyChoice::Policy(Kind::Module), None).unwrap()
 }
 
 #[test]
@@ -61,8 +61,13 @@
     let run = |name: &str, seed: u64| {
         let file = temporary(name);
         let mut writer = Writer::create(&file).unwrap();
-        let outcome =
-            simulate(&scenario, seed, Who::Brain(Kind::Module), Some(&mut writer)).unwrap();
+        let outcome = simulate(
+            &scenario,
+            seed,
+            PolicyChoice::Policy(Kind::Module),
+            Some(&mut writer),
+        )
+        .unwrap();
         writer.finish().unwrap();
         let bytes = std::fs::read(&file).unwrap();
         std::fs::remove_file(file).unwrap();
@@ -300,7 +305,10 @@
 fn experiments_pair_seeds_sweep_and_hunt() {
     let mut scenario = load("crash");
     scenario.seconds = 40.0;
-    let (a, b) = (Who::Brain(Kind::Module), Who::Brain(Kind::Random));
+    let (a, b) = (
+        PolicyChoice::Policy(Kind::Module),
+        PolicyChoice::Policy(Kind::Random),
+    );
     let rows = experiment::compare(&scenario, a, b, 3, 3);
     let worth = rows.iter().find(|row| row.name == "worth").unwrap();
     assert!(
