--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -11,7 +11,7 @@
 use nettlemux_admission::AdmissionConfig;
 use nettlemux_dataplane::discovery::{self, ListUpdate};
 use nettlemux_dataplane::retry;
-use nettlemux_dataplane::shared::Term;
+use nettlemux_dataplane::shared::RuntimeSettings;
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
 use nettlemux_settings::operator::{self, Deprecated, Operator};
@@ -59,11 +59,11 @@
 
 impl Config {
     /// What the settings say beside the module's part.
-    pub fn term(&self) -> Term {
+    pub fn runtime_settings(&self) -> RuntimeSettings {
         let how = self.settings.maybe("report/how").and_then(Value::as_str);
         let stats = how != Some("silent");
         let (reports, dial_limit, asked) = (self.settings.reports(), self.dial_limit, self.asked);
-        Term {
+        RuntimeSettings {
             reports,
             stats,
             dial_limit,
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -3,7 +3,7 @@
 
 mod config;
 mod log;
-mod restart;
+mod re_exec;
 mod signals;
 
 use std::hash::{BuildHasher, RandomState};
@@ -16,19 +16,19 @@
 
 use bpaf::{Parser, construct, long, pure};
 use nettlemux_admission::AdmissionController;
-use nettlemux_dataplane::desk::{Desk, Given};
 use nettlemux_dataplane::discovery::{self, Agent};
-use nettlemux_dataplane::mail::Mailbox;
-use nettlemux_dataplane::orders::Ask;
-use nettlemux_dataplane::parts;
-use nettlemux_dataplane::peers::Peers;
-use nettlemux_dataplane::pool::{Buffers, Shares};
-use nettlemux_dataplane::probe::{self, Prober};
-use nettlemux_dataplane::shared::{Core, Terms};
+use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig};
+use nettlemux_dataplane::gossip::Peers;
+use nettlemux_dataplane::health_check::{self, HealthChecker};
+use nettlemux_dataplane::mailbox::Mailbox;
+use nettlemux_dataplane::messages::DispatcherMessage;
+use nettlemux_dataplane::pool::{Buffers, DescriptorBudgets};
+use nettlemux_dataplane::shared::{Dataplane, SharedSettings};
 use nettlemux_dataplane::shutdown::AnswerDeadline;
+use nettlemux_dataplane::supervisor;
 use nettlemux_flow_table::FlowTable;
-use nettlemux_line_protocol::first::Known;
-use nettlemux_line_protocol::take_in::{self, Front};
+use nettlemux_line_protocol::acceptor::{self, Acceptor};
+use nettlemux_line_protocol::first_line::FirstLineSettings;
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
 use nettlemux_settings::operator::{self, Deprecated, Format, Operator};
 use signal_hook::iterator::Signals;
@@ -183,32 +183,32 @@
     signals: Signals,
 ) -> Result<(), String> {
     // One core is all there is: one worker, free to run where the system puts it.
-    let shares = Shares::new(config.sockets, config.memory);
+    let budgets = DescriptorBudgets::new(config.sockets, config.memory);
     let runtime = may::config();
     runtime
         .set_workers(1)
         .set_stack_size(STACK)
         .set_worker_pin(false);
     // Guards against a client that is accepted and lost since its coroutine's stack can't be mapped at that moment.
-    runtime.set_pool_capacity(shares.coroutines());
+    runtime.set_pool_capacity(budgets.coroutines());
     let settings = &config
         .settings
         .clone()
         .with_gossip(operator.peers.is_some());
     let faulty = |e: nettlemux_settings::Malformed| format!("settings: {e}");
     let policy = settings.policy(config.seed, MARGIN, true).map_err(faulty)?;
-    let descriptors = shares.others.clone();
+    let descriptors = budgets.others.clone();
     let buffers = Buffers::new();
-    let asks = Mailbox::new();
-    let desk = asks.sender();
-    let terms = Terms::new(config.term());
-    let prober = Prober::new(probe::Means {
-        desk: desk.clone(),
+    let messages = Mailbox::new();
+    let dispatcher = messages.sender();
+    let runtime_settings = SharedSettings::new(config.runtime_settings());
+    let health_checker = HealthChecker::new(health_check::HealthCheckContext {
+        dispatcher: dispatcher.clone(),
         descriptors: descriptors.clone(),
         buffers: buffers.clone(),
-        terms: terms.clone(),
+        settings: runtime_settings.clone(),
     });
-    let mut known = Known::new(settings).map_err(faulty)?;
+    let mut known = FirstLineSettings::new(settings).map_err(faulty)?;
     let mut flow_table = FlowTable::new(policy);
     if let Some(keys) = &operator.admission {
         // New with each start: nobody can aim at another's place.
@@ -223,34 +223,37 @@
         info!(by = ?keys.by, waiting = keys.waiting, "a door with fair queues");
     }
     let admission_seed = known.by.map(|(_, seed)| seed);
-    let core = Arc::new(Core {
-        desk: desk.clone(),
+    let dataplane = Arc::new(Dataplane {
+        dispatcher: dispatcher.clone(),
         buffers: buffers.clone(),
-        shares,
+        budgets,
         ids: Arc::default(),
-        terms: terms.clone(),
+        settings: runtime_settings.clone(),
         numbers: AtomicU64::new(1),
     });
 
-    let front = Front::new(core.clone(), known);
+    let front = Acceptor::new(dataplane.clone(), known);
 
     let version = config.known.as_ref().map(|known| known.version);
     if let Some(known) = config.known.take() {
         let mut entries = known.entries;
         entries.retain(|entry| entry.state != EndpointState::Removed);
-        desk.send(Ask::StoredList(entries));
+        dispatcher.send(DispatcherMessage::StoredEndpoints(entries));
     }
     // The first that needs the coroutines' runtime.
     let listener =
-        catch_unwind(|| take_in::listen(config.listen)).map_err(|_| restart::begin_anew())?;
+        catch_unwind(|| acceptor::listen(config.listen)).map_err(|_| re_exec::re_exec())?;
     let listener = listener.map_err(|e| format!("can't listen at {}: {e}", config.listen))?;
-    let (flows, waiting) = (core.shares.flows.limit(), core.shares.waiting.limit());
+    let (flows, waiting) = (
+        dataplane.budgets.flows.limit(),
+        dataplane.budgets.waiting.limit(),
+    );
     info!(name = config.name, listen = %config.listen, sockets = config.sockets, flows, waiting, "serving");
     let (zones, machines) = (settings.names("areas"), settings.names("models"));
     let answer_deadline = AnswerDeadline::new(settings.longest_wait());
     let (peers, gossip) = match operator.peers {
         Some(keys) => {
-            let started = Peers::start(keys.listen, keys.addresses, desk.clone());
+            let started = Peers::start(keys.listen, keys.addresses, dispatcher.clone());
             let (peers, gossip) =
                 started.map_err(|e| format!("can't listen for words at {}: {e}", keys.listen))?;
             (Some((keys.listen, peers)), Some(gossip))
@@ -258,14 +261,22 @@
         None => (None, None),
     };
     signals::untold(&config.settings, peers.is_some());
-    let lobby = core.shares.waiting.clone();
-    let given = Given {
+    let pending_connections = dataplane.budgets.waiting.clone();
+    let given = DispatcherConfig {
         seed: config.seed,
         margin: MARGIN,
         answer_deadline,
-        lobby,
+        pending_connections,
     };
-    let whole_desk = Desk::new(flow_table, asks, zones, machines, prober, gossip, given);
+    let whole_desk = Dispatcher::new(
+        flow_table,
+        messages,
+        zones,
+        machines,
+        health_checker,
+        gossip,
+        given,
+    );
     let running = may::go!(move || whole_desk.run());
     let agent = Agent::new(config.discovery);
     let in_file = config.settings.clone();
@@ -276,26 +287,30 @@
         admission_seed,
         config,
         in_file,
-        terms: terms.clone(),
+        runtime_settings: runtime_settings.clone(),
         front: front.clone(),
         peers,
     };
-    signals::listen(signals, reload, desk.clone(), agent.clone())
+    signals::listen(signals, reload, dispatcher.clone(), agent.clone())
         .map_err(|e| format!("can't listen for signals: {e}"))?;
     let context = discovery::Context {
         agent,
-        terms,
+        settings: runtime_settings,
         seed,
         descriptors,
         buffers,
     };
-    let told = desk.clone();
+    let told = dispatcher.clone();
     may::go!(
-        move || parts::keep_up("discovery", &told, || discovery::watch(
+        move || supervisor::supervise("discovery", &told, || discovery::watch(
             version, &context, &told
         ))
     );
-    may::go!(move || parts::keep_up("the listener", &desk, || take_in::accept(&front, &listener)));
+    may::go!(
+        move || supervisor::supervise("the listener", &dispatcher, || acceptor::accept(
+            &front, &listener
+        ))
+    );
     let ended = running.join().unwrap_or(Err("the desk"));
     ended.map(|()| info!("ended")).map_err(|part| {
         error!(part, "a part has failed for good");
--- a/crates/balancer/src/restart.rs
+++ b/crates/balancer/src/re_exec.rs
@@ -15,7 +15,7 @@
 const INTERVAL: Duration = Duration::from_millis(200);
 
 /// Runs the program from its beginning, in this process; returns why where it can't.
-pub fn begin_anew() -> String {
+pub fn re_exec() -> String {
     let count = env::var(COUNT)
         .ok()
         .and_then(|count| count.parse().ok())
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 use nettlemux_dataplane::discovery::Agent;
-use nettlemux_dataplane::mail::Sender;
-use nettlemux_dataplane::orders::Ask;
-use nettlemux_dataplane::peers::Peers;
+use nettlemux_dataplane::gossip::Peers;
+use nettlemux_dataplane::mailbox::Sender;
+use nettlemux_dataplane::messages::DispatcherMessage;
 use nettlemux_dataplane::retry;
-use nettlemux_dataplane::shared::Terms;
-use nettlemux_line_protocol::first::Known;
-use nettlemux_line_protocol::take_in::Front;
+use nettlemux_dataplane::shared::SharedSettings;
+use nettlemux_line_protocol::acceptor::Acceptor;
+use nettlemux_line_protocol::first_line::FirstLineSettings;
 use nettlemux_settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -44,8 +44,8 @@
 pub struct Reload {
     /// The settings as the file had them last; those in force keep the places of what was named before.
     pub in_file: Settings,
-    pub terms: Arc<Terms>,
-    pub front: Arc<Front>,
+    pub runtime_settings: Arc<SharedSettings>,
+    pub front: Arc<Acceptor>,
     /// The way to the other balancers, where there is one, and where it listens.
     pub peers: Option<(SocketAddr, Arc<Peers>)>,
     pub file: Option<PathBuf>,
@@ -58,7 +58,7 @@
 pub fn listen(
     mut signals: Signals,
     mut reload: Reload,
-    desk: Sender<Ask>,
+    dispatcher: Sender<DispatcherMessage>,
     agent: Arc<Agent>,
 ) -> io::Result<()> {
     thread::Builder::new()
@@ -70,13 +70,14 @@
                 for signal in next(&mut signals, tries_left > 0) {
                     match signal {
                         SIGHUP => tries_left = RELOAD_TRIES,
-                        _ => desk.send(Ask::Terminate),
+                        _ => dispatcher.send(DispatcherMessage::Terminate),
                     }
                 }
                 if tries_left > 0 {
                     tries_left -= 1;
                     // Guards against a balancer that no longer hears SIGTERM since a reload has panicked.
-                    let reloaded = catch_unwind(AssertUnwindSafe(|| reload.again(&agent, &desk)));
+                    let reloaded =
+                        catch_unwind(AssertUnwindSafe(|| reload.again(&agent, &dispatcher)));
                     match reloaded {
                         Ok(Ok(())) => tries_left = 0,
                         Ok(Err(why)) if tries_left > 0 => {
@@ -114,22 +115,26 @@
 }
 
 impl Reload {
-    fn again(&mut self, agent: &Agent, desk: &Sender<Ask>) -> Result<(), String> {
+    fn again(
+        &mut self,
+        agent: &Agent,
+        dispatcher: &Sender<DispatcherMessage>,
+    ) -> Result<(), String> {
         // Both are read before either acts: a faulty one changes nothing.
         let new = config::load(self.file.as_deref()).map_err(|e| e.to_string())?;
         let operator = config::operator(self.operator.as_deref())?;
         // The last that may fail: from here on all is taken over.
         let merged = new.settings.following(&self.config.settings);
-        let known = merged.and_then(|merged| Ok((Known::new(&merged)?, merged)));
+        let known = merged.and_then(|merged| Ok((FirstLineSettings::new(&merged)?, merged)));
         let (known, merged) = known.map_err(|why| why.to_string())?;
         new.warn_of_unknown();
         config::warn_of_deprecated(&operator);
         if new.settings != self.in_file {
             // Before the front names what is new: the desk reads its mail in order.
-            desk.send(Ask::Change(Box::new(
+            dispatcher.send(DispatcherMessage::ApplySettings(Box::new(
                 merged.clone().with_gossip(self.peers.is_some()),
             )));
-            self.terms.change(new.term());
+            self.runtime_settings.change(new.runtime_settings());
             self.front.change(known);
             info!("other settings from now on");
             (self.in_file, self.config.settings) = (new.settings.clone(), merged);
@@ -146,9 +151,9 @@
             warn!(key, "a change of this key needs a restart");
         }
         match (&operator.admission, self.admission_seed) {
-            (Some(keys), Some(seed)) => {
-                desk.send(Ask::AdmissionController(config::admission(keys, seed, 0)))
-            }
+            (Some(keys), Some(seed)) => dispatcher.send(DispatcherMessage::ApplyAdmission(
+                config::admission(keys, seed, 0),
+            )),
             (None, None) => {}
             _ => warn!(key = "admission", "a change of this key needs a restart"),
         }
--- a/crates/dataplane/src/book.rs
+++ b/crates/dataplane/src/book.rs
@@ -7,9 +7,9 @@
 use tracing::{debug, error, info, warn};
 
 use crate::clock;
+use crate::messages::{AttemptTarget, DispatcherMessage};
 use crate::net::{Caller, LINGER};
-use crate::orders::{Ask, Target};
-use crate::shared::{Core, Id};
+use crate::shared::{Dataplane, Id};
 use crate::wire;
 
 /// How an attempt has ended that brought no connection.
@@ -21,7 +21,7 @@
 }
 
 pub struct Book {
-    core: Arc<Core>,
+    dataplane: Arc<Dataplane>,
     pub id: FlowId,
     pub caller: Caller,
     pub accepted_at: Time,
@@ -36,7 +36,7 @@
 }
 
 impl Book {
-    pub fn open(core: &Arc<Core>, flow: &Flow, caller: Caller, id: Id) -> Self {
+    pub fn open(dataplane: &Arc<Dataplane>, flow: &Flow, caller: Caller, id: Id) -> Self {
         let Flow {
             id: number,
             accepted_at,
@@ -44,7 +44,7 @@
             ..
         } = *flow;
         Book {
-            core: core.clone(),
+            dataplane: dataplane.clone(),
             id: number,
             caller,
             accepted_at,
@@ -69,11 +69,11 @@
         }
     }
 
-    pub fn tell(&self, ask: Ask) {
-        self.core.desk.send(ask);
+    pub fn tell(&self, ask: DispatcherMessage) {
+        self.dataplane.dispatcher.send(ask);
     }
 
-    pub fn connected(&mut self, target: &Target) {
+    pub fn connected(&mut self, target: &AttemptTarget) {
         self.owed = false;
         let took = clock::now().saturating_sub(self.accepted_at);
         debug!(
@@ -82,7 +82,7 @@
             took_ms = took / MS,
             "established"
         );
-        self.tell(Ask::Connected {
+        self.tell(DispatcherMessage::Connected {
             flow: self.id,
             took,
         });
@@ -90,7 +90,7 @@
 
     pub fn ended(
         &self,
-        target: &Target,
+        target: &AttemptTarget,
         Ended {
             end,
             known_unexecuted,
@@ -106,7 +106,7 @@
             left_ms,
             "connect ended"
         );
-        self.tell(Ask::Ended {
+        self.tell(DispatcherMessage::AttemptEnded {
             flow: self.id,
             server_id: target.server_id,
             number: target.number,
@@ -143,7 +143,7 @@
             // that has closed, to which this does no harm.
             self.unwritten = wire::FAILED;
             self.write_on();
-            self.tell(Ask::Left { flow: self.id });
+            self.tell(DispatcherMessage::ClientLeft { flow: self.id });
         }
     }
 
@@ -190,7 +190,9 @@
             let _ = self.caller.socket.write(wire::FAILED);
             self.caller.socket.end_sending();
         }
-        self.core.desk.send(Ask::Over { flow: self.id });
+        self.dataplane
+            .dispatcher
+            .send(DispatcherMessage::FlowClosed { flow: self.id });
     }
 }
 
@@ -201,20 +203,20 @@
     use std::sync::atomic::AtomicU64;
 
     use super::*;
-    use crate::mail::Mailbox;
-    use crate::pool::{Buffers, Descriptors, Shares};
+    use crate::mailbox::Mailbox;
+    use crate::pool::{Buffers, DescriptorBudgets, Descriptors};
 
     /// Guards against a flow that is lost, and a desk that keeps it, when its coroutine panics.
     #[test]
     fn a_flow_that_panics_is_answered_and_given_back() {
-        let asks = Mailbox::new();
+        let messages = Mailbox::new();
         let descriptors = Descriptors::new(9);
-        let core = Arc::new(Core {
-            desk: asks.sender(),
+        let dataplane = Arc::new(Dataplane {
+            dispatcher: messages.sender(),
             buffers: Buffers::new(),
-            shares: Shares::new(256, 32 << 20),
+            budgets: DescriptorBudgets::new(256, 32 << 20),
             ids: Arc::default(),
-            terms: Arc::default(),
+            settings: Arc::default(),
             numbers: AtomicU64::new(1),
         });
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -225,17 +227,17 @@
         let stream = listener.accept().unwrap().0;
         stream.set_nonblocking(true).unwrap();
         let slot = descriptors.take(0).unwrap();
-        let id = core.ids.take("9b1f").unwrap();
+        let id = dataplane.ids.take("9b1f").unwrap();
         // Guards against a flow that is opened under another's id, also once that has ended.
-        assert!(core.ids.take("9b1f").is_none());
-        let ids = core.ids.clone();
+        assert!(dataplane.ids.take("9b1f").is_none());
+        let ids = dataplane.ids.clone();
         let flow = Flow {
             id: 5,
             deadline: Time::MAX,
             ..Flow::default()
         };
         let panicked = may::go!(move || {
-            let _book = Book::open(&core, &flow, Caller::new(stream, slot), id);
+            let _book = Book::open(&dataplane, &flow, Caller::new(stream, slot), id);
             panic!("on purpose");
         });
         assert!(panicked.join().is_err());
@@ -243,10 +245,13 @@
         let mut answer = String::new();
         client.read_to_string(&mut answer).unwrap();
         assert_eq!(answer.as_bytes(), wire::FAILED);
-        let told = may::go!(move || asks.next(clock::now() + 1000 * MS))
+        let told = may::go!(move || messages.next(clock::now() + 1000 * MS))
             .join()
             .unwrap();
-        assert!(matches!(told, Some(Ask::Over { flow: 5 })));
+        assert!(matches!(
+            told,
+            Some(DispatcherMessage::FlowClosed { flow: 5 })
+        ));
         let until = clock::now() + 1000 * MS;
         while descriptors.open() > 0 {
             assert!(clock::now() < until, "its descriptor is given back");
--- a/crates/dataplane/src/clock.rs
+++ b/crates/dataplane/src/clock.rs
@@ -7,7 +7,7 @@
 use nettlemux_policy::Time;
 
 /// The time now: the wall clock as it was at the first call, gone on by the monotonic clock. The wall clock may be stepped, so
-/// it is read once and serves for nothing but the starts on the first list (`starts.rs`).
+/// it is read once and serves for nothing but the starts on the first list (`start_times.rs`).
 pub fn now() -> Time {
     static START: OnceLock<(Instant, Time)> = OnceLock::new();
     let (instant, unix) = START.get_or_init(|| {
--- a/crates/dataplane/src/discovery.rs
+++ b/crates/dataplane/src/discovery.rs
@@ -20,11 +20,11 @@
 use self::backoff::{Failure, QUEUE_TIMEOUT, RETRY_MIN, pause, pause_limit};
 pub use self::list::{ListUpdate, update_of};
 use crate::clock;
-use crate::mail::{Mailbox, Sender};
+use crate::mailbox::{Mailbox, Sender};
+use crate::messages::DispatcherMessage;
 use crate::net::{Caller, ConnectionError};
-use crate::orders::Ask;
 use crate::pool::{Buffers, Descriptors};
-use crate::shared::Terms;
+use crate::shared::SharedSettings;
 
 /// How long one call is held. Short, since a silent agent shows only once a hold is over: what it should have
 /// told counts as told 2 s after.
@@ -43,7 +43,7 @@
 /// What the watch needs.
 pub struct Context {
     pub agent: Arc<Agent>,
-    pub terms: Arc<Terms>,
+    pub settings: Arc<SharedSettings>,
     /// For random draws.
     pub seed: u64,
     pub descriptors: Arc<Descriptors>,
@@ -51,10 +51,10 @@
 }
 
 /// Watches for as long as the desk listens, from the version that is known.
-pub fn watch(known: Option<u64>, context: &Context, desk: &Sender<Ask>) {
+pub fn watch(known: Option<u64>, context: &Context, dispatcher: &Sender<DispatcherMessage>) {
     let mut watcher = Watcher {
         context,
-        desk,
+        dispatcher,
         rng: WyRand::new_seed(context.seed),
         connection: None,
         version: known,
@@ -72,7 +72,7 @@
 
 struct Watcher<'a> {
     context: &'a Context,
-    desk: &'a Sender<Ask>,
+    dispatcher: &'a Sender<DispatcherMessage>,
     rng: WyRand,
     /// Kept from the last call.
     connection: Option<Caller>,
@@ -176,7 +176,7 @@
 
     fn request(&self) -> Request {
         let started = clock::now();
-        let ask_within = self.context.terms.now().asked;
+        let ask_within = self.context.settings.now().asked;
         // Where one service is asked by all, a whole list for each after its failure would fill its queue.
         let after_restart = self.restarted && ask_within.is_none() && started >= self.next_whole;
         let from = self.version.filter(|_| !after_restart);
@@ -263,7 +263,7 @@
         // The first answer is told even if nothing has changed: from then on the list is watched.
         let first = !std::mem::replace(&mut self.answered, true);
         if first || is_complete || !entries.is_empty() {
-            self.desk.send(Ask::List {
+            self.dispatcher.send(DispatcherMessage::EndpointsUpdated {
                 entries,
                 is_complete,
             });
@@ -281,7 +281,7 @@
         self.connection = None;
         if self.failed == 0 {
             warn!(%error, "discovery fails");
-            self.desk.send(Ask::ListFailed);
+            self.dispatcher.send(DispatcherMessage::EndpointPollFailed);
         }
         self.restarted |= ended(error);
         let took = clock::now() - request.started;
--- a/crates/dataplane/src/discovery/agent.rs
+++ b/crates/dataplane/src/discovery/agent.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::mail::Sender;
-use crate::orders::Event;
+use crate::mailbox::Sender;
+use crate::messages::FlowEvent;
 
 /// Where the agent is now. It may move at any time, also several times in a row.
 pub struct Agent {
@@ -18,7 +18,7 @@
     /// How often it has moved.
     pub moves: u64,
     /// Wakes whoever waits for the agent.
-    notifier: Option<Sender<Event>>,
+    notifier: Option<Sender<FlowEvent>>,
 }
 
 impl Agent {
@@ -37,7 +37,7 @@
         let mut current = self.current();
         (current.address, current.moves) = (address, current.moves + 1);
         if let Some(notifier) = &current.notifier {
-            notifier.send(Event::Stop);
+            notifier.send(FlowEvent::Stop);
         }
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Wakes this one when the agent moves; false where it has moved from there already.
-    pub(super) fn notify(&self, notifier: Sender<Event>, location: &Location) -> bool {
+    pub(super) fn notify(&self, notifier: Sender<FlowEvent>, location: &Location) -> bool {
         let mut current = self.current();
         current.notifier = Some(notifier);
         current.moves == location.moves
--- a/crates/dataplane/src/discovery/list.rs
+++ b/crates/dataplane/src/discovery/list.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use tracing::warn;
 
-use crate::orders::Entry;
+use crate::messages::DiscoveredEndpoint;
 
 /// An update is nested no deeper; entries lie at the third level. Guards against a parser that follows it down past the end of a
 /// coroutine's stack, which ends the coroutine without a word: 128 levels, as far as the parser goes, are too many there.
@@ -17,7 +17,7 @@
 pub struct ListUpdate {
     pub version: u64,
     pub is_complete: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<DiscoveredEndpoint>,
 }
 
 /// Reads an update from an answer's body.
@@ -61,7 +61,7 @@
     })
 }
 
-fn entry(value: &Value) -> Result<Entry, String> {
+fn entry(value: &Value) -> Result<DiscoveredEndpoint, String> {
     let text = |key: &str| match value.get(key) {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Null) | None => String::new(),
@@ -87,7 +87,7 @@
         .get("startedAtMs")
         .and_then(Value::as_u64)
         .unwrap_or(0);
-    Ok(Entry {
+    Ok(DiscoveredEndpoint {
         name,
         address,
         zone: text("zone"),
--- a/crates/dataplane/src/desk.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -16,16 +16,19 @@
 use tracing::{error, info, warn};
 
 use crate::clock;
-use crate::mail::{Mailbox, Sender};
-use crate::orders::{Ask, Entry, Event, GossipMessage, Order, Server, Target};
+use crate::health_check::HealthChecker;
+use crate::mailbox::{Mailbox, Sender};
+use crate::messages::{
+    AttemptTarget, DiscoveredEndpoint, DispatcherMessage, FlowCommand, FlowEvent, GossipMessage,
+    Server,
+};
 use crate::pool::Descriptors;
-use crate::probe::Prober;
 use crate::shutdown::AnswerDeadline;
-use crate::starts::StartTimes;
+use crate::start_times::StartTimes;
 
 /// Who is told what becomes of a flow.
 struct Client {
-    mail: Sender<Event>,
+    mailbox: Sender<FlowEvent>,
     /// Where it was open before the run, until it is open there again.
     inherited: Option<(Flow, ServerId)>,
 }
@@ -83,29 +86,29 @@
 const COMING: Time = 400 * MS;
 
 /// What a module made from other settings is given, and what the end of the balancer waits for.
-pub struct Given {
+pub struct DispatcherConfig {
     pub seed: u64,
     pub margin: Time,
     /// When the last answer is due once the end is asked for.
     pub answer_deadline: AnswerDeadline,
     /// Connections that no flow has come of yet, or that are on their way out.
-    pub lobby: Arc<Descriptors>,
+    pub pending_connections: Arc<Descriptors>,
 }
 
-pub struct Desk {
+pub struct Dispatcher {
     flow_table: FlowTable,
-    asks: Mailbox<Ask>,
+    messages: Mailbox<DispatcherMessage>,
     clients: BTreeMap<FlowId, Client>,
     servers: BTreeMap<ServerId, Arc<Server>>,
-    starts: StartTimes,
+    start_times: StartTimes,
     ids: Names,
     zones: Names,
     machines: Names,
     cells: Names,
-    prober: Prober,
+    health_checker: HealthChecker,
     /// The way to the other balancers, where there is one.
     gossip: Option<Sender<GossipMessage>>,
-    given: Given,
+    given: DispatcherConfig,
     /// The next time at which the module wants to be asked.
     due: Option<Time>,
     terminated: Option<Time>,
@@ -116,27 +119,27 @@
     last_answer_passed: bool,
 }
 
-impl Desk {
+impl Dispatcher {
     pub fn new(
         flow_table: FlowTable,
-        asks: Mailbox<Ask>,
+        messages: Mailbox<DispatcherMessage>,
         zones: Vec<String>,
         machines: Vec<String>,
-        prober: Prober,
+        health_checker: HealthChecker,
         gossip: Option<Sender<GossipMessage>>,
-        given: Given,
+        given: DispatcherConfig,
     ) -> Self {
-        Desk {
+        Dispatcher {
             flow_table,
-            asks,
+            messages,
             clients: BTreeMap::new(),
             servers: BTreeMap::new(),
-            starts: StartTimes::default(),
+            start_times: StartTimes::default(),
             ids: Names::default(),
             zones: Names::of(zones),
             machines: Names::of(machines),
             cells: Names::default(),
-            prober,
+            health_checker,
             gossip,
             given,
             due: None,
@@ -162,23 +165,23 @@
             }
             // Something is due soon while ending.
             let ending = self.terminated.map(|_| now + STEP);
-            let descriptor = self.prober.waits().then_some(now + DESCRIPTOR);
+            let descriptor = self.health_checker.waits().then_some(now + DESCRIPTOR);
             let until = [self.due, ending, descriptor]
                 .into_iter()
                 .flatten()
                 .min()
                 .unwrap_or(now + SEC);
-            let ask = self.asks.next(until);
-            if let Some(Ask::Broken(part)) = ask {
+            let ask = self.messages.next(until);
+            if let Some(DispatcherMessage::ServiceFailed(part)) = ask {
                 return Err(part);
             }
             let flow = match &ask {
-                Some(Ask::Place { flow, .. }) => Some(flow.id),
-                Some(Ask::Ended { flow, .. }) => Some(*flow),
+                Some(DispatcherMessage::PlaceFlow { flow, .. }) => Some(flow.id),
+                Some(DispatcherMessage::AttemptEnded { flow, .. }) => Some(*flow),
                 _ => None,
             };
             // Guards against a fault in one decision that takes every flow with it.
-            self.prober.go_on();
+            self.health_checker.go_on();
             if catch_unwind(AssertUnwindSafe(|| self.turn(ask))).is_err() {
                 error!(?flow, "a decision panicked; its flow is aborted");
                 if let Some(id) = flow {
@@ -194,7 +197,7 @@
         }
     }
 
-    fn turn(&mut self, ask: Option<Ask>) {
+    fn turn(&mut self, ask: Option<DispatcherMessage>) {
         let now = clock::now();
         if let Some(ask) = ask {
             self.handle(now, ask);
@@ -207,13 +210,13 @@
         }
     }
 
-    fn handle(&mut self, now: Time, ask: Ask) {
+    fn handle(&mut self, now: Time, ask: DispatcherMessage) {
         match ask {
-            Ask::Place { flow, who, mail } => {
+            DispatcherMessage::PlaceFlow { flow, who, mailbox } => {
                 self.clients.insert(
                     flow.id,
                     Client {
-                        mail,
+                        mailbox,
                         inherited: None,
                     },
                 );
@@ -221,31 +224,31 @@
                     flow_table.accept(now, flow, who, commands)
                 });
             }
-            Ask::Inherit { flow, at, mail } => {
+            DispatcherMessage::AdoptConnection { flow, at, mailbox } => {
                 let server_id = self.ids.lasting(&at);
                 let (until, by) = (flow.deadline, flow.deadline);
-                let order = match self.servers.get(&server_id) {
+                let command = match self.servers.get(&server_id) {
                     // Nobody is waited for any more.
-                    _ if self.last_answer_passed => Order::Fail,
-                    Some(server) => Order::Attempt(Target {
+                    _ if self.last_answer_passed => FlowCommand::Fail,
+                    Some(server) => FlowCommand::StartAttempt(AttemptTarget {
                         server_id,
                         number: 0,
                         server: server.clone(),
                         until,
                         by,
                     }),
-                    None => Order::NotListed,
+                    None => FlowCommand::EndpointUnknown,
                 };
-                mail.send(Event::Order(order));
+                mailbox.send(FlowEvent::Command(command));
                 self.clients.insert(
                     flow.id,
                     Client {
-                        mail,
+                        mailbox,
                         inherited: Some((flow, server_id)),
                     },
                 );
             }
-            Ask::Connected { flow, took } => {
+            DispatcherMessage::Connected { flow, took } => {
                 let Some(client) = self.clients.get_mut(&flow) else {
                     return;
                 };
@@ -256,7 +259,7 @@
                     }),
                 }
             }
-            Ask::Ended {
+            DispatcherMessage::AttemptEnded {
                 flow,
                 server_id,
                 number,
@@ -278,17 +281,19 @@
                     });
                 }
             }
-            Ask::Load { flow, load } => self.flow_table.update_connection_load(flow, load),
-            Ask::Left { flow } => self.commands(now, |flow_table, commands| {
+            DispatcherMessage::ConnectionLoad { flow, load } => {
+                self.flow_table.update_connection_load(flow, load)
+            }
+            DispatcherMessage::ClientLeft { flow } => self.commands(now, |flow_table, commands| {
                 flow_table.client_left(now, flow, commands)
             }),
-            Ask::Over { flow } => {
+            DispatcherMessage::FlowClosed { flow } => {
                 self.commands(now, |flow_table, commands| {
                     flow_table.remove(now, flow, commands)
                 });
                 self.clients.remove(&flow);
             }
-            Ask::Probed {
+            DispatcherMessage::HealthChecked {
                 server_id,
                 passed,
                 report,
@@ -297,16 +302,18 @@
                     flow_table.health_checked(now, server_id, passed, report, commands)
                 });
             }
-            Ask::StoredList(entries) => self.update_endpoints(now, entries, true),
-            Ask::List {
+            DispatcherMessage::StoredEndpoints(entries) => {
+                self.update_endpoints(now, entries, true)
+            }
+            DispatcherMessage::EndpointsUpdated {
                 entries,
                 is_complete,
             } => {
                 self.update_endpoints(now, entries, is_complete);
-                self.starts.watch();
+                self.start_times.watch();
             }
-            Ask::ListFailed => self.flow_table.endpoint_poll_failed(now),
-            Ask::GossipReceived(message) => {
+            DispatcherMessage::EndpointPollFailed => self.flow_table.endpoint_poll_failed(now),
+            DispatcherMessage::GossipReceived(message) => {
                 // One that our list doesn't name is none of ours.
                 if let Some(server_id) = self
                     .ids
@@ -322,10 +329,10 @@
                     );
                 }
             }
-            Ask::Change(settings) => self.change(*settings),
-            Ask::AdmissionController(config) => self.flow_table.change_admission(config),
-            Ask::Broken(_) => {}
-            Ask::Terminate => {
+            DispatcherMessage::ApplySettings(settings) => self.change(*settings),
+            DispatcherMessage::ApplyAdmission(config) => self.flow_table.change_admission(config),
+            DispatcherMessage::ServiceFailed(_) => {}
+            DispatcherMessage::Terminate => {
                 info!(flows = self.clients.len(), "asked to end");
                 self.terminated.get_or_insert(now);
                 self.given.answer_deadline.terminate(now);
@@ -351,7 +358,7 @@
         }
     }
 
-    fn update_endpoints(&mut self, now: Time, entries: Vec<Entry>, is_complete: bool) {
+    fn update_endpoints(&mut self, now: Time, entries: Vec<DiscoveredEndpoint>, is_complete: bool) {
         let mut listed = Vec::new();
         let mut told = Vec::new();
         for entry in entries {
@@ -364,7 +371,7 @@
                 cell: self.cells.number(&entry.cell),
                 state: entry.state,
                 weight: entry.weight,
-                started: self.starts.of(now, server_id, entry.started),
+                started: self.start_times.of(now, server_id, entry.started),
             });
             let ready = entry.state == EndpointState::Ready;
             match self.servers.get(&server_id) {
@@ -406,9 +413,9 @@
             self.servers.remove(&gone.server_id);
         }
         let servers = &self.servers;
-        self.prober
+        self.health_checker
             .keep(|server_id| servers.contains_key(&server_id));
-        self.starts
+        self.start_times
             .keep(servers.len(), |server_id| servers.contains_key(&server_id));
         self.flow_table.update_endpoints(now, &listed, is_complete);
     }
@@ -440,9 +447,9 @@
             } => match self.servers.get(&server_id) {
                 Some(server) => {
                     let (server, until, by) = (server.clone(), now + timeout, now + send_within);
-                    self.order(
+                    self.command(
                         flow,
-                        Order::Attempt(Target {
+                        FlowCommand::StartAttempt(AttemptTarget {
                             server_id,
                             number,
                             server,
@@ -457,18 +464,22 @@
                         server_id, "the module names a server without an address"
                     );
                     self.flow_table.mark_answered(flow);
-                    self.order(flow, Order::Fail);
+                    self.command(flow, FlowCommand::Fail);
                 }
             },
             PolicyCommand::Reject { flow, retry_after } => {
-                self.order(flow, Order::Reject(retry_after))
+                self.command(flow, FlowCommand::Reject(retry_after))
+            }
+            PolicyCommand::Fail { flow } => self.command(flow, FlowCommand::Fail),
+            PolicyCommand::Migrate { flow } => {
+                self.command(flow, FlowCommand::Migrate(now + LINE_END))
+            }
+            PolicyCommand::CancelAttempt { flow, .. } => {
+                self.command(flow, FlowCommand::CancelAttempt)
             }
-            PolicyCommand::Fail { flow } => self.order(flow, Order::Fail),
-            PolicyCommand::Migrate { flow } => self.order(flow, Order::Move(now + LINE_END)),
-            PolicyCommand::CancelAttempt { flow, .. } => self.order(flow, Order::CallOff),
             PolicyCommand::CheckHealth { server_id } => {
                 if let Some(server) = self.servers.get(&server_id) {
-                    self.prober.probe(server_id, server.clone());
+                    self.health_checker.health_check(server_id, server.clone());
                 }
             }
             // The watch always runs, so there is nothing to ask for.
@@ -484,9 +495,9 @@
         }
     }
 
-    fn order(&self, id: FlowId, order: Order) {
+    fn command(&self, id: FlowId, command: FlowCommand) {
         if let Some(client) = self.clients.get(&id) {
-            client.mail.send(Event::Order(order));
+            client.mailbox.send(FlowEvent::Command(command));
         }
     }
 
@@ -513,7 +524,7 @@
                 .map(|(id, _)| *id)
                 .collect();
             for id in ids {
-                self.order(id, Order::Move(since + move_until));
+                self.command(id, FlowCommand::Migrate(since + move_until));
                 self.moved_up_to = id + 1;
             }
         }
@@ -525,16 +536,20 @@
                 owed = flow_table.shorten_deadlines(now, commands)
             });
             for id in owed {
-                self.order(id, Order::TimeUp);
+                self.command(id, FlowCommand::AttemptTimedOut);
             }
             // The hand knows none of those that were open before the run and are not yet again.
             let waiting = self
                 .clients
                 .iter()
                 .filter(|(_, client)| client.inherited.is_some());
-            waiting.for_each(|(_, client)| client.mail.send(Event::Order(Order::TimeUp)));
+            waiting.for_each(|(_, client)| {
+                client
+                    .mailbox
+                    .send(FlowEvent::Command(FlowCommand::AttemptTimedOut))
+            });
         }
-        let all_said = self.clients.is_empty() && self.given.lobby.open() == 0;
+        let all_said = self.clients.is_empty() && self.given.pending_connections.open() == 0;
         passed >= last_answer + EXIT || passed >= move_until && all_said
     }
 }
--- a/crates/dataplane/src/peers.rs
+++ b/crates/dataplane/src/gossip.rs
@@ -11,8 +11,8 @@
 use tracing::{info, warn};
 
 use crate::clock;
-use crate::mail::{Mailbox, Sender};
-use crate::orders::{Ask, GossipMessage};
+use crate::mailbox::{Mailbox, Sender};
+use crate::messages::{DispatcherMessage, GossipMessage};
 
 /// The form of our messages; what begins otherwise is another version's and passed over.
 const VERSION: u8 = 1;
@@ -39,7 +39,7 @@
     pub fn start(
         listen: SocketAddr,
         others: Vec<SocketAddr>,
-        desk: Sender<Ask>,
+        dispatcher: Sender<DispatcherMessage>,
     ) -> io::Result<(Arc<Self>, Sender<GossipMessage>)> {
         let socket = UdpSocket::bind(listen)?;
         let own = socket.local_addr()?;
@@ -52,7 +52,7 @@
         let messages = Mailbox::new();
         let sender = messages.sender();
         let (receives, sends) = (peers.clone(), peers.clone());
-        may::go!(move || receives.receive(&desk));
+        may::go!(move || receives.receive(&dispatcher));
         may::go!(move || {
             loop {
                 if let Some(message) = messages.next(clock::now() + SEC) {
@@ -81,7 +81,7 @@
         }
     }
 
-    fn receive(&self, desk: &Sender<Ask>) {
+    fn receive(&self, dispatcher: &Sender<DispatcherMessage>) {
         let mut bytes = [0; MESSAGE_BYTES_MAX];
         let (mut second, mut received): (Time, usize) = (0, 0);
         loop {
@@ -103,7 +103,7 @@
                         let known =
                             received < RECEIVED_PER_SECOND_MAX && self.others().contains(&from);
                         if let Some(message) = read(&bytes[..length]).filter(|_| known) {
-                            desk.send(Ask::GossipReceived(message));
+                            dispatcher.send(DispatcherMessage::GossipReceived(message));
                         }
                     }
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
--- a/crates/dataplane/src/probe.rs
+++ b/crates/dataplane/src/health_check.rs
@@ -10,11 +10,11 @@
 use tracing::{debug, warn};
 
 use crate::clock;
-use crate::mail::{Mailbox, Sender};
+use crate::mailbox::{Mailbox, Sender};
+use crate::messages::{DispatcherMessage, Server};
 use crate::net::{Caller, ConnectionError};
-use crate::orders::{Ask, Server};
 use crate::pool::{Buffers, Descriptors, Slot};
-use crate::shared::Terms;
+use crate::shared::SharedSettings;
 use crate::wire;
 
 /// A probe that has brought nothing by then has failed. Well inside the module's shortest probe interval, and
@@ -27,24 +27,24 @@
 const IN_TURN: usize = 6;
 
 #[derive(Clone)]
-pub struct Means {
-    pub desk: Sender<Ask>,
+pub struct HealthCheckContext {
+    pub dispatcher: Sender<DispatcherMessage>,
     pub descriptors: Arc<Descriptors>,
     pub buffers: Arc<Buffers>,
-    pub terms: Arc<Terms>,
+    pub settings: Arc<SharedSettings>,
 }
 
-pub struct Prober {
-    means: Means,
+pub struct HealthChecker {
+    means: HealthCheckContext,
     /// Those that are being asked, or whose connection stays open.
     lines: BTreeMap<ServerId, Line<Arc<Server>>>,
     /// Those that no descriptor was left for, in order.
     queue: VecDeque<(ServerId, Arc<Server>)>,
 }
 
-impl Prober {
-    pub fn new(means: Means) -> Self {
-        Prober {
+impl HealthChecker {
+    pub fn new(means: HealthCheckContext) -> Self {
+        HealthChecker {
             means,
             lines: BTreeMap::new(),
             queue: VecDeque::new(),
@@ -52,7 +52,7 @@
     }
 
     /// Asks it now, or once there is a descriptor.
-    pub fn probe(&mut self, server_id: ServerId, server: Arc<Server>) {
+    pub fn health_check(&mut self, server_id: ServerId, server: Arc<Server>) {
         if self
             .lines
             .get(&server_id)
@@ -106,7 +106,7 @@
     mut server: Arc<Server>,
     slot: Slot,
     asked: &Receiver<Arc<Server>>,
-    means: &Means,
+    means: &HealthCheckContext,
 ) {
     let mut slot = Some(slot);
     let mut open: Option<(Arc<Server>, Caller)> = None;
@@ -117,13 +117,13 @@
             .take()
             .filter(|(to, caller)| Arc::ptr_eq(to, &server) && caller.quiet());
         let again = kept.is_some();
-        let mut result = probe(kept.map(|k| k.1), slot.take(), &server, means, until);
+        let mut result = health_check(kept.map(|k| k.1), slot.take(), &server, means, until);
         if again
             && result
                 .as_ref()
                 .is_err_and(|e| !matches!(e, ProbeError::Failed(ConnectionError::Deadline)))
         {
-            result = probe(None, None, &server, means, until);
+            result = health_check(None, None, &server, means, until);
         }
         match result {
             Ok((caller, passed, report)) => {
@@ -131,7 +131,7 @@
                 open = caller
                     .filter(|_| means.descriptors.room(IN_TURN))
                     .map(|caller| (server.clone(), caller));
-                means.desk.send(Ask::Probed {
+                means.dispatcher.send(DispatcherMessage::HealthChecked {
                     server_id,
                     passed,
                     report,
@@ -143,7 +143,7 @@
             }
             Err(ProbeError::Failed(e)) => {
                 debug!(server = server.name, error = %e, "probe fails");
-                means.desk.send(Ask::Probed {
+                means.dispatcher.send(DispatcherMessage::HealthChecked {
                     server_id,
                     passed: false,
                     report: LoadReport::default(),
@@ -177,11 +177,11 @@
 }
 
 /// One question: the connection, where nothing came after the answer, whether it passed, and the report.
-fn probe(
+fn health_check(
     kept: Option<Caller>,
     slot: Option<Slot>,
     server: &Server,
-    means: &Means,
+    means: &HealthCheckContext,
     until: Time,
 ) -> Result<(Option<Caller>, bool, LoadReport), ProbeError> {
     let caller = match kept {
@@ -193,9 +193,9 @@
             Caller::dial(Mailbox::new(), server.address, slot, until)?
         }
     };
-    let term = means.terms.now();
+    let settings = means.settings.now();
     caller.write(
-        if term.stats {
+        if settings.stats {
             b"STATS\r\n"
         } else {
             b"PING\r\n"
@@ -205,7 +205,7 @@
     let mut bytes = means.buffers.take();
     let mut held = 0;
     let (length, next) = caller.line(&mut bytes[..], &mut held, until)?;
-    let (passed, report) = wire::probed(&bytes[..length], &term.reports);
+    let (passed, report) = wire::health_checked(&bytes[..length], &settings.reports);
     debug!(server = server.name, answer = %String::from_utf8_lossy(&bytes[..length]), "probe");
     Ok(((next == held).then_some(caller), passed, report))
 }
--- a/crates/dataplane/src/orders.rs
+++ b/crates/dataplane/src/messages.rs
@@ -10,20 +10,20 @@
 use nettlemux_policy::{AttemptEnd, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
 use nettlemux_settings::Settings;
 
-use crate::mail::Sender;
+use crate::mailbox::Sender;
 
 /// What a flow's coroutine is woken by.
-pub enum Event {
+pub enum FlowEvent {
     /// Something may have happened on one of its sockets.
-    Rung,
-    Order(Order),
+    SocketReady,
+    Command(FlowCommand),
     /// Give up what is waited for.
     Stop,
 }
 
 /// A server as discovery tells of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct DiscoveredEndpoint {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -42,23 +42,23 @@
 }
 
 /// What the desk is asked or told.
-pub enum Ask {
-    Place {
+pub enum DispatcherMessage {
+    PlaceFlow {
         flow: Flow,
         who: ClientIdentity,
-        mail: Sender<Event>,
+        mailbox: Sender<FlowEvent>,
     },
     /// A connection that was open at that server before the run.
-    Inherit {
+    AdoptConnection {
         flow: Flow,
         at: String,
-        mail: Sender<Event>,
+        mailbox: Sender<FlowEvent>,
     },
     Connected {
         flow: FlowId,
         took: Time,
     },
-    Ended {
+    AttemptEnded {
         flow: FlowId,
         server_id: ServerId,
         number: usize,
@@ -66,60 +66,60 @@
         known_unexecuted: bool,
         report: LoadReport,
     },
-    Load {
+    ConnectionLoad {
         flow: FlowId,
         load: f64,
     },
     /// The client went away.
-    Left {
+    ClientLeft {
         flow: FlowId,
     },
     /// Nothing more comes of this flow.
-    Over {
+    FlowClosed {
         flow: FlowId,
     },
-    Probed {
+    HealthChecked {
         server_id: ServerId,
         passed: bool,
         report: LoadReport,
     },
     /// The list as the balancer's configuration has it, perhaps old.
-    StoredList(Vec<Entry>),
+    StoredEndpoints(Vec<DiscoveredEndpoint>),
     /// What discovery tells: the changes, or the whole list.
-    List {
-        entries: Vec<Entry>,
+    EndpointsUpdated {
+        entries: Vec<DiscoveredEndpoint>,
         is_complete: bool,
     },
-    ListFailed,
+    EndpointPollFailed,
     /// Another balancer's word.
     GossipReceived(GossipMessage),
     /// Other settings from now on.
-    Change(Box<Settings>),
+    ApplySettings(Box<Settings>),
     /// New limits and weights for the door.
-    AdmissionController(AdmissionConfig),
+    ApplyAdmission(AdmissionConfig),
     /// The balancer is to end.
     Terminate,
     /// A part without which it is of no use has failed for good.
-    Broken(&'static str),
+    ServiceFailed(&'static str),
 }
 
 /// What a flow's coroutine is told to do.
-pub enum Order {
-    Attempt(Target),
+pub enum FlowCommand {
+    StartAttempt(AttemptTarget),
     Reject(Option<Time>),
     Fail,
     /// The server that it was open at before the run isn't listed.
-    NotListed,
+    EndpointUnknown,
     /// Send the client away: between two lines of the server while it is not yet that time, beside half a line from then on.
-    Move(Time),
+    Migrate(Time),
     /// Stop waiting for the attempt, as the client is gone.
-    CallOff,
+    CancelAttempt,
     /// Stop waiting for the attempt: its time is up.
-    TimeUp,
+    AttemptTimedOut,
 }
 
 /// Where an attempt goes, how long it is waited for, and when its line has to be out or isn't sent at all.
-pub struct Target {
+pub struct AttemptTarget {
     pub server_id: ServerId,
     pub number: usize,
     pub server: Arc<Server>,
--- a/crates/dataplane/src/net.rs
+++ b/crates/dataplane/src/net.rs
@@ -16,8 +16,8 @@
 use socket2::{Domain, SockRef, Type};
 
 use crate::clock;
-use crate::mail::{Mailbox, Sender};
-use crate::orders::Event;
+use crate::mailbox::{Mailbox, Sender};
+use crate::messages::FlowEvent;
 use crate::pool::Slot;
 
 /// How long a peer that has its answer may take to close.
@@ -72,7 +72,7 @@
     stream: Option<Arc<TcpStream>>,
     /// The stream in the selector, once that has taken it.
     registered: OnceLock<CoIo<Arc<TcpStream>>>,
-    notifier: Sender<Event>,
+    notifier: Sender<FlowEvent>,
     slot: Mutex<Slot>,
     closed: AtomicBool,
     notified: AtomicBool,
@@ -103,7 +103,7 @@
     /// Once until the socket is looked at: guards against a mailbox filled by a chatty peer.
     fn notify(&self) {
         if !self.notified.swap(true, Ordering::AcqRel) {
-            self.notifier.send(Event::Rung);
+            self.notifier.send(FlowEvent::SocketReady);
         }
     }
 
@@ -141,7 +141,7 @@
 
 impl Socket {
     /// Takes over a stream that doesn't block; `notifier` is told of what happens on it.
-    pub fn new(stream: TcpStream, slot: Slot, notifier: Sender<Event>) -> Self {
+    pub fn new(stream: TcpStream, slot: Slot, notifier: Sender<FlowEvent>) -> Self {
         // Small lines must not wait for one another.
         let _ = stream.set_nodelay(true);
         let [closed, notified, retrying, reset] = [const { AtomicBool::new(false) }; 4];
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// The connection can't be begun: this machine has no means for it, or the peer is known not to be there.
-    pub fn dial(to: SocketAddr, slot: Slot, notifier: Sender<Event>) -> io::Result<Self> {
+    pub fn dial(to: SocketAddr, slot: Slot, notifier: Sender<FlowEvent>) -> io::Result<Self> {
         let socket = socket2::Socket::new(Domain::for_address(to), Type::STREAM, None)?;
         uninterrupted(|| socket.set_nonblocking(true))?;
         match uninterrupted(|| socket.connect(&to.into())) {
@@ -342,7 +342,7 @@
 
 /// One socket that a coroutine of its own talks over, one thing after another.
 pub struct Caller {
-    pub mailbox: Mailbox<Event>,
+    pub mailbox: Mailbox<FlowEvent>,
     pub socket: Socket,
 }
 
@@ -359,7 +359,7 @@
     /// # Errors
     /// It isn't up in time, or won't be.
     pub fn dial(
-        mailbox: Mailbox<Event>,
+        mailbox: Mailbox<FlowEvent>,
         to: SocketAddr,
         slot: Slot,
         until: Time,
@@ -375,7 +375,7 @@
     fn wait(&self, until: Time) -> Result<(), ConnectionError> {
         match self.mailbox.next(until) {
             None => Err(ConnectionError::Deadline),
-            Some(Event::Stop) => Err(ConnectionError::Stopped),
+            Some(FlowEvent::Stop) => Err(ConnectionError::Stopped),
             Some(_) => Ok(()),
         }
     }
--- a/crates/dataplane/src/chain.rs
+++ b/crates/dataplane/src/pipeline.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 
 use crate::book::Book;
-use crate::orders::Order;
+use crate::messages::FlowCommand;
 use crate::relay::relay;
 use crate::route::{self, Next};
 use crate::send::{Sent, called_off, send};
-use crate::shared::{Admitted, Core};
+use crate::shared::{Admitted, Dataplane};
 
 /// One flow, from its admission on, until its connection has ended.
-pub fn serve(core: &Arc<Core>, admitted: Admitted) {
+pub fn serve(dataplane: &Arc<Dataplane>, admitted: Admitted) {
     let Admitted {
         flow,
         who,
@@ -20,27 +20,27 @@
         line,
         id,
     } = admitted;
-    let mut book = Book::open(core, &flow, caller, id);
-    let asked = route::ask(core, &mut book, flow.clone(), who, at.as_deref());
+    let mut book = Book::open(dataplane, &flow, caller, id);
+    let asked = route::ask(dataplane, &mut book, flow.clone(), who, at.as_deref());
     loop {
-        let target = match route::order(&mut book) {
-            Next::Order(Order::Attempt(target)) => target,
-            Next::Order(Order::NotListed) => {
+        let target = match route::command(&mut book) {
+            Next::FlowCommand(FlowCommand::StartAttempt(target)) => target,
+            Next::FlowCommand(FlowCommand::EndpointUnknown) => {
                 // Open before the run: asked for again until its server is there.
-                match asked.again(core, &mut book) {
+                match asked.again(dataplane, &mut book) {
                     true => continue,
                     false => return book.fail(),
                 }
             }
-            Next::Order(Order::Reject(retry_after)) => return book.reject(retry_after),
-            Next::Order(_) => return book.fail(),
+            Next::FlowCommand(FlowCommand::Reject(retry_after)) => return book.reject(retry_after),
+            Next::FlowCommand(_) => return book.fail(),
             Next::Left => {
                 book.left();
                 return book.finish_left();
             }
         };
-        match send(core, &mut book, &target, &line, at.is_some()) {
-            Sent::Up(server, up) => return relay(core, book, &target, server, up),
+        match send(dataplane, &mut book, &target, &line, at.is_some()) {
+            Sent::Up(server, up) => return relay(dataplane, book, &target, server, up),
             Sent::Ended(ended) if at.is_none() => {
                 book.ended(&target, ended);
                 // The client left meanwhile, so nothing more will be ordered.
@@ -48,7 +48,7 @@
                     return book.finish_left();
                 }
             }
-            Sent::Ended(_) => match asked.again(core, &mut book) {
+            Sent::Ended(_) => match asked.again(dataplane, &mut book) {
                 true => {}
                 false => return book.fail(),
             },
--- a/crates/dataplane/src/pool.rs
+++ b/crates/dataplane/src/pool.rs
@@ -116,7 +116,7 @@
 }
 
 /// How the descriptors of the process are shared out, so that no kind can take another's.
-pub struct Shares {
+pub struct DescriptorBudgets {
     /// Connections whose first line hasn't come, or that are on their way out.
     pub waiting: Arc<Descriptors>,
     /// Flows, each with its client's socket and its server's.
@@ -138,7 +138,7 @@
 /// Stacks that are mapped at the start: the system gives a process 65,530 mappings, and a stack with its guard takes two.
 const COROUTINES_MAX: usize = 16 << 10;
 
-impl Shares {
+impl DescriptorBudgets {
     pub fn new(sockets: usize, memory: usize) -> Self {
         // Clients hold up to a third, so their servers' side takes as much: the rest must carry all else.
         let others = (sockets / 16).max(24);
@@ -146,7 +146,7 @@
         let flows = (sockets - STANDING - others - waiting) / 2;
         let flows = flows.min(memory.saturating_sub(PROGRAM) / FLOW);
         let [waiting, flows, others] = [waiting, flows, others].map(Descriptors::new);
-        Shares {
+        DescriptorBudgets {
             waiting,
             flows,
             others,
@@ -187,22 +187,22 @@
     #[test]
     fn small_limits_carry_a_third_of_flows_and_a_probe_for_each_server() {
         for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
-            let shares = Shares::new(sockets, memory_mb << 20);
-            let all = shares.waiting.limit()
-                + 2 * shares.flows.limit()
-                + shares.others.limit()
+            let budgets = DescriptorBudgets::new(sockets, memory_mb << 20);
+            let all = budgets.waiting.limit()
+                + 2 * budgets.flows.limit()
+                + budgets.others.limit()
                 + STANDING;
             assert!(all <= sockets, "{sockets}: {all}");
             // Guards against fixed reserves, which at 256 left room for 72 flows.
             assert!(
-                shares.flows.limit() * 3 >= sockets,
+                budgets.flows.limit() * 3 >= sockets,
                 "{sockets}: {} flows",
-                shares.flows.limit()
+                budgets.flows.limit()
             );
-            assert!(shares.others.limit() >= 24 && shares.waiting.limit() >= 32);
+            assert!(budgets.others.limit() >= 24 && budgets.waiting.limit() >= 32);
         }
         assert!(
-            Shares::new(4096, 32 << 20).flows.limit() < 600,
+            DescriptorBudgets::new(4096, 32 << 20).flows.limit() < 600,
             "memory bounds them too"
         );
     }
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -9,10 +9,10 @@
 
 use crate::book::Book;
 use crate::clock;
+use crate::messages::{AttemptTarget, DispatcherMessage, FlowCommand, FlowEvent};
 use crate::net::{LINGER, Socket};
-use crate::orders::{Ask, Event, Order, Target};
 use crate::pool::Buffer;
-use crate::shared::Core;
+use crate::shared::Dataplane;
 use crate::wire::{self, Passing};
 
 use direction::{Broken, Direction};
@@ -32,16 +32,16 @@
 const AGAIN: Time = 50 * MS;
 
 pub fn relay(
-    core: &Core,
+    dataplane: &Dataplane,
     mut book: Book,
-    target: &Target,
+    target: &AttemptTarget,
     server: Socket,
     (bytes, held): (Buffer, usize),
 ) {
     book.connected(target);
     let mut down = Direction::of_lines(bytes, held);
     let mut up = Direction::default();
-    let mut passing = Passing::new(core.terms.now().reports);
+    let mut passing = Passing::new(dataplane.settings.now().reports);
     // The client's first line that nothing has come back for.
     let mut unanswered: Option<Time> = None;
     let mut last_sent = clock::now();
@@ -61,7 +61,7 @@
             );
             let known_unexecuted = false;
             let (flow, server_id, number) = (book.id, target.server_id, target.number);
-            book.tell(Ask::Ended {
+            book.tell(DispatcherMessage::AttemptEnded {
                 flow,
                 server_id,
                 number,
@@ -79,12 +79,12 @@
         let now = clock::now();
         let mut load = None;
         let mut answered = false;
-        let passed = down.pump(&server, client, &core.buffers, |bytes| {
+        let passed = down.pump(&server, client, &dataplane.buffers, |bytes| {
             answered = true;
             load = passing.pass(bytes).or(load);
         });
         if let Some(load) = load {
-            book.tell(Ask::Load {
+            book.tell(DispatcherMessage::ConnectionLoad {
                 flow: book.id,
                 load,
             });
@@ -104,7 +104,7 @@
             server.reset();
             return;
         }
-        let passed = up.pump(client, &server, &core.buffers, |_| {
+        let passed = up.pump(client, &server, &dataplane.buffers, |_| {
             unanswered.get_or_insert(now);
             last_sent = now;
         });
@@ -185,7 +185,8 @@
             until
         };
         // Anything else was meant for the attempt.
-        if let Some(Event::Order(Order::Move(by))) = book.caller.mailbox.next(until) {
+        if let Some(FlowEvent::Command(FlowCommand::Migrate(by))) = book.caller.mailbox.next(until)
+        {
             book.move_by = Some(by);
         }
     }
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -9,8 +9,8 @@
 
 use crate::book::Book;
 use crate::clock;
-use crate::orders::{Ask, Event, Order};
-use crate::shared::Core;
+use crate::messages::{DispatcherMessage, FlowCommand, FlowEvent};
+use crate::shared::Dataplane;
 
 /// The desk's word is late by so much past the deadline only if something is badly wrong.
 const OVERDUE: Time = 20 * MS;
@@ -18,7 +18,7 @@
 const PAUSE: Duration = Duration::from_millis(250);
 
 pub enum Next {
-    Order(Order),
+    FlowCommand(FlowCommand),
     Left,
 }
 
@@ -30,26 +30,26 @@
 }
 
 pub fn ask(
-    core: &Core,
+    dataplane: &Dataplane,
     book: &mut Book,
     flow: Flow,
     who: ClientIdentity,
     at: Option<&str>,
 ) -> Asked {
-    let mail = book.caller.mailbox.sender();
+    let mailbox = book.caller.mailbox.sender();
     let ask = match at {
-        Some(at) => Ask::Inherit {
+        Some(at) => DispatcherMessage::AdoptConnection {
             flow: flow.clone(),
             at: at.to_string(),
-            mail,
+            mailbox,
         },
-        None => Ask::Place {
+        None => DispatcherMessage::PlaceFlow {
             flow: flow.clone(),
             who,
-            mail,
+            mailbox,
         },
     };
-    core.desk.send(ask);
+    dataplane.dispatcher.send(ask);
     Asked {
         flow,
         who,
@@ -59,28 +59,37 @@
 
 impl Asked {
     /// Asks once more after a pause; false once there is no time left.
-    pub fn again(&self, core: &Core, book: &mut Book) -> bool {
+    pub fn again(&self, dataplane: &Dataplane, book: &mut Book) -> bool {
         if clock::now() >= self.flow.deadline {
             return false;
         }
         may::coroutine::sleep(PAUSE);
-        ask(core, book, self.flow.clone(), self.who, self.at.as_deref());
+        ask(
+            dataplane,
+            book,
+            self.flow.clone(),
+            self.who,
+            self.at.as_deref(),
+        );
         true
     }
 }
 
-pub fn order(book: &mut Book) -> Next {
+pub fn command(book: &mut Book) -> Next {
     // Guards against a client whose end has come in one with its line, which rings no bell, and who is waited for.
     if book.client_left() {
         return Next::Left;
     }
     loop {
         match book.caller.mailbox.next(book.deadline + OVERDUE) {
-            Some(Event::Order(Order::Move(by))) => book.move_by = Some(by),
+            Some(FlowEvent::Command(FlowCommand::Migrate(by))) => book.move_by = Some(by),
             // Of an attempt that has ended meanwhile.
-            Some(Event::Order(Order::CallOff | Order::TimeUp) | Event::Stop) => {}
-            Some(Event::Order(order)) => return Next::Order(order),
-            Some(Event::Rung) => {
+            Some(
+                FlowEvent::Command(FlowCommand::CancelAttempt | FlowCommand::AttemptTimedOut)
+                | FlowEvent::Stop,
+            ) => {}
+            Some(FlowEvent::Command(command)) => return Next::FlowCommand(command),
+            Some(FlowEvent::SocketReady) => {
                 if book.client_left() {
                     return Next::Left;
                 }
@@ -88,7 +97,7 @@
             None => {
                 // Guards against a flow without an answer where the desk is stuck.
                 error!(id = book.id, "no word from the desk in time");
-                return Next::Order(Order::Fail);
+                return Next::FlowCommand(FlowCommand::Fail);
             }
         }
     }
--- a/crates/dataplane/src/send.rs
+++ b/crates/dataplane/src/send.rs
@@ -10,10 +10,10 @@
 
 use crate::book::{Book, Ended};
 use crate::clock;
+use crate::messages::{AttemptTarget, DispatcherMessage, FlowCommand, FlowEvent};
 use crate::net::Socket;
-use crate::orders::{Ask, Event, Order, Target};
 use crate::pool::Buffer;
-use crate::shared::Core;
+use crate::shared::Dataplane;
 use crate::wire::{self, Answer};
 
 /// Whether a connection that could not be begun tells something of its server. All else is this machine's trouble: no
@@ -43,7 +43,13 @@
     Left,
 }
 
-pub fn send(core: &Core, book: &mut Book, target: &Target, line: &[u8], inherited: bool) -> Sent {
+pub fn send(
+    dataplane: &Dataplane,
+    book: &mut Book,
+    target: &AttemptTarget,
+    line: &[u8],
+    inherited: bool,
+) -> Sent {
     let never = |end| {
         Sent::Ended(Ended {
             end,
@@ -81,7 +87,9 @@
     // Up to its line's last byte an attempt has not been sent, so whoever is gone by then needs none, whether or not the
     // settings allow attempts to be cancelled. Guards against a flow that is sent on long after its client has left: while
     // a connection comes up late, or since the client's end came in one with its line and rang no bell.
-    let dialled_until = target.by.min(clock::now() + core.terms.now().dial_limit);
+    let dialled_until = target
+        .by
+        .min(clock::now() + dataplane.settings.now().dial_limit);
     loop {
         server.looked_at();
         match server.connected() {
@@ -131,7 +139,7 @@
         }
     }
 
-    let mut bytes = core.buffers.take();
+    let mut bytes = dataplane.buffers.take();
     let mut held = 0;
     let mut over = None;
     loop {
@@ -152,7 +160,7 @@
             },
         }
         if let Some((_, next)) = wire::line_end(&bytes[..held]) {
-            return match wire::answer(&bytes[..next], &core.terms.now().reports) {
+            return match wire::answer(&bytes[..next], &dataplane.settings.now().reports) {
                 Answer::Up if client.gone => Sent::Left { unsent: false },
                 Answer::Up => Sent::Up(server, (bytes, held)),
                 Answer::Ended(end, known_unexecuted, report) => Sent::Ended(Ended {
@@ -187,14 +195,16 @@
 
     fn wait(&mut self, until: Time) -> Woken {
         match self.book.caller.mailbox.next(until) {
-            None | Some(Event::Order(Order::TimeUp)) => Woken::Ended(AttemptEnd::TimedOut),
-            Some(Event::Order(Order::CallOff)) if self.gone => Woken::Left,
-            Some(Event::Order(Order::Move(by))) => {
+            None | Some(FlowEvent::Command(FlowCommand::AttemptTimedOut)) => {
+                Woken::Ended(AttemptEnd::TimedOut)
+            }
+            Some(FlowEvent::Command(FlowCommand::CancelAttempt)) if self.gone => Woken::Left,
+            Some(FlowEvent::Command(FlowCommand::Migrate(by))) => {
                 self.book.move_by = Some(by);
                 Woken::Look
             }
-            Some(Event::Order(_) | Event::Stop) => Woken::Look,
-            Some(Event::Rung) => {
+            Some(FlowEvent::Command(_) | FlowEvent::Stop) => Woken::Look,
+            Some(FlowEvent::SocketReady) => {
                 if self.looks_gone() {
                     self.book.write_on();
                 }
@@ -205,7 +215,7 @@
 }
 
 /// Tells the desk of an attempt that ended with its client.
-pub fn called_off(book: &Book, target: &Target, unsent: bool) {
+pub fn called_off(book: &Book, target: &AttemptTarget, unsent: bool) {
     let (end, report) = (
         if unsent {
             AttemptEnd::NotSent
@@ -214,7 +224,7 @@
         },
         LoadReport::default(),
     );
-    book.tell(Ask::Ended {
+    book.tell(DispatcherMessage::AttemptEnded {
         flow: book.id,
         server_id: target.server_id,
         number: target.number,
--- a/crates/dataplane/src/send/tests.rs
+++ b/crates/dataplane/src/send/tests.rs
@@ -10,21 +10,21 @@
 use socket2::SockRef;
 
 use super::*;
-use crate::mail::Mailbox;
+use crate::mailbox::Mailbox;
+use crate::messages::Server;
 use crate::net::Caller;
-use crate::orders::Server;
-use crate::pool::{Buffers, Descriptors, Shares};
-use crate::shared::{Term, Terms};
+use crate::pool::{Buffers, DescriptorBudgets, Descriptors};
+use crate::shared::{RuntimeSettings, SharedSettings};
 
-fn core(asks: &Mailbox<Ask>) -> Arc<Core> {
-    Arc::new(Core {
-        desk: asks.sender(),
+fn dataplane(messages: &Mailbox<DispatcherMessage>) -> Arc<Dataplane> {
+    Arc::new(Dataplane {
+        dispatcher: messages.sender(),
         buffers: Buffers::new(),
-        shares: Shares::new(256, 32 << 20),
+        budgets: DescriptorBudgets::new(256, 32 << 20),
         ids: Arc::default(),
-        terms: Terms::new(Term {
+        settings: SharedSettings::new(RuntimeSettings {
             dial_limit: SEC,
-            ..Term::default()
+            ..RuntimeSettings::default()
         }),
         numbers: AtomicU64::new(1),
     })
@@ -45,25 +45,25 @@
     std::thread::sleep(Duration::from_millis(20));
     let address = server.local_addr().unwrap();
     let unsent = may::go!(move || {
-        let asks = Mailbox::new();
-        let core = core(&asks);
+        let messages = Mailbox::new();
+        let dataplane = dataplane(&messages);
         let (slot, id) = (
             Descriptors::new(9).take(0).unwrap(),
-            core.ids.take("9b1f").unwrap(),
+            dataplane.ids.take("9b1f").unwrap(),
         );
         let flow = Flow {
             id: 5,
             deadline: Time::MAX,
             ..Flow::default()
         };
-        let mut book = Book::open(&core, &flow, Caller::new(stream, slot), id);
+        let mut book = Book::open(&dataplane, &flow, Caller::new(stream, slot), id);
         let server = Arc::new(Server {
             name: "s-0".into(),
             address,
             ready: AtomicBool::new(true),
         });
         let until = clock::now() + SEC / 5;
-        let target = Target {
+        let target = AttemptTarget {
             server_id: 1,
             number: 0,
             server,
@@ -71,7 +71,7 @@
             by: until,
         };
         let sent = send(
-            &core,
+            &dataplane,
             &mut book,
             &target,
             b"OPEN 9b1f 7f3a c=chat,d=900",
--- a/crates/dataplane/src/shared.rs
+++ b/crates/dataplane/src/shared.rs
@@ -9,30 +9,30 @@
 use nettlemux_policy::{Flow, Time};
 use nettlemux_settings::LoadReportFormat;
 
-use crate::mail::Sender;
+use crate::mailbox::Sender;
+use crate::messages::DispatcherMessage;
 use crate::net::Caller;
-use crate::orders::Ask;
-use crate::pool::{Buffers, Shares};
+use crate::pool::{Buffers, DescriptorBudgets};
 
 /// Ids of ended flows that are remembered: an id is new with every connection, so one that comes again is somebody
 /// else's, also when its flow has just ended.
 const REMEMBERED: usize = 1024;
 
-pub struct Core {
-    pub desk: Sender<Ask>,
+pub struct Dataplane {
+    pub dispatcher: Sender<DispatcherMessage>,
     pub buffers: Arc<Buffers>,
-    pub shares: Shares,
+    pub budgets: DescriptorBudgets,
     pub ids: Arc<Ids>,
-    pub terms: Arc<Terms>,
+    pub settings: Arc<SharedSettings>,
     pub numbers: AtomicU64,
 }
 
 /// What the settings say beside the module's part; it changes as a whole.
 #[derive(Default)]
-pub struct Terms(Mutex<Term>);
+pub struct SharedSettings(Mutex<RuntimeSettings>);
 
 #[derive(Clone, Copy, Default)]
-pub struct Term {
+pub struct RuntimeSettings {
     pub reports: LoadReportFormat,
     /// Whether servers tell their load when asked.
     pub stats: bool,
@@ -42,21 +42,21 @@
     pub asked: Option<Time>,
 }
 
-impl Terms {
-    pub fn new(term: Term) -> Arc<Self> {
-        Arc::new(Terms(Mutex::new(term)))
+impl SharedSettings {
+    pub fn new(settings: RuntimeSettings) -> Arc<Self> {
+        Arc::new(SharedSettings(Mutex::new(settings)))
     }
 
-    pub fn now(&self) -> Term {
+    pub fn now(&self) -> RuntimeSettings {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn change(&self, term: Term) {
-        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = term;
+    pub fn change(&self, settings: RuntimeSettings) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = settings;
     }
 }
 
-impl Core {
+impl Dataplane {
     pub fn number(&self) -> u64 {
         self.numbers.fetch_add(1, Ordering::Relaxed)
     }
@@ -77,17 +77,17 @@
 /// The clients' ids that can't be used again.
 #[derive(Default)]
 pub struct Ids {
-    known: Mutex<Known>,
+    known: Mutex<FirstLineSettings>,
 }
 
 #[derive(Default)]
-struct Known {
+struct FirstLineSettings {
     all: HashSet<Arc<str>>,
     ended: VecDeque<Arc<str>>,
 }
 
 impl Ids {
-    fn known(&self) -> MutexGuard<'_, Known> {
+    fn known(&self) -> MutexGuard<'_, FirstLineSettings> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/dataplane/src/starts.rs
+++ b/crates/dataplane/src/start_times.rs
@@ -20,7 +20,7 @@
 /// The starts of all servers that we were told of.
 #[derive(Default)]
 pub struct StartTimes {
-    starts: HashMap<ServerId, Start>,
+    start_times: HashMap<ServerId, Start>,
     /// We have had the list from discovery, so what it tells from now on has come to pass since.
     watching: bool,
 }
@@ -35,14 +35,14 @@
             return 0;
         }
         if let Some(start) = self
-            .starts
+            .start_times
             .get(&server_id)
             .filter(|start| start.told == told)
         {
             return start.ours;
         }
         let ours = if self.watching { now } else { told.min(now) };
-        self.starts.insert(server_id, Start { told, ours });
+        self.start_times.insert(server_id, Start { told, ours });
         ours
     }
 
@@ -53,8 +53,9 @@
 
     /// Forgets servers that are no longer listed, once there are many of them.
     pub fn keep(&mut self, listed: usize, is_listed: impl Fn(ServerId) -> bool) {
-        if self.starts.len() > listed + UNLISTED_MAX {
-            self.starts.retain(|server_id, _| is_listed(*server_id));
+        if self.start_times.len() > listed + UNLISTED_MAX {
+            self.start_times
+                .retain(|server_id, _| is_listed(*server_id));
         }
     }
 }
--- a/crates/dataplane/src/parts.rs
+++ b/crates/dataplane/src/supervisor.rs
@@ -6,8 +6,8 @@
 
 use tracing::error;
 
-use crate::mail::Sender;
-use crate::orders::Ask;
+use crate::mailbox::Sender;
+use crate::messages::DispatcherMessage;
 
 /// How often in all a part is begun anew, and after how long: what fails more often won't get well.
 const TRIES: usize = 20;
@@ -15,13 +15,13 @@
 
 /// Runs a part that should never end. Guards against a process that goes on without it, of no use to anybody: a fault
 /// costs one round, and the process where it comes again and again.
-pub fn keep_up(part: &'static str, desk: &Sender<Ask>, run: impl Fn()) {
+pub fn supervise(part: &'static str, dispatcher: &Sender<DispatcherMessage>, run: impl Fn()) {
     for _ in 0..TRIES {
         let panicked = catch_unwind(AssertUnwindSafe(&run)).is_err();
         error!(part, panicked, "a part has ended; it is begun anew");
         may::coroutine::sleep(PAUSE);
     }
-    desk.send(Ask::Broken(part));
+    dispatcher.send(DispatcherMessage::ServiceFailed(part));
 }
 
 #[cfg(test)]
@@ -33,24 +33,27 @@
 
     use super::*;
     use crate::clock;
-    use crate::mail::Mailbox;
+    use crate::mailbox::Mailbox;
 
     /// Guards against a balancer that stays alive without its listener or its list.
     #[test]
     fn a_part_that_panics_is_begun_anew_and_in_the_end_given_up() {
-        let asks = Mailbox::new();
-        let (desk, rounds) = (asks.sender(), Arc::new(AtomicUsize::new(0)));
+        let messages = Mailbox::new();
+        let (dispatcher, rounds) = (messages.sender(), Arc::new(AtomicUsize::new(0)));
         let counted = rounds.clone();
         may::go!(move || {
-            keep_up("the listener", &desk, || {
+            supervise("the listener", &dispatcher, || {
                 counted.fetch_add(1, Ordering::Relaxed);
                 panic!("on purpose");
             });
         });
-        let told = may::go!(move || asks.next(clock::now() + 10 * SEC))
+        let told = may::go!(move || messages.next(clock::now() + 10 * SEC))
             .join()
             .unwrap();
-        assert!(matches!(told, Some(Ask::Broken("the listener"))));
+        assert!(matches!(
+            told,
+            Some(DispatcherMessage::ServiceFailed("the listener"))
+        ));
         assert_eq!(rounds.load(Ordering::Relaxed), TRIES);
     }
 }
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -70,7 +70,7 @@
 }
 
 /// Reads a server's answer to a probe: whether it passed, and its report.
-pub fn probed(line: &[u8], reports: &LoadReportFormat) -> (bool, LoadReport) {
+pub fn health_checked(line: &[u8], reports: &LoadReportFormat) -> (bool, LoadReport) {
     let line = String::from_utf8_lossy(line);
     let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
     (word == "PONG", reports.read(rest, '=').unwrap_or_default())
--- a/crates/line-protocol/src/take_in.rs
+++ b/crates/line-protocol/src/acceptor.rs
@@ -10,21 +10,21 @@
 use std::time::Duration;
 
 use may::io::{CoIo, WaitIo};
-use nettlemux_dataplane::chain;
 use nettlemux_dataplane::clock;
-use nettlemux_dataplane::mail::Sender;
+use nettlemux_dataplane::mailbox::Sender;
+use nettlemux_dataplane::messages::FlowEvent;
 use nettlemux_dataplane::net::{Caller, ConnectionError, LINGER, set_nonblocking};
-use nettlemux_dataplane::orders::Event;
+use nettlemux_dataplane::pipeline;
 use nettlemux_dataplane::pool::{Buffer, Slot};
 use nettlemux_dataplane::retry;
-use nettlemux_dataplane::shared::Core;
+use nettlemux_dataplane::shared::Dataplane;
 use nettlemux_dataplane::wire;
 use nettlemux_policy::{MS, Time};
 use socket2::{Domain, Socket, Type};
 use tracing::{debug, warn};
 
 use crate::admit::admit;
-use crate::first::Known;
+use crate::first_line::FirstLineSettings;
 
 /// Clients that may wait to be accepted: all of a balancer that died may come at once, and one that finds the
 /// queue full tries again only after a second.
@@ -40,35 +40,35 @@
 
 /// Those whose first line hasn't come, or who have had their answer, by their order of arrival.
 #[derive(Default)]
-pub struct Lobby {
-    inside: Mutex<(u64, BTreeMap<u64, Seat>)>,
+pub struct PendingConnections {
+    inside: Mutex<(u64, BTreeMap<u64, PendingEntry>)>,
 }
 
-struct Seat {
+struct PendingEntry {
     since: Time,
-    bell: Sender<Event>,
+    bell: Sender<FlowEvent>,
     told: bool,
 }
 
-impl Lobby {
-    fn inside(&self) -> MutexGuard<'_, (u64, BTreeMap<u64, Seat>)> {
+impl PendingConnections {
+    fn inside(&self) -> MutexGuard<'_, (u64, BTreeMap<u64, PendingEntry>)> {
         self.inside.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn enter(self: &Arc<Self>, bell: Sender<Event>) -> Guest {
+    fn enter(self: &Arc<Self>, bell: Sender<FlowEvent>) -> PendingConnection {
         let mut inside = self.inside();
         inside.0 += 1;
         let number = inside.0;
         inside.1.insert(
             number,
-            Seat {
+            PendingEntry {
                 since: clock::now(),
                 bell,
                 told: false,
             },
         );
-        Guest {
-            lobby: self.clone(),
+        PendingConnection {
+            pending_connections: self.clone(),
             number,
         }
     }
@@ -82,27 +82,27 @@
             .filter(|seat| !seat.told && seat.since + STAY <= now);
         for seat in old.take(TURN) {
             seat.told = true;
-            seat.bell.send(Event::Stop);
+            seat.bell.send(FlowEvent::Stop);
         }
     }
 }
 
 /// One in the lobby; it leaves when this is dropped.
-pub struct Guest {
-    lobby: Arc<Lobby>,
+pub struct PendingConnection {
+    pending_connections: Arc<PendingConnections>,
     number: u64,
 }
 
-impl Drop for Guest {
+impl Drop for PendingConnection {
     fn drop(&mut self) {
-        self.lobby.inside().1.remove(&self.number);
+        self.pending_connections.inside().1.remove(&self.number);
     }
 }
 
 /// A connection with its first line.
-pub struct Taken {
+pub struct AcceptedConnection {
     pub caller: Caller,
-    _guest: Guest,
+    _guest: PendingConnection,
     pub bytes: Buffer,
     pub held: usize,
     /// The line's length without its end, and where the next begins.
@@ -113,7 +113,7 @@
     pub until: Time,
 }
 
-impl Taken {
+impl AcceptedConnection {
     /// Answers what can't be used, and ends.
     pub fn refuse(self, answer: &[u8]) {
         self.refuse_within(answer, LINGER);
@@ -126,9 +126,9 @@
     }
 
     /// Reads the next line; none once it has been refused for want of one.
-    pub fn next_line(mut self, core: &Core) -> Option<Self> {
+    pub fn next_line(mut self, dataplane: &Dataplane) -> Option<Self> {
         // At the limit nobody is waited for.
-        let full = core.shares.flows.open() >= core.shares.flows.limit();
+        let full = dataplane.budgets.flows.open() >= dataplane.budgets.flows.limit();
         let until = if full { clock::now() } else { self.until };
         let mut read = self.caller.line(&mut self.bytes[..], &mut self.held, until);
         // Told to give way: guards against a whole line that has come and is dropped.
@@ -176,31 +176,31 @@
 }
 
 /// What all connections of this front share.
-pub struct Front {
-    pub core: Arc<Core>,
-    known: Mutex<Arc<Known>>,
-    pub lobby: Arc<Lobby>,
+pub struct Acceptor {
+    pub dataplane: Arc<Dataplane>,
+    known: Mutex<Arc<FirstLineSettings>>,
+    pub pending_connections: Arc<PendingConnections>,
 }
 
-impl Front {
-    pub fn new(core: Arc<Core>, known: Known) -> Arc<Self> {
-        Arc::new(Front {
-            core,
+impl Acceptor {
+    pub fn new(dataplane: Arc<Dataplane>, known: FirstLineSettings) -> Arc<Self> {
+        Arc::new(Acceptor {
+            dataplane,
             known: Mutex::new(Arc::new(known)),
-            lobby: Arc::default(),
+            pending_connections: Arc::default(),
         })
     }
 
     /// First lines that come from now on are read by this; how the door tells clients apart stays.
-    pub fn change(&self, known: Known) {
+    pub fn change(&self, known: FirstLineSettings) {
         let mut now = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        *now = Arc::new(Known {
+        *now = Arc::new(FirstLineSettings {
             by: now.by,
             ..known
         });
     }
 
-    fn known(&self) -> Arc<Known> {
+    fn known(&self) -> Arc<FirstLineSettings> {
         self.known
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -212,12 +212,12 @@
         let Some(taken) = self.first_line(stream, slot) else {
             return;
         };
-        if let Some(admitted) = admit(&self.core, &self.known(), taken) {
-            chain::serve(&self.core, admitted);
+        if let Some(admitted) = admit(&self.dataplane, &self.known(), taken) {
+            pipeline::serve(&self.dataplane, admitted);
         }
     }
 
-    fn first_line(&self, stream: TcpStream, slot: Slot) -> Option<Taken> {
+    fn first_line(&self, stream: TcpStream, slot: Slot) -> Option<AcceptedConnection> {
         let at = clock::now();
         if let Err(e) = set_nonblocking(&stream, at + FIRST_LINE) {
             // Its buffer is empty, so this doesn't block.
@@ -226,9 +226,9 @@
             return None;
         }
         let caller = Caller::new(stream, slot);
-        let guest = self.lobby.enter(caller.mailbox.sender());
-        let bytes = self.core.buffers.take();
-        let taken = Taken {
+        let guest = self.pending_connections.enter(caller.mailbox.sender());
+        let bytes = self.dataplane.buffers.take();
+        let taken = AcceptedConnection {
             caller,
             _guest: guest,
             bytes,
@@ -237,17 +237,17 @@
             at,
             until: at + FIRST_LINE,
         };
-        taken.next_line(&self.core)
+        taken.next_line(&self.dataplane)
     }
 }
 
 /// Accepts for as long as the program runs.
-pub fn accept(front: &Arc<Front>, listener: &CoIo<TcpListener>) {
+pub fn accept(front: &Arc<Acceptor>, listener: &CoIo<TcpListener>) {
     let mut turn = 0;
     loop {
         // Taken before a connection is: one that there is no place for waits in the listener's queue.
-        let Some(slot) = front.core.shares.waiting.take(0) else {
-            front.lobby.make_room(clock::now());
+        let Some(slot) = front.dataplane.budgets.waiting.take(0) else {
+            front.pending_connections.make_room(clock::now());
             may::coroutine::sleep(PAUSE);
             continue;
         };
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -3,26 +3,30 @@
 
 use nettlemux_dataplane::clock;
 use nettlemux_dataplane::net::LINGER;
-use nettlemux_dataplane::shared::{Admitted, Core};
+use nettlemux_dataplane::shared::{Admitted, Dataplane};
 use nettlemux_dataplane::wire::{FAILED, NO, PONG, rejected};
 
 use nettlemux_policy::{Flow, MS, SEC, Time};
 use tracing::{debug, warn};
 
-use crate::first::{self, First, Known};
-use crate::take_in::Taken;
+use crate::acceptor::AcceptedConnection;
+use crate::first_line::{self, First, FirstLineSettings};
 
 /// One that was open before the run is waited for so long: it is lost 40 s after the start.
 const INHERITED: Time = 39 * SEC;
 /// Questions that one connection may ask before it asks to be served. The front asks one.
 const QUESTIONS: usize = 16;
-pub fn admit(core: &Core, known: &Known, mut taken: Taken) -> Option<Admitted> {
+pub fn admit(
+    dataplane: &Dataplane,
+    known: &FirstLineSettings,
+    mut taken: AcceptedConnection,
+) -> Option<Admitted> {
     for _ in 0..QUESTIONS {
         let (length, next) = taken.line;
         if next != length + 2 {
             return refuse(taken, "a line is not ended by CRLF");
         }
-        let answer = match first::first(&taken.bytes[..length]) {
+        let answer = match first_line::first(&taken.bytes[..length]) {
             Ok(First::Open(open)) => {
                 let class = known
                     .classes
@@ -48,11 +52,11 @@
                 if taken.held > next {
                     return refuse(taken, "more before it is served");
                 }
-                let Some(id) = core.ids.take(open.id) else {
+                let Some(id) = dataplane.ids.take(open.id) else {
                     return refuse(taken, "an id that was used");
                 };
                 let flow = Flow {
-                    id: core.number(),
+                    id: dataplane.number(),
                     class,
                     tenant,
                     group: open.group.filter(|_| known.groups).map(String::from),
@@ -61,9 +65,9 @@
                     deadline: taken.at + wait,
                     attempts: Vec::new(),
                 };
-                let Some(slot) = core.shares.flows.take(0) else {
+                let Some(slot) = dataplane.budgets.flows.take(0) else {
                     warn!(
-                        open = core.shares.flows.open(),
+                        open = dataplane.budgets.flows.open(),
                         "no descriptors left for flows"
                     );
                     taken.refuse(rejected(None).as_bytes());
@@ -91,13 +95,13 @@
         taken.caller.write(answer, clock::now() + LINGER).ok()?;
         taken.bytes.copy_within(next..taken.held, 0);
         taken.held -= next;
-        taken = taken.next_line(core)?;
+        taken = taken.next_line(dataplane)?;
     }
     refuse(taken, "too many questions")
 }
 
 /// Answers a line that can't be used, and ends.
-fn refuse(taken: Taken, why: &str) -> Option<Admitted> {
+fn refuse(taken: AcceptedConnection, why: &str) -> Option<Admitted> {
     warn!(why, line = %String::from_utf8_lossy(&taken.bytes[..taken.line.0.min(200)]), "malformed first line");
     taken.refuse(FAILED);
     None
--- a/crates/line-protocol/src/first.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -44,21 +44,21 @@
     if line.contains(|c: char| c.is_control()) {
         return Err("no line of text");
     }
-    let mut parts = line.split(' ');
-    match (parts.next(), line.len()) {
+    let mut supervisor = line.split(' ');
+    match (supervisor.next(), line.len()) {
         (Some("PING"), 4) => return Ok(First::Ping),
         (Some("STATS"), 5) => return Ok(First::Stats),
         (Some("OPEN"), _) => {}
         _ => return Err("neither OPEN, PING nor STATS"),
     }
-    let mut next = |why| parts.next().filter(|part| !part.is_empty()).ok_or(why);
+    let mut next = |why| supervisor.next().filter(|part| !part.is_empty()).ok_or(why);
     let mut open = Open {
         id: next("no id")?,
         ..Open::default()
     };
     open.key = next("no key")?;
     let values = next("no values")?;
-    if parts.next().is_some() {
+    if supervisor.next().is_some() {
         return Err("more than an id, a key and values");
     }
     let mut names = ArrayVec::<&str, MOST_VALUES>::new();
@@ -106,7 +106,7 @@
 const LONGEST: Time = 60_000 * MS;
 
 /// Reads what the settings say of first lines.
-pub struct Known {
+pub struct FirstLineSettings {
     /// How the door tells clients apart, where there is one, and the seed of its keys.
     pub by: Option<(By, u64)>,
     pub classes: Vec<Class>,
@@ -114,9 +114,9 @@
     pub groups: bool,
 }
 
-impl Known {
+impl FirstLineSettings {
     pub fn new(settings: &Settings) -> Read<Self> {
-        Ok(Known {
+        Ok(FirstLineSettings {
             by: None,
             classes: (settings
                 .names("service-types")
--- a/crates/testbed/src/capacity/mechanism.rs
+++ b/crates/testbed/src/capacity/mechanism.rs
@@ -41,11 +41,11 @@
 );
 /// Bounds how many balancers keep a connection for probes to one server.
 pub const PROBE_CONNECTIONS: Mechanism = Mechanism::Missing(
-    "fewer balancers that keep a connection to each server, crates/dataplane/src/probe.rs",
+    "fewer balancers that keep a connection to each server, crates/dataplane/src/health_check.rs",
 );
 /// Bounds memory for probes.
 pub const STACK_PER_PROBE: Mechanism = Mechanism::Missing(
-    "fewer servers that are probed; each open probe has a stack, crates/dataplane/src/probe.rs",
+    "fewer servers that are probed; each open probe has a stack, crates/dataplane/src/health_check.rs",
 );
 /// Brings a whole list within the budget.
 pub const WHOLE_LIST: Mechanism = Mechanism::Missing(
@@ -67,7 +67,7 @@
     Mechanism::Missing("nothing of ours runs there; SIGHUP reads a file that others bring");
 /// Tells other balancers which servers hold a group.
 pub const PEER_MESSAGES: Mechanism = Mechanism::Partial(
-    "off today; bounded, so it tells of few groups; crates/dataplane/src/peers.rs",
+    "off today; bounded, so it tells of few groups; crates/dataplane/src/gossip.rs",
 );
 /// Spreads a large topic.
 pub const LARGE_TOPICS: Mechanism = Mechanism::Partial(
--- a/crates/testbed/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -54,7 +54,7 @@
             "bytes",
             probe_bytes_basis(inputs),
             |_| Some(probe_bytes(inputs)),
-            Mechanism::Present("one line each way, crates/dataplane/src/probe.rs"),
+            Mechanism::Present("one line each way, crates/dataplane/src/health_check.rs"),
         ),
         row(
             "probes of the module with the operators' own connections",
@@ -234,7 +234,7 @@
             "a second",
             "connections / balancers / life (three lives)",
             |f| Some(f.own_placements_per_second()),
-            Mechanism::Present("crates/dataplane/src/desk.rs"),
+            Mechanism::Present("crates/dataplane/src/dispatcher.rs"),
         )
         .over(Unknown::ConnectionLife),
         Row::new(
@@ -388,7 +388,9 @@
             "ms",
             seen_over_servers.describe(),
             move |f| seen_over_servers.at(f.servers),
-            Mechanism::Present("crates/dataplane/src/discovery.rs, crates/dataplane/src/desk.rs"),
+            Mechanism::Present(
+                "crates/dataplane/src/discovery.rs, crates/dataplane/src/dispatcher.rs",
+            ),
         )
         .over(Unknown::Servers)
         .within(change_known_within * 1e3),
@@ -397,7 +399,9 @@
             "ms",
             seen.describe(),
             move |f| seen.at(list_changes_per_day(inputs, f) / SECONDS_PER_DAY),
-            Mechanism::Present("crates/dataplane/src/discovery.rs, crates/dataplane/src/desk.rs"),
+            Mechanism::Present(
+                "crates/dataplane/src/discovery.rs, crates/dataplane/src/dispatcher.rs",
+            ),
         )
         .within(change_known_within * 1e3),
     ]
@@ -446,7 +450,7 @@
             "",
             "connections / balancers",
             |f| Some(f.own_connections()),
-            Mechanism::Present("crates/flow-table/src/lib.rs, crates/dataplane/src/chain.rs"),
+            Mechanism::Present("crates/flow-table/src/lib.rs, crates/dataplane/src/pipeline.rs"),
         ),
         Row::new(
             "memory of flows, as bounded",
@@ -483,7 +487,7 @@
                 let part = inputs.assumptions.code.probe_descriptor_part.value;
                 Some(descriptors_needed(inputs, f) / part / f.servers_held())
             },
-            Mechanism::Present("probes in turn where there are too few, crates/dataplane/src/probe.rs"),
+            Mechanism::Present("probes in turn where there are too few, crates/dataplane/src/health_check.rs"),
         )
         .over(Unknown::Servers),
         Row::new(
@@ -491,7 +495,7 @@
             "% of a core",
             "new connections x the ratio of slopes of processor and connects over connections (measured, sockets)",
             |f| Some(percent_per_set_up(inputs)? * f.own_placements_per_second()),
-            Mechanism::Present("crates/dataplane/src/chain.rs"),
+            Mechanism::Present("crates/dataplane/src/pipeline.rs"),
         )
         .over(Unknown::ConnectionLife),
         Row::new(
