--- a/crates/balancer/tests/soak.rs
+++ b/crates/balancer/tests/soak.rs
@@ -36,7 +36,7 @@
 struct Draws(u64);
 
 impl Draws {
-    fn below(&mut self, bound: u64) -> u64 {
+    fn index_below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
         self.0 ^= self.0 >> 27;
@@ -44,7 +44,7 @@
     }
 
     fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
-        all[self.below(all.len() as u64) as usize]
+        all[self.index_below(all.len() as u64) as usize]
     }
 }
 
@@ -56,7 +56,7 @@
     deadlines: [u64; 2],
     signals: Vec<(&'static str, u64)>,
     hanging: usize,
-    crowd: bool,
+    population: bool,
     faults: String,
 }
 
@@ -68,12 +68,15 @@
             draws.one_of(&[300, 800, 3000]),
         ];
         let mut signals = Vec::new();
-        for _ in 0..draws.below(3) {
-            signals.push(("-HUP", draws.below(40)));
+        for _ in 0..draws.index_below(3) {
+            signals.push(("-HUP", draws.index_below(40)));
         }
-        signals.push(("-TERM", draws.below(60)));
-        for _ in 0..draws.below(4) {
-            signals.push((draws.one_of(&["-HUP", "-TERM", "-INT"]), draws.below(120)));
+        signals.push(("-TERM", draws.index_below(60)));
+        for _ in 0..draws.index_below(4) {
+            signals.push((
+                draws.one_of(&["-HUP", "-TERM", "-INT"]),
+                draws.index_below(120),
+            ));
         }
         let faults = [
             String::new(),
@@ -82,13 +85,13 @@
             "send short 2 0 2\nrecv short 3 0 2".to_string(),
             STALL.to_string(),
         ];
-        let faults = faults[draws.below(faults.len() as u64) as usize].clone();
+        let faults = faults[draws.index_below(faults.len() as u64) as usize].clone();
         Plan {
             seed,
             deadlines,
             signals,
-            hanging: draws.below(3) as usize,
-            crowd: draws.below(4) == 0,
+            hanging: draws.index_below(3) as usize,
+            population: draws.index_below(4) == 0,
             faults,
         }
     }
@@ -149,7 +152,7 @@
     let fine = match answer.as_str() {
         "UP 1" => next == "MOVE",
         answer if answer == "ERR" || answer.starts_with("BUSY") => next == "end",
-        _ => plan.crowd,
+        _ => plan.population,
     };
     let late = took > Duration::from_millis(deadline) + SLACK;
     (!fine || late).then(|| format!("{answer:?} after {took:?} of {deadline} ms, then {next:?}"))
@@ -161,7 +164,7 @@
     let config = |config: String| {
         config.replace(
             "\"sockets\": 1024",
-            if plan.crowd {
+            if plan.population {
                 "\"sockets\": 256"
             } else {
                 "\"sockets\": 1024"
@@ -193,8 +196,8 @@
             .map(|client| scope.spawn(|| use_until_moved(client)))
             .collect();
         thread::sleep(2 * LINE_INTERVAL);
-        let crowd = if plan.crowd { CROWD } else { 0 };
-        let silent: Vec<_> = (0..crowd)
+        let population = if plan.population { CROWD } else { 0 };
+        let silent: Vec<_> = (0..population)
             .filter_map(|_| TcpStream::connect(stand.at).ok())
             .collect();
         stand
--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -4,12 +4,12 @@
 use nettlemux_policy::Time;
 use serde::{Deserialize, Serialize};
 
-use crate::dice::Dice;
+use crate::rng::Rng;
 use crate::scenario::{Scenario, seconds};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Servers' processes die: connections are reset, connections refused; they come back cold.
     Crash,
     /// Servers' machines go silent: nothing is reset, nothing answered; they come back cold.
@@ -62,20 +62,23 @@
 /// How a draining server treats the connections that it has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Leaving {
+pub enum DrainBehavior {
     /// Keeps them until it goes, and then cuts off what is left.
     #[default]
-    Keeps,
+    #[serde(alias = "keeps")]
+    KeepsConnections,
     /// Sends them away bit by bit.
-    BitByBit,
+    #[serde(alias = "bit-by-bit")]
+    MigratesGradually,
     /// Sends them all away a second after the drain began.
-    AllAtOnce,
+    #[serde(alias = "all-at-once")]
+    MigratesAtOnce,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    pub what: What,
+    pub what: FaultKind,
     /// Seconds from the start.
     pub at: f64,
     /// Seconds that it lasts.
@@ -91,8 +94,8 @@
     pub zone: usize,
     #[serde(default)]
     pub amount: f64,
-    #[serde(default)]
-    pub leaving: Leaving,
+    #[serde(default, alias = "leaving")]
+    pub drain_behavior: DrainBehavior,
 }
 
 fn ten() -> f64 {
@@ -115,7 +118,7 @@
         if self.at >= scenario.seconds {
             return bad("at", format!("{} is past the run's end", self.at));
         }
-        if self.share > 1.0 && self.what != What::Grow {
+        if self.share > 1.0 && self.what != FaultKind::Grow {
             return bad("share", format!("{} is over 1", self.share));
         }
         if self.zone >= scenario.zones.number {
@@ -129,24 +132,27 @@
             return bad("who", format!("there is no number {who}"));
         }
         let needs_amount = [
-            What::Slow,
-            What::Neighbour,
-            What::ZoneFlaps,
-            What::StoreSlow,
-            What::Surge,
-            What::TenantSurge,
+            FaultKind::Slow,
+            FaultKind::Neighbour,
+            FaultKind::ZoneFlaps,
+            FaultKind::StoreSlow,
+            FaultKind::Surge,
+            FaultKind::TenantSurge,
         ];
         if needs_amount.contains(&self.what) && self.amount <= 0.0 {
             return bad("amount", "this kind of fault needs one above 0".into());
         }
-        if self.what == What::TenantSurge && scenario.clients.tenants.is_empty() {
+        if self.what == FaultKind::TenantSurge && scenario.clients.tenants.is_empty() {
             return bad("what", "there are no tenants".into());
         }
         Ok(())
     }
 
     fn of_balancers(&self) -> bool {
-        matches!(self.what, What::RestartInTurn | What::BalancersDie)
+        matches!(
+            self.what,
+            FaultKind::RestartInTurn | FaultKind::BalancersDie
+        )
     }
 
     pub fn begins(&self) -> Time {
@@ -158,7 +164,7 @@
     }
 
     /// Whom it meets, of so many, in the order in which it does.
-    pub fn meets(&self, of: usize, dice: &mut Dice) -> Vec<usize> {
+    pub fn meets(&self, of: usize, rng: &mut Rng) -> Vec<usize> {
         if !self.who.is_empty() {
             return self.who.clone();
         }
@@ -169,7 +175,7 @@
         };
         let mut all: Vec<usize> = (0..of).collect();
         for i in 0..count.min(of) {
-            let other = i + dice.below(of - i);
+            let other = i + rng.index_below(of - i);
             all.swap(i, other);
         }
         all.truncate(count);
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -4,11 +4,11 @@
 //! virtual time and real sockets, stand on it, so that a scenario means the same to both. It must never know what a
 //! balancer decides or why.
 
-pub mod crowd;
-pub mod dice;
 pub mod fault;
-pub mod fleet;
+pub mod model;
+pub mod observation;
+pub mod population;
+pub mod rng;
 pub mod scenario;
-pub mod seen;
 pub mod server;
 pub mod store;
--- a/crates/fleet-model/src/fleet.rs
+++ b/crates/fleet-model/src/model.rs
@@ -1,6 +1,6 @@
 //! The fleet as it is now: servers, their store, the list of servers, the zones, and the faults that act on them.
 //!
-//! A driver calls [`World::tick`] often (each 100 ms) and carries out what has happened. Each fault takes back what it did
+//! A driver calls [`FleetModel::tick`] often (each 100 ms) and carries out what has happened. Each fault takes back what it did
 //! and nothing else, so that faults may overlap. The fleet never touches a client or a balancer itself.
 
 mod degradation;
@@ -13,9 +13,9 @@
 
 use nettlemux_policy::Time;
 
-use crate::dice::Dice;
+use crate::rng::Rng;
 use crate::scenario::{Scenario, Weights};
-use crate::server::{Life, Server};
+use crate::server::{Server, ServerStatus};
 use crate::store::Store;
 use degradation::WEIGHT_INTERVAL;
 use faults::ActiveFault;
@@ -29,31 +29,31 @@
 
 /// Something that a driver has to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
+pub enum FleetEvent {
     /// A server has reset these connections.
-    Reset { server: usize, ids: Vec<u64> },
+    ConnectionsReset { server: usize, ids: Vec<u64> },
     /// These connections have fallen silent: their server's machine is gone.
-    Silenced { server: usize, ids: Vec<u64> },
+    ConnectionsSilenced { server: usize, ids: Vec<u64> },
     /// A server has told the clients of these connections to go elsewhere.
-    SentAway { server: usize, ids: Vec<u64> },
+    ClientsMigrated { server: usize, ids: Vec<u64> },
     /// A server has joined or restarted, and is cold.
-    Started { server: usize },
+    ServerStarted { server: usize },
     /// A cold server has fallen over.
-    Fell { server: usize },
+    ServerCollapsed { server: usize },
     /// The list of servers has changed and is to be delivered to the balancers.
-    Endpoint,
+    EndpointsChanged,
     /// Discovery answers again.
-    Heard,
+    DiscoveryRecovered,
     /// A zone has been cut off from the others, or is reachable again.
-    Zone { zone: usize, cut: bool },
+    ZoneConnectivityChanged { zone: usize, cut: bool },
     /// A balancer is asked to shut down, and is to start again after so long.
-    Restart { balancer: usize, away: Time },
+    BalancerRestartRequested { balancer: usize, away: Time },
     /// A balancer is killed, and is to start again after so long.
-    Kill { balancer: usize, away: Time },
+    BalancerKilled { balancer: usize, away: Time },
 }
 
 /// The model of the fleet.
-pub struct World {
+pub struct FleetModel {
     /// What the fleet was made from.
     pub scenario: Scenario,
     /// All servers that have ever been there, by index.
@@ -69,20 +69,20 @@
     list: ServerList,
     /// How many faults cut off each zone now.
     cuts: Vec<usize>,
-    rng: Dice,
+    rng: Rng,
     /// What has happened and was not yet returned to the driver.
-    happened: Vec<Happening>,
+    events: Vec<FleetEvent>,
 }
 
-impl World {
+impl FleetModel {
     /// The fleet at time 0, with the scenario's faults scheduled.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
-        let mut rng = Dice::new(seed, RNG_STREAM);
+        let mut rng = Rng::new(seed, RNG_STREAM);
         let count = scenario.fleet.servers;
         let servers = (0..count)
             .map(|index| new_server(&scenario, index, &mut rng))
             .collect();
-        let mut world = World {
+        let mut world = FleetModel {
             store: Store::new(scenario.store.rate, scenario.store.alone),
             surge: 1.0,
             tenant_surge: 1.0,
@@ -92,7 +92,7 @@
             cuts: vec![0; scenario.zones.number],
             servers,
             rng,
-            happened: Vec::new(),
+            events: Vec::new(),
             scenario,
         };
         world.schedule_faults();
@@ -103,14 +103,14 @@
     }
 
     /// Advances to now and returns what has happened.
-    pub fn tick(&mut self, now: Time) -> Vec<Happening> {
+    pub fn tick(&mut self, now: Time) -> Vec<FleetEvent> {
         while let Some(task) = self.schedule.pop_due(now) {
             self.perform(now, task);
         }
         for server in 0..self.servers.len() {
             self.advance_server(now, server);
         }
-        std::mem::take(&mut self.happened)
+        std::mem::take(&mut self.events)
     }
 
     fn perform(&mut self, now: Time, task: Task) {
@@ -119,9 +119,9 @@
             Task::EndFault { fault } => self.end_fault(now, fault),
             Task::Drain {
                 server,
-                leaving,
+                drain_behavior,
                 until,
-            } => self.drain(now, server, leaving, until),
+            } => self.drain(now, server, drain_behavior, until),
             Task::SendAway { server, steps_left } => self.send_away(now, server, steps_left),
             Task::Leave { server } => self.leave(server),
             Task::Start { server } => self.start(now, server),
@@ -141,14 +141,15 @@
             return;
         }
         for id in &ids {
-            state.rise(*id);
+            state.detach(*id);
         }
-        self.happened.push(Happening::Reset { server, ids });
+        self.events
+            .push(FleetEvent::ConnectionsReset { server, ids });
     }
 
     /// The server for a connection that stands when the run starts: of two random ones in that zone, or in all zones where
     /// it has none, the one with the lower utilization.
-    pub fn stood_at(&self, zone: usize, dice: &mut Dice) -> usize {
+    pub fn stood_at(&self, zone: usize, rng: &mut Rng) -> usize {
         let all = 0..self.servers.len();
         let local: Vec<usize> = all
             .clone()
@@ -159,8 +160,8 @@
         } else {
             local
         };
-        let first = candidates[dice.below(candidates.len())];
-        let second = candidates[dice.below(candidates.len())];
+        let first = candidates[rng.index_below(candidates.len())];
+        let second = candidates[rng.index_below(candidates.len())];
         let utilization = |server: usize| self.servers[server].utilization(&self.scenario.fleet, 0);
         if utilization(first) <= utilization(second) {
             first
@@ -196,13 +197,13 @@
         let up = self
             .servers
             .iter()
-            .filter(|server| server.life == Life::Up && !server.draining);
+            .filter(|server| server.status == ServerStatus::Up && !server.draining);
         up.map(move |server| server.utilization(&self.scenario.fleet, now))
     }
 }
 
 /// A warm server; zones are filled in turn, cells one after another.
-fn new_server(scenario: &Scenario, index: usize, rng: &mut Dice) -> Server {
+fn new_server(scenario: &Scenario, index: usize, rng: &mut Rng) -> Server {
     let zone = index % scenario.zones.number;
     let place = (zone, index / CELL_SIZE, 0);
     Server::new(&scenario.fleet, scenario.types.len(), place, rng)
--- a/crates/fleet-model/src/fleet/degradation.rs
+++ b/crates/fleet-model/src/model/degradation.rs
@@ -3,7 +3,7 @@
 use nettlemux_policy::{SEC, Time};
 
 use super::schedule::Task;
-use super::{Happening, World};
+use super::{FleetEvent, FleetModel};
 use crate::scenario::seconds;
 
 /// How long a neighbour stays, and stays away.
@@ -15,7 +15,7 @@
 /// How often live weights are listed anew.
 pub(super) const WEIGHT_INTERVAL: Time = SEC;
 
-impl World {
+impl FleetModel {
     /// Takes the next step of a decay and schedules the one after it.
     pub(super) fn decay(&mut self, now: Time, fault: usize, step: u64) {
         let active = &self.faults[fault];
@@ -74,7 +74,7 @@
     /// Lists all servers anew with their weights as they are now.
     pub(super) fn refresh_weights(&mut self, now: Time) {
         self.list.touch_all();
-        self.happened.push(Happening::Endpoint);
+        self.events.push(FleetEvent::EndpointsChanged);
         self.schedule
             .add(now + WEIGHT_INTERVAL, Task::RefreshWeights);
     }
--- a/crates/fleet-model/src/fleet/faults.rs
+++ b/crates/fleet-model/src/model/faults.rs
@@ -4,10 +4,10 @@
 
 use super::lifecycle::{CRASH_NOTICE, SILENCE_NOTICE};
 use super::schedule::Task;
-use super::{Happening, World};
-use crate::fault::{Fault, What};
+use super::{FleetEvent, FleetModel};
+use crate::fault::{Fault, FaultKind};
 use crate::scenario::seconds;
-use crate::server::{Life, Server};
+use crate::server::{Server, ServerStatus};
 
 /// How long a rolled server is away between its end and its cold start.
 const ROLL_DOWNTIME: Time = SEC;
@@ -25,7 +25,7 @@
     pub(super) acting: bool,
 }
 
-impl World {
+impl FleetModel {
     /// Schedules the beginning and the end of all faults.
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.scenario.faults.clone().into_iter().enumerate() {
@@ -55,29 +55,31 @@
         self.faults[index].acting = true;
         let amount = fault.amount;
         match fault.what {
-            What::Crash => self.kill_targets(now, index, Life::Down, CRASH_NOTICE),
-            What::Vanish => self.kill_targets(now, index, Life::Silent, SILENCE_NOTICE),
-            What::Slow => self.change_targets(index, |server| server.speed *= amount),
-            What::Decay => self.decay(now, index, 1),
-            What::Neighbour => self.set_neighbour(now, index, true),
-            What::StuckReports => self.change_targets(index, |server| server.stuck = true),
-            What::AbsurdReports => {
+            FaultKind::Crash => self.kill_targets(now, index, ServerStatus::Down, CRASH_NOTICE),
+            FaultKind::Vanish => {
+                self.kill_targets(now, index, ServerStatus::Unresponsive, SILENCE_NOTICE)
+            }
+            FaultKind::Slow => self.change_targets(index, |server| server.speed *= amount),
+            FaultKind::Decay => self.decay(now, index, 1),
+            FaultKind::Neighbour => self.set_neighbour(now, index, true),
+            FaultKind::StuckReports => self.change_targets(index, |server| server.stuck = true),
+            FaultKind::AbsurdReports => {
                 self.change_targets(index, |server| server.absurd = Some(amount))
             }
-            What::FastErrors => self.change_targets(index, |server| server.fast_errors = true),
-            What::ProbesFail => self.change_targets(index, |server| server.probes_fail = true),
-            What::ZoneCut => self.set_zone_cut(fault.zone, true),
-            What::ZoneFlaps => self.flap_zone(now, index, true),
-            What::StoreSlow => self.store.health *= amount,
-            What::ListSilent => self.list.outages += 1,
-            What::ListLate => self.list.extra_delay += amount,
-            What::ListWrong => self.hide_targets(index),
-            What::Grow => {}
-            What::Shrink | What::Roll => self.schedule_drains(now, index),
-            What::RestartInTurn => self.restart_targets(index),
-            What::BalancersDie => self.kill_balancers(index),
-            What::Surge => self.surge *= amount,
-            What::TenantSurge => self.tenant_surge *= amount,
+            FaultKind::FastErrors => self.change_targets(index, |server| server.fast_errors = true),
+            FaultKind::ProbesFail => self.change_targets(index, |server| server.probes_fail = true),
+            FaultKind::ZoneCut => self.set_zone_cut(fault.zone, true),
+            FaultKind::ZoneFlaps => self.flap_zone(now, index, true),
+            FaultKind::StoreSlow => self.store.health *= amount,
+            FaultKind::ListSilent => self.list.outages += 1,
+            FaultKind::ListLate => self.list.extra_delay += amount,
+            FaultKind::ListWrong => self.hide_targets(index),
+            FaultKind::Grow => {}
+            FaultKind::Shrink | FaultKind::Roll => self.schedule_drains(now, index),
+            FaultKind::RestartInTurn => self.restart_targets(index),
+            FaultKind::BalancersDie => self.kill_balancers(index),
+            FaultKind::Surge => self.surge *= amount,
+            FaultKind::TenantSurge => self.tenant_surge *= amount,
         }
     }
 
@@ -87,45 +89,49 @@
         let was_acting = std::mem::take(&mut self.faults[index].acting);
         let amount = fault.amount;
         match fault.what {
-            What::Crash | What::Vanish => self.start_targets(now, index),
-            What::Slow | What::Decay => {
+            FaultKind::Crash | FaultKind::Vanish => self.start_targets(now, index),
+            FaultKind::Slow | FaultKind::Decay => {
                 self.change_targets(index, |server| server.speed /= amount.max(FACTOR_MIN));
             }
-            What::Neighbour => self.change_targets(index, |server| server.neighbour = 0.0),
-            What::StuckReports => self.change_targets(index, |server| server.stuck = false),
-            What::AbsurdReports => self.change_targets(index, |server| server.absurd = None),
-            What::FastErrors => self.change_targets(index, |server| server.fast_errors = false),
-            What::ProbesFail => self.change_targets(index, |server| server.probes_fail = false),
-            What::ZoneCut => self.set_zone_cut(fault.zone, false),
-            What::ZoneFlaps if was_acting => self.set_zone_cut(fault.zone, false),
-            What::StoreSlow => self.store.health /= amount,
-            What::ListSilent => self.end_discovery_outage(),
-            What::ListLate => self.list.extra_delay -= amount,
-            What::ListWrong => self.unhide_targets(index),
-            What::Surge => self.surge /= amount,
-            What::TenantSurge => self.tenant_surge /= amount,
-            What::ZoneFlaps
-            | What::Grow
-            | What::Shrink
-            | What::Roll
-            | What::RestartInTurn
-            | What::BalancersDie => {}
+            FaultKind::Neighbour => self.change_targets(index, |server| server.neighbour = 0.0),
+            FaultKind::StuckReports => self.change_targets(index, |server| server.stuck = false),
+            FaultKind::AbsurdReports => self.change_targets(index, |server| server.absurd = None),
+            FaultKind::FastErrors => {
+                self.change_targets(index, |server| server.fast_errors = false)
+            }
+            FaultKind::ProbesFail => {
+                self.change_targets(index, |server| server.probes_fail = false)
+            }
+            FaultKind::ZoneCut => self.set_zone_cut(fault.zone, false),
+            FaultKind::ZoneFlaps if was_acting => self.set_zone_cut(fault.zone, false),
+            FaultKind::StoreSlow => self.store.health /= amount,
+            FaultKind::ListSilent => self.end_discovery_outage(),
+            FaultKind::ListLate => self.list.extra_delay -= amount,
+            FaultKind::ListWrong => self.unhide_targets(index),
+            FaultKind::Surge => self.surge /= amount,
+            FaultKind::TenantSurge => self.tenant_surge /= amount,
+            FaultKind::ZoneFlaps
+            | FaultKind::Grow
+            | FaultKind::Shrink
+            | FaultKind::Roll
+            | FaultKind::RestartInTurn
+            | FaultKind::BalancersDie => {}
         }
     }
 
     /// The servers or balancers that a fault acts on; for growth, the servers that join.
     fn choose_targets(&mut self, now: Time, fault: &Fault) -> Vec<usize> {
         let count = match fault.what {
-            What::Grow => return self.join(now, fault.share),
-            What::RestartInTurn | What::BalancersDie => self.scenario.balancers.number,
+            FaultKind::Grow => return self.join(now, fault.share),
+            FaultKind::RestartInTurn | FaultKind::BalancersDie => self.scenario.balancers.number,
             _ => self.servers.len(),
         };
         fault.meets(count, &mut self.rng)
     }
 
-    fn kill_targets(&mut self, now: Time, index: usize, life: Life, notice: Time) {
+    fn kill_targets(&mut self, now: Time, index: usize, status: ServerStatus, notice: Time) {
         for server in self.faults[index].targets.clone() {
-            self.kill(server, life);
+            self.kill(server, status);
             self.schedule.add(now + notice, Task::ListDeath { server });
         }
     }
@@ -152,7 +158,7 @@
 
     fn end_discovery_outage(&mut self) {
         self.list.outages -= 1;
-        self.happened.push(Happening::Heard);
+        self.events.push(FleetEvent::DiscoveryRecovered);
     }
 
     /// Schedules the drains of servers one after another over the fault's time, with their return where they are rolled.
@@ -170,11 +176,11 @@
                 at,
                 Task::Drain {
                     server,
-                    leaving: fault.leaving,
+                    drain_behavior: fault.drain_behavior,
                     until,
                 },
             );
-            if fault.what == What::Roll {
+            if fault.what == FaultKind::Roll {
                 self.schedule
                     .add(until + ROLL_DOWNTIME, Task::Start { server });
             }
@@ -186,18 +192,21 @@
     fn restart_targets(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let away = seconds(fault.amount);
-        self.happened
-            .extend(targets.iter().map(|balancer| Happening::Restart {
-                balancer: *balancer,
-                away,
-            }));
+        self.events.extend(
+            targets
+                .iter()
+                .map(|balancer| FleetEvent::BalancerRestartRequested {
+                    balancer: *balancer,
+                    away,
+                }),
+        );
     }
 
     fn kill_balancers(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let away = seconds(fault.lasts);
-        self.happened
-            .extend(targets.iter().map(|balancer| Happening::Kill {
+        self.events
+            .extend(targets.iter().map(|balancer| FleetEvent::BalancerKilled {
                 balancer: *balancer,
                 away,
             }));
--- a/crates/fleet-model/src/fleet/lifecycle.rs
+++ b/crates/fleet-model/src/model/lifecycle.rs
@@ -3,9 +3,9 @@
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
 
 use super::schedule::Task;
-use super::{Happening, World, new_server};
-use crate::fault::Leaving;
-use crate::server::Life;
+use super::{FleetEvent, FleetModel, new_server};
+use crate::fault::DrainBehavior;
+use crate::server::ServerStatus;
 
 /// From the end of a server's process to discovery's notice of it; a process's end is noticed sooner than a machine's
 /// silence.
@@ -17,7 +17,7 @@
 /// From the beginning of a drain to the moment at which a server sends away all its connections, where it does so at once.
 const SEND_AWAY_DELAY: Time = SEC;
 
-impl World {
+impl FleetModel {
     /// Adds cold servers, a part of the current number but at least one. Returns their indices.
     pub(super) fn join(&mut self, now: Time, share: f64) -> Vec<usize> {
         let first = self.servers.len();
@@ -25,33 +25,39 @@
         let joined = first..first + count;
         for server in joined.clone() {
             let mut state = new_server(&self.scenario, server, &mut self.rng);
-            state.starts(now);
+            state.start(now);
             self.servers.push(state);
             self.list.add();
-            self.happened.push(Happening::Started { server });
+            self.events.push(FleetEvent::ServerStarted { server });
             self.set_listed(server, EndpointState::Ready);
         }
         joined.collect()
     }
 
     /// A running server begins to drain.
-    pub(super) fn drain(&mut self, now: Time, server: usize, leaving: Leaving, until: Time) {
+    pub(super) fn drain(
+        &mut self,
+        now: Time,
+        server: usize,
+        drain_behavior: DrainBehavior,
+        until: Time,
+    ) {
         let state = &mut self.servers[server];
-        if state.life != Life::Up || state.draining {
+        if state.status != ServerStatus::Up || state.draining {
             return;
         }
         state.draining = true;
         self.set_listed(server, EndpointState::Draining);
-        match leaving {
-            Leaving::Keeps => {}
-            Leaving::BitByBit => {
+        match drain_behavior {
+            DrainBehavior::KeepsConnections => {}
+            DrainBehavior::MigratesGradually => {
                 let steps_left = (until.saturating_sub(now) / SEND_AWAY_INTERVAL).max(1);
                 self.schedule.add(
                     now + SEND_AWAY_INTERVAL,
                     Task::SendAway { server, steps_left },
                 );
             }
-            Leaving::AllAtOnce => {
+            DrainBehavior::MigratesAtOnce => {
                 self.schedule.add(
                     now + SEND_AWAY_DELAY,
                     Task::SendAway {
@@ -67,13 +73,14 @@
     /// A server sends away its part of the connections that it has left.
     pub(super) fn send_away(&mut self, now: Time, server: usize, steps_left: u64) {
         let state = &mut self.servers[server];
-        let count = state.guests.len().div_ceil(steps_left.max(1) as usize);
-        let ids: Vec<u64> = state.guests.keys().copied().take(count).collect();
+        let count = state.connections.len().div_ceil(steps_left.max(1) as usize);
+        let ids: Vec<u64> = state.connections.keys().copied().take(count).collect();
         for id in &ids {
-            state.rise(*id);
+            state.detach(*id);
         }
         if !ids.is_empty() {
-            self.happened.push(Happening::SentAway { server, ids });
+            self.events
+                .push(FleetEvent::ClientsMigrated { server, ids });
         }
         if steps_left > 1 && self.servers[server].draining {
             let next = Task::SendAway {
@@ -87,18 +94,18 @@
     /// A drained server ends and is taken off the list.
     pub(super) fn leave(&mut self, server: usize) {
         self.set_listed(server, EndpointState::Removed);
-        self.kill(server, Life::Down);
+        self.kill(server, ServerStatus::Down);
     }
 
     /// A running server ends: its process, or its machine.
-    pub(super) fn kill(&mut self, server: usize, life: Life) {
-        if self.servers[server].life != Life::Up {
+    pub(super) fn kill(&mut self, server: usize, status: ServerStatus) {
+        if self.servers[server].status != ServerStatus::Up {
             return;
         }
-        let ids = self.servers[server].dies(life);
-        self.happened.push(match life {
-            Life::Silent => Happening::Silenced { server, ids },
-            _ => Happening::Reset { server, ids },
+        let ids = self.servers[server].stop(status);
+        self.events.push(match status {
+            ServerStatus::Unresponsive => FleetEvent::ConnectionsSilenced { server, ids },
+            _ => FleetEvent::ConnectionsReset { server, ids },
         });
     }
 
@@ -106,10 +113,10 @@
     /// the start.
     pub(super) fn start(&mut self, now: Time, server: usize) {
         let state = &mut self.servers[server];
-        if state.life == Life::Up || !state.starts(now) {
+        if state.status == ServerStatus::Up || !state.start(now) {
             return;
         }
-        self.happened.push(Happening::Started { server });
+        self.events.push(FleetEvent::ServerStarted { server });
         self.list.set_state(server, EndpointState::Ready);
         self.relist(server);
     }
--- a/crates/fleet-model/src/fleet/listing.rs
+++ b/crates/fleet-model/src/model/listing.rs
@@ -2,14 +2,14 @@
 
 use nettlemux_policy::{Endpoint, EndpointState, Time};
 
-use super::{Happening, World};
+use super::{FleetEvent, FleetModel};
 use crate::scenario::{Weights, seconds};
-use crate::server::{Life, Server};
+use crate::server::{Server, ServerStatus};
 
 /// The number of connections at which a live weight has fallen to a half.
 const HALF_WEIGHT_CONNECTIONS: f64 = 10.0;
 
-impl World {
+impl FleetModel {
     /// How late discovery delivers a change that is made now; none while it does not answer.
     pub fn discovery(&mut self) -> Option<Time> {
         if self.list.outages > 0 {
@@ -17,7 +17,7 @@
         }
         let delay = self.scenario.discovery.delay;
         Some(seconds(
-            self.rng.between(delay / 2.0, delay) + self.list.extra_delay,
+            self.rng.uniform_between(delay / 2.0, delay) + self.list.extra_delay,
         ))
     }
 
@@ -28,7 +28,7 @@
 
     /// The entries that changed after a version, as they are now; after 0, all but those that are gone.
     pub fn since(&self, version: u64) -> Vec<Endpoint> {
-        let mut entries = self.between(version, self.list.version());
+        let mut entries = self.entries_between(version, self.list.version());
         if version == 0 {
             entries.retain(|entry| entry.state != EndpointState::Removed);
         }
@@ -36,7 +36,7 @@
     }
 
     /// The entries that changed after one version and up to another, as they are now.
-    pub fn between(&self, version: u64, upto: u64) -> Vec<Endpoint> {
+    pub fn entries_between(&self, version: u64, upto: u64) -> Vec<Endpoint> {
         self.list
             .changed_between(version, upto)
             .map(|server| self.entry(server))
@@ -61,7 +61,8 @@
         match self.scenario.discovery.weights {
             Weights::Nominal => 1.0,
             Weights::Live => {
-                HALF_WEIGHT_CONNECTIONS / (HALF_WEIGHT_CONNECTIONS + server.guests.len() as f64)
+                HALF_WEIGHT_CONNECTIONS
+                    / (HALF_WEIGHT_CONNECTIONS + server.connections.len() as f64)
             }
         }
     }
@@ -76,12 +77,12 @@
     /// Lists a server anew.
     pub(super) fn relist(&mut self, server: usize) {
         self.list.touch(server);
-        self.happened.push(Happening::Endpoint);
+        self.events.push(FleetEvent::EndpointsChanged);
     }
 
     /// Discovery notices a server's death, unless the server runs again.
     pub(super) fn list_death(&mut self, server: usize) {
-        if self.servers[server].life != Life::Up {
+        if self.servers[server].status != ServerStatus::Up {
             self.set_listed(server, EndpointState::Removed);
         }
     }
--- a/crates/fleet-model/src/fleet/network.rs
+++ b/crates/fleet-model/src/model/network.rs
@@ -4,11 +4,11 @@
 
 use super::lifecycle::CRASH_NOTICE;
 use super::schedule::Task;
-use super::{Happening, World};
+use super::{FleetEvent, FleetModel};
 use crate::scenario::seconds;
-use crate::server::{Life, Offer};
+use crate::server::{AttemptResponse, ServerStatus};
 
-impl World {
+impl FleetModel {
     /// Whether messages get from one zone to another.
     pub fn reaches(&self, from: usize, to: usize) -> bool {
         from == to || self.cuts[from] == 0 && self.cuts[to] == 0
@@ -26,25 +26,32 @@
 
     /// An attempt arrives at a server, from a balancer in that zone. Returns what the server makes of it, and what has
     /// happened with it.
-    pub fn offer(&mut self, now: Time, zone: usize, server: usize) -> (Offer, Vec<Happening>) {
+    pub fn offer(
+        &mut self,
+        now: Time,
+        zone: usize,
+        server: usize,
+    ) -> (AttemptResponse, Vec<FleetEvent>) {
         if !self.reaches(zone, self.servers[server].zone) {
-            return (Offer::Silence, Vec::new());
+            return (AttemptResponse::NoResponse, Vec::new());
         }
         let (offer, fell) = self.servers[server].offer(&self.scenario.fleet, now);
         if fell {
             self.fall(now, server);
         }
         let offer = match offer {
-            Offer::Up(took) => Offer::Up(took + self.store.call(now)),
+            AttemptResponse::Accepted(took) => {
+                AttemptResponse::Accepted(took + self.store.call(now))
+            }
             other => other,
         };
-        (offer, std::mem::take(&mut self.happened))
+        (offer, std::mem::take(&mut self.events))
     }
 
     /// A cold server has been asked for more than it can bear, and crashes.
     fn fall(&mut self, now: Time, server: usize) {
-        self.happened.push(Happening::Fell { server });
-        self.kill(server, Life::Down);
+        self.events.push(FleetEvent::ServerCollapsed { server });
+        self.kill(server, ServerStatus::Down);
         self.schedule
             .add(now + CRASH_NOTICE, Task::ListDeath { server });
     }
@@ -59,7 +66,8 @@
             cuts.saturating_sub(1)
         };
         if was_cut != (*cuts > 0) {
-            self.happened.push(Happening::Zone { zone, cut });
+            self.events
+                .push(FleetEvent::ZoneConnectivityChanged { zone, cut });
         }
     }
 }
--- a/crates/fleet-model/src/fleet/schedule.rs
+++ b/crates/fleet-model/src/model/schedule.rs
@@ -4,7 +4,7 @@
 
 use nettlemux_policy::Time;
 
-use crate::fault::Leaving;
+use crate::fault::DrainBehavior;
 
 /// Something to do at a scheduled time. Faults and servers are named by their index.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     /// A server begins to drain, and leaves at a later time.
     Drain {
         server: usize,
-        leaving: Leaving,
+        drain_behavior: DrainBehavior,
         until: Time,
     },
     /// A draining server sends away part of its connections, so that all are gone after the steps that are left.
--- a/crates/fleet-model/src/fleet/tests.rs
+++ b/crates/fleet-model/src/model/tests.rs
@@ -4,16 +4,16 @@
 
 use super::*;
 
-fn world(faults: &str) -> World {
+fn world(faults: &str) -> FleetModel {
     let text = format!(
         r#"{{"name": "t", "seconds": 60, "balancers": {{"number": 1}}, "zones": {{"number": 2}},
         "fleet": {{"servers": 4, "capacity": 10}}, "clients": {{"rate": 1, "life": 9}},
         "types": [{{"name": "chat"}}], "faults": {faults}}}"#
     );
-    World::new(serde_json::from_str(&text).unwrap(), 1)
+    FleetModel::new(serde_json::from_str(&text).unwrap(), 1)
 }
 
-fn until(world: &mut World, end: f64) -> Vec<Happening> {
+fn until(world: &mut FleetModel, end: f64) -> Vec<FleetEvent> {
     (0..=(end * 10.0) as u64)
         .flat_map(|k| world.tick(k * 100 * MS))
         .collect()
@@ -39,14 +39,14 @@
 fn a_server_that_dies_is_listed_gone_late_and_comes_back_cold() {
     let mut world = world(r#"[{"what": "vanish", "at": 5, "for": 10, "who": [1]}]"#);
     until(&mut world, 8.0);
-    assert!(world.since(1).is_empty() && world.servers[1].life == Life::Silent);
+    assert!(world.since(1).is_empty() && world.servers[1].status == ServerStatus::Unresponsive);
     until(&mut world, 9.0);
     assert_eq!(world.since(1)[0].state, EndpointState::Removed);
     assert_eq!(world.since(0).len(), 3, "a whole list leaves it out");
     until(&mut world, 15.0);
     assert_eq!(
-        (world.since(1)[0].state, world.servers[1].life),
-        (EndpointState::Ready, Life::Up)
+        (world.since(1)[0].state, world.servers[1].status),
+        (EndpointState::Ready, ServerStatus::Up)
     );
 }
 
@@ -73,33 +73,36 @@
 
 #[test]
 fn drains_are_of_three_kinds() {
-    for (leaving, sent_away, cut) in [("keeps", 0, 6), ("bit-by-bit", 6, 0), ("all-at-once", 6, 0)]
-    {
+    for (drain_behavior, sent_away, cut) in [
+        ("keeps-connections", 0, 6),
+        ("migrates-gradually", 6, 0),
+        ("migrates-at-once", 6, 0),
+    ] {
         let fault = format!(
-            r#"[{{"what": "shrink", "at": 2, "for": 1, "who": [0], "amount": 4, "leaving": "{leaving}"}}]"#
+            r#"[{{"what": "shrink", "at": 2, "for": 1, "who": [0], "amount": 4, "drain_behavior": "{drain_behavior}"}}]"#
         );
         let mut world = world(&fault);
         for id in 0..6 {
-            let guest = crate::server::Guest {
+            let connection = crate::server::ServerConnection {
                 load: 0.1,
                 group: None,
                 class: 0,
                 value: 1.0,
             };
-            world.servers[0].seat(id, guest);
+            world.servers[0].attach(id, connection);
         }
-        let happened = until(&mut world, 10.0);
+        let events = until(&mut world, 10.0);
         let count =
-            |pick: fn(&Happening) -> Option<usize>| happened.iter().filter_map(pick).sum::<usize>();
+            |pick: fn(&FleetEvent) -> Option<usize>| events.iter().filter_map(pick).sum::<usize>();
         let away = count(|h| match h {
-            Happening::SentAway { ids, .. } => Some(ids.len()),
+            FleetEvent::ClientsMigrated { ids, .. } => Some(ids.len()),
             _ => None,
         });
         let reset = count(|h| match h {
-            Happening::Reset { ids, .. } => Some(ids.len()),
+            FleetEvent::ConnectionsReset { ids, .. } => Some(ids.len()),
             _ => None,
         });
-        assert_eq!((away, reset), (sent_away, cut), "{leaving}");
+        assert_eq!((away, reset), (sent_away, cut), "{drain_behavior}");
         assert_eq!(world.since(1)[0].state, EndpointState::Removed);
     }
 }
--- a/crates/fleet-model/src/seen.rs
+++ b/crates/fleet-model/src/observation.rs
@@ -34,7 +34,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Final {
+pub enum FinalAnswer {
     #[serde(alias = "established")]
     Connected,
     Rejected,
@@ -45,7 +45,7 @@
 /// Who ended an established connection first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ender {
+pub enum ClosedBy {
     Client,
     Server,
     Balancer,
@@ -54,7 +54,7 @@
 /// One fact. Times are nanoseconds from the run's start; flows are numbered over all balancers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum Observation {
     Header {
         version: u32,
         scenario: String,
@@ -71,17 +71,14 @@
         machine: usize,
     },
     /// It has just started and is cold.
-    Started {
-        at: Time,
-        server: usize,
-    },
+    #[serde(alias = "started")]
+    ServerStarted { at: Time, server: usize },
     /// A server was asked for more than a cold one can bear, and fell over.
-    Fell {
-        at: Time,
-        server: usize,
-    },
+    #[serde(alias = "fell")]
+    ServerCollapsed { at: Time, server: usize },
     /// A balancer has been told of a server: whether it is ready.
-    Told {
+    #[serde(alias = "told")]
+    EndpointNotified {
         at: Time,
         balancer: usize,
         server: usize,
@@ -100,13 +97,11 @@
     Answered {
         at: Time,
         flow: u64,
-        with: Final,
+        with: FinalAnswer,
     },
     /// Its client left before it was answered.
-    Left {
-        at: Time,
-        flow: u64,
-    },
+    #[serde(alias = "left")]
+    ClientLeft { at: Time, flow: u64 },
     /// An attempt whose last byte has come to a server.
     #[serde(alias = "connect")]
     Attempt {
@@ -126,10 +121,11 @@
         known_unexecuted: bool,
     },
     /// An established connection has ended. `told`: its client had been told to move; `sound`: its server still answered.
-    Ended {
+    #[serde(alias = "ended")]
+    ConnectionClosed {
         at: Time,
         flow: u64,
-        by: Ender,
+        by: ClosedBy,
         told: bool,
         sound: bool,
     },
@@ -141,22 +137,22 @@
     },
 }
 
-impl Seen {
+impl Observation {
     /// When it was seen; none for the header.
     pub fn at(&self) -> Option<Time> {
         Some(*match self {
-            Seen::Header { .. } => return None,
-            Seen::Server { at, .. }
-            | Seen::Started { at, .. }
-            | Seen::Fell { at, .. }
-            | Seen::Told { at, .. }
-            | Seen::Accepted { at, .. }
-            | Seen::Answered { at, .. }
-            | Seen::Left { at, .. }
-            | Seen::Attempt { at, .. }
-            | Seen::AttemptEnded { at, .. }
-            | Seen::Ended { at, .. }
-            | Seen::BalancerEnded { at, .. } => at,
+            Observation::Header { .. } => return None,
+            Observation::Server { at, .. }
+            | Observation::ServerStarted { at, .. }
+            | Observation::ServerCollapsed { at, .. }
+            | Observation::EndpointNotified { at, .. }
+            | Observation::Accepted { at, .. }
+            | Observation::Answered { at, .. }
+            | Observation::ClientLeft { at, .. }
+            | Observation::Attempt { at, .. }
+            | Observation::AttemptEnded { at, .. }
+            | Observation::ConnectionClosed { at, .. }
+            | Observation::BalancerEnded { at, .. } => at,
         })
     }
 }
--- a/crates/fleet-model/src/crowd.rs
+++ b/crates/fleet-model/src/population.rs
@@ -5,11 +5,11 @@
 
 use nettlemux_policy::{MS, SEC, Time};
 
-use crate::dice::Dice;
-use crate::fleet::World;
+use crate::model::FleetModel;
+use crate::observation::Idempotency;
+use crate::rng::Rng;
 use crate::scenario::{Scenario, seconds};
-use crate::seen::Idempotency;
-use crate::server::Guest;
+use crate::server::ServerConnection;
 
 /// How soon a client that was told to move comes again, from and to.
 const MOVED: [Time; 2] = [50 * MS, 500 * MS];
@@ -43,8 +43,8 @@
 
 impl Client {
     /// What it is to a server that it connects to.
-    pub fn guest(&self) -> Guest {
-        Guest {
+    pub fn connection(&self) -> ServerConnection {
+        ServerConnection {
             load: self.load,
             group: self.group,
             class: self.class,
@@ -53,20 +53,20 @@
     }
 }
 
-pub struct Crowd {
+pub struct ClientPopulation {
     clients: BTreeMap<u64, Client>,
     next: u64,
-    dice: Dice,
+    rng: Rng,
     /// Worth of a second of good service to all who are there, served or not.
     pub wanted: f64,
 }
 
-impl Crowd {
+impl ClientPopulation {
     pub fn new(seed: u64) -> Self {
-        Crowd {
+        ClientPopulation {
             clients: BTreeMap::new(),
             next: 1,
-            dice: Dice::new(seed, 2),
+            rng: Rng::new(seed, 2),
             wanted: 0.0,
         }
     }
@@ -76,7 +76,7 @@
     }
 
     /// How long until the next client comes.
-    pub fn next_arrival(&mut self, world: &World) -> Time {
+    pub fn next_arrival(&mut self, world: &FleetModel) -> Time {
         let clients = &world.scenario.clients;
         let extra = match clients.tenants.first() {
             Some(share) => share * (world.tenant_surge - 1.0),
@@ -86,42 +86,44 @@
         if rate <= 0.0 {
             SEC
         } else {
-            seconds(self.dice.exponential(1.0 / rate)).max(1)
+            seconds(self.rng.exponential(1.0 / rate)).max(1)
         }
     }
 
     /// A new client, who wants what it wants from now on.
-    pub fn arrive(&mut self, now: Time, world: &World) -> u64 {
+    pub fn arrive(&mut self, now: Time, world: &FleetModel) -> u64 {
         let scenario = &world.scenario;
-        let class = self.dice.weighted(scenario.types.iter().map(|t| t.share));
+        let class = self
+            .rng
+            .weighted_index(scenario.types.iter().map(|t| t.share));
         let of = &scenario.types[class];
         let shares = &scenario.clients.tenants;
         // What a tenant brings beyond its share is worth less.
         let extra = shares
             .first()
             .map_or(0.0, |share| share * (world.tenant_surge - 1.0).max(0.0));
-        let surplus = extra > 0.0 && self.dice.unit() < extra / (world.surge + extra);
+        let surplus = extra > 0.0 && self.rng.uniform() < extra / (world.surge + extra);
         let tenant = match surplus {
             true => 0,
             false if shares.is_empty() => 0,
-            false => self.dice.weighted(shares.iter().copied()),
+            false => self.rng.weighted_index(shares.iter().copied()),
         };
         let groups = scenario.clients.groups;
         // Few groups are large: squared, so that the first tenth holds a third of the clients.
-        let group = (groups > 0).then(|| (self.dice.unit().powi(2) * groups as f64) as u32);
+        let group = (groups > 0).then(|| (self.rng.uniform().powi(2) * groups as f64) as u32);
         let client = Client {
             class,
             tenant,
             group,
-            zone: self.dice.below(scenario.zones.number),
-            load: self.dice.around(of.load, scenario.clients.spread),
+            zone: self.rng.index_below(scenario.zones.number),
+            load: self.rng.log_normal(of.load, scenario.clients.spread),
             value: of.value
                 * if surplus {
                     scenario.clients.surplus
                 } else {
                     1.0
                 },
-            ends: now + seconds(self.dice.exponential(scenario.clients.life)).max(50 * MS),
+            ends: now + seconds(self.rng.exponential(scenario.clients.life)).max(50 * MS),
             tries: 0,
             reconnecting: false,
             told: false,
@@ -150,15 +152,15 @@
     pub fn change_load(&mut self, id: u64, scenario: &Scenario) -> Option<(f64, Time)> {
         let client = self.clients.get_mut(&id)?;
         client.load = self
-            .dice
-            .around(scenario.types[client.class].load, scenario.clients.spread);
-        let wait = seconds(self.dice.exponential(scenario.clients.changes)).max(MS);
+            .rng
+            .log_normal(scenario.types[client.class].load, scenario.clients.spread);
+        let wait = seconds(self.rng.exponential(scenario.clients.changes)).max(MS);
         Some((client.load, wait))
     }
 
     pub fn first_change(&mut self, scenario: &Scenario) -> Option<Time> {
         let every = scenario.clients.changes;
-        (every > 0.0).then(|| seconds(self.dice.exponential(every)).max(MS))
+        (every > 0.0).then(|| seconds(self.rng.exponential(every)).max(MS))
     }
 
     pub fn idempotency(&self, id: u64, scenario: &Scenario) -> Idempotency {
@@ -175,7 +177,7 @@
     }
 
     fn spread(&mut self, [from, to]: [Time; 2]) -> Time {
-        from + (self.dice.unit() * (to - from) as f64) as Time
+        from + (self.rng.uniform() * (to - from) as f64) as Time
     }
 
     /// It was turned away, with a Retry-After where it was told one; when it tries again.
@@ -204,7 +206,7 @@
     }
 
     /// It was told to move, or its connection broke; when it comes again.
-    pub fn comes_again(&mut self, now: Time, id: u64, moved: bool) -> Option<Time> {
+    pub fn reconnect_delay(&mut self, now: Time, id: u64, moved: bool) -> Option<Time> {
         let wait = self.spread(if moved { MOVED } else { BROKEN });
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
         (client.reconnecting, client.told, client.since) = (true, false, now);
@@ -218,17 +220,17 @@
 }
 
 /// The front: deals clients out in turn among the balancers of their zone that it takes for alive.
-pub struct Front {
+pub struct FrontEnd {
     zones: Vec<Vec<usize>>,
     /// When it notices that a balancer has died; none while it is well.
     notices: Vec<Option<Time>>,
     turns: Vec<usize>,
 }
 
-impl Front {
+impl FrontEnd {
     pub fn new(balancers: usize, zones: usize) -> Self {
         let of = |zone: usize| (0..balancers).filter(|b| b % zones == zone).collect();
-        Front {
+        FrontEnd {
             zones: (0..zones).map(of).collect(),
             notices: vec![None; balancers],
             turns: vec![0; zones],
@@ -236,7 +238,7 @@
     }
 
     /// The balancer for a client of that zone; another zone's where its own has none; none where there is none at all.
-    pub fn deal(&mut self, now: Time, zone: usize) -> Option<usize> {
+    pub fn pick_balancer(&mut self, now: Time, zone: usize) -> Option<usize> {
         let zones = self.zones.len();
         for other in 0..zones {
             let zone = (zone + other) % zones;
@@ -252,11 +254,11 @@
         None
     }
 
-    pub fn dies(&mut self, balancer: usize, noticed: Time) {
+    pub fn mark_dead(&mut self, balancer: usize, noticed: Time) {
         self.notices[balancer] = Some(noticed);
     }
 
-    pub fn back(&mut self, balancer: usize) {
+    pub fn mark_alive(&mut self, balancer: usize) {
         self.notices[balancer] = None;
     }
 }
--- a/crates/fleet-model/src/dice.rs
+++ b/crates/fleet-model/src/rng.rs
@@ -1,31 +1,31 @@
 //! Seeded chance. It owns one generator whose stream is the same on every machine, and must never be seeded from anything
 //! but a scenario's seed and a purpose, so that one more draw for one purpose changes no other's.
 
-use rand::{Rng, SeedableRng};
+use rand::{Rng as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, StandardNormal};
 
-pub struct Dice(ChaCha8Rng);
+pub struct Rng(ChaCha8Rng);
 
-impl Dice {
+impl Rng {
     /// The stream for one purpose of a run.
     pub fn new(seed: u64, purpose: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(purpose);
-        Dice(rng)
+        Rng(rng)
     }
 
     /// From 0 up to 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
-    pub fn between(&mut self, low: f64, high: f64) -> f64 {
-        low + (high - low) * self.unit()
+    pub fn uniform_between(&mut self, low: f64, high: f64) -> f64 {
+        low + (high - low) * self.uniform()
     }
 
     /// One of so many, the first being 0; 0 where there are none.
-    pub fn below(&mut self, count: usize) -> usize {
+    pub fn index_below(&mut self, count: usize) -> usize {
         if count == 0 {
             0
         } else {
@@ -44,14 +44,14 @@
     }
 
     /// Log-normal with this mean; `spread` is the deviation of its logarithm, 0 for a constant.
-    pub fn around(&mut self, mean: f64, spread: f64) -> f64 {
+    pub fn log_normal(&mut self, mean: f64, spread: f64) -> f64 {
         let normal: f64 = StandardNormal.sample(&mut self.0);
         mean * (spread * normal - spread * spread / 2.0).exp()
     }
 
     /// An index by weight; the last where rounding leaves a rest.
-    pub fn weighted(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
-        let mut left = self.unit() * weights.clone().sum::<f64>();
+    pub fn weighted_index(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
+        let mut left = self.uniform() * weights.clone().sum::<f64>();
         let mut last = 0;
         for (i, weight) in weights.enumerate() {
             last = i;
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 use crate::fault::Fault;
-use crate::seen::{DeduplicationScope, Idempotency};
+use crate::observation::{DeduplicationScope, Idempotency};
 
 /// Seconds as a time; what is negative or no number is none.
 pub fn seconds(s: f64) -> Time {
@@ -70,8 +70,8 @@
     #[serde(default = "slots")]
     pub slots: usize,
     /// Connects a second that a warm server can set up.
-    #[serde(default = "newcomers")]
-    pub newcomers: f64,
+    #[serde(default = "connection_rate", alias = "newcomers")]
+    pub connection_rate: f64,
     /// Load that the first connection of a group brings to a server beside its own.
     #[serde(default)]
     pub group_load: f64,
@@ -321,7 +321,7 @@
 fn slots() -> usize {
     100_000
 }
-fn newcomers() -> f64 {
+fn connection_rate() -> f64 {
     20.0
 }
 /// Of 10, 15 and 20 ms the one with which the order of policies is nearest to that on the users' simulator
@@ -417,7 +417,7 @@
         }
         for (key, value) in [
             ("fleet.capacity", self.fleet.capacity),
-            ("fleet.newcomers", self.fleet.newcomers),
+            ("fleet.connection_rate", self.fleet.connection_rate),
             ("fleet.message", self.fleet.message),
             ("fleet.cold_share", self.fleet.cold_share),
             ("fleet.warm_up", self.fleet.warm_up),
--- a/crates/fleet-model/src/server/tests.rs
+++ b/crates/fleet-model/src/server/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 fn fleet() -> Fleet {
-    serde_json::from_str(r#"{"servers": 1, "capacity": 10, "newcomers": 4, "group_load": 2}"#)
+    serde_json::from_str(r#"{"servers": 1, "capacity": 10, "connection_rate": 4, "group_load": 2}"#)
         .unwrap()
 }
 
-fn server() -> (Fleet, Server, Dice) {
-    let (fleet, mut dice) = (fleet(), Dice::new(1, 1));
-    let server = Server::new(&fleet, 1, (0, 0, 0), &mut dice);
-    (fleet, server, dice)
+fn server() -> (Fleet, Server, Rng) {
+    let (fleet, mut rng) = (fleet(), Rng::new(1, 1));
+    let server = Server::new(&fleet, 1, (0, 0, 0), &mut rng);
+    (fleet, server, rng)
 }
 
-fn guest(load: f64, group: Option<u32>) -> Guest {
-    Guest {
+fn connection(load: f64, group: Option<u32>) -> ServerConnection {
+    ServerConnection {
         load,
         group,
         class: 0,
@@ -25,22 +25,22 @@
 #[test]
 fn load_and_common_work_come_and_go() {
     let (fleet, mut server, _) = server();
-    server.seat(1, guest(2.0, Some(5)));
-    server.seat(2, guest(1.0, Some(5)));
-    server.seat(3, guest(1.0, None));
+    server.attach(1, connection(2.0, Some(5)));
+    server.attach(2, connection(1.0, Some(5)));
+    server.attach(3, connection(1.0, None));
     assert_eq!(server.utilization(&fleet, 0), 0.6);
     server.set_load(3, 3.0);
-    assert!(server.rise(1) && !server.rise(1));
+    assert!(server.detach(1) && !server.detach(1));
     assert_eq!(server.utilization(&fleet, 0), 0.6);
-    server.rise(2);
-    server.rise(3);
+    server.detach(2);
+    server.detach(3);
     assert_eq!((server.utilization(&fleet, 0), server.worth[0]), (0.0, 0.0));
 }
 
 #[test]
 fn one_that_is_asked_for_too_much_slows_and_drops_its_heaviest() {
     let (fleet, mut server, _) = server();
-    (1..=40).for_each(|id| server.seat(id, guest(0.5 + id as f64 / 100.0, None)));
+    (1..=40).for_each(|id| server.attach(id, connection(0.5 + id as f64 / 100.0, None)));
     assert!(server.in_time(&fleet, 0, 0.2) < 0.5);
     assert!(server.advance(&fleet, SEC).is_empty() && server.message(&fleet, SEC) > 1.0);
     assert_eq!(server.advance(&fleet, 4 * SEC), [40, 39]);
@@ -50,27 +50,30 @@
 #[test]
 fn a_cold_one_falls_over_under_a_flood_and_a_warm_one_says_busy() {
     let (fleet, mut server, _) = server();
-    let offers: Vec<Offer> = (0..60).map(|_| server.offer(&fleet, SEC).0).collect();
+    let offers: Vec<AttemptResponse> = (0..60).map(|_| server.offer(&fleet, SEC).0).collect();
     assert_eq!(
-        offers.iter().filter(|offer| **offer == Offer::Busy).count(),
+        offers
+            .iter()
+            .filter(|offer| **offer == AttemptResponse::Overloaded)
+            .count(),
         56
     );
-    server.dies(Life::Down);
-    assert_eq!(server.offer(&fleet, 2 * SEC).0, Offer::Refused);
-    assert!(server.starts(10 * SEC));
+    server.stop(ServerStatus::Down);
+    assert_eq!(server.offer(&fleet, 2 * SEC).0, AttemptResponse::Refused);
+    assert!(server.start(10 * SEC));
     // 3 times 0.35 of 4 a second for 3 s, and the slack: 16.6.
     let fell = (0..20).position(|_| server.offer(&fleet, 10 * SEC).1);
     assert_eq!(fell, Some(16));
-    server.dies(Life::Down);
-    assert!(!server.starts(20 * SEC), "it stays down");
+    server.stop(ServerStatus::Down);
+    assert!(!server.start(20 * SEC), "it stays down");
 }
 
 #[test]
 fn reports_are_refreshed_now_and_then_or_stuck_or_absurd() {
-    let (fleet, mut server, mut dice) = server();
-    server.seat(1, guest(5.0, None));
+    let (fleet, mut server, mut rng) = server();
+    server.attach(1, connection(5.0, None));
     let first = server
-        .report(&fleet, 0, &mut dice)
+        .report(&fleet, 0, &mut rng)
         .unwrap()
         .utilization
         .unwrap();
@@ -78,7 +81,7 @@
     server.set_load(1, 8.0);
     assert_eq!(
         server
-            .report(&fleet, SEC / 4, &mut dice)
+            .report(&fleet, SEC / 4, &mut rng)
             .unwrap()
             .utilization,
         Some(first)
@@ -86,7 +89,7 @@
     server.stuck = true;
     assert_eq!(
         server
-            .report(&fleet, 9 * SEC, &mut dice)
+            .report(&fleet, 9 * SEC, &mut rng)
             .unwrap()
             .utilization,
         Some(first)
@@ -94,11 +97,11 @@
     (server.stuck, server.absurd) = (false, Some(7.5));
     assert_eq!(
         server
-            .report(&fleet, 10 * SEC, &mut dice)
+            .report(&fleet, 10 * SEC, &mut rng)
             .unwrap()
             .utilization,
         Some(7.5)
     );
     server.probes_fail = true;
-    assert_eq!(server.report(&fleet, 11 * SEC, &mut dice), None);
+    assert_eq!(server.report(&fleet, 11 * SEC, &mut rng), None);
 }
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -1,8 +1,10 @@
 //! The keys of scenarios and records: what is written now, and what earlier versions have written and is still read.
 
-use nettlemux_fleet_model::fault::{Fault, What};
-use nettlemux_fleet_model::scenario::{IdempotencySetting, Limits, Scenario, Type};
-use nettlemux_fleet_model::seen::{DeduplicationScope, Final, Idempotency, Seen};
+use nettlemux_fleet_model::fault::{DrainBehavior, Fault, FaultKind};
+use nettlemux_fleet_model::observation::{
+    DeduplicationScope, FinalAnswer, Idempotency, Observation,
+};
+use nettlemux_fleet_model::scenario::{Fleet, IdempotencySetting, Limits, Scenario, Type};
 use nettlemux_settings::operator::By;
 use serde_json::json;
 
@@ -37,7 +39,7 @@
             .collect();
         assert_eq!(
             faults,
-            [(What::ZoneCut, 1), (What::ZoneFlaps, 1)],
+            [(FaultKind::ZoneCut, 1), (FaultKind::ZoneFlaps, 1)],
             "{zones}"
         );
     }
@@ -47,7 +49,7 @@
 #[test]
 fn faults_are_written_under_the_keys_that_are_read() {
     let text = json!({"what": "zone-flaps", "at": 1.0, "for": 2.0, "share": 0.0, "who": [], "zone": 1,
-        "amount": 0.5, "leaving": "keeps"});
+        "amount": 0.5, "drain_behavior": "keeps-connections"});
     let fault: Fault = serde_json::from_value(text.clone()).unwrap();
     assert_eq!(serde_json::to_value(&fault).unwrap(), text);
 }
@@ -67,7 +69,7 @@
 
 #[test]
 fn records_of_earlier_versions_say_hall_for_a_zone() {
-    let server = Seen::Server {
+    let server = Observation::Server {
         at: 1,
         server: 2,
         zone: 3,
@@ -76,9 +78,12 @@
     };
     let text = r#"{"what":"server","at":1,"server":2,"zone":3,"cell":4,"machine":5}"#;
     assert_eq!(serde_json::to_string(&server).unwrap(), text);
-    assert_eq!(serde_json::from_str::<Seen>(text).unwrap(), server);
+    assert_eq!(serde_json::from_str::<Observation>(text).unwrap(), server);
     let earlier = text.replace("zone", "hall");
-    assert_eq!(serde_json::from_str::<Seen>(&earlier).unwrap(), server);
+    assert_eq!(
+        serde_json::from_str::<Observation>(&earlier).unwrap(),
+        server
+    );
     let kind = Idempotency::Deduplicated {
         scope: DeduplicationScope::Zone,
         window: 6,
@@ -106,7 +111,7 @@
         }))
         .unwrap();
         assert_eq!(scenario.clients.tenants, [0.5, 0.5], "{tenants}");
-        assert_eq!(scenario.faults[0].what, What::TenantSurge, "{tenants}");
+        assert_eq!(scenario.faults[0].what, FaultKind::TenantSurge, "{tenants}");
         let admission = scenario.admission.as_ref().unwrap();
         assert_eq!(admission.by, By::Tenant, "{tenants}");
     }
@@ -114,7 +119,7 @@
 
 #[test]
 fn earlier_versions_say_connect_for_an_attempt() {
-    let attempt = Seen::Attempt {
+    let attempt = Observation::Attempt {
         at: 1,
         balancer: 2,
         flow: 3,
@@ -124,15 +129,18 @@
     let text = r#"{"what":"attempt","at":1,"balancer":2,"flow":3,"number":0,"server":4}"#;
     assert_eq!(serde_json::to_string(&attempt).unwrap(), text);
     let earlier = text.replace("attempt", "connect");
-    assert_eq!(serde_json::from_str::<Seen>(&earlier).unwrap(), attempt);
-    let ended = Seen::AttemptEnded {
+    assert_eq!(
+        serde_json::from_str::<Observation>(&earlier).unwrap(),
+        attempt
+    );
+    let ended = Observation::AttemptEnded {
         at: 1,
         flow: 3,
         number: 0,
         known_unexecuted: true,
     };
     let earlier = r#"{"what":"connect-ended","at":1,"flow":3,"number":0,"never_ran":true}"#;
-    assert_eq!(serde_json::from_str::<Seen>(earlier).unwrap(), ended);
+    assert_eq!(serde_json::from_str::<Observation>(earlier).unwrap(), ended);
     for (attempts, retry_after) in [("attempts", "retry_after"), ("connects", "come_back")] {
         let limits: Limits =
             serde_json::from_value(json!({attempts: 4, retry_after: 9.0})).unwrap();
@@ -181,7 +189,7 @@
 
 #[test]
 fn records_of_earlier_versions_say_when_a_flow_is_given_up() {
-    let accepted = Seen::Accepted {
+    let accepted = Observation::Accepted {
         at: 1,
         balancer: 2,
         flow: 3,
@@ -192,19 +200,86 @@
         r#"{"what":"taken","at":1,"balancer":2,"flow":3,"kind":"once-only","give_up":9}"#,
         r#"{"what":"accepted","at":1,"balancer":2,"flow":3,"kind":"non-idempotent","deadline":9}"#,
     ] {
-        assert_eq!(serde_json::from_str::<Seen>(text).unwrap(), accepted);
+        assert_eq!(serde_json::from_str::<Observation>(text).unwrap(), accepted);
     }
 }
 
 #[test]
 fn records_of_earlier_versions_say_established_and_aborted() {
     for (text, want) in [
-        (r#""established""#, Final::Connected),
-        (r#""connected""#, Final::Connected),
-        (r#""aborted""#, Final::Failed),
-        (r#""failed""#, Final::Failed),
-        (r#""rejected""#, Final::Rejected),
+        (r#""established""#, FinalAnswer::Connected),
+        (r#""connected""#, FinalAnswer::Connected),
+        (r#""aborted""#, FinalAnswer::Failed),
+        (r#""failed""#, FinalAnswer::Failed),
+        (r#""rejected""#, FinalAnswer::Rejected),
     ] {
-        assert_eq!(serde_json::from_str::<Final>(text).unwrap(), want, "{text}");
+        assert_eq!(
+            serde_json::from_str::<FinalAnswer>(text).unwrap(),
+            want,
+            "{text}"
+        );
+    }
+}
+
+#[test]
+fn earlier_versions_say_leaving_and_newcomers() {
+    for (earlier, now, want) in [
+        (
+            "keeps",
+            "keeps-connections",
+            DrainBehavior::KeepsConnections,
+        ),
+        (
+            "bit-by-bit",
+            "migrates-gradually",
+            DrainBehavior::MigratesGradually,
+        ),
+        (
+            "all-at-once",
+            "migrates-at-once",
+            DrainBehavior::MigratesAtOnce,
+        ),
+    ] {
+        for (key, value) in [("leaving", earlier), ("drain_behavior", now)] {
+            let fault: Fault =
+                serde_json::from_value(json!({"what": "shrink", "at": 1, key: value})).unwrap();
+            assert_eq!(fault.drain_behavior, want, "{key} = {value}");
+        }
+    }
+    for key in ["newcomers", "connection_rate"] {
+        let fleet: Fleet =
+            serde_json::from_value(json!({"servers": 1, "capacity": 10, key: 4})).unwrap();
+        assert_eq!(fleet.connection_rate, 4.0, "{key}");
+    }
+}
+
+#[test]
+fn records_of_earlier_versions_are_read() {
+    for (earlier, now) in [
+        (
+            r#""started","at":1,"server":2"#,
+            r#""server-started","at":1,"server":2"#,
+        ),
+        (
+            r#""fell","at":1,"server":2"#,
+            r#""server-collapsed","at":1,"server":2"#,
+        ),
+        (
+            r#""told","at":1,"balancer":2,"server":3,"ready":true"#,
+            r#""endpoint-notified","at":1,"balancer":2,"server":3,"ready":true"#,
+        ),
+        (
+            r#""left","at":1,"flow":2"#,
+            r#""client-left","at":1,"flow":2"#,
+        ),
+        (
+            r#""ended","at":1,"flow":2,"by":"client","told":true,"sound":false"#,
+            r#""connection-closed","at":1,"flow":2,"by":"client","told":true,"sound":false"#,
+        ),
+    ] {
+        let [earlier, now] = [earlier, now].map(|fields| format!(r#"{{"what":{fields}}}"#));
+        let read: Observation = serde_json::from_str(&earlier).unwrap();
+        assert_eq!(serde_json::to_string(&read).unwrap(), now);
+        assert_eq!(serde_json::from_str::<Observation>(&now).unwrap(), read);
     }
 }
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-use nettlemux_fleet_model::dice::Dice;
+use nettlemux_fleet_model::rng::Rng;
 use nettlemux_flow_table::LoadBalancingPolicy;
 use nettlemux_policy::{
     Actions, DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Placement,
@@ -75,7 +75,7 @@
 
 struct Baseline {
     kind: Kind,
-    dice: Dice,
+    rng: Rng,
     types: Vec<TrafficClass>,
     attempts: usize,
     servers: BTreeMap<ServerId, Endpoint>,
@@ -89,7 +89,7 @@
     fn new(kind: Kind, settings: &Settings, seed: u64) -> Self {
         Baseline {
             kind,
-            dice: Dice::new(seed, 9),
+            rng: Rng::new(seed, 9),
             types: settings
                 .traffic_classes()
                 .expect("settings made by the lab"),
@@ -132,8 +132,8 @@
             }
             _ => {
                 let seconds = self
-                    .dice
-                    .between(RETRY_AFTER_SECONDS[0], RETRY_AFTER_SECONDS[1]);
+                    .rng
+                    .uniform_between(RETRY_AFTER_SECONDS[0], RETRY_AFTER_SECONDS[1]);
                 let retry_after = Some((seconds * 1e9) as Time);
                 Placement::Reject { retry_after }
             }
@@ -183,7 +183,7 @@
             return self.reject_or_fail(flow);
         }
         self.turn += 1;
-        let start = self.dice.below(among.len());
+        let start = self.rng.index_below(among.len());
         let server_id = match self.kind {
             Kind::Random | Kind::Module => among[start],
             Kind::RoundRobin => among[self.turn % among.len()],
@@ -195,7 +195,7 @@
                     .expect("not empty")
             }
             Kind::PowerOfTwo => {
-                let two = [among[start], among[self.dice.below(among.len())]];
+                let two = [among[start], among[self.rng.index_below(among.len())]];
                 two.into_iter()
                     .min_by_key(|server_id| self.held(*server_id))
                     .expect("two")
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-use nettlemux_fleet_model::dice::Dice;
-use nettlemux_fleet_model::fault::{Fault, Leaving, What};
+use nettlemux_fleet_model::fault::{DrainBehavior, Fault, FaultKind};
+use nettlemux_fleet_model::rng::Rng;
 use nettlemux_fleet_model::scenario::Scenario;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
@@ -159,12 +159,12 @@
 
 /// Draws days of up to three faults, keeps the worst and cuts it down while it stays nearly as bad.
 pub fn hunt(scenario: &Scenario, seed: u64, tries: usize, threads: usize) -> Found {
-    let mut dice = Dice::new(seed, 21);
+    let mut rng = Rng::new(seed, 21);
     let days: Vec<Scenario> = (0..tries.max(1))
         .map(|_| {
             let mut day = scenario.clone();
-            day.faults = (0..1 + dice.below(3))
-                .map(|_| draw(&day, &mut dice))
+            day.faults = (0..1 + rng.index_below(3))
+                .map(|_| draw(&day, &mut rng))
                 .collect();
             day.expect.clear();
             day
@@ -215,52 +215,57 @@
     Some((days.swap_remove(first), judged[first].clone(), looked))
 }
 
-fn draw(scenario: &Scenario, dice: &mut Dice) -> Fault {
-    const KINDS: [What; 18] = [
-        What::Crash,
-        What::Vanish,
-        What::Slow,
-        What::Decay,
-        What::Neighbour,
-        What::StuckReports,
-        What::AbsurdReports,
-        What::FastErrors,
-        What::ProbesFail,
-        What::ZoneCut,
-        What::StoreSlow,
-        What::ListSilent,
-        What::ListWrong,
-        What::Grow,
-        What::Shrink,
-        What::Roll,
-        What::RestartInTurn,
-        What::Surge,
+fn draw(scenario: &Scenario, rng: &mut Rng) -> Fault {
+    const KINDS: [FaultKind; 18] = [
+        FaultKind::Crash,
+        FaultKind::Vanish,
+        FaultKind::Slow,
+        FaultKind::Decay,
+        FaultKind::Neighbour,
+        FaultKind::StuckReports,
+        FaultKind::AbsurdReports,
+        FaultKind::FastErrors,
+        FaultKind::ProbesFail,
+        FaultKind::ZoneCut,
+        FaultKind::StoreSlow,
+        FaultKind::ListSilent,
+        FaultKind::ListWrong,
+        FaultKind::Grow,
+        FaultKind::Shrink,
+        FaultKind::Roll,
+        FaultKind::RestartInTurn,
+        FaultKind::Surge,
     ];
-    let what = KINDS[dice.below(KINDS.len())];
+    let what = KINDS[rng.index_below(KINDS.len())];
     let half = |value: f64| (value * 2.0).round() / 2.0;
     let amount = match what {
-        What::Slow | What::Decay => dice.between(0.2, 0.7),
-        What::Neighbour => dice.between(0.2, 0.6),
-        What::AbsurdReports => [0.0, 0.05, 5.0][dice.below(3)],
-        What::StoreSlow => dice.between(0.05, 0.4),
-        What::RestartInTurn => 1.0,
-        What::Surge => dice.between(1.3, 3.0),
+        FaultKind::Slow | FaultKind::Decay => rng.uniform_between(0.2, 0.7),
+        FaultKind::Neighbour => rng.uniform_between(0.2, 0.6),
+        FaultKind::AbsurdReports => [0.0, 0.05, 5.0][rng.index_below(3)],
+        FaultKind::StoreSlow => rng.uniform_between(0.05, 0.4),
+        FaultKind::RestartInTurn => 1.0,
+        FaultKind::Surge => rng.uniform_between(1.3, 3.0),
         _ => 0.0,
     };
     let latest = (scenario.seconds - scenario.settle) * 0.6;
     Fault {
         what,
-        at: half(scenario.settle + dice.between(1.0, latest.max(1.0))).min(scenario.seconds - 0.5),
-        lasts: half(dice.between(4.0, 20.0)),
-        share: if what == What::RestartInTurn {
+        at: half(scenario.settle + rng.uniform_between(1.0, latest.max(1.0)))
+            .min(scenario.seconds - 0.5),
+        lasts: half(rng.uniform_between(4.0, 20.0)),
+        share: if what == FaultKind::RestartInTurn {
             0.0
         } else {
-            (dice.between(0.05, 0.4) * 20.0).round() / 20.0
+            (rng.uniform_between(0.05, 0.4) * 20.0).round() / 20.0
         },
         who: Vec::new(),
-        zone: dice.below(scenario.zones.number),
+        zone: rng.index_below(scenario.zones.number),
         amount: (amount * 100.0).round() / 100.0,
-        leaving: [Leaving::Keeps, Leaving::BitByBit, Leaving::AllAtOnce][dice.below(3)],
+        drain_behavior: [
+            DrainBehavior::KeepsConnections,
+            DrainBehavior::MigratesGradually,
+            DrainBehavior::MigratesAtOnce,
+        ][rng.index_below(3)],
     }
 }
 
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -5,9 +5,9 @@
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
-use nettlemux_fleet_model::crowd::Client;
+use nettlemux_fleet_model::observation::FinalAnswer;
+use nettlemux_fleet_model::population::Client;
 use nettlemux_fleet_model::scenario::{Expect, Scenario};
-use nettlemux_fleet_model::seen::Final;
 use nettlemux_policy::{SEC, Time};
 use serde_json::{Value, json};
 
@@ -106,7 +106,7 @@
     message: Histogram<u64>,
     in_target: u64,
     pub flows: u64,
-    answers: BTreeMap<Final, u64>,
+    answers: BTreeMap<FinalAnswer, u64>,
     pub unanswered: u64,
     pub attempts: u64,
     pub moves: u64,
@@ -215,12 +215,12 @@
         }
     }
 
-    pub fn answered(&mut self, now: Time, with: Final, took: Time, target: Time) {
+    pub fn answered(&mut self, now: Time, with: FinalAnswer, took: Time, target: Time) {
         if now < self.settle {
             return;
         }
         *self.answers.entry(with).or_default() += 1;
-        if with == Final::Connected {
+        if with == FinalAnswer::Connected {
             self.setup.saturating_record(took / 1000);
             self.in_target += u64::from(took <= target);
         }
@@ -238,11 +238,11 @@
     }
 
     /// A client's flow was answered.
-    pub fn of_client(&mut self, now: Time, client: &Client, with: Final) {
+    pub fn of_client(&mut self, now: Time, client: &Client, with: FinalAnswer) {
         if now < self.settle {
             return;
         }
-        let established = with == Final::Connected;
+        let established = with == FinalAnswer::Connected;
         if client.told {
             self.told_answers += 1;
             self.told_served += u64::from(established);
@@ -275,7 +275,7 @@
     pub fn finish(self, standing: usize, verdict: &Verdict) -> Figures {
         let answer = |with| self.answers.get(&with).copied().unwrap_or(0) as f64;
         let answered: f64 = self.answers.values().sum::<u64>() as f64;
-        let established = answer(Final::Connected);
+        let established = answer(FinalAnswer::Connected);
         let seconds = |histogram: &Histogram<u64>, at| histogram.value_at_quantile(at) as f64 / 1e6;
         let values = [
             part(self.served, self.wanted),
@@ -288,8 +288,8 @@
             seconds(&self.message, 0.99),
             self.flows as f64,
             part(established, answered),
-            part(answer(Final::Rejected), answered),
-            part(answer(Final::Failed), answered),
+            part(answer(FinalAnswer::Rejected), answered),
+            part(answer(FinalAnswer::Failed), answered),
             self.unanswered as f64,
             part(self.attempts as f64, self.flows as f64),
             part(self.moves as f64, established),
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -5,7 +5,7 @@
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-use nettlemux_fleet_model::seen::{Seen, VERSION};
+use nettlemux_fleet_model::observation::{Observation, VERSION};
 
 /// Writes a record; its first fact must be the header.
 pub struct Writer(BufWriter<File>);
@@ -15,7 +15,7 @@
         Ok(Writer(BufWriter::new(File::create(file)?)))
     }
 
-    pub fn write(&mut self, seen: &Seen) -> io::Result<()> {
+    pub fn write(&mut self, seen: &Observation) -> io::Result<()> {
         serde_json::to_writer(&mut self.0, seen)?;
         self.0.write_all(b"\n")
     }
@@ -28,7 +28,7 @@
 /// A record as read.
 #[derive(Debug, PartialEq)]
 pub struct Read {
-    pub seen: Vec<Seen>,
+    pub seen: Vec<Observation>,
     /// The line that was cut off, where the last one was.
     pub cut: Option<usize>,
 }
@@ -50,7 +50,7 @@
         {
             break;
         }
-        match serde_json::from_slice::<Seen>(&text) {
+        match serde_json::from_slice::<Observation>(&text) {
             Ok(one) => seen.push(one),
             Err(_) if text.last() != Some(&b'\n') && number > 1 => {
                 return Ok(Read {
@@ -62,10 +62,10 @@
         }
         if number == 1 {
             match seen[0] {
-                Seen::Header {
+                Observation::Header {
                     version: VERSION, ..
                 } => {}
-                Seen::Header { version, .. } => {
+                Observation::Header { version, .. } => {
                     return Err(format!("line 1: version {version}, not {VERSION}"));
                 }
                 _ => return Err("line 1: no header".into()),
--- a/crates/testbed/src/record/tests.rs
+++ b/crates/testbed/src/record/tests.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn a_record_is_read_up_to_where_it_was_cut() {
-    let header = Seen::Header {
+    let header = Observation::Header {
         version: VERSION,
         scenario: "s".into(),
         seed: 1,
         program: "p".into(),
     };
-    let left = Seen::Left { at: 5, flow: 7 };
+    let left = Observation::ClientLeft { at: 5, flow: 7 };
     let text: String = [&header, &left]
         .iter()
         .map(|s| serde_json::to_string(s).unwrap() + "\n")
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,11 +1,13 @@
-//! The judge of the rules. It reads only what crossed the stand-ins ([`Seen`]), in order of time, and keeps what it needs to
+//! The judge of the rules. It reads only what crossed the stand-ins ([`Observation`]), in order of time, and keeps what it needs to
 //! judge and no more: open flows, the last few seconds of closed ones, and cold servers' attempts. It must never be told
 //! anything by a balancer, nor by the model about what it would have done.
 
 use std::collections::{BTreeMap, VecDeque};
 
+use nettlemux_fleet_model::observation::{
+    ClosedBy, DeduplicationScope, FinalAnswer, Idempotency, Observation,
+};
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
-use nettlemux_fleet_model::seen::{DeduplicationScope, Ender, Final, Idempotency, Seen};
 use nettlemux_fleet_model::server::SLACK;
 use nettlemux_policy::{MS, SEC, Time};
 use serde::Serialize;
@@ -75,7 +77,7 @@
     balancer: usize,
     kind: Idempotency,
     deadline: Time,
-    answered: Option<Final>,
+    answered: Option<FinalAnswer>,
     /// Nothing more is owed, and since when.
     over: Option<Time>,
     attempts: Vec<Made>,
@@ -98,7 +100,7 @@
     warm_up: Time,
     multiple: f64,
     fall: Time,
-    newcomers: f64,
+    connection_rate: f64,
     /// What is added to each time limit: nothing in virtual time, 50 ms on sockets.
     slack: Time,
     servers: BTreeMap<usize, Place>,
@@ -120,7 +122,7 @@
             warm_up: seconds(fleet.warm_up),
             multiple: fleet.fall_multiple,
             fall: seconds(fleet.fall),
-            newcomers: fleet.newcomers,
+            connection_rate: fleet.connection_rate,
             slack,
             servers: BTreeMap::new(),
             told: BTreeMap::new(),
@@ -143,7 +145,7 @@
     }
 
     /// The next fact, in order of time.
-    pub fn see(&mut self, seen: &Seen) {
+    pub fn see(&mut self, seen: &Observation) {
         self.now = self.now.max(seen.at().unwrap_or(self.now));
         while self
             .over
@@ -154,25 +156,25 @@
             self.flows.remove(&flow);
         }
         match *seen {
-            Seen::Header { .. } => {}
-            Seen::Server {
+            Observation::Header { .. } => {}
+            Observation::Server {
                 server, zone, cell, ..
             } => {
                 let place = self.servers.entry(server).or_default();
                 (place.zone, place.cell) = (zone, cell);
             }
-            Seen::Started { at, server } => {
+            Observation::ServerStarted { at, server } => {
                 let place = self.servers.entry(server).or_default();
                 place.started = Some(at);
                 place.sent.clear();
             }
-            Seen::Fell { server, .. } => {
+            Observation::ServerCollapsed { server, .. } => {
                 self.broken(
                     Rule::Cold,
                     format!("server {server} fell over when it was cold"),
                 );
             }
-            Seen::Told {
+            Observation::EndpointNotified {
                 at,
                 balancer,
                 server,
@@ -184,7 +186,7 @@
                     self.told.entry((balancer, server)).or_insert(at);
                 }
             }
-            Seen::Accepted {
+            Observation::Accepted {
                 flow,
                 balancer,
                 kind,
@@ -205,8 +207,8 @@
                     },
                 );
             }
-            Seen::Answered { at, flow, with } => self.answered(at, flow, with),
-            Seen::Left { at, flow } => {
+            Observation::Answered { at, flow, with } => self.answered(at, flow, with),
+            Observation::ClientLeft { at, flow } => {
                 // Guards against a client that has waited in vain and is taken for one that changed its mind.
                 let owed = self
                     .flows
@@ -217,7 +219,7 @@
                 }
                 self.ends(at, flow);
             }
-            Seen::Attempt {
+            Observation::Attempt {
                 at,
                 balancer,
                 flow,
@@ -227,7 +229,7 @@
                 self.verdict.attempts += 1;
                 self.connect(at, balancer, flow, (number, server));
             }
-            Seen::AttemptEnded {
+            Observation::AttemptEnded {
                 flow,
                 number,
                 known_unexecuted,
@@ -243,19 +245,19 @@
                     made.ended = Some(known_unexecuted);
                 }
             }
-            Seen::Ended {
+            Observation::ConnectionClosed {
                 at,
                 flow,
                 by,
                 told,
                 sound,
             } => {
-                if by == Ender::Balancer && sound && !told {
+                if by == ClosedBy::Balancer && sound && !told {
                     self.broken(Rule::Cut, format!("flow {flow} was cut off unannounced"));
                 }
                 self.ends(at, flow);
             }
-            Seen::BalancerEnded {
+            Observation::BalancerEnded {
                 at,
                 balancer,
                 planned,
@@ -284,7 +286,7 @@
         }
     }
 
-    fn answered(&mut self, at: Time, id: u64, with: Final) {
+    fn answered(&mut self, at: Time, id: u64, with: FinalAnswer) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return self.broken(
                 Rule::AfterTheEnd,
@@ -297,7 +299,7 @@
             flow.over.is_some() && before.is_none(),
         );
         let may_have_run = flow.attempts.iter().any(|made| made.ended != Some(true));
-        let unsafe_word = with == Final::Rejected
+        let unsafe_word = with == FinalAnswer::Rejected
             && may_have_run
             && match flow.kind {
                 Idempotency::Idempotent => false,
@@ -305,7 +307,7 @@
                 Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
                 Idempotency::NonIdempotent => true,
             };
-        if with != Final::Connected {
+        if with != FinalAnswer::Connected {
             self.ends(at, id);
         }
         if let Some(before) = before {
@@ -410,7 +412,8 @@
             place.sent.pop_front();
         }
         let warmth = self.cold_share + (1.0 - self.cold_share) * age as f64 / warm_up as f64;
-        let budget = self.multiple * warmth * self.newcomers * (fall as f64 / SEC as f64) + SLACK;
+        let budget =
+            self.multiple * warmth * self.connection_rate * (fall as f64 / SEC as f64) + SLACK;
         if place.sent.len() as f64 > budget {
             let sent = place.sent.len();
             place.sent.clear();
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -9,8 +9,8 @@
     serde_json::from_str(text).unwrap()
 }
 
-fn taken(flow: u64, kind: Idempotency) -> Seen {
-    Seen::Accepted {
+fn taken(flow: u64, kind: Idempotency) -> Observation {
+    Observation::Accepted {
         at: 0,
         balancer: 0,
         flow,
@@ -18,8 +18,8 @@
         deadline: SEC,
     }
 }
-fn connect(at: Time, number: usize, server: usize) -> Seen {
-    Seen::Attempt {
+fn connect(at: Time, number: usize, server: usize) -> Observation {
+    Observation::Attempt {
         at,
         balancer: 0,
         flow: 1,
@@ -27,21 +27,21 @@
         server,
     }
 }
-fn ended(number: usize, known_unexecuted: bool) -> Seen {
-    Seen::AttemptEnded {
+fn ended(number: usize, known_unexecuted: bool) -> Observation {
+    Observation::AttemptEnded {
         at: 2,
         flow: 1,
         number,
         known_unexecuted,
     }
 }
-fn answered(at: Time, with: Final) -> Seen {
-    Seen::Answered { at, flow: 1, with }
+fn answered(at: Time, with: FinalAnswer) -> Observation {
+    Observation::Answered { at, flow: 1, with }
 }
 
-fn judge(seen: &[Seen]) -> Vec<Rule> {
+fn judge(seen: &[Observation]) -> Vec<Rule> {
     let mut rules = Rules::new(&scenario(), 0);
-    let servers = [(0, 0), (1, 1)].map(|(server, zone)| Seen::Server {
+    let servers = [(0, 0), (1, 1)].map(|(server, zone)| Observation::Server {
         at: 0,
         server,
         zone,
@@ -58,26 +58,26 @@
         scope: DeduplicationScope::Zone,
         window: 50,
     };
-    let up = answered(5, Final::Connected);
-    let cut = |told, sound| Seen::Ended {
+    let up = answered(5, FinalAnswer::Connected);
+    let cut = |told, sound| Observation::ConnectionClosed {
         at: 7,
         flow: 1,
-        by: Ender::Balancer,
+        by: ClosedBy::Balancer,
         told,
         sound,
     };
-    let told = Seen::Told {
+    let told = Observation::EndpointNotified {
         at: 0,
         balancer: 0,
         server: 0,
         ready: false,
     };
-    let started = Seen::Started { at: 1, server: 0 };
-    let flood: Vec<Seen> = (0..20)
+    let started = Observation::ServerStarted { at: 1, server: 0 };
+    let flood: Vec<Observation> = (0..20)
         .flat_map(|n| [connect(2, n, 0), ended(n, true)])
         .collect();
     let free = taken(1, Idempotency::Idempotent);
-    let cases: Vec<(Vec<Seen>, Vec<Rule>)> = vec![
+    let cases: Vec<(Vec<Observation>, Vec<Rule>)> = vec![
         (
             vec![
                 free.clone(),
@@ -89,11 +89,14 @@
             vec![],
         ),
         (vec![free.clone()], vec![Rule::Lost]),
-        (vec![free.clone(), Seen::Left { at: 3, flow: 1 }], vec![]),
+        (
+            vec![free.clone(), Observation::ClientLeft { at: 3, flow: 1 }],
+            vec![],
+        ),
         (
             vec![
                 free.clone(),
-                Seen::Left {
+                Observation::ClientLeft {
                     at: SEC + 1,
                     flow: 1,
                 },
@@ -101,15 +104,19 @@
             vec![Rule::Lost],
         ),
         (
-            vec![free.clone(), up.clone(), answered(6, Final::Rejected)],
+            vec![free.clone(), up.clone(), answered(6, FinalAnswer::Rejected)],
             vec![Rule::AnsweredTwice],
         ),
         (
-            vec![free.clone(), answered(SEC + 1, Final::Failed)],
+            vec![free.clone(), answered(SEC + 1, FinalAnswer::Failed)],
             vec![Rule::Late],
         ),
         (
-            vec![free.clone(), answered(5, Final::Rejected), connect(6, 0, 0)],
+            vec![
+                free.clone(),
+                answered(5, FinalAnswer::Rejected),
+                connect(6, 0, 0),
+            ],
             vec![Rule::AfterTheEnd],
         ),
         (
@@ -147,7 +154,7 @@
                 taken(1, Idempotency::NonIdempotent),
                 connect(1, 0, 0),
                 ended(0, false),
-                answered(5, Final::Rejected),
+                answered(5, FinalAnswer::Rejected),
             ],
             vec![Rule::Twice],
         ),
@@ -195,7 +202,7 @@
                 free.clone(),
                 told,
                 connect(401 * MS, 0, 0),
-                answered(500 * MS, Final::Connected),
+                answered(500 * MS, FinalAnswer::Connected),
             ],
             vec![Rule::Drain],
         ),
@@ -203,11 +210,14 @@
             [vec![free.clone(), started], flood, vec![up.clone()]].concat(),
             vec![Rule::Cold],
         ),
-        (vec![Seen::Fell { at: 1, server: 0 }], vec![Rule::Cold]),
+        (
+            vec![Observation::ServerCollapsed { at: 1, server: 0 }],
+            vec![Rule::Cold],
+        ),
         (
             vec![
                 free.clone(),
-                Seen::BalancerEnded {
+                Observation::BalancerEnded {
                     at: 1,
                     balancer: 0,
                     planned: false,
@@ -218,7 +228,7 @@
         (
             vec![
                 free,
-                Seen::BalancerEnded {
+                Observation::BalancerEnded {
                     at: 1,
                     balancer: 0,
                     planned: true,
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use nettlemux_fleet_model::dice::Dice;
+use nettlemux_fleet_model::rng::Rng;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
@@ -77,7 +77,7 @@
             let number = each(balancer);
             for client in 0..number {
                 let delay = over.mul_f64((client as f64 + 0.5) / number as f64);
-                let rng = Dice::new(self.seed ^ home as u64, client);
+                let rng = Rng::new(self.seed ^ home as u64, client);
                 tokio::spawn(
                     Client {
                         all: self.clone(),
@@ -140,7 +140,7 @@
     all: Arc<Clients>,
     /// The balancer that it goes by.
     home: usize,
-    rng: Dice,
+    rng: Rng,
 }
 
 impl Client {
@@ -175,19 +175,19 @@
         }
         let ready = |at: &usize| self.all.balancers[*at].ready();
         let others: Vec<usize> = (0..self.all.balancers.len()).filter(ready).collect();
-        if let Some(other) = others.get(self.rng.below(others.len())) {
+        if let Some(other) = others.get(self.rng.index_below(others.len())) {
             self.home = *other;
         }
     }
 
     async fn back_off(&mut self, least: Duration) {
-        let drawn = Duration::from_secs_f64(self.rng.between(BACKOFF_MIN_S, BACKOFF_MAX_S));
+        let drawn = Duration::from_secs_f64(self.rng.uniform_between(BACKOFF_MIN_S, BACKOFF_MAX_S));
         tokio::time::sleep(drawn.max(least)).await;
     }
 
     async fn open(&mut self, balancer: &Balancer, reconnecting: bool) -> Option<Try> {
         let id = self.all.ids.fetch_add(1, Relaxed);
-        let group = self.rng.below(self.all.groups as usize);
+        let group = self.rng.index_below(self.all.groups as usize);
         let again = if reconnecting { ",again=1" } else { "" };
         let line = format!("OPEN c{id:x} k{id:x} c=chat,d={DEADLINE_MS},g=g{group}{again}\r\n");
         let stream = match balancer {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use nettlemux_fleet_model::dice::Dice;
+use nettlemux_fleet_model::rng::Rng;
 use nettlemux_flow_table::{ClientIdentity, FlowTable, LoadBalancingPolicy, PolicyCommand};
 use nettlemux_policy::{
     Actions, Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Placement,
@@ -174,7 +174,7 @@
 struct Driver {
     flow_table: FlowTable<MeasuredPolicy>,
     calls: Rc<RefCell<Calls>>,
-    rng: Dice,
+    rng: Rng,
     now: Time,
     /// When the module wants to be asked again.
     due: Option<Time>,
@@ -209,7 +209,7 @@
                 calls: calls.clone(),
             }),
             calls,
-            rng: Dice::new(seed, 0),
+            rng: Rng::new(seed, 0),
             now: 0,
             due: None,
             events: BTreeMap::new(),
@@ -248,7 +248,7 @@
         let before = self.module_bytes();
         for _ in 0..counts.connections {
             let flow = self.new_flow(0);
-            let server_id = self.rng.below(counts.servers as usize) as ServerId;
+            let server_id = self.rng.index_below(counts.servers as usize) as ServerId;
             self.flow_table.adopt_connection(flow, server_id);
         }
         let all = (self.module_bytes() - before) as f64;
@@ -259,7 +259,7 @@
     fn new_flow(&mut self, accepted_at: Time) -> Flow {
         let id = self.next_flow;
         self.next_flow += 1;
-        let group = Some(format!("g{}", self.rng.below(self.groups as usize)));
+        let group = Some(format!("g{}", self.rng.index_below(self.groups as usize)));
         Flow {
             id,
             group,
@@ -342,7 +342,7 @@
                     .accept(now, flow, ClientIdentity::default(), &mut commands);
             }
             Event::ProbeAnswered(server_id) => {
-                let load = self.rng.between(LEAST_LOAD, MOST_LOAD);
+                let load = self.rng.uniform_between(LEAST_LOAD, MOST_LOAD);
                 let report = LoadReport {
                     utilization: Some(load),
                     connections: None,
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use nettlemux_fleet_model::dice::Dice;
+use nettlemux_fleet_model::rng::Rng;
 use serde::Deserialize;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpSocket, TcpStream};
@@ -57,7 +57,7 @@
     discovery: SocketAddr,
     probe_interval: Duration,
     list: Mutex<List>,
-    rng: Mutex<Dice>,
+    rng: Mutex<Rng>,
     alive: watch::Sender<bool>,
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
@@ -75,7 +75,7 @@
             discovery,
             probe_interval: Duration::from_secs_f64(1.0 / probes_per_second.max(1e-3)),
             list: Mutex::default(),
-            rng: Mutex::new(Dice::new(seed, number as u64)),
+            rng: Mutex::new(Rng::new(seed, number as u64)),
             alive: watch::channel(false).0,
             tasks: Mutex::default(),
         });
@@ -108,7 +108,9 @@
     pub fn pick(&self) -> Option<SocketAddr> {
         let list = self.list();
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
-        list.addresses.get(rng.below(list.addresses.len())).copied()
+        list.addresses
+            .get(rng.index_below(list.addresses.len()))
+            .copied()
     }
 
     /// A connection to a server, from this balancer's own address.
@@ -171,7 +173,7 @@
             .rng
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .unit();
+            .uniform();
         // So that hollow balancers don't probe in step.
         tokio::time::sleep(self.probe_interval.mul_f64(first)).await;
         let mut ticks = tokio::time::interval(self.probe_interval);
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -1,7 +1,7 @@
 //! A balancer's answers to clients, and the close of a flow.
 
+use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Final, Seen};
 use nettlemux_policy::{FlowId, Time};
 
 use super::flow::FlowPhase;
@@ -9,7 +9,7 @@
 
 impl Simulation<'_> {
     /// Answers a waiting client whose flow was rejected or has failed; the client decides whether to try again.
-    pub(super) fn answer(&mut self, flow: FlowId, answer: Final, retry_after: Option<Time>) {
+    pub(super) fn answer(&mut self, flow: FlowId, answer: FinalAnswer, retry_after: Option<Time>) {
         if self.waiting_flow(flow).is_none() {
             return;
         }
@@ -19,9 +19,10 @@
         self.flow_of_client.remove(&client);
         self.observe_answer(flow, answer);
         let wait = match answer {
-            Final::Rejected => self
-                .clients
-                .rejected(client, retry_after, &self.model.scenario),
+            FinalAnswer::Rejected => {
+                self.clients
+                    .rejected(client, retry_after, &self.model.scenario)
+            }
             _ => self.clients.failed(client, &self.model.scenario),
         };
         self.retry_after(client, wait);
@@ -31,7 +32,7 @@
     }
 
     /// Records an answer and counts it in the figures.
-    pub(super) fn observe_answer(&mut self, flow: FlowId, answer: Final) {
+    pub(super) fn observe_answer(&mut self, flow: FlowId, answer: FinalAnswer) {
         let Some(state) = self.flows.get(&flow) else {
             return;
         };
@@ -43,7 +44,7 @@
         let target = known.map_or(0.0, |client| self.model.scenario.types[client.class].target);
         self.figures
             .answered(self.now, answer, took, seconds(target));
-        self.observe(Seen::Answered {
+        self.observe(Observation::Answered {
             at: self.now,
             flow,
             with: answer,
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts to connect a flow to a server, from the dial to their end.
 
+use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Final, Seen};
-use nettlemux_fleet_model::server::Offer;
+use nettlemux_fleet_model::server::AttemptResponse;
 use nettlemux_policy::{AttemptEnd, FlowId, LoadReport, Time};
 
 use super::event::{Ending, Event, ServerResponse};
@@ -40,7 +40,7 @@
         }
         let (balancer, client) = (state.balancer, state.client);
         let zone = self.balancers[balancer].zone;
-        let (offer, happened) = self.model.offer(self.now, zone, attempt.server);
+        let (offer, events) = self.model.offer(self.now, zone, attempt.server);
         let Some(response) = immediate_response(offer) else {
             return self.schedule_dial_timeout(flow, number);
         };
@@ -49,7 +49,7 @@
         }
         self.duplicate_attempt(balancer, flow, attempt);
         let mut answered = self.now + self.latency(flow, attempt.server);
-        if let Offer::Up(setup) = offer {
+        if let AttemptResponse::Accepted(setup) = offer {
             self.attach(flow, client, attempt.server);
             answered += seconds(setup);
         }
@@ -61,7 +61,7 @@
                 response,
             },
         );
-        self.carry_out(happened);
+        self.carry_out(events);
     }
 
     /// Nothing answers the dial, and the balancer has to find out by itself.
@@ -80,7 +80,7 @@
     /// Records an attempt whose last byte has come to a server.
     pub(super) fn observe_attempt(&mut self, balancer: usize, flow: FlowId, attempt: Attempt) {
         let Attempt { number, server } = attempt;
-        self.observe(Seen::Attempt {
+        self.observe(Observation::Attempt {
             at: self.now,
             balancer,
             flow,
@@ -120,7 +120,7 @@
     /// Whether a response never arrives: its server has died since, or its zone is cut off.
     fn is_response_lost(&self, flow: FlowId, server: usize, response: ServerResponse) -> bool {
         let connected = response == ServerResponse::Connected;
-        if connected && !self.model.servers[server].guests.contains_key(&flow) {
+        if connected && !self.model.servers[server].connections.contains_key(&flow) {
             return true;
         }
         let from_balancer = response == ServerResponse::Unreachable;
@@ -142,13 +142,13 @@
         state.phase = FlowPhase::Connected;
         let (client, moving) = (state.client, state.moving);
         let number = attempt.number;
-        self.observe(Seen::AttemptEnded {
+        self.observe(Observation::AttemptEnded {
             at: self.now,
             flow,
             number,
             known_unexecuted: false,
         });
-        self.observe_answer(flow, Final::Connected);
+        self.observe_answer(flow, FinalAnswer::Connected);
         self.clients.connected(client);
         self.report_connected(flow);
         self.connection_opened(flow, client);
@@ -201,7 +201,7 @@
         let settled = state.phase == FlowPhase::Settled;
         self.detach(flow, attempt.server);
         let (number, known_unexecuted) = (attempt.number, ending.known_unexecuted);
-        self.observe(Seen::AttemptEnded {
+        self.observe(Observation::AttemptEnded {
             at: self.now,
             flow,
             number,
@@ -238,12 +238,12 @@
 }
 
 /// What a server answers to an attempt; none where nothing answers.
-fn immediate_response(offer: Offer) -> Option<ServerResponse> {
+fn immediate_response(offer: AttemptResponse) -> Option<ServerResponse> {
     match offer {
-        Offer::Silence => None,
-        Offer::Refused => Some(ServerResponse::Refused),
-        Offer::Busy => Some(ServerResponse::Busy),
-        Offer::Error => Some(ServerResponse::Error),
-        Offer::Up(_) => Some(ServerResponse::Connected),
+        AttemptResponse::NoResponse => None,
+        AttemptResponse::Refused => Some(ServerResponse::Refused),
+        AttemptResponse::Overloaded => Some(ServerResponse::Busy),
+        AttemptResponse::Error => Some(ServerResponse::Error),
+        AttemptResponse::Accepted(_) => Some(ServerResponse::Connected),
     }
 }
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -1,8 +1,8 @@
 //! What clients do: arrive, try to be served, give up, leave, and change their load.
 
-use nettlemux_fleet_model::crowd::Client;
+use nettlemux_fleet_model::observation::{ClosedBy, Observation};
+use nettlemux_fleet_model::population::Client;
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Ender, Seen};
 use nettlemux_flow_table::ClientIdentity as Requester;
 use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
 use nettlemux_settings::operator::By;
@@ -39,7 +39,7 @@
         if self.flow_of_client.contains_key(&client) || known.gone {
             return;
         }
-        let dealt = self.front.deal(self.now, known.zone);
+        let dealt = self.front.pick_balancer(self.now, known.zone);
         match dealt.filter(|balancer| self.balancers[*balancer].is_running()) {
             Some(balancer) => self.accept(client, &known, balancer),
             None => {
@@ -64,7 +64,7 @@
         self.flow_of_client.insert(client, id);
         self.figures.flows += 1;
         let kind = self.clients.idempotency(client, &self.model.scenario);
-        self.observe(Seen::Accepted {
+        self.observe(Observation::Accepted {
             at: self.now,
             balancer,
             flow: id,
@@ -137,7 +137,7 @@
         state.phase = FlowPhase::Settled;
         let (balancer, client, in_flight) = (state.balancer, state.client, state.attempt.is_some());
         self.flow_of_client.remove(&client);
-        self.observe(Seen::Left { at: self.now, flow });
+        self.observe(Observation::ClientLeft { at: self.now, flow });
         self.ask(balancer, |flow_table, now, actions| {
             flow_table.client_left(now, flow, actions)
         });
@@ -151,7 +151,7 @@
         if let Some(flow) = self.flow_of_client.get(&client).copied() {
             if self.connected_flow(flow).is_some() {
                 let closure = Closure {
-                    by: Ender::Client,
+                    by: ClosedBy::Client,
                     told: false,
                     sound: true,
                 };
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -1,6 +1,6 @@
 //! Calls into a balancer's flow table, and the actions that it answers with.
 
-use nettlemux_fleet_model::seen::Final;
+use nettlemux_fleet_model::observation::FinalAnswer;
 use nettlemux_flow_table::PolicyCommand;
 use nettlemux_policy::{MS, Time};
 
@@ -48,9 +48,9 @@
                 self.start_attempt(flow, attempt, timeout);
             }
             PolicyCommand::Reject { flow, retry_after } => {
-                self.send_answer(flow, Final::Rejected, retry_after)
+                self.send_answer(flow, FinalAnswer::Rejected, retry_after)
             }
-            PolicyCommand::Fail { flow } => self.send_answer(flow, Final::Failed, None),
+            PolicyCommand::Fail { flow } => self.send_answer(flow, FinalAnswer::Failed, None),
             PolicyCommand::Migrate { flow } => self.move_client(flow),
             PolicyCommand::CancelAttempt { flow, .. } => self.cancel_attempt(flow),
             PolicyCommand::CheckHealth { server_id } => {
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -1,6 +1,6 @@
 //! Established connections: how they begin, and how a client, a server or a balancer ends them.
 
-use nettlemux_fleet_model::seen::{Ender, Seen};
+use nettlemux_fleet_model::observation::{ClosedBy, Observation};
 use nettlemux_policy::{AttemptEnd, FlowId};
 
 use super::event::{Ending, Event, ServerResponse};
@@ -9,7 +9,7 @@
 
 /// How a connection was closed, as the record has it.
 pub(super) struct Closure {
-    pub(super) by: Ender,
+    pub(super) by: ClosedBy,
     /// The client was told to move.
     pub(super) told: bool,
     /// The server still answered.
@@ -22,12 +22,12 @@
         let Some(known) = self.clients.get(client) else {
             return;
         };
-        self.model.servers[server].seat(flow, known.guest());
+        self.model.servers[server].attach(flow, known.connection());
     }
 
     /// Takes a flow's load off a server.
     pub(super) fn detach(&mut self, flow: FlowId, server: usize) {
-        self.model.servers[server].rise(flow);
+        self.model.servers[server].detach(flow);
     }
 
     /// Schedules what happens to a new connection. A connection that stands when the run starts also gets its end here;
@@ -47,7 +47,7 @@
     pub(super) fn closed_by_server(&mut self, flow: FlowId, response: ServerResponse) {
         let told = response == ServerResponse::Redirected;
         let closure = Closure {
-            by: Ender::Server,
+            by: ClosedBy::Server,
             told,
             sound: false,
         };
@@ -65,7 +65,7 @@
             self.closed_by_balancer(
                 flow,
                 Closure {
-                    by: Ender::Balancer,
+                    by: ClosedBy::Balancer,
                     told,
                     sound: true,
                 },
@@ -84,7 +84,7 @@
         };
         let Some(attempt) = state.attempt else { return };
         let still_attached = self.model.servers[attempt.server]
-            .guests
+            .connections
             .contains_key(&flow);
         if still_attached && self.is_reachable(flow, attempt.server) {
             // A zone was cut off and is back: the server was there all the time.
@@ -93,7 +93,7 @@
         self.closed_by_balancer(
             flow,
             Closure {
-                by: Ender::Balancer,
+                by: ClosedBy::Balancer,
                 told: true,
                 sound: false,
             },
@@ -118,7 +118,7 @@
         let state = self.flows.get(&flow)?;
         let (client, attempt) = (state.client, state.attempt?);
         let Closure { by, told, sound } = closure;
-        self.observe(Seen::Ended {
+        self.observe(Observation::ConnectionClosed {
             at: self.now,
             flow,
             by,
@@ -133,7 +133,7 @@
 
     /// A client whose connection has ended comes again, the sooner where it was told to move.
     pub(super) fn reconnect(&mut self, client: ClientId, told_to_move: bool) {
-        let wait = self.clients.comes_again(self.now, client, told_to_move);
+        let wait = self.clients.reconnect_delay(self.now, client, told_to_move);
         self.retry_after(client, wait);
     }
 }
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,6 +1,6 @@
 //! Delivery of the list of servers from discovery to the balancers.
 
-use nettlemux_fleet_model::seen::Seen;
+use nettlemux_fleet_model::observation::Observation;
 use nettlemux_policy::EndpointState;
 
 use super::balancer::Incarnation;
@@ -41,7 +41,7 @@
                 entry.server_id as usize,
                 entry.state == EndpointState::Ready,
             );
-            self.observe(Seen::Told {
+            self.observe(Observation::EndpointNotified {
                 at: self.now,
                 balancer,
                 server,
--- a/crates/testbed/src/simulate/event.rs
+++ b/crates/testbed/src/simulate/event.rs
@@ -1,6 +1,6 @@
 //! The events of the simulation and the values that they carry.
 
-use nettlemux_fleet_model::seen::Final;
+use nettlemux_fleet_model::observation::FinalAnswer;
 use nettlemux_policy::{AttemptEnd, FlowId, Time};
 
 use super::balancer::Incarnation;
@@ -59,7 +59,7 @@
     /// A mutant sends an answer that it has held back.
     DelayedAnswer {
         flow: FlowId,
-        answer: Final,
+        answer: FinalAnswer,
         retry_after: Option<Time>,
     },
 }
--- a/crates/testbed/src/simulate/faults.rs
+++ b/crates/testbed/src/simulate/faults.rs
@@ -1,7 +1,7 @@
 //! What happens in the model, faults above all, carried out on connections and balancers.
 
-use nettlemux_fleet_model::fleet::Happening;
-use nettlemux_fleet_model::seen::Seen;
+use nettlemux_fleet_model::model::FleetEvent;
+use nettlemux_fleet_model::observation::Observation;
 use nettlemux_policy::{FlowId, SEC, Time};
 
 use super::event::{Event, ServerResponse};
@@ -15,25 +15,29 @@
 
 impl Simulation<'_> {
     /// Carries out what happened in the model. Restarts that begin together are done one after another.
-    pub(super) fn carry_out(&mut self, happened: Vec<Happening>) {
+    pub(super) fn carry_out(&mut self, events: Vec<FleetEvent>) {
         let mut restarts = 0;
-        for happening in happened {
+        for happening in events {
             match happening {
-                Happening::Reset { ids, .. } => self.send_responses(ids, ServerResponse::Reset),
-                Happening::SentAway { ids, .. } => {
+                FleetEvent::ConnectionsReset { ids, .. } => {
+                    self.send_responses(ids, ServerResponse::Reset)
+                }
+                FleetEvent::ClientsMigrated { ids, .. } => {
                     self.send_responses(ids, ServerResponse::Redirected)
                 }
-                Happening::Silenced { ids, .. } => self.schedule_silence(ids),
-                Happening::Started { server } => self.server_started(server),
-                Happening::Fell { server } => self.server_fell(server),
-                Happening::Endpoint | Happening::Heard => self.announce_list(),
-                Happening::Zone { cut: false, .. } => {}
-                Happening::Zone { zone, .. } => self.zone_cut_off(zone),
-                Happening::Restart { balancer, away } => {
+                FleetEvent::ConnectionsSilenced { ids, .. } => self.schedule_silence(ids),
+                FleetEvent::ServerStarted { server } => self.server_started(server),
+                FleetEvent::ServerCollapsed { server } => self.server_fell(server),
+                FleetEvent::EndpointsChanged | FleetEvent::DiscoveryRecovered => {
+                    self.announce_list()
+                }
+                FleetEvent::ZoneConnectivityChanged { cut: false, .. } => {}
+                FleetEvent::ZoneConnectivityChanged { zone, .. } => self.zone_cut_off(zone),
+                FleetEvent::BalancerRestartRequested { balancer, away } => {
                     self.schedule_restart(balancer, away, restarts);
                     restarts += 1;
                 }
-                Happening::Kill { balancer, away } => self.schedule_kill(balancer, away),
+                FleetEvent::BalancerKilled { balancer, away } => self.schedule_kill(balancer, away),
             }
         }
     }
@@ -59,14 +63,14 @@
     fn schedule_silence(&mut self, flows: Vec<FlowId>) {
         for flow in flows {
             let [least, most] = SILENCE_TIMEOUT;
-            let wait = self.rng.between(least as f64, most as f64) as Time;
+            let wait = self.rng.uniform_between(least as f64, most as f64) as Time;
             self.schedule(self.now + wait, Event::ServerSilent { flow });
         }
     }
 
     fn server_started(&mut self, server: usize) {
         self.observe_server(server);
-        self.observe(Seen::Started {
+        self.observe(Observation::ServerStarted {
             at: self.now,
             server,
         });
@@ -74,7 +78,7 @@
 
     fn server_fell(&mut self, server: usize) {
         self.figures.fell += 1;
-        self.observe(Seen::Fell {
+        self.observe(Observation::ServerCollapsed {
             at: self.now,
             server,
         });
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -1,8 +1,8 @@
 //! Faults that a mutant balancer commits where its actions are executed, rather than in its decisions. A sound balancer
 //! passes through these functions unchanged.
 
+use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Final, Seen};
 use nettlemux_policy::{FlowId, MS, Time};
 
 use super::PolicyChoice;
@@ -25,7 +25,12 @@
     }
 
     /// Sends a rejection or failure to a client; mutants may lose, delay or repeat it.
-    pub(super) fn send_answer(&mut self, flow: FlowId, answer: Final, retry_after: Option<Time>) {
+    pub(super) fn send_answer(
+        &mut self,
+        flow: FlowId,
+        answer: FinalAnswer,
+        retry_after: Option<Time>,
+    ) {
         if self.is_mutant(Mischief::LosesAnswers) {
             return;
         }
@@ -44,7 +49,7 @@
         }
     }
 
-    fn answer_late(&mut self, flow: FlowId, answer: Final, retry_after: Option<Time>) {
+    fn answer_late(&mut self, flow: FlowId, answer: FinalAnswer, retry_after: Option<Time>) {
         let Some(state) = self.waiting_flow(flow) else {
             return;
         };
@@ -65,13 +70,13 @@
     pub(super) fn delayed_answer(
         &mut self,
         flow: FlowId,
-        answer: Final,
+        answer: FinalAnswer,
         retry_after: Option<Time>,
     ) {
         if self.waiting_flow(flow).is_some() {
             self.answer(flow, answer, retry_after);
         } else {
-            self.observe(Seen::Answered {
+            self.observe(Observation::Answered {
                 at: self.now,
                 flow,
                 with: answer,
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -1,7 +1,7 @@
 //! Probes of servers by balancers.
 
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::server::Life;
+use nettlemux_fleet_model::server::ServerStatus;
 use nettlemux_policy::{LoadReport, MS, Time};
 
 use super::balancer::Incarnation;
@@ -48,7 +48,7 @@
         let fleet = &self.model.scenario.fleet;
         let state = &mut self.model.servers[server];
         let message_time = seconds(state.message(fleet, self.now));
-        if state.life == Life::Up && message_time > MESSAGE_TIME_MAX {
+        if state.status == ServerStatus::Up && message_time > MESSAGE_TIME_MAX {
             return None;
         }
         state.report(fleet, self.now, &mut self.rng)
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -1,7 +1,7 @@
 //! The end of a balancer's process, planned or not, and its return.
 
+use nettlemux_fleet_model::observation::{Idempotency, Observation};
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Idempotency, Seen};
 use nettlemux_policy::{FlowId, MS, SEC, Time};
 
 use super::balancer::Incarnation;
@@ -32,7 +32,7 @@
         if !self.balancers[balancer].is_running() {
             return;
         }
-        self.front.dies(balancer, self.now + FRONT_STOPS);
+        self.front.mark_dead(balancer, self.now + FRONT_STOPS);
         let balancer = self.incarnation(balancer);
         self.schedule(
             self.now + MOVES_BEGIN,
@@ -113,14 +113,14 @@
         }
         self.balancers[balancer].flow_table = None;
         self.balancers[balancer].epoch += 1;
-        self.observe(Seen::BalancerEnded {
+        self.observe(Observation::BalancerEnded {
             at: self.now,
             balancer,
             planned,
         });
         if !planned {
             let notice = seconds(self.model.scenario.balancers.notice);
-            self.front.dies(balancer, self.now + notice);
+            self.front.mark_dead(balancer, self.now + notice);
         }
         for flow in self.flows_where(|state| state.balancer == balancer) {
             self.lose_flow(flow);
@@ -169,6 +169,6 @@
     /// A balancer's process starts again and the front deals clients to it.
     pub(super) fn balancer_returns(&mut self, balancer: usize) {
         self.start_balancer(balancer);
-        self.front.back(balancer);
+        self.front.mark_alive(balancer);
     }
 }
--- a/crates/testbed/src/simulate/sampling.rs
+++ b/crates/testbed/src/simulate/sampling.rs
@@ -1,6 +1,6 @@
 //! The model's regular step, and the figures that are taken at regular times.
 
-use nettlemux_fleet_model::server::Life;
+use nettlemux_fleet_model::server::ServerStatus;
 use nettlemux_policy::{MS, SEC, Time};
 
 use super::event::Event;
@@ -14,12 +14,12 @@
 impl Simulation<'_> {
     /// Advances the model, accounts for the worth served since, and carries out what happened.
     pub(super) fn tick_model(&mut self) {
-        let happened = self.model.tick(self.now);
+        let events = self.model.tick(self.now);
         let seconds = TICK_INTERVAL as f64 / SEC as f64;
         let wanted = self.clients.wanted * seconds;
         let served = self.model.served(self.now) * seconds;
         self.figures.worth(self.now, (wanted, served), seconds);
-        self.carry_out(happened);
+        self.carry_out(events);
         self.schedule(self.now + TICK_INTERVAL, Event::ModelTick);
     }
 
@@ -32,11 +32,11 @@
             .model
             .servers
             .iter()
-            .filter(|server| server.life == Life::Up)
+            .filter(|server| server.status == ServerStatus::Up)
         {
             let seconds = server.message(fleet, self.now);
             self.figures
-                .message(self.now, seconds, server.guests.len() as u64);
+                .message(self.now, seconds, server.connections.len() as u64);
         }
         self.schedule(self.now + SAMPLE_INTERVAL, Event::Sample);
     }
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use nettlemux_fleet_model::crowd::{Crowd, Front};
-use nettlemux_fleet_model::dice::Dice;
-use nettlemux_fleet_model::fleet::World;
+use nettlemux_fleet_model::model::FleetModel;
+use nettlemux_fleet_model::observation::Observation;
+use nettlemux_fleet_model::population::{ClientPopulation, FrontEnd};
+use nettlemux_fleet_model::rng::Rng;
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
-use nettlemux_fleet_model::seen::Seen;
 use nettlemux_policy::{FlowId, MS, Time};
 use serde_json::Value;
 
@@ -29,9 +29,9 @@
     pub(super) now: Time,
     end: Time,
     queue: EventQueue,
-    pub(super) model: World,
-    pub(super) clients: Crowd,
-    pub(super) front: Front,
+    pub(super) model: FleetModel,
+    pub(super) clients: ClientPopulation,
+    pub(super) front: FrontEnd,
     pub(super) balancers: Vec<Balancer>,
     pub(super) flows: BTreeMap<FlowId, FlowState>,
     /// The flow of each client that has one.
@@ -41,7 +41,7 @@
     pub(super) settings: Vec<Value>,
     pub(super) policy: PolicyChoice,
     pub(super) seed: u64,
-    pub(super) rng: Dice,
+    pub(super) rng: Rng,
     judge: Rules,
     pub(super) figures: Gather,
     record: Option<&'a mut Writer>,
@@ -65,8 +65,8 @@
             now: 0,
             end: scenario.end(),
             queue: EventQueue::default(),
-            clients: Crowd::new(seed),
-            front: Front::new(scenario.balancers.number, zones),
+            clients: ClientPopulation::new(seed),
+            front: FrontEnd::new(scenario.balancers.number, zones),
             balancers: (0..scenario.balancers.number)
                 .map(|b| Balancer::new(b % zones))
                 .collect(),
@@ -78,13 +78,13 @@
                 .collect(),
             policy,
             seed,
-            rng: Dice::new(seed, RNG_STREAM),
+            rng: Rng::new(seed, RNG_STREAM),
             judge: Rules::new(&scenario, slack),
             figures: Gather::new(seconds(scenario.settle)),
             record,
             record_error: None,
             attempts_arrived: 0,
-            model: World::new(scenario, seed),
+            model: FleetModel::new(scenario, seed),
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Shows a fact to the judge and writes it to the record. The first failure to write is kept for the end.
-    pub(super) fn observe(&mut self, fact: Seen) {
+    pub(super) fn observe(&mut self, fact: Observation) {
         self.judge.see(&fact);
         if let Some(record) = &mut self.record
             && let Err(error) = record.write(&fact)
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -1,8 +1,8 @@
 //! The state at time 0, and the start of a balancer's process.
 
 use nettlemux_admission::AdmissionController;
+use nettlemux_fleet_model::observation::{Observation, VERSION};
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Seen, VERSION};
 use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy};
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
@@ -40,7 +40,7 @@
     fn observe_header(&mut self) {
         let scenario = self.model.scenario.name.clone();
         let program = format!("{} in virtual time", self.policy.name());
-        self.observe(Seen::Header {
+        self.observe(Observation::Header {
             version: VERSION,
             scenario,
             seed: self.seed,
@@ -52,7 +52,7 @@
     pub(super) fn observe_server(&mut self, server: usize) {
         let state = &self.model.servers[server];
         let (zone, cell, machine) = (state.zone, state.cell, state.machine);
-        self.observe(Seen::Server {
+        self.observe(Observation::Server {
             at: self.now,
             server,
             zone,
@@ -106,7 +106,7 @@
         let client = self.clients.arrive(0, &self.model);
         let known = self.clients.get(client).expect("it has just arrived");
         let (client_zone, load) = (known.zone, known.load);
-        let Some(balancer) = self.front.deal(0, client_zone) else {
+        let Some(balancer) = self.front.pick_balancer(0, client_zone) else {
             return;
         };
         let server = self
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_fleet_model::crowd::Client;
+use nettlemux_fleet_model::observation::{ClosedBy, FinalAnswer, Idempotency, Observation};
+use nettlemux_fleet_model::population::Client;
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::{Ender, Final, Idempotency, Seen};
 use nettlemux_policy::{MS, SEC, Time};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -37,13 +37,13 @@
     loop {
         let wait = {
             let inner = &mut *stage.lock();
-            inner.crowd.next_arrival(&inner.world)
+            inner.population.next_arrival(&inner.world)
         };
         next += wait;
         tokio::time::sleep(span(next.saturating_sub(stage.now()))).await;
         let id = {
             let inner = &mut *stage.lock();
-            inner.crowd.arrive(stage.now(), &inner.world)
+            inner.population.arrive(stage.now(), &inner.world)
         };
         tokio::spawn(live(stage.clone(), id, None));
     }
@@ -53,9 +53,9 @@
 pub fn stand(stage: &Arc<Stage>) {
     let (id, server) = {
         let inner = &mut *stage.lock();
-        let id = inner.crowd.arrive(0, &inner.world);
-        let zone = inner.crowd.get(id).map_or(0, |client| client.zone);
-        (id, inner.world.stood_at(zone, &mut inner.dice))
+        let id = inner.population.arrive(0, &inner.world);
+        let zone = inner.population.get(id).map_or(0, |client| client.zone);
+        (id, inner.world.stood_at(zone, &mut inner.rng))
     };
     tokio::spawn(live(stage.clone(), id, Some(server)));
 }
@@ -71,7 +71,7 @@
 /// One client, from its coming to the end of what it wants.
 async fn live(stage: Arc<Stage>, id: u64, mut standing: Option<usize>) {
     loop {
-        let client = stage.lock().crowd.get(id).cloned();
+        let client = stage.lock().population.get(id).cloned();
         let Some(client) = client.filter(|client| !client.gone) else {
             break;
         };
@@ -92,15 +92,15 @@
             }
         }
     }
-    stage.lock().crowd.over(id);
+    stage.lock().population.over(id);
 }
 
 async fn once(stage: &Arc<Stage>, id: u64, client: &Client, standing: Option<usize>) -> Came {
     let dealt = {
         let inner = &mut *stage.lock();
-        inner.front.deal(stage.now(), client.zone)
+        inner.front.pick_balancer(stage.now(), client.zone)
     };
-    let refused = || Came::Again(Some(stage.lock().crowd.refused()));
+    let refused = || Came::Again(Some(stage.lock().population.refused()));
     let Some(balancer) = dealt else {
         return refused();
     };
@@ -117,7 +117,8 @@
     };
     let flow = stage.lock().number();
     let line = first_line(stage, (id, client), flow, wait, standing);
-    let stutters = standing.is_none() && stage.lock().dice.unit() < stage.scenario.clients.stutter;
+    let stutters =
+        standing.is_none() && stage.lock().rng.uniform() < stage.scenario.clients.stutter;
     let (first, rest) = line.split_at(if stutters { line.len() / 2 } else { 0 });
     if stutters {
         // Its balancer may die meanwhile: nothing was asked of it then.
@@ -131,7 +132,7 @@
         let inner = &mut *stage.lock();
         // It has died since it took the connection: nobody is there to take the line.
         if !inner.alive[balancer] {
-            return Came::Again(Some(inner.crowd.refused()));
+            return Came::Again(Some(inner.population.refused()));
         }
         let known = Known {
             client: id,
@@ -141,7 +142,7 @@
             tell: None,
         };
         inner.flows.insert(flow, known);
-        let kind = inner.crowd.idempotency(id, &stage.scenario);
+        let kind = inner.population.idempotency(id, &stage.scenario);
         accepted_at = stage.now();
         if standing.is_none() {
             inner.gather.flows += 1;
@@ -152,7 +153,7 @@
                 inner.gather.came_when_told(accepted_at);
             }
             let deadline = accepted_at + wait;
-            inner.see(Seen::Accepted {
+            inner.see(Observation::Accepted {
                 at: accepted_at,
                 balancer,
                 flow,
@@ -179,7 +180,7 @@
         }
         Err(_) => {
             // Never whole at the balancer: it has nothing to answer.
-            stage.see(Seen::Left {
+            stage.see(Observation::ClientLeft {
                 at: stage.now(),
                 flow,
             });
@@ -247,7 +248,7 @@
         let answer = tokio::select! {
             answer = tokio::time::timeout(patience, lines.next_line()) => answer,
             () = tokio::time::sleep(ends) => {
-                stage.see(Seen::Left { at: stage.now(), flow: self.flow });
+                stage.see(Observation::ClientLeft { at: stage.now(), flow: self.flow });
                 return Came::Over;
             }
         };
@@ -255,14 +256,14 @@
             // Nothing, or an end without a word: lost, unless the balancer has died, which its end will tell.
             stage.lock().gather.unanswered += u64::from(!self.balancer_gone().await);
             let inner = &mut *stage.lock();
-            return Came::Again(inner.crowd.failed(self.id, &stage.scenario));
+            return Came::Again(inner.population.failed(self.id, &stage.scenario));
         };
         let now = stage.now();
         let (word, rest) = answer.split_once(' ').unwrap_or((&answer, ""));
         let with = match word {
-            "UP" => Final::Connected,
-            "BUSY" => Final::Rejected,
-            _ => Final::Failed,
+            "UP" => FinalAnswer::Connected,
+            "BUSY" => FinalAnswer::Rejected,
+            _ => FinalAnswer::Failed,
         };
         if !standing {
             let target = seconds(stage.scenario.types[client.class].target);
@@ -271,33 +272,37 @@
                 .gather
                 .answered(now, with, now - self.accepted_at, target);
             inner.gather.of_client(now, client, with);
-            inner.see(Seen::Answered {
+            inner.see(Observation::Answered {
                 at: now,
                 flow: self.flow,
                 with,
             });
         }
         match with {
-            Final::Connected => {
+            FinalAnswer::Connected => {
                 {
                     let mut inner = stage.lock();
-                    inner.crowd.connected(self.id);
+                    inner.population.connected(self.id);
                     inner.standing += usize::from(standing);
                 }
                 self.open(lines, out, client).await
             }
-            Final::Rejected => {
+            FinalAnswer::Rejected => {
                 self.second_answer(lines).await;
                 let retry_after = rest.trim().parse::<u64>().ok().map(|ms| ms * MS);
                 let inner = &mut *stage.lock();
-                Came::Again(inner.crowd.rejected(self.id, retry_after, &stage.scenario))
+                Came::Again(
+                    inner
+                        .population
+                        .rejected(self.id, retry_after, &stage.scenario),
+                )
             }
-            Final::Failed => {
+            FinalAnswer::Failed => {
                 self.second_answer(lines).await;
                 let inner = &mut *stage.lock();
                 Came::Again(match self.kind {
                     Idempotency::NonIdempotent if standing => None,
-                    _ => inner.crowd.failed(self.id, &stage.scenario),
+                    _ => inner.population.failed(self.id, &stage.scenario),
                 })
             }
         }
@@ -308,11 +313,11 @@
         let more = tokio::time::timeout(Duration::from_millis(50), lines.next_line()).await;
         if let Ok(Ok(Some(line))) = more {
             let with = if line.starts_with("BUSY") {
-                Final::Rejected
+                FinalAnswer::Rejected
             } else {
-                Final::Failed
+                FinalAnswer::Failed
             };
-            self.stage.see(Seen::Answered {
+            self.stage.see(Observation::Answered {
                 at: self.stage.now(),
                 flow: self.flow,
                 with,
@@ -330,16 +335,16 @@
         let stage = self.stage;
         let every = seconds(stage.scenario.clients.lines);
         let target = seconds(stage.scenario.types[client.class].message_target);
-        let mut next = stage.now() + (every as f64 * stage.lock().dice.unit()) as Time;
+        let mut next = stage.now() + (every as f64 * stage.lock().rng.uniform()) as Time;
         let mut waiting = std::collections::VecDeque::new();
         let mut count = 0u64;
         loop {
             let now = stage.now();
             if stage.begun() && now >= client.ends {
-                stage.see(Seen::Ended {
+                stage.see(Observation::ConnectionClosed {
                     at: now,
                     flow: self.flow,
-                    by: Ender::Client,
+                    by: ClosedBy::Client,
                     told: false,
                     sound: true,
                 });
@@ -371,8 +376,8 @@
                     Ok(Some(line)) if line.starts_with("LOAD ") => {}
                     Ok(Some(line)) => {
                         // No server of ours made it.
-                        let with = if line.starts_with("UP") { Final::Connected } else { Final::Failed };
-                        stage.see(Seen::Answered { at: stage.now(), flow: self.flow, with });
+                        let with = if line.starts_with("UP") { FinalAnswer::Connected } else { FinalAnswer::Failed };
+                        stage.see(Observation::Answered { at: stage.now(), flow: self.flow, with });
                     }
                     Ok(None) | Err(_) => return self.ended(false).await,
                 },
@@ -414,6 +419,6 @@
             (false, _) => inner.gather.lost += 1,
             _ => {}
         }
-        Came::Again(inner.crowd.comes_again(stage.now(), self.id, told))
+        Came::Again(inner.population.reconnect_delay(stage.now(), self.id, told))
     }
 }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use nettlemux_fleet_model::observation::{Observation, VERSION};
 use nettlemux_fleet_model::scenario::Scenario;
-use nettlemux_fleet_model::seen::{Seen, VERSION};
 use nettlemux_policy::{MS, SEC, Time};
 use tokio::time::Instant;
 
@@ -94,7 +94,7 @@
     let stage = Stage::new(scenario.clone(), seed, record)?;
     let version = version(program);
     let name = scenario.name.clone();
-    stage.see(Seen::Header {
+    stage.see(Observation::Header {
         version: VERSION,
         scenario: name,
         seed,
@@ -118,8 +118,8 @@
         tokio::time::sleep_until(begun + Duration::from_nanos(next)).await;
         let now = stage.now();
         late.push(now.saturating_sub(next));
-        for happened in stage.tick(now) {
-            processes.asked(happened, now);
+        for events in stage.tick(now) {
+            processes.asked(events, now);
         }
         processes.watch(now);
         // A tick that was missed is not made up for: the model goes by the time that has passed.
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_fleet_model::fleet::Happening;
+use nettlemux_fleet_model::model::FleetEvent;
+use nettlemux_fleet_model::observation::Observation;
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::Seen;
 use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_settings::operator::Operator;
 use rustix::process::{Pid, Resource, Rlimit, Signal};
@@ -196,9 +196,9 @@
     }
 
     /// What a fault asks of the processes.
-    pub fn asked(&mut self, happened: Happening, now: Time) {
-        match happened {
-            Happening::Restart { balancer, away } => {
+    pub fn asked(&mut self, events: FleetEvent, now: Time) {
+        match events {
+            FleetEvent::BalancerRestartRequested { balancer, away } => {
                 let mine = |planned: &&(Time, usize, Time)| planned.0 >= now;
                 let last = self
                     .planned
@@ -208,7 +208,7 @@
                     .max();
                 self.planned.push((last.unwrap_or(now), balancer, away));
             }
-            Happening::Kill { balancer, away } => {
+            FleetEvent::BalancerKilled { balancer, away } => {
                 let _ = self.all[balancer].child.kill();
                 let _ = self.all[balancer].child.wait();
                 self.ended(balancer, now, false, away);
@@ -230,7 +230,7 @@
                 self.usage_of(b);
                 let _ = rustix::process::kill_process(pid, Signal::TERM);
                 self.all[b].state = State::Ending(now, away);
-                self.stage.lock().front.dies(b, now + DEALT);
+                self.stage.lock().front.mark_dead(b, now + DEALT);
             }
         }
         for b in 0..self.all.len() {
@@ -256,7 +256,7 @@
                     Ok((child, ..)) => {
                         (self.all[b].child, self.all[b].state) = (child, State::Runs);
                         self.stage.lock().alive[b] = true;
-                        tokio::spawn(back(self.stage.clone(), b));
+                        tokio::spawn(mark_alive(self.stage.clone(), b));
                     }
                     Err(why) => {
                         self.died.push(why);
@@ -275,9 +275,9 @@
         if !planned {
             inner
                 .front
-                .dies(b, now + seconds(self.stage.scenario.balancers.notice));
+                .mark_dead(b, now + seconds(self.stage.scenario.balancers.notice));
         }
-        inner.see(Seen::BalancerEnded {
+        inner.see(Observation::BalancerEnded {
             at: now,
             balancer: b,
             planned,
@@ -340,11 +340,11 @@
     }
 }
 
-async fn back(stage: Arc<Stage>, b: usize) {
+async fn mark_alive(stage: Arc<Stage>, b: usize) {
     while !pings(&stage, b).await {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    stage.lock().front.back(b);
+    stage.lock().front.mark_alive(b);
 }
 
 /// Whether a balancer answers PING, as the front asks before it deals to one.
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use nettlemux_fleet_model::observation::Observation;
 use nettlemux_fleet_model::scenario::seconds;
-use nettlemux_fleet_model::seen::Seen;
-use nettlemux_fleet_model::server::{Life, Offer};
+use nettlemux_fleet_model::server::{AttemptResponse, ServerStatus};
 use nettlemux_policy::Time;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -30,11 +30,11 @@
     stage: Arc<Stage>,
     server: usize,
     zone: usize,
-    mut life: watch::Receiver<Life>,
+    mut status: watch::Receiver<ServerStatus>,
 ) {
     loop {
-        while *life.borrow_and_update() == Life::Down {
-            if life.changed().await.is_err() {
+        while *status.borrow_and_update() == ServerStatus::Down {
+            if status.changed().await.is_err() {
                 return;
             }
         }
@@ -44,8 +44,8 @@
         };
         loop {
             tokio::select! {
-                changed = life.changed() => match changed {
-                    Ok(()) if *life.borrow() == Life::Down => break,
+                changed = status.changed() => match changed {
+                    Ok(()) if *status.borrow() == ServerStatus::Down => break,
                     Ok(()) => {}
                     Err(_) => return,
                 },
@@ -120,7 +120,7 @@
     /// Says nothing any more until the server's machine is back or the other side goes.
     async fn mute(mut self, stage: &Stage, server: usize) {
         loop {
-            let up = stage.lock().world.servers[server].life == Life::Up;
+            let up = stage.lock().world.servers[server].status == ServerStatus::Up;
             let gone = tokio::time::timeout(Duration::from_millis(500), self.line()).await;
             if matches!(gone, Ok(None)) {
                 return;
@@ -146,7 +146,7 @@
     fn ended(&mut self, known_unexecuted: bool) {
         if let Some(number) = self.out.take() {
             let at = self.stage.now();
-            self.stage.see(Seen::AttemptEnded {
+            self.stage.see(Observation::AttemptEnded {
                 at,
                 flow: self.flow,
                 number,
@@ -161,7 +161,7 @@
         self.ended(false);
         let mut inner = self.stage.lock();
         if self.seated {
-            inner.world.servers[self.server].rise(self.flow);
+            inner.world.servers[self.server].detach(self.flow);
         }
         if let Some(known) = inner.flows.get_mut(&self.flow) {
             known.tell = None;
@@ -186,7 +186,7 @@
         let reaches = {
             let inner = stage.lock();
             let one = &inner.world.servers[server];
-            one.life != Life::Silent && inner.world.reaches(zone, one.zone)
+            one.status != ServerStatus::Unresponsive && inner.world.reaches(zone, one.zone)
         };
         if !reaches {
             return wire.mute(&stage, server).await;
@@ -215,7 +215,7 @@
     let mut inner = stage.lock();
     inner.gather.probes += 1;
     let inner = &mut *inner;
-    let report = inner.world.servers[server].report(&stage.scenario.fleet, now, &mut inner.dice)?;
+    let report = inner.world.servers[server].report(&stage.scenario.fleet, now, &mut inner.rng)?;
     let (utilization, held) = (
         report.utilization.unwrap_or(0.0),
         report.connections.unwrap_or(0.0),
@@ -253,13 +253,13 @@
         let now = stage.now();
         let mut inner = stage.lock();
         let balancer = inner.flows.get(&flow).map_or(0, |known| known.balancer);
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         let offer = match inherited {
-            true => Offer::Up(0.0),
+            true => AttemptResponse::Accepted(0.0),
             false => {
                 inner.gather.attempts += 1;
                 let number = inner.gather.attempts as usize;
-                inner.see(Seen::Attempt {
+                inner.see(Observation::Attempt {
                     at: now,
                     balancer,
                     flow,
@@ -268,11 +268,11 @@
                 });
                 seat.out = Some(number);
                 let (offer, more) = inner.world.offer(now, zone, server);
-                happened = more;
+                events = more;
                 offer
             }
         };
-        if let Offer::Up(_) = offer {
+        if let AttemptResponse::Accepted(_) = offer {
             if let Some(known) = inner.flows.get_mut(&flow) {
                 (known.server, known.tell, known.by_server) = (Some(server), Some(sender), None);
             }
@@ -280,23 +280,23 @@
         }
         drop(inner);
         // What concerns processes can't come of an attempt.
-        stage.happen(happened);
+        stage.happen(events);
         offer
     };
     match offer {
-        Offer::Busy => {
+        AttemptResponse::Overloaded => {
             seat.ended(true);
             let _ = wire.say("BUSY\r\n").await;
             return;
         }
-        Offer::Error => {
+        AttemptResponse::Error => {
             seat.ended(false);
             let _ = wire.say("ERR\r\n").await;
             return;
         }
-        Offer::Refused => return wire.reset(),
-        Offer::Silence => return wire.mute(stage, server).await,
-        Offer::Up(took) => {
+        AttemptResponse::Refused => return wire.reset(),
+        AttemptResponse::NoResponse => return wire.mute(stage, server).await,
+        AttemptResponse::Accepted(took) => {
             tokio::select! {
                 () = tokio::time::sleep(span(seconds(took))) => {}
                 // Given up by the balancer, by its end or a word too soon.
@@ -311,9 +311,9 @@
     }
     seat.ended(false);
     let load = stage.lock().world.servers[server]
-        .guests
+        .connections
         .get(&flow)
-        .map_or(1.0, |guest| guest.load);
+        .map_or(1.0, |connection| connection.load);
     if !wire
         .say(&format!("UP {flow:x}\r\nLOAD {load:.4}\r\n"))
         .await
@@ -327,9 +327,9 @@
     let client = inner
         .flows
         .get(&flow)
-        .and_then(|known| inner.crowd.get(known.client));
+        .and_then(|known| inner.population.get(known.client));
     let Some(client) = client else { return false };
-    inner.world.servers[server].seat(flow, client.guest());
+    inner.world.servers[server].attach(flow, client.connection());
     true
 }
 
@@ -353,8 +353,8 @@
                     let mut inner = stage.lock();
                     let one = &inner.world.servers[server];
                     let mean = one.message(&stage.scenario.fleet, now);
-                    let reaches = inner.world.reaches(zone, one.zone) && one.life == Life::Up;
-                    (inner.dice.exponential(mean).min(10.0 * mean), reaches)
+                    let reaches = inner.world.reaches(zone, one.zone) && one.status == ServerStatus::Up;
+                    (inner.rng.exponential(mean).min(10.0 * mean), reaches)
                 };
                 if !reaches {
                     return wire.mute(stage, server).await;
@@ -372,7 +372,7 @@
                 let load = {
                     let mut inner = stage.lock();
                     let client = inner.flows.get(&flow).map_or(0, |known| known.client);
-                    let changed = inner.crowd.change_load(client, &stage.scenario);
+                    let changed = inner.population.change_load(client, &stage.scenario);
                     if let Some((load, _)) = changed {
                         inner.world.servers[server].set_load(flow, load);
                     }
@@ -391,7 +391,7 @@
 fn next_change(stage: &Stage) -> Time {
     stage
         .lock()
-        .crowd
+        .population
         .first_change(&stage.scenario)
         .unwrap_or(super::FOREVER)
 }
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Instant, SystemTime};
 
-use nettlemux_fleet_model::crowd::{Crowd, Front};
-use nettlemux_fleet_model::dice::Dice;
-use nettlemux_fleet_model::fleet::{Happening, World};
+use nettlemux_fleet_model::model::{FleetEvent, FleetModel};
+use nettlemux_fleet_model::observation::{ClosedBy, Observation};
+use nettlemux_fleet_model::population::{ClientPopulation, FrontEnd};
+use nettlemux_fleet_model::rng::Rng;
 use nettlemux_fleet_model::scenario::{Scenario, seconds};
-use nettlemux_fleet_model::seen::{Ender, Seen};
-use nettlemux_fleet_model::server::Life;
+use nettlemux_fleet_model::server::ServerStatus;
 use nettlemux_policy::{EndpointState, MS, Time};
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
@@ -53,11 +53,11 @@
 }
 
 pub struct Inner {
-    pub world: World,
-    pub crowd: Crowd,
-    pub front: Front,
+    pub world: FleetModel,
+    pub population: ClientPopulation,
+    pub front: FrontEnd,
     pub gather: Gather,
-    pub dice: Dice,
+    pub rng: Rng,
     pub flows: HashMap<u64, Known>,
     /// By balancer: the version of the list that it may see, and whether it runs.
     pub visible: Vec<u64>,
@@ -69,12 +69,12 @@
     rules: Option<Rules>,
     record: Option<Writer>,
     failed: Option<io::Error>,
-    lives: Vec<watch::Sender<Life>>,
+    statuses: Vec<watch::Sender<ServerStatus>>,
     sampled: Time,
 }
 
 impl Inner {
-    pub fn see(&mut self, seen: Seen) {
+    pub fn see(&mut self, seen: Observation) {
         if let Some(rules) = &mut self.rules {
             rules.see(&seen);
         }
@@ -98,13 +98,13 @@
         let zone = known.balancer % self.world.scenario.zones.number;
         let sound = known.server.is_some_and(|server| {
             let one = &self.world.servers[server];
-            one.life == Life::Up && self.world.reaches(zone, one.zone)
+            one.status == ServerStatus::Up && self.world.reaches(zone, one.zone)
         });
         let (by, told) = match known.by_server {
-            Some(told) => (Ender::Server, told),
-            None => (Ender::Balancer, told),
+            Some(told) => (ClosedBy::Server, told),
+            None => (ClosedBy::Balancer, told),
         };
-        self.see(Seen::Ended {
+        self.see(Observation::ConnectionClosed {
             at,
             flow,
             by,
@@ -136,10 +136,10 @@
         // Word takes its way: what is judged at its arrival may be so late.
         let slack = SLACK + seconds(scenario.zones.between.max(scenario.zones.inside));
         let inner = Inner {
-            crowd: Crowd::new(seed),
-            front: Front::new(scenario.balancers.number, scenario.zones.number),
+            population: ClientPopulation::new(seed),
+            front: FrontEnd::new(scenario.balancers.number, scenario.zones.number),
             gather: Gather::new(seconds(scenario.settle)),
-            dice: Dice::new(seed, 3),
+            rng: Rng::new(seed, 3),
             flows: HashMap::new(),
             visible: vec![1; scenario.balancers.number],
             alive: vec![false; scenario.balancers.number],
@@ -149,9 +149,9 @@
             rules: Some(Rules::new(&scenario, slack)),
             record,
             failed: None,
-            lives: Vec::new(),
+            statuses: Vec::new(),
             sampled: 0,
-            world: World::new(scenario.clone(), seed),
+            world: FleetModel::new(scenario.clone(), seed),
         };
         Ok(Arc::new(Stage {
             inner: Mutex::new(inner),
@@ -183,7 +183,7 @@
         self.origin.get().is_some()
     }
 
-    pub fn see(&self, seen: Seen) {
+    pub fn see(&self, seen: Observation) {
         self.lock().see(seen);
     }
 
@@ -219,29 +219,34 @@
         let one = &inner.world.servers[server];
         let (zone, cell, machine) = (one.zone, one.cell, one.machine);
         let at = self.now();
-        inner.see(Seen::Server {
+        inner.see(Observation::Server {
             at,
             server,
             zone,
             cell,
             machine,
         });
-        if inner.lives.len() <= server {
-            let life = watch::Sender::new(Life::Up);
+        if inner.statuses.len() <= server {
+            let status = watch::Sender::new(ServerStatus::Up);
             for zone in 0..self.scenario.zones.number {
-                tokio::spawn(server::listen(self.clone(), server, zone, life.subscribe()));
+                tokio::spawn(server::listen(
+                    self.clone(),
+                    server,
+                    zone,
+                    status.subscribe(),
+                ));
             }
-            inner.lives.push(life);
+            inner.statuses.push(status);
         }
     }
 
     /// The model goes on; what concerns balancers' processes is returned.
-    pub fn tick(self: &Arc<Self>, now: Time) -> Vec<Happening> {
+    pub fn tick(self: &Arc<Self>, now: Time) -> Vec<FleetEvent> {
         let mut inner = self.lock();
-        let happened = inner.world.tick(now);
+        let events = inner.world.tick(now);
         let seconds = super::TICK as f64 / 1e9;
         let (wanted, served) = (
-            inner.crowd.wanted * seconds,
+            inner.population.wanted * seconds,
             std::mem::take(&mut inner.served),
         );
         inner.gather.worth(now, (wanted, served), seconds);
@@ -251,36 +256,38 @@
             inner.gather.load(now, &utilizations);
         }
         drop(inner);
-        self.happen(happened)
+        self.happen(events)
     }
 
     /// Carries out what happened in the model; what concerns balancers' processes is returned.
-    pub fn happen(self: &Arc<Self>, happened: Vec<Happening>) -> Vec<Happening> {
+    pub fn happen(self: &Arc<Self>, events: Vec<FleetEvent>) -> Vec<FleetEvent> {
         let mut rest = Vec::new();
-        for one in happened {
+        for one in events {
             match one {
-                Happening::Reset { ids, .. } => self.tell(&ids, Tell::Reset),
-                Happening::Silenced { ids, .. } => self.tell(&ids, Tell::Silence),
-                Happening::SentAway { ids, .. } => self.tell(&ids, Tell::SendAway),
-                Happening::Started { server } => {
+                FleetEvent::ConnectionsReset { ids, .. } => self.tell(&ids, Tell::Reset),
+                FleetEvent::ConnectionsSilenced { ids, .. } => self.tell(&ids, Tell::Silence),
+                FleetEvent::ClientsMigrated { ids, .. } => self.tell(&ids, Tell::SendAway),
+                FleetEvent::ServerStarted { server } => {
                     self.joins(server);
-                    self.see(Seen::Started {
+                    self.see(Observation::ServerStarted {
                         at: self.now(),
                         server,
                     });
                 }
-                Happening::Fell { server } => {
+                FleetEvent::ServerCollapsed { server } => {
                     let mut inner = self.lock();
                     inner.gather.fell += 1;
-                    inner.see(Seen::Fell {
+                    inner.see(Observation::ServerCollapsed {
                         at: self.now(),
                         server,
                     });
                 }
-                Happening::Endpoint | Happening::Heard => self.spread_list(),
+                FleetEvent::EndpointsChanged | FleetEvent::DiscoveryRecovered => self.spread_list(),
                 // Whoever talks across the cut finds out for itself.
-                Happening::Zone { .. } => {}
-                Happening::Restart { .. } | Happening::Kill { .. } => rest.push(one),
+                FleetEvent::ZoneConnectivityChanged { .. } => {}
+                FleetEvent::BalancerRestartRequested { .. } | FleetEvent::BalancerKilled { .. } => {
+                    rest.push(one)
+                }
             }
         }
         self.tell_lives();
@@ -303,8 +310,8 @@
 
     fn tell_lives(&self) {
         let inner = self.lock();
-        for (life, server) in inner.lives.iter().zip(&inner.world.servers) {
-            life.send_if_modified(|old| std::mem::replace(old, server.life) != server.life);
+        for (status, server) in inner.statuses.iter().zip(&inner.world.servers) {
+            status.send_if_modified(|old| std::mem::replace(old, server.status) != server.status);
         }
     }
 
@@ -335,7 +342,7 @@
         let (version, entries) = match from {
             Some(from) => (
                 inner.visible[balancer],
-                inner.world.between(from, inner.visible[balancer]),
+                inner.world.entries_between(from, inner.visible[balancer]),
             ),
             None => (inner.world.version(), inner.world.since(0)),
         };
@@ -343,7 +350,7 @@
         let mut instances = Vec::new();
         for entry in entries {
             let server = entry.server_id as usize;
-            inner.see(Seen::Told {
+            inner.see(Observation::EndpointNotified {
                 at,
                 balancer,
                 server,
@@ -387,7 +394,7 @@
             .world
             .servers
             .iter()
-            .map(|server| server.guests.len())
+            .map(|server| server.connections.len())
             .sum();
         let verdict = inner.rules.take().expect("finished once").finish(end);
         let gather = std::mem::replace(&mut inner.gather, Gather::new(FOREVER));
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -591,7 +591,7 @@
         ),
     ];
     let mut sources = String::new();
-    for package in ["policy", "core"] {
+    for package in ["policy", "dataplane"] {
         read_sources(
             &repository().join("crates").join(package).join("src"),
             &mut sources,
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use nettlemux_fleet_model::fault::What;
+use nettlemux_fleet_model::fault::FaultKind;
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_policy::SEC;
 use nettlemux_testbed::brains::Kind;
@@ -123,26 +123,26 @@
     scenario.expect.clear();
     let calm = module(&scenario, 1).figures;
     for (what, share, amount) in [
-        (What::Crash, 0.3, 0.0),
-        (What::Vanish, 0.3, 0.0),
-        (What::Slow, 0.5, 0.3),
-        (What::Decay, 0.5, 0.3),
-        (What::Neighbour, 0.5, 0.5),
-        (What::StuckReports, 1.0, 0.0),
-        (What::AbsurdReports, 0.5, 9.0),
-        (What::FastErrors, 0.4, 0.0),
-        (What::ProbesFail, 0.4, 0.0),
-        (What::ZoneCut, 0.0, 0.0),
-        (What::ZoneFlaps, 0.0, 1.0),
-        (What::StoreSlow, 0.0, 0.05),
-        (What::ListWrong, 0.3, 0.0),
-        (What::Grow, 0.5, 0.0),
-        (What::Shrink, 0.3, 3.0),
-        (What::Roll, 0.5, 3.0),
-        (What::RestartInTurn, 0.0, 1.0),
-        (What::BalancersDie, 0.4, 0.0),
-        (What::Surge, 0.0, 3.0),
-        (What::TenantSurge, 0.0, 4.0),
+        (FaultKind::Crash, 0.3, 0.0),
+        (FaultKind::Vanish, 0.3, 0.0),
+        (FaultKind::Slow, 0.5, 0.3),
+        (FaultKind::Decay, 0.5, 0.3),
+        (FaultKind::Neighbour, 0.5, 0.5),
+        (FaultKind::StuckReports, 1.0, 0.0),
+        (FaultKind::AbsurdReports, 0.5, 9.0),
+        (FaultKind::FastErrors, 0.4, 0.0),
+        (FaultKind::ProbesFail, 0.4, 0.0),
+        (FaultKind::ZoneCut, 0.0, 0.0),
+        (FaultKind::ZoneFlaps, 0.0, 1.0),
+        (FaultKind::StoreSlow, 0.0, 0.05),
+        (FaultKind::ListWrong, 0.3, 0.0),
+        (FaultKind::Grow, 0.5, 0.0),
+        (FaultKind::Shrink, 0.3, 3.0),
+        (FaultKind::Roll, 0.5, 3.0),
+        (FaultKind::RestartInTurn, 0.0, 1.0),
+        (FaultKind::BalancersDie, 0.4, 0.0),
+        (FaultKind::Surge, 0.0, 3.0),
+        (FaultKind::TenantSurge, 0.0, 4.0),
     ] {
         let mut day = scenario.clone();
         let text = format!(
