--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -1,12 +1,13 @@
-//! What goes wrong, as data: kinds, when, for how long, whom, and how badly. Faults may overlap: each acts through the world's
-//! state and takes back only its own part of it. It owns the choice of whom a fault meets, which is drawn from the seed.
+//! Faults as data. Faults may overlap: each acts through the model's state and takes back only its own
+//! part of it. It owns the choice of a fault's targets, which is drawn from the seed.
 
 use nettlemux_policy::Time;
 use serde::{Deserialize, Serialize};
 
 use crate::rng::Rng;
-use crate::scenario::{Scenario, seconds};
+use crate::time::seconds;
 
+/// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
@@ -75,96 +76,72 @@
     MigratesAtOnce,
 }
 
+/// A fault: what goes wrong, when, for how long, on what, and how badly.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// What goes wrong.
     pub what: FaultKind,
-    /// Seconds from the start.
+    /// The time at which it begins, in seconds from the start.
     pub at: f64,
-    /// Seconds that it lasts.
-    #[serde(default = "ten", rename = "for")]
+    /// How long it lasts, in seconds.
+    #[serde(default = "default_duration", rename = "for")]
     pub lasts: f64,
-    /// Part of the servers, or balancers, that it meets.
+    /// The fraction of the servers or balancers that it acts on; 0: all.
     #[serde(default)]
     pub share: f64,
-    /// Those that it meets, by number, in place of a share.
+    /// The servers or balancers that it acts on, by index, in place of a fraction.
     #[serde(default)]
     pub who: Vec<usize>,
+    /// The zone that it acts on.
     #[serde(default, alias = "hall")]
     pub zone: usize,
+    /// How badly it acts; what it means depends on the kind.
     #[serde(default)]
     pub amount: f64,
+    /// How draining servers treat their connections.
     #[serde(default, alias = "leaving")]
     pub drain_behavior: DrainBehavior,
 }
 
-fn ten() -> f64 {
+fn default_duration() -> f64 {
     10.0
 }
 
-impl Fault {
-    pub fn check(&self, scenario: &Scenario) -> Result<(), (String, String)> {
-        let bad = |key: &str, why: String| Err((key.to_string(), why));
-        for (key, value) in [
-            ("at", self.at),
-            ("for", self.lasts),
-            ("share", self.share),
-            ("amount", self.amount),
-        ] {
-            if !value.is_finite() || value < 0.0 {
-                return bad(key, format!("{value} is under 0"));
-            }
-        }
-        if self.at >= scenario.seconds {
-            return bad("at", format!("{} is past the run's end", self.at));
-        }
-        if self.share > 1.0 && self.what != FaultKind::Grow {
-            return bad("share", format!("{} is over 1", self.share));
-        }
-        if self.zone >= scenario.zones.number {
-            return bad("zone", format!("there are {} zones", scenario.zones.number));
-        }
-        let number = match self.of_balancers() {
-            true => scenario.balancers.number,
-            false => scenario.fleet.servers,
-        };
-        if let Some(who) = self.who.iter().find(|who| **who >= number) {
-            return bad("who", format!("there is no number {who}"));
-        }
-        let needs_amount = [
-            FaultKind::Slow,
-            FaultKind::Neighbour,
-            FaultKind::ZoneFlaps,
-            FaultKind::StoreSlow,
-            FaultKind::Surge,
-            FaultKind::TenantSurge,
-        ];
-        if needs_amount.contains(&self.what) && self.amount <= 0.0 {
-            return bad("amount", "this kind of fault needs one above 0".into());
-        }
-        if self.what == FaultKind::TenantSurge && scenario.clients.tenants.is_empty() {
-            return bad("what", "there are no tenants".into());
-        }
-        Ok(())
+impl FaultKind {
+    /// Whether the fault acts on balancers, not on servers.
+    pub(crate) fn concerns_balancers(self) -> bool {
+        matches!(self, FaultKind::RestartInTurn | FaultKind::BalancersDie)
     }
 
-    fn of_balancers(&self) -> bool {
+    /// Whether the fault does nothing without an amount.
+    pub(crate) fn needs_amount(self) -> bool {
         matches!(
-            self.what,
-            FaultKind::RestartInTurn | FaultKind::BalancersDie
+            self,
+            FaultKind::Slow
+                | FaultKind::Neighbour
+                | FaultKind::ZoneFlaps
+                | FaultKind::StoreSlow
+                | FaultKind::Surge
+                | FaultKind::TenantSurge
         )
     }
+}
 
+impl Fault {
+    /// Returns when the fault begins, in nanoseconds from the start of the run.
     pub fn begins(&self) -> Time {
         seconds(self.at)
     }
 
+    /// Returns when the fault ends, in nanoseconds from the start of the run.
     pub fn ends(&self) -> Time {
         seconds(self.at + self.lasts)
     }
 
-    /// Whom it meets, of so many, in the order in which it does.
-    pub fn meets(&self, of: usize, rng: &mut Rng) -> Vec<usize> {
+    /// Returns the servers or balancers that the fault acts on, out of `of`, in the order in which it
+    /// does.
+    pub fn targets(&self, of: usize, rng: &mut Rng) -> Vec<usize> {
         if !self.who.is_empty() {
             return self.who.clone();
         }
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -4,6 +4,8 @@
 //! virtual time and real sockets, stand on it, so that a scenario means the same to both. It must never know what a
 //! balancer decides or why.
 
+#![warn(missing_docs)]
+
 pub mod fault;
 pub mod model;
 pub mod observation;
@@ -12,3 +14,4 @@
 pub mod scenario;
 pub mod server;
 pub mod store;
+pub mod time;
--- a/crates/fleet-model/src/model.rs
+++ b/crates/fleet-model/src/model.rs
@@ -83,7 +83,7 @@
             .map(|index| new_server(&scenario, index, &mut rng))
             .collect();
         let mut world = FleetModel {
-            store: Store::new(scenario.store.rate, scenario.store.alone),
+            store: Store::new(scenario.store.rate, scenario.store.call_time),
             surge: 1.0,
             tenant_surge: 1.0,
             faults: Vec::new(),
--- a/crates/fleet-model/src/model/degradation.rs
+++ b/crates/fleet-model/src/model/degradation.rs
@@ -4,7 +4,7 @@
 
 use super::schedule::Task;
 use super::{FleetEvent, FleetModel};
-use crate::scenario::seconds;
+use crate::time::seconds;
 
 /// How long a neighbour stays, and stays away.
 const NEIGHBOUR_PERIOD: Time = 2 * SEC;
--- a/crates/fleet-model/src/model/faults.rs
+++ b/crates/fleet-model/src/model/faults.rs
@@ -6,8 +6,8 @@
 use super::schedule::Task;
 use super::{FleetEvent, FleetModel};
 use crate::fault::{Fault, FaultKind};
-use crate::scenario::seconds;
 use crate::server::{Server, ServerStatus};
+use crate::time::seconds;
 
 /// How long a rolled server is away between its end and its cold start.
 const ROLL_DOWNTIME: Time = SEC;
@@ -126,7 +126,7 @@
             FaultKind::RestartInTurn | FaultKind::BalancersDie => self.scenario.balancers.number,
             _ => self.servers.len(),
         };
-        fault.meets(count, &mut self.rng)
+        fault.targets(count, &mut self.rng)
     }
 
     fn kill_targets(&mut self, now: Time, index: usize, status: ServerStatus, notice: Time) {
--- a/crates/fleet-model/src/model/listing.rs
+++ b/crates/fleet-model/src/model/listing.rs
@@ -3,8 +3,9 @@
 use nettlemux_policy::{Endpoint, EndpointState, Time};
 
 use super::{FleetEvent, FleetModel};
-use crate::scenario::{Weights, seconds};
+use crate::scenario::Weights;
 use crate::server::{Server, ServerStatus};
+use crate::time::seconds;
 
 /// The number of connections at which a live weight has fallen to a half.
 const HALF_WEIGHT_CONNECTIONS: f64 = 10.0;
--- a/crates/fleet-model/src/model/network.rs
+++ b/crates/fleet-model/src/model/network.rs
@@ -5,8 +5,8 @@
 use super::lifecycle::CRASH_NOTICE;
 use super::schedule::Task;
 use super::{FleetEvent, FleetModel};
-use crate::scenario::seconds;
 use crate::server::{AttemptResponse, ServerStatus};
+use crate::time::seconds;
 
 impl FleetModel {
     /// Whether messages get from one zone to another.
--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -8,8 +8,9 @@
 use crate::model::FleetModel;
 use crate::observation::Idempotency;
 use crate::rng::Rng;
-use crate::scenario::{Scenario, seconds};
+use crate::scenario::Scenario;
 use crate::server::ServerConnection;
+use crate::time::seconds;
 
 /// How soon a client that was told to move comes again, from and to.
 const MOVED: [Time; 2] = [50 * MS, 500 * MS];
@@ -116,10 +117,10 @@
             tenant,
             group,
             zone: self.rng.index_below(scenario.zones.number),
-            load: self.rng.log_normal(of.load, scenario.clients.spread),
+            load: self.rng.log_normal(of.load, scenario.clients.load_spread),
             value: of.value
                 * if surplus {
-                    scenario.clients.surplus
+                    scenario.clients.surplus_weight
                 } else {
                     1.0
                 },
@@ -151,15 +152,16 @@
     /// A connection's load changes: what it is now, and how long until the next change.
     pub fn change_load(&mut self, id: u64, scenario: &Scenario) -> Option<(f64, Time)> {
         let client = self.clients.get_mut(&id)?;
-        client.load = self
-            .rng
-            .log_normal(scenario.types[client.class].load, scenario.clients.spread);
-        let wait = seconds(self.rng.exponential(scenario.clients.changes)).max(MS);
+        client.load = self.rng.log_normal(
+            scenario.types[client.class].load,
+            scenario.clients.load_spread,
+        );
+        let wait = seconds(self.rng.exponential(scenario.clients.load_change_interval)).max(MS);
         Some((client.load, wait))
     }
 
     pub fn first_change(&mut self, scenario: &Scenario) -> Option<Time> {
-        let every = scenario.clients.changes;
+        let every = scenario.clients.load_change_interval;
         (every > 0.0).then(|| seconds(self.rng.exponential(every)).max(MS))
     }
 
@@ -187,7 +189,7 @@
         retry_after: Option<Time>,
         scenario: &Scenario,
     ) -> Option<Time> {
-        let own = seconds(scenario.clients.again);
+        let own = seconds(scenario.clients.retry_interval);
         let own = self.spread([own, 2 * own]);
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
         client.tries += 1;
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -1,133 +1,167 @@
-//! A scenario: sizes, what clients want, what goes wrong when, and what is expected of the outcome. It owns the names, units
-//! and defaults of its keys and checks what they say. It must never read a file: whoever does names the place.
+//! A scenario: sizes, what clients want, which faults occur when, and the figures that are expected.
+//! It owns the names, units and defaults of its keys and must never read a file: whoever does names
+//! the place. The aliases read scenarios of earlier versions.
+//!
+//! Keys that are times are seconds, where nothing else is said.
 
-use nettlemux_policy::{MS, SEC, Time};
+mod defaults;
+mod validate;
+
+use std::collections::BTreeMap;
+
+use nettlemux_policy::Time;
 use nettlemux_settings::operator::AdmissionSettings;
 use serde::Deserialize;
 
 use crate::fault::Fault;
 use crate::observation::{DeduplicationScope, Idempotency};
+use crate::time::seconds;
 
-/// Seconds as a time; what is negative or no number is none.
-pub fn seconds(s: f64) -> Time {
-    (s.max(0.0) * SEC as f64) as Time
-}
+pub use validate::InvalidKey;
 
+/// A whole scenario, as its file has it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// The scenario's name, by which records and reports call it.
     pub name: String,
-    /// What it is there to show.
+    /// What the scenario shows.
     #[serde(default)]
     pub about: String,
-    #[serde(default = "one")]
+    /// The seed of all random draws.
+    #[serde(default = "defaults::seed")]
     pub seed: u64,
+    /// The length of the run.
     pub seconds: f64,
-    /// Figures count from here on.
+    /// The time from which on figures count.
     #[serde(default)]
     pub settle: f64,
+    /// The balancers.
     pub balancers: Balancers,
+    /// The servers.
     pub fleet: Fleet,
+    /// The store that all servers share.
     #[serde(default)]
     pub store: StoreKeys,
+    /// The service that keeps the endpoint list.
     #[serde(default)]
     pub discovery: Discovery,
+    /// The zones that servers, balancers and clients are in.
     #[serde(default, alias = "halls")]
     pub zones: Zones,
+    /// The clients.
     pub clients: Clients,
+    /// The traffic classes.
     pub types: Vec<Type>,
+    /// What balancers may do.
     #[serde(default)]
     pub limits: Limits,
-    /// The balancers' door, as the operator's file has it; none where it is missing.
+    /// The balancers' admission control as the operator's file has it, where there is one.
     #[serde(default, alias = "door")]
     pub admission: Option<AdmissionSettings>,
+    /// The faults, in any order.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// By figure: what it must be at least and at most.
+    /// The range that each figure is expected in, by the figure's name.
     #[serde(default)]
-    pub expect: std::collections::BTreeMap<String, Expect>,
+    pub expect: BTreeMap<String, Expect>,
 }
 
+/// The balancers of a scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Balancers {
+    /// How many balancers there are.
     pub number: usize,
-    /// How long the front takes to notice that one has died, in seconds.
-    #[serde(default = "notice")]
+    /// How long the front end takes to notice that one has died.
+    #[serde(default = "defaults::death_notice")]
     pub notice: f64,
 }
 
+/// The servers of a scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
+    /// How many servers there are at the start.
     pub servers: usize,
-    /// Load that a warm server can carry at once.
+    /// The load that a warm server can carry.
     pub capacity: f64,
-    /// Servers' capacities differ by up to this part, up and down.
-    #[serde(default)]
-    pub differ: f64,
-    /// Connections that a server holds at most.
-    #[serde(default = "slots")]
+    /// The fraction by which servers' capacities differ, up and down.
+    #[serde(default, rename = "differ")]
+    pub capacity_spread: f64,
+    /// How many connections a server holds at most.
+    #[serde(default = "defaults::slots")]
     pub slots: usize,
-    /// Connects a second that a warm server can set up.
-    #[serde(default = "connection_rate", alias = "newcomers")]
+    /// How many connections a second a warm server can set up.
+    #[serde(default = "defaults::connection_rate", alias = "newcomers")]
     pub connection_rate: f64,
-    /// Load that the first connection of a group brings to a server beside its own.
+    /// The load that the first connection of a group brings beside its own.
     #[serde(default)]
     pub group_load: f64,
-    /// Seconds that a message takes on an idle server.
-    #[serde(default = "message")]
+    /// The time that a message takes on an idle server.
+    #[serde(default = "defaults::message_time")]
     pub message: f64,
-    /// Seconds that an attempt takes on an idle server, beside the store's call.
-    #[serde(default = "setup")]
+    /// The time that an attempt takes on an idle server, beside the store's call.
+    #[serde(default = "defaults::setup_time")]
     pub setup: f64,
-    #[serde(default = "cold_share")]
-    pub cold_share: f64,
-    #[serde(default = "warm_up")]
+    /// The fraction of its capacity that a server has when it starts.
+    #[serde(default = "defaults::initial_capacity", rename = "cold_share")]
+    pub initial_capacity: f64,
+    /// The length of a server's slow start.
+    #[serde(default = "defaults::warm_up")]
     pub warm_up: f64,
-    /// A cold server that is sent so many times what it can set up now, for `fall` seconds, falls over.
-    #[serde(default = "fall_multiple")]
-    pub fall_multiple: f64,
-    #[serde(default = "fall")]
-    pub fall: f64,
-    /// How often a server's report is made anew, in seconds, and the part by which it errs.
-    #[serde(default = "refresh")]
-    pub refresh: f64,
-    #[serde(default = "noise")]
-    pub noise: f64,
+    /// A server in slow start collapses when it gets more attempts than this multiple of what it
+    /// can set up within the collapse window.
+    #[serde(default = "defaults::collapse_multiple", rename = "fall_multiple")]
+    pub collapse_multiple: f64,
+    /// The window in which the attempts of a server in slow start are counted.
+    #[serde(default = "defaults::collapse_window", rename = "fall")]
+    pub collapse_window: f64,
+    /// How often a server's load report is renewed.
+    #[serde(default = "defaults::report_interval", rename = "refresh")]
+    pub report_interval: f64,
+    /// The fraction by which a load report errs, up and down.
+    #[serde(default = "defaults::report_noise", rename = "noise")]
+    pub report_noise: f64,
 }
 
+/// The store that every attempt costs one call.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreKeys {
-    /// Calls a second that it serves.
+    /// How many calls a second it serves.
     pub rate: f64,
-    /// Seconds of one call with nobody else there.
-    pub alone: f64,
+    /// The time of a call that waits for no other.
+    #[serde(rename = "alone")]
+    pub call_time: f64,
 }
 
 impl Default for StoreKeys {
     fn default() -> Self {
         StoreKeys {
             rate: 1e6,
-            alone: 0.005,
+            call_time: 0.005,
         }
     }
 }
 
+/// The service that keeps the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Seconds from a change to its telling; each telling takes from half of it to all of it.
+    /// The time from a change to its delivery. Each delivery takes from half of it to all of it.
     pub delay: f64,
-    /// `nominal`, or `live` where list weights fall with what a server holds.
+    /// How endpoints are weighted.
     pub weights: Weights,
 }
 
+/// How endpoints are weighted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Weights {
+    /// By a constant.
     Nominal,
+    /// By a weight that falls with the connections that the server holds.
     Live,
 }
 
@@ -140,12 +174,15 @@
     }
 }
 
+/// The zones of a scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Zones {
+    /// How many zones there are.
     pub number: usize,
-    /// Seconds one way within a zone, and between two.
+    /// The time of a message within a zone, one way.
     pub inside: f64,
+    /// The time of a message between two zones, one way.
     pub between: f64,
 }
 
@@ -159,106 +196,110 @@
     }
 }
 
+/// The clients of a scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// New clients a second.
+    /// How many new clients come in a second.
     pub rate: f64,
-    /// Seconds that a client wants to stay, on average.
+    /// The mean time that a client stays.
     pub life: f64,
-    /// Connections that stand at the start.
+    /// How many connections stand at the start.
     #[serde(default)]
     pub standing: usize,
-    /// Deviation of the logarithm of a connection's load.
-    #[serde(default = "spread")]
-    pub spread: f64,
-    /// Seconds between changes of a connection's load, on average; 0: it never changes.
-    #[serde(default = "ten")]
-    pub changes: f64,
-    /// Groups that clients belong to; 0: none.
+    /// The standard deviation of the logarithm of a connection's load.
+    #[serde(default = "defaults::load_spread", rename = "spread")]
+    pub load_spread: f64,
+    /// The mean time between changes of a connection's load; 0: it never changes.
+    #[serde(default = "defaults::load_change_interval", rename = "changes")]
+    pub load_change_interval: f64,
+    /// How many groups clients belong to; 0: none.
     #[serde(default)]
     pub groups: usize,
-    /// Shares of the tenants; none: there are no tenants.
+    /// Each tenant's share of the clients; empty: there are no tenants.
     #[serde(default, alias = "customers")]
     pub tenants: Vec<f64>,
-    /// What the part of a tenant's flows that is over its share is worth.
-    #[serde(default = "unit")]
-    pub surplus: f64,
-    /// Tries that a client makes before it gives up for good.
-    #[serde(default = "tries")]
+    /// The priority weight of the part of a tenant's flows that is over its quota.
+    #[serde(default = "defaults::one", rename = "surplus")]
+    pub surplus_weight: f64,
+    /// How often a client tries before it gives up for good.
+    #[serde(default = "defaults::tries")]
     pub tries: usize,
-    /// Seconds that a client waits before it comes again when it is told nothing; each wait is up to twice that.
-    #[serde(default = "again")]
-    pub again: f64,
-    /// Mean seconds between a client's lines.
-    #[serde(default = "two")]
-    pub lines: f64,
-    /// Part of the clients whose first line comes in two pieces, 50 ms apart; on sockets only.
-    #[serde(default)]
-    pub stutter: f64,
+    /// How long a client waits before it retries without a Retry-After. Each wait is drawn from this
+    /// to twice this.
+    #[serde(default = "defaults::retry_interval", rename = "again")]
+    pub retry_interval: f64,
+    /// The mean time between two lines of a client.
+    #[serde(default = "defaults::line_interval", rename = "lines")]
+    pub line_interval: f64,
+    /// The fraction of the clients whose first line comes in two pieces; on sockets only.
+    #[serde(default, rename = "stutter")]
+    pub split_lines: f64,
 }
 
+/// A traffic class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Type {
+    /// The class's name.
     pub name: String,
-    /// Part of the clients.
-    #[serde(default = "unit")]
+    /// The class's part of the clients, beside the shares of the other classes.
+    #[serde(default = "defaults::one")]
     pub share: f64,
-    /// Worth of a second of good service.
-    #[serde(default = "unit")]
+    /// The worth of a second of good service.
+    #[serde(default = "defaults::one")]
     pub value: f64,
-    /// Mean load of a connection.
-    #[serde(default = "unit")]
+    /// The mean load of a connection.
+    #[serde(default = "defaults::one")]
     pub load: f64,
-    /// Seconds in which an attempt is to be answered.
-    #[serde(default = "target")]
+    /// The latency objective of a flow's answer.
+    #[serde(default = "defaults::latency_objective")]
     pub target: f64,
-    /// Seconds that a client waits for its answer.
-    #[serde(default = "wait")]
+    /// How long a client waits for its answer.
+    #[serde(default = "defaults::deadline")]
     pub wait: f64,
-    /// Seconds in which a message is to be answered.
-    #[serde(default = "message_target")]
+    /// The latency objective of a message.
+    #[serde(default = "defaults::message_objective")]
     pub message_target: f64,
-    #[serde(default = "idempotent", alias = "repeat")]
+    /// Whether a flow may be repeated.
+    #[serde(default = "defaults::idempotency", alias = "repeat")]
     pub idempotency: IdempotencySetting,
-    /// Seconds in which repeats of a deduplicated flow are dropped.
-    #[serde(default = "ten")]
+    /// How long servers drop repeats of a deduplicated flow.
+    #[serde(default = "defaults::deduplication_window")]
     pub window: f64,
 }
 
+/// Whether flows of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum IdempotencySetting {
+    /// Repeats do no harm.
     #[serde(alias = "repeatable")]
     Idempotent,
+    /// All servers drop each other's repeats.
     #[serde(alias = "referenced-all")]
     DeduplicatedAll,
+    /// The servers of a zone drop each other's repeats.
     #[serde(alias = "referenced-zone", alias = "referenced-hall")]
     DeduplicatedInZone,
+    /// The servers of a cell drop each other's repeats.
     #[serde(alias = "referenced-cell")]
     DeduplicatedInCell,
+    /// A repeat has its effect again.
     #[serde(alias = "once-only")]
     NonIdempotent,
 }
 
 impl Type {
+    /// Returns whether a flow of this class may be repeated, with its window.
     pub fn idempotency(&self) -> Idempotency {
         let window = seconds(self.window);
+        let deduplicated = |scope| Idempotency::Deduplicated { scope, window };
         match self.idempotency {
             IdempotencySetting::Idempotent => Idempotency::Idempotent,
-            IdempotencySetting::DeduplicatedAll => Idempotency::Deduplicated {
-                scope: DeduplicationScope::All,
-                window,
-            },
-            IdempotencySetting::DeduplicatedInZone => Idempotency::Deduplicated {
-                scope: DeduplicationScope::Zone,
-                window,
-            },
-            IdempotencySetting::DeduplicatedInCell => Idempotency::Deduplicated {
-                scope: DeduplicationScope::Cell,
-                window,
-            },
+            IdempotencySetting::DeduplicatedAll => deduplicated(DeduplicationScope::All),
+            IdempotencySetting::DeduplicatedInZone => deduplicated(DeduplicationScope::Zone),
+            IdempotencySetting::DeduplicatedInCell => deduplicated(DeduplicationScope::Cell),
             IdempotencySetting::NonIdempotent => Idempotency::NonIdempotent,
         }
     }
@@ -268,17 +309,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
+    /// How many attempts a flow may have.
     #[serde(alias = "connects")]
     pub attempts: usize,
-    pub second_copies: bool,
+    /// Whether a flow may have two attempts in flight.
+    #[serde(rename = "second_copies")]
+    pub hedging: bool,
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    pub probes: bool,
-    /// What a probe costs, of a flow's value; balancers that see few flows then probe less.
-    pub probe_price: f64,
-    /// longest Retry-After that clients may be told, in seconds; 0: none is told.
+    /// Whether balancers may check servers' health.
+    #[serde(alias = "probes")]
+    pub health_checks: bool,
+    /// What a health check costs, as a fraction of a flow's worth. Balancers that see few flows check
+    /// less often then.
+    #[serde(alias = "probe_price")]
+    pub health_check_price: f64,
+    /// The longest Retry-After that clients may be told; 0: none is told.
     #[serde(alias = "come_back")]
     pub retry_after: f64,
-    /// Seconds after it was told of a drain in which a balancer may still send there.
+    /// How long after the notice of a drain a balancer may still send there.
     pub grace: f64,
 }
 
@@ -286,196 +335,28 @@
     fn default() -> Self {
         Limits {
             attempts: 3,
-            second_copies: false,
+            hedging: false,
             may_cancel: true,
-            probes: true,
-            probe_price: 0.0,
+            health_checks: true,
+            health_check_price: 0.0,
             retry_after: 2.0,
             grace: 0.4,
         }
     }
 }
 
+/// The range that a figure is expected in.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
+    /// The least value that is expected.
     pub min: Option<f64>,
+    /// The largest value that is expected.
     pub max: Option<f64>,
 }
 
-fn one() -> u64 {
-    1
-}
-fn unit() -> f64 {
-    1.0
-}
-fn two() -> f64 {
-    2.0
-}
-fn ten() -> f64 {
-    10.0
-}
-fn notice() -> f64 {
-    2.0
-}
-fn slots() -> usize {
-    100_000
-}
-fn connection_rate() -> f64 {
-    20.0
-}
-/// Of 10, 15 and 20 ms the one with which the order of policies is nearest to that on the users' simulator
-/// (docs/results.md): with 10 ms servers stay in time up to nine tenths of their capacity, and filling them costs nothing.
-fn message() -> f64 {
-    0.015
-}
-fn setup() -> f64 {
-    0.01
-}
-fn cold_share() -> f64 {
-    0.35
-}
-fn warm_up() -> f64 {
-    8.0
-}
-fn fall_multiple() -> f64 {
-    3.0
-}
-fn fall() -> f64 {
-    3.0
-}
-fn refresh() -> f64 {
-    0.5
-}
-fn noise() -> f64 {
-    0.03
-}
-fn spread() -> f64 {
-    0.5
-}
-fn tries() -> usize {
-    5
-}
-fn again() -> f64 {
-    0.5
-}
-fn target() -> f64 {
-    0.3
-}
-fn wait() -> f64 {
-    2.0
-}
-fn message_target() -> f64 {
-    0.2
-}
-fn idempotent() -> IdempotencySetting {
-    IdempotencySetting::Idempotent
-}
-
-/// The longest run and the largest sizes: guards against a slip of the pen that takes the machine with it.
-const MOST_SECONDS: f64 = 86_400.0;
-const MOST: usize = 1_000_000;
-
 impl Scenario {
-    /// Checks what the form alone can't: returns the key at fault and why.
-    pub fn check(&self) -> Result<(), (String, String)> {
-        let positive = |key: &str, value: f64| match value {
-            value if value.is_finite() && value > 0.0 => Ok(()),
-            _ => Err((key.to_string(), format!("{value} is not above 0"))),
-        };
-        let part = |key: &str, value: f64| match (0.0..=1.0).contains(&value) {
-            true => Ok(()),
-            false => Err((key.to_string(), format!("{value} is not from 0 to 1"))),
-        };
-        let count = |key: &str, value: usize| match (1..=MOST).contains(&value) {
-            true => Ok(()),
-            false => Err((key.to_string(), format!("{value} is not from 1 to {MOST}"))),
-        };
-        positive("seconds", self.seconds)?;
-        if self.seconds > MOST_SECONDS {
-            return Err((
-                "seconds".into(),
-                format!("{} is over {MOST_SECONDS}", self.seconds),
-            ));
-        }
-        if !(0.0..self.seconds).contains(&self.settle) {
-            return Err((
-                "settle".into(),
-                format!("{} is not from 0 to the run's end", self.settle),
-            ));
-        }
-        count("balancers.number", self.balancers.number)?;
-        count("fleet.servers", self.fleet.servers)?;
-        count("fleet.slots", self.fleet.slots)?;
-        count("zones.number", self.zones.number)?;
-        count("limits.attempts", self.limits.attempts)?;
-        if self.clients.standing > MOST {
-            return Err((
-                "clients.standing".into(),
-                format!("{} is over {MOST}", self.clients.standing),
-            ));
-        }
-        for (key, value) in [
-            ("fleet.capacity", self.fleet.capacity),
-            ("fleet.connection_rate", self.fleet.connection_rate),
-            ("fleet.message", self.fleet.message),
-            ("fleet.cold_share", self.fleet.cold_share),
-            ("fleet.warm_up", self.fleet.warm_up),
-            ("fleet.fall_multiple", self.fleet.fall_multiple),
-            ("fleet.fall", self.fleet.fall),
-            ("fleet.refresh", self.fleet.refresh),
-            ("store.rate", self.store.rate),
-            ("clients.life", self.clients.life),
-            ("clients.lines", self.clients.lines),
-        ] {
-            positive(key, value)?;
-        }
-        part("fleet.differ", self.fleet.differ)?;
-        part("fleet.cold_share", self.fleet.cold_share)?;
-        part("fleet.noise", self.fleet.noise)?;
-        part("clients.surplus", self.clients.surplus)?;
-        part("clients.stutter", self.clients.stutter)?;
-        for (key, value) in [
-            ("clients.rate", self.clients.rate),
-            ("clients.spread", self.clients.spread),
-            ("clients.again", self.clients.again),
-            ("fleet.group_load", self.fleet.group_load),
-            ("discovery.delay", self.discovery.delay),
-            ("zones.inside", self.zones.inside),
-            ("zones.between", self.zones.between),
-            ("limits.grace", self.limits.grace),
-        ] {
-            if !value.is_finite() || value < 0.0 {
-                return Err((key.into(), format!("{value} is under 0")));
-            }
-        }
-        if self.types.is_empty() {
-            return Err(("types".into(), "there is none".into()));
-        }
-        for (i, one) in self.types.iter().enumerate() {
-            for (key, value) in [
-                ("share", one.share),
-                ("load", one.load),
-                ("target", one.target),
-                ("wait", one.wait),
-            ] {
-                positive(&format!("types[{i}].{key}"), value)?;
-            }
-            if seconds(one.wait) < 50 * MS {
-                return Err((
-                    format!("types[{i}].wait"),
-                    "under 0.05 s nothing can be answered".into(),
-                ));
-            }
-        }
-        for (i, fault) in self.faults.iter().enumerate() {
-            fault
-                .check(self)
-                .map_err(|(key, why)| (format!("faults[{i}].{key}"), why))?;
-        }
-        Ok(())
-    }
-
+    /// Returns the end of the run, in nanoseconds from its start.
     pub fn end(&self) -> Time {
         seconds(self.seconds)
     }
--- a/crates/fleet-model/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -7,7 +7,8 @@
 use nettlemux_policy::{LoadReport, SEC, Time};
 
 use crate::rng::Rng;
-use crate::scenario::{Fleet, seconds};
+use crate::scenario::Fleet;
+use crate::time::seconds;
 
 /// Seconds of work that may pile up before a server drops its heaviest connections to save the others.
 const BACKLOG_SECONDS_MAX: f64 = 3.0;
@@ -93,7 +94,8 @@
         (zone, cell, machine): (usize, usize, usize),
         rng: &mut Rng,
     ) -> Self {
-        let full = fleet.capacity * (1.0 + rng.uniform_between(-fleet.differ, fleet.differ));
+        let full = fleet.capacity
+            * (1.0 + rng.uniform_between(-fleet.capacity_spread, fleet.capacity_spread));
         Server {
             zone,
             cell,
@@ -130,7 +132,7 @@
         if self.started == 0 || age >= warm_up {
             return 1.0;
         }
-        fleet.cold_share + (1.0 - fleet.cold_share) * age / warm_up
+        fleet.initial_capacity + (1.0 - fleet.initial_capacity) * age / warm_up
     }
 
     pub fn capacity(&self, fleet: &Fleet, now: Time) -> f64 {
@@ -188,7 +190,9 @@
     /// Whether it has been sent more than a cold one can bear, within the contract's window.
     fn overrun(&self, fleet: &Fleet, now: Time) -> bool {
         let warmth = self.slow_start_factor(fleet, now);
-        let budget = fleet.fall_multiple * warmth * fleet.connection_rate * fleet.fall + SLACK;
+        let budget =
+            fleet.collapse_multiple * warmth * fleet.connection_rate * fleet.collapse_window
+                + SLACK;
         warmth < 1.0 && self.offers.len() as f64 > budget
     }
 
@@ -203,7 +207,7 @@
         while self
             .offers
             .front()
-            .is_some_and(|at| at + seconds(fleet.fall) < now)
+            .is_some_and(|at| at + seconds(fleet.collapse_window) < now)
         {
             self.offers.pop_front();
         }
@@ -282,9 +286,9 @@
             return None;
         }
         let (at, old) = self.report;
-        if old.utilization.is_none() || !self.stuck && at + seconds(fleet.refresh) <= now {
+        if old.utilization.is_none() || !self.stuck && at + seconds(fleet.report_interval) <= now {
             let noisy = self.utilization(fleet, now)
-                * (1.0 + rng.uniform_between(-fleet.noise, fleet.noise));
+                * (1.0 + rng.uniform_between(-fleet.report_noise, fleet.report_noise));
             let report = LoadReport {
                 utilization: Some(noisy),
                 connections: Some(self.connections.len() as f64),
--- a/crates/fleet-model/src/store.rs
+++ b/crates/fleet-model/src/store.rs
@@ -9,8 +9,8 @@
 pub struct Store {
     /// Calls a second.
     rate: f64,
-    /// One call's time with nobody else there, in seconds.
-    alone: f64,
+    /// One call's time that waits for no other, in seconds.
+    call_time: f64,
     /// Part of the rate that is left; 1 while it is well.
     pub health: f64,
     waiting: f64,
@@ -18,10 +18,10 @@
 }
 
 impl Store {
-    pub fn new(rate: f64, alone: f64) -> Self {
+    pub fn new(rate: f64, call_time: f64) -> Self {
         Store {
             rate,
-            alone,
+            call_time,
             health: 1.0,
             waiting: 0.0,
             at: 0,
@@ -43,13 +43,13 @@
         self.advance(now);
         let pace = self.pace();
         self.waiting = (self.waiting + 1.0).min(LONGEST * pace);
-        self.alone / self.health.max(1e-3) + (self.waiting - 1.0).max(0.0) / pace
+        self.call_time / self.health.max(1e-3) + (self.waiting - 1.0).max(0.0) / pace
     }
 
     /// How long a call made now would take, in seconds, without making it.
     pub fn would_take(&mut self, now: Time) -> f64 {
         self.advance(now);
-        self.alone / self.health.max(1e-3) + self.waiting / self.pace()
+        self.call_time / self.health.max(1e-3) + self.waiting / self.pace()
     }
 }
 
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -62,9 +62,9 @@
         "types": [{"name": "chat"}], "faults": [{"what": "zone-cut", "at": 1, "zone": 2}]
     }))
     .unwrap();
-    assert_eq!(scenario.faults[0].check(&scenario).unwrap_err().0, "zone");
+    assert_eq!(scenario.faults[0].check(&scenario).unwrap_err().key, "zone");
     scenario.zones.number = 0;
-    assert_eq!(scenario.check().unwrap_err().0, "zones.number");
+    assert_eq!(scenario.check().unwrap_err().key, "zones.number");
 }
 
 #[test]
@@ -84,16 +84,19 @@
         serde_json::from_str::<Observation>(&earlier).unwrap(),
         server
     );
-    let kind = Idempotency::Deduplicated {
+    let idempotency = Idempotency::Deduplicated {
         scope: DeduplicationScope::Zone,
         window: 6,
     };
     let text = r#"{"deduplicated":{"scope":"zone","window":6}}"#;
-    assert_eq!(serde_json::to_string(&kind).unwrap(), text);
+    assert_eq!(serde_json::to_string(&idempotency).unwrap(), text);
     let earlier = text
         .replace("zone", "hall")
         .replace("deduplicated", "referenced");
-    assert_eq!(serde_json::from_str::<Idempotency>(&earlier).unwrap(), kind);
+    assert_eq!(
+        serde_json::from_str::<Idempotency>(&earlier).unwrap(),
+        idempotency
+    );
 }
 
 #[test]
@@ -193,12 +196,12 @@
         at: 1,
         balancer: 2,
         flow: 3,
-        kind: Idempotency::NonIdempotent,
+        idempotency: Idempotency::NonIdempotent,
         deadline: 9,
     };
     for text in [
         r#"{"what":"taken","at":1,"balancer":2,"flow":3,"kind":"once-only","give_up":9}"#,
-        r#"{"what":"accepted","at":1,"balancer":2,"flow":3,"kind":"non-idempotent","deadline":9}"#,
+        r#"{"what":"accepted","at":1,"balancer":2,"flow":3,"idempotency":"non-idempotent","deadline":9}"#,
     ] {
         assert_eq!(serde_json::from_str::<Observation>(text).unwrap(), accepted);
     }
@@ -274,7 +277,7 @@
         ),
         (
             r#""ended","at":1,"flow":2,"by":"client","told":true,"sound":false"#,
-            r#""connection-closed","at":1,"flow":2,"by":"client","told":true,"sound":false"#,
+            r#""connection-closed","at":1,"flow":2,"by":"client","client_notified":true,"server_healthy":false"#,
         ),
     ] {
         let [earlier, now] = [earlier, now].map(|fields| format!(r#"{{"what":{fields}}}"#));
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -62,7 +62,9 @@
         let (key, why) = complaint(e.message());
         faulty(key, why)
     })?;
-    scenario.check().map_err(|(key, why)| faulty(key, why))?;
+    scenario
+        .check()
+        .map_err(|error| faulty(error.key, error.reason))?;
     for (name, expect) in &scenario.expect {
         let names = crate::figures::NAMES.map(|(name, _)| name);
         if !names.contains(&name.as_str()) {
@@ -171,13 +173,13 @@
         "weights": if scenario.discovery.weights == Weights::Live { "live" } else { "nominal" },
         "replicas-of-me": scenario.balancers.number,
         "accounts": tenants,
-        "surplus-value": scenario.clients.surplus,
-        "costs": {"probe": scenario.limits.probe_price},
-        "contract": {"start-capacity": fleet.cold_share, "warm-up": us(fleet.warm_up),
-            "fall-multiple": fleet.fall_multiple, "fall": us(fleet.fall),
+        "surplus-value": scenario.clients.surplus_weight,
+        "costs": {"probe": scenario.limits.health_check_price},
+        "contract": {"start-capacity": fleet.initial_capacity, "warm-up": us(fleet.warm_up),
+            "fall-multiple": fleet.collapse_multiple, "fall": us(fleet.collapse_window),
             "stop-sending-within": us(limits.grace)},
-        "limits": {"max-connects": limits.attempts, "second-copies": limits.second_copies,
-            "may-cancel": limits.may_cancel, "probes": limits.probes,
+        "limits": {"max-connects": limits.attempts, "second-copies": limits.hedging,
+            "may-cancel": limits.may_cancel, "probes": limits.health_checks,
             "retry-after": limits.retry_after > 0.0, "max-retry-after": us(limits.retry_after),
             "dial-timeout": us(DIAL)},
         "report": {"how": "pull", "fields": ["x0", "inflight"]},
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -7,8 +7,9 @@
 use nettlemux_fleet_model::observation::{
     ClosedBy, DeduplicationScope, FinalAnswer, Idempotency, Observation,
 };
-use nettlemux_fleet_model::scenario::{Scenario, seconds};
+use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_fleet_model::server::SLACK;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{MS, SEC, Time};
 use serde::Serialize;
 
@@ -75,7 +76,7 @@
 
 struct Flow {
     balancer: usize,
-    kind: Idempotency,
+    idempotency: Idempotency,
     deadline: Time,
     answered: Option<FinalAnswer>,
     /// Nothing more is owed, and since when.
@@ -94,12 +95,12 @@
 
 /// Watches a run.
 pub struct Rules {
-    second_copies: bool,
+    hedging: bool,
     grace: Time,
-    cold_share: f64,
+    initial_capacity: f64,
     warm_up: Time,
     multiple: f64,
-    fall: Time,
+    collapse_window: Time,
     connection_rate: f64,
     /// What is added to each time limit: nothing in virtual time, 50 ms on sockets.
     slack: Time,
@@ -116,12 +117,12 @@
     pub fn new(scenario: &Scenario, slack: Time) -> Self {
         let (limits, fleet) = (&scenario.limits, &scenario.fleet);
         Rules {
-            second_copies: limits.second_copies,
+            hedging: limits.hedging,
             grace: seconds(limits.grace),
-            cold_share: fleet.cold_share,
+            initial_capacity: fleet.initial_capacity,
             warm_up: seconds(fleet.warm_up),
-            multiple: fleet.fall_multiple,
-            fall: seconds(fleet.fall),
+            multiple: fleet.collapse_multiple,
+            collapse_window: seconds(fleet.collapse_window),
             connection_rate: fleet.connection_rate,
             slack,
             servers: BTreeMap::new(),
@@ -189,7 +190,7 @@
             Observation::Accepted {
                 flow,
                 balancer,
-                kind,
+                idempotency,
                 deadline,
                 ..
             } => {
@@ -199,7 +200,7 @@
                     flow,
                     Flow {
                         balancer,
-                        kind,
+                        idempotency,
                         deadline,
                         answered,
                         over,
@@ -207,7 +208,11 @@
                     },
                 );
             }
-            Observation::Answered { at, flow, with } => self.answered(at, flow, with),
+            Observation::Answered {
+                at,
+                flow,
+                answer: with,
+            } => self.answered(at, flow, with),
             Observation::ClientLeft { at, flow } => {
                 // Guards against a client that has waited in vain and is taken for one that changed its mind.
                 let owed = self
@@ -249,10 +254,10 @@
                 at,
                 flow,
                 by,
-                told,
-                sound,
+                client_notified: told,
+                server_healthy,
             } => {
-                if by == ClosedBy::Balancer && sound && !told {
+                if by == ClosedBy::Balancer && server_healthy && !told {
                     self.broken(Rule::Cut, format!("flow {flow} was cut off unannounced"));
                 }
                 self.ends(at, flow);
@@ -301,7 +306,7 @@
         let may_have_run = flow.attempts.iter().any(|made| made.ended != Some(true));
         let unsafe_word = with == FinalAnswer::Rejected
             && may_have_run
-            && match flow.kind {
+            && match flow.idempotency {
                 Idempotency::Idempotent => false,
                 // It is dropped wherever it comes again, while the window lasts.
                 Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
@@ -344,7 +349,7 @@
             );
         }
         self.cold(at, server);
-        let (second_copies, slack) = (self.second_copies, self.slack);
+        let (hedging, slack) = (self.hedging, self.slack);
         let Some(flow) = self.flows.get(&id) else {
             return self.broken(
                 Rule::AfterTheEnd,
@@ -352,9 +357,9 @@
             );
         };
         let over = flow.answered.is_some() || flow.over.is_some_and(|over| at > over + slack);
-        let two = !second_copies && flow.attempts.iter().any(|made| made.ended.is_none());
+        let two = !hedging && flow.attempts.iter().any(|made| made.ended.is_none());
         let ran = || flow.attempts.iter().filter(|made| made.ended != Some(true));
-        let twice = match flow.kind {
+        let twice = match flow.idempotency {
             Idempotency::Idempotent => false,
             Idempotency::NonIdempotent => ran().next().is_some(),
             Idempotency::Deduplicated { scope, window } => ran().any(|made| {
@@ -397,7 +402,7 @@
 
     /// The budget of a cold server: what it could set up in the window, so many times over, and a little chance.
     fn cold(&mut self, at: Time, server: usize) {
-        let (fall, warm_up) = (self.fall, self.warm_up);
+        let (collapse_window, warm_up) = (self.collapse_window, self.warm_up);
         let Some(place) = self.servers.get_mut(&server) else {
             return;
         };
@@ -408,12 +413,18 @@
             return;
         }
         place.sent.push_back(at);
-        while place.sent.front().is_some_and(|sent| sent + fall < at) {
+        while place
+            .sent
+            .front()
+            .is_some_and(|sent| sent + collapse_window < at)
+        {
             place.sent.pop_front();
         }
-        let warmth = self.cold_share + (1.0 - self.cold_share) * age as f64 / warm_up as f64;
+        let warmth =
+            self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / warm_up as f64;
         let budget =
-            self.multiple * warmth * self.connection_rate * (fall as f64 / SEC as f64) + SLACK;
+            self.multiple * warmth * self.connection_rate * (collapse_window as f64 / SEC as f64)
+                + SLACK;
         if place.sent.len() as f64 > budget {
             let sent = place.sent.len();
             place.sent.clear();
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -9,12 +9,12 @@
     serde_json::from_str(text).unwrap()
 }
 
-fn taken(flow: u64, kind: Idempotency) -> Observation {
+fn taken(flow: u64, idempotency: Idempotency) -> Observation {
     Observation::Accepted {
         at: 0,
         balancer: 0,
         flow,
-        kind,
+        idempotency,
         deadline: SEC,
     }
 }
@@ -36,7 +36,11 @@
     }
 }
 fn answered(at: Time, with: FinalAnswer) -> Observation {
-    Observation::Answered { at, flow: 1, with }
+    Observation::Answered {
+        at,
+        flow: 1,
+        answer: with,
+    }
 }
 
 fn judge(seen: &[Observation]) -> Vec<Rule> {
@@ -59,12 +63,12 @@
         window: 50,
     };
     let up = answered(5, FinalAnswer::Connected);
-    let cut = |told, sound| Observation::ConnectionClosed {
+    let cut = |told, server_healthy| Observation::ConnectionClosed {
         at: 7,
         flow: 1,
         by: ClosedBy::Balancer,
-        told,
-        sound,
+        client_notified: told,
+        server_healthy,
     };
     let told = Observation::EndpointNotified {
         at: 0,
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -1,7 +1,7 @@
 //! A balancer's answers to clients, and the close of a flow.
 
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
-use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{FlowId, Time};
 
 use super::flow::FlowPhase;
@@ -47,7 +47,7 @@
         self.observe(Observation::Answered {
             at: self.now,
             flow,
-            with: answer,
+            answer: answer,
         });
     }
 
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts to connect a flow to a server, from the dial to their end.
 
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
-use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::server::AttemptResponse;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{AttemptEnd, FlowId, LoadReport, Time};
 
 use super::event::{Ending, Event, ServerResponse};
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -2,7 +2,7 @@
 
 use nettlemux_fleet_model::observation::{ClosedBy, Observation};
 use nettlemux_fleet_model::population::Client;
-use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_flow_table::ClientIdentity as Requester;
 use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
 use nettlemux_settings::operator::By;
@@ -63,12 +63,12 @@
             .insert(id, FlowState::waiting(client, balancer, self.now));
         self.flow_of_client.insert(client, id);
         self.figures.flows += 1;
-        let kind = self.clients.idempotency(client, &self.model.scenario);
+        let idempotency = self.clients.idempotency(client, &self.model.scenario);
         self.observe(Observation::Accepted {
             at: self.now,
             balancer,
             flow: id,
-            kind,
+            idempotency,
             deadline,
         });
         self.schedule(deadline + PATIENCE, Event::PatienceOver { flow: id });
@@ -153,7 +153,7 @@
                 let closure = Closure {
                     by: ClosedBy::Client,
                     told: false,
-                    sound: true,
+                    server_healthy: true,
                 };
                 self.close_connection(flow, closure, Ending::may_have_run(AttemptEnd::Done));
             } else {
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -13,7 +13,7 @@
     /// The client was told to move.
     pub(super) told: bool,
     /// The server still answered.
-    pub(super) sound: bool,
+    pub(super) server_healthy: bool,
 }
 
 impl Simulation<'_> {
@@ -49,7 +49,7 @@
         let closure = Closure {
             by: ClosedBy::Server,
             told,
-            sound: false,
+            server_healthy: false,
         };
         let Some(client) = self.close_connection(flow, closure, response.ending()) else {
             return;
@@ -67,7 +67,7 @@
                 Closure {
                     by: ClosedBy::Balancer,
                     told,
-                    sound: true,
+                    server_healthy: true,
                 },
                 AttemptEnd::Cancelled,
             );
@@ -95,7 +95,7 @@
             Closure {
                 by: ClosedBy::Balancer,
                 told: true,
-                sound: false,
+                server_healthy: false,
             },
             AttemptEnd::ConnectionLost,
         );
@@ -117,13 +117,17 @@
     ) -> Option<ClientId> {
         let state = self.flows.get(&flow)?;
         let (client, attempt) = (state.client, state.attempt?);
-        let Closure { by, told, sound } = closure;
+        let Closure {
+            by,
+            told,
+            server_healthy,
+        } = closure;
         self.observe(Observation::ConnectionClosed {
             at: self.now,
             flow,
             by,
-            told,
-            sound,
+            client_notified: told,
+            server_healthy,
         });
         self.detach(flow, attempt.server);
         self.report_ended(flow, attempt, ending);
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -2,7 +2,7 @@
 //! passes through these functions unchanged.
 
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
-use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{FlowId, MS, Time};
 
 use super::PolicyChoice;
@@ -79,7 +79,7 @@
             self.observe(Observation::Answered {
                 at: self.now,
                 flow,
-                with: answer,
+                answer: answer,
             });
         }
     }
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -1,7 +1,7 @@
 //! Probes of servers by balancers.
 
-use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::server::ServerStatus;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{LoadReport, MS, Time};
 
 use super::balancer::Incarnation;
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -1,7 +1,7 @@
 //! The end of a balancer's process, planned or not, and its return.
 
 use nettlemux_fleet_model::observation::{Idempotency, Observation};
-use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{FlowId, MS, SEC, Time};
 
 use super::balancer::Incarnation;
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -7,7 +7,8 @@
 use nettlemux_fleet_model::observation::Observation;
 use nettlemux_fleet_model::population::{ClientPopulation, FrontEnd};
 use nettlemux_fleet_model::rng::Rng;
-use nettlemux_fleet_model::scenario::{Scenario, seconds};
+use nettlemux_fleet_model::scenario::Scenario;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{FlowId, MS, Time};
 use serde_json::Value;
 
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -2,7 +2,7 @@
 
 use nettlemux_admission::AdmissionController;
 use nettlemux_fleet_model::observation::{Observation, VERSION};
-use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy};
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_fleet_model::observation::{ClosedBy, FinalAnswer, Idempotency, Observation};
 use nettlemux_fleet_model::population::Client;
-use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{MS, SEC, Time};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -118,7 +118,7 @@
     let flow = stage.lock().number();
     let line = first_line(stage, (id, client), flow, wait, standing);
     let stutters =
-        standing.is_none() && stage.lock().rng.uniform() < stage.scenario.clients.stutter;
+        standing.is_none() && stage.lock().rng.uniform() < stage.scenario.clients.split_lines;
     let (first, rest) = line.split_at(if stutters { line.len() / 2 } else { 0 });
     if stutters {
         // Its balancer may die meanwhile: nothing was asked of it then.
@@ -128,7 +128,7 @@
         tokio::time::sleep(STUTTER).await;
     }
     let accepted_at;
-    let kind = {
+    let idempotency = {
         let inner = &mut *stage.lock();
         // It has died since it took the connection: nobody is there to take the line.
         if !inner.alive[balancer] {
@@ -142,7 +142,7 @@
             tell: None,
         };
         inner.flows.insert(flow, known);
-        let kind = inner.population.idempotency(id, &stage.scenario);
+        let idempotency = inner.population.idempotency(id, &stage.scenario);
         accepted_at = stage.now();
         if standing.is_none() {
             inner.gather.flows += 1;
@@ -157,11 +157,11 @@
                 at: accepted_at,
                 balancer,
                 flow,
-                kind,
+                idempotency,
                 deadline,
             });
         }
-        kind
+        idempotency
     };
     let came = match out.write_all(rest.as_bytes()).await {
         Ok(()) => {
@@ -169,7 +169,7 @@
                 stage,
                 id,
                 flow,
-                kind,
+                idempotency,
                 accepted_at,
                 wait,
                 balancer,
@@ -224,7 +224,7 @@
     stage: &'a Arc<Stage>,
     id: u64,
     flow: u64,
-    kind: Idempotency,
+    idempotency: Idempotency,
     accepted_at: Time,
     wait: Time,
     balancer: usize,
@@ -275,7 +275,7 @@
             inner.see(Observation::Answered {
                 at: now,
                 flow: self.flow,
-                with,
+                answer: with,
             });
         }
         match with {
@@ -300,7 +300,7 @@
             FinalAnswer::Failed => {
                 self.second_answer(lines).await;
                 let inner = &mut *stage.lock();
-                Came::Again(match self.kind {
+                Came::Again(match self.idempotency {
                     Idempotency::NonIdempotent if standing => None,
                     _ => inner.population.failed(self.id, &stage.scenario),
                 })
@@ -320,7 +320,7 @@
             self.stage.see(Observation::Answered {
                 at: self.stage.now(),
                 flow: self.flow,
-                with,
+                answer: with,
             });
         }
     }
@@ -333,7 +333,7 @@
     /// Sends a line now and then and looks at what comes back, until one side ends.
     async fn open(&self, lines: &mut Lines, out: &mut OwnedWriteHalf, client: &Client) -> Came {
         let stage = self.stage;
-        let every = seconds(stage.scenario.clients.lines);
+        let every = seconds(stage.scenario.clients.line_interval);
         let target = seconds(stage.scenario.types[client.class].message_target);
         let mut next = stage.now() + (every as f64 * stage.lock().rng.uniform()) as Time;
         let mut waiting = std::collections::VecDeque::new();
@@ -345,8 +345,8 @@
                     at: now,
                     flow: self.flow,
                     by: ClosedBy::Client,
-                    told: false,
-                    sound: true,
+                    client_notified: false,
+                    server_healthy: true,
                 });
                 return Came::Over;
             }
@@ -377,7 +377,7 @@
                     Ok(Some(line)) => {
                         // No server of ours made it.
                         let with = if line.starts_with("UP") { FinalAnswer::Connected } else { FinalAnswer::Failed };
-                        stage.see(Observation::Answered { at: stage.now(), flow: self.flow, with });
+                        stage.see(Observation::Answered { at: stage.now(), flow: self.flow, answer: with });
                     }
                     Ok(None) | Err(_) => return self.ended(false).await,
                 },
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -9,7 +9,7 @@
 
 use nettlemux_fleet_model::model::FleetEvent;
 use nettlemux_fleet_model::observation::Observation;
-use nettlemux_fleet_model::scenario::seconds;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_settings::operator::Operator;
 use rustix::process::{Pid, Resource, Rlimit, Signal};
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use nettlemux_fleet_model::observation::Observation;
-use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::server::{AttemptResponse, ServerStatus};
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::Time;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -11,8 +11,9 @@
 use nettlemux_fleet_model::observation::{ClosedBy, Observation};
 use nettlemux_fleet_model::population::{ClientPopulation, FrontEnd};
 use nettlemux_fleet_model::rng::Rng;
-use nettlemux_fleet_model::scenario::{Scenario, seconds};
+use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_fleet_model::server::ServerStatus;
+use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{EndpointState, MS, Time};
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
@@ -96,7 +97,7 @@
             return;
         };
         let zone = known.balancer % self.world.scenario.zones.number;
-        let sound = known.server.is_some_and(|server| {
+        let server_healthy = known.server.is_some_and(|server| {
             let one = &self.world.servers[server];
             one.status == ServerStatus::Up && self.world.reaches(zone, one.zone)
         });
@@ -108,8 +109,8 @@
             at,
             flow,
             by,
-            told,
-            sound,
+            client_notified: told,
+            server_healthy,
         });
     }
 }
