--- a/crates/balancer/tests/testbed.rs
+++ b/crates/balancer/tests/testbed.rs
@@ -1,4 +1,4 @@
-//! The balancer as it is run, between the laboratory's stand-ins: the rules are judged by what crosses them alone.
+//! The balancer as it is run, between the testbed's stand-ins: the rules are judged by what crosses them alone.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -1,5 +1,5 @@
-//! Faults as data. Faults may overlap: each acts through the model's state and takes back only its own
-//! part of it. It owns the choice of a fault's targets, which is drawn from the seed.
+//! Faults as data. Faults may overlap: each acts through the model's state and takes back only its
+//! own part of it. It owns the choice of a fault's targets, which is drawn from the seed.
 
 use nettlemux_policy::Time;
 use serde::{Deserialize, Serialize};
@@ -47,9 +47,11 @@
     Grow,
     /// Servers drain and leave; `amount` seconds pass from the drain to the end.
     Shrink,
-    /// Servers are replaced in turn: each drains, leaves and comes back cold within the fault's time.
+    /// Servers are replaced in turn: each drains, leaves and comes back cold within the fault's
+    /// time.
     Roll,
-    /// Balancers are restarted in turn within the fault's time, `amount` seconds away each, asked to end first.
+    /// Balancers are restarted in turn within the fault's time, `amount` seconds away each, asked
+    /// to end first.
     RestartInTurn,
     /// Balancers die at once and are away for the fault's time.
     BalancersDie,
@@ -139,8 +141,8 @@
         seconds(self.at + self.lasts)
     }
 
-    /// Returns the servers or balancers that the fault acts on, out of `of`, in the order in which it
-    /// does.
+    /// Returns the servers or balancers that the fault acts on, out of `of`, in the order in which
+    /// it does.
     pub fn targets(&self, of: usize, rng: &mut Rng) -> Vec<usize> {
         if !self.who.is_empty() {
             return self.who.clone();
--- a/crates/fleet-model/src/population/tests.rs
+++ b/crates/fleet-model/src/front_end/tests.rs
@@ -1,5 +1,7 @@
 //! How the front deals out clients while balancers die and return.
 
+use nettlemux_policy::SEC;
+
 use super::*;
 
 #[test]
--- a/crates/fleet-model/src/model.rs
+++ b/crates/fleet-model/src/model.rs
@@ -1,7 +1,9 @@
-//! The fleet as it is now: servers, their store, the list of servers, the zones, and the faults that act on them.
+//! The fleet as it is now: servers, their store, the list of servers, the zones, and the faults
+//! that act on them.
 //!
-//! A driver calls [`FleetModel::tick`] often (each 100 ms) and carries out what has happened. Each fault takes back what it did
-//! and nothing else, so that faults may overlap. The fleet never touches a client or a balancer itself.
+//! A driver calls [`FleetModel::tick`] often (each 100 ms) and carries out what has happened. Each
+//! fault takes back what it did and nothing else, so that faults may overlap. The fleet never
+//! touches a client or a balancer itself.
 
 mod degradation;
 mod faults;
@@ -27,18 +29,25 @@
 /// The random stream of the fleet.
 const RNG_STREAM: u64 = 1;
 
-/// Something that a driver has to carry out.
+/// Something that has happened in the fleet and that a driver has to carry out.
+///
+/// Servers, balancers and zones are named by their index, connections by their flow's number; times
+/// are nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
+#[allow(
+    missing_docs,
+    reason = "the fields' meanings stand above and at each variant"
+)]
 pub enum FleetEvent {
     /// A server has reset these connections.
     ConnectionsReset { server: usize, ids: Vec<u64> },
     /// These connections have fallen silent: their server's machine is gone.
     ConnectionsSilenced { server: usize, ids: Vec<u64> },
-    /// A server has told the clients of these connections to go elsewhere.
+    /// A draining server has told the clients of these connections to migrate.
     ClientsMigrated { server: usize, ids: Vec<u64> },
-    /// A server has joined or restarted, and is cold.
+    /// A server has joined or restarted, and begins its slow start.
     ServerStarted { server: usize },
-    /// A cold server has fallen over.
+    /// A server in slow start has collapsed.
     ServerCollapsed { server: usize },
     /// The list of servers has changed and is to be delivered to the balancers.
     EndpointsChanged,
@@ -46,9 +55,9 @@
     DiscoveryRecovered,
     /// A zone has been cut off from the others, or is reachable again.
     ZoneConnectivityChanged { zone: usize, cut: bool },
-    /// A balancer is asked to shut down, and is to start again after so long.
+    /// A balancer is asked to shut down, and starts again after `away`.
     BalancerRestartRequested { balancer: usize, away: Time },
-    /// A balancer is killed, and is to start again after so long.
+    /// A balancer is killed, and starts again after `away`.
     BalancerKilled { balancer: usize, away: Time },
 }
 
@@ -82,7 +91,7 @@
         let servers = (0..count)
             .map(|index| new_server(&scenario, index, &mut rng))
             .collect();
-        let mut world = FleetModel {
+        let mut model = FleetModel {
             store: Store::new(scenario.store.rate, scenario.store.call_time),
             surge: 1.0,
             tenant_surge: 1.0,
@@ -95,11 +104,11 @@
             events: Vec::new(),
             scenario,
         };
-        world.schedule_faults();
-        if world.scenario.discovery.weights == Weights::Live {
-            world.schedule.add(WEIGHT_INTERVAL, Task::RefreshWeights);
+        model.schedule_faults();
+        if model.scenario.discovery.weights == Weights::Live {
+            model.schedule.add(WEIGHT_INTERVAL, Task::RefreshWeights);
         }
-        world
+        model
     }
 
     /// Advances to now and returns what has happened.
@@ -147,8 +156,8 @@
             .push(FleetEvent::ConnectionsReset { server, ids });
     }
 
-    /// The server for a connection that stands when the run starts: of two random ones in that zone, or in all zones where
-    /// it has none, the one with the lower utilization.
+    /// The server for a connection that stands when the run starts: of two random ones in that
+    /// zone, or in all zones where it has none, the one with the lower utilization.
     pub fn stood_at(&self, zone: usize, rng: &mut Rng) -> usize {
         let all = 0..self.servers.len();
         let local: Vec<usize> = all
--- a/crates/fleet-model/src/model/faults.rs
+++ b/crates/fleet-model/src/model/faults.rs
@@ -161,7 +161,8 @@
         self.events.push(FleetEvent::DiscoveryRecovered);
     }
 
-    /// Schedules the drains of servers one after another over the fault's time, with their return where they are rolled.
+    /// Schedules the drains of servers one after another over the fault's time, with their return
+    /// where they are rolled.
     fn schedule_drains(&mut self, now: Time, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let drain_time = seconds(if fault.amount > 0.0 {
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Asks for the restart of balancers, all now: the driver does them one after another, since only it knows when one
-    /// is back.
+    /// Asks for the restart of balancers, all now: the driver does them one after another, since
+    /// only it knows when one is back.
     fn restart_targets(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let away = seconds(fault.amount);
--- a/crates/fleet-model/src/model/lifecycle.rs
+++ b/crates/fleet-model/src/model/lifecycle.rs
@@ -7,14 +7,15 @@
 use crate::fault::DrainBehavior;
 use crate::server::ServerStatus;
 
-/// From the end of a server's process to discovery's notice of it; a process's end is noticed sooner than a machine's
-/// silence.
+/// From the end of a server's process to discovery's notice of it; a process's end is noticed
+/// sooner than a machine's silence.
 pub(super) const CRASH_NOTICE: Time = 2 * SEC;
 /// From a machine's silence to discovery's notice of it.
 pub(super) const SILENCE_NOTICE: Time = 4 * SEC;
 /// How often a draining server sends away another part of its connections.
 const SEND_AWAY_INTERVAL: Time = 200 * MS;
-/// From the beginning of a drain to the moment at which a server sends away all its connections, where it does so at once.
+/// From the beginning of a drain to the moment at which a server sends away all its connections,
+/// where it does so at once.
 const SEND_AWAY_DELAY: Time = SEC;
 
 impl FleetModel {
@@ -109,8 +110,8 @@
         });
     }
 
-    /// A server that is down starts again. It is listed anew even if its end was never listed, so that balancers learn of
-    /// the start.
+    /// A server that is down starts again. It is listed anew even if its end was never listed, so
+    /// that balancers learn of the start.
     pub(super) fn start(&mut self, now: Time, server: usize) {
         let state = &mut self.servers[server];
         if state.status == ServerStatus::Up || !state.start(now) {
--- a/crates/fleet-model/src/model/listing.rs
+++ b/crates/fleet-model/src/model/listing.rs
@@ -1,4 +1,5 @@
-//! Discovery as balancers see it: what it lists, when it answers, and the changes that the fleet makes to the list.
+//! Discovery as balancers see it: what it lists, when it answers, and the changes that the fleet
+//! makes to the list.
 
 use nettlemux_policy::{Endpoint, EndpointState, Time};
 
@@ -27,7 +28,8 @@
         self.list.version()
     }
 
-    /// The entries that changed after a version, as they are now; after 0, all but those that are gone.
+    /// The entries that changed after a version, as they are now; after 0, all but those that are
+    /// gone.
     pub fn since(&self, version: u64) -> Vec<Endpoint> {
         let mut entries = self.entries_between(version, self.list.version());
         if version == 0 {
--- a/crates/fleet-model/src/model/network.rs
+++ b/crates/fleet-model/src/model/network.rs
@@ -24,8 +24,8 @@
         })
     }
 
-    /// An attempt arrives at a server, from a balancer in that zone. Returns what the server makes of it, and what has
-    /// happened with it.
+    /// An attempt arrives at a server, from a balancer in that zone. Returns what the server makes
+    /// of it, and what has happened with it.
     pub fn offer(
         &mut self,
         now: Time,
@@ -56,7 +56,8 @@
             .add(now + CRASH_NOTICE, Task::ListDeath { server });
     }
 
-    /// One more fault, or one fault less, cuts a zone off. Drivers are told when that makes a difference.
+    /// One more fault, or one fault less, cuts a zone off. Drivers are told when that makes a
+    /// difference.
     pub(super) fn set_zone_cut(&mut self, zone: usize, cut: bool) {
         let cuts = &mut self.cuts[zone];
         let was_cut = *cuts > 0;
--- a/crates/fleet-model/src/model/schedule.rs
+++ b/crates/fleet-model/src/model/schedule.rs
@@ -21,7 +21,8 @@
         drain_behavior: DrainBehavior,
         until: Time,
     },
-    /// A draining server sends away part of its connections, so that all are gone after the steps that are left.
+    /// A draining server sends away part of its connections, so that all are gone after the steps
+    /// that are left.
     SendAway {
         server: usize,
         steps_left: u64,
--- a/crates/fleet-model/src/model/tests.rs
+++ b/crates/fleet-model/src/model/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn world(faults: &str) -> FleetModel {
+fn model(faults: &str) -> FleetModel {
     let text = format!(
         r#"{{"name": "t", "seconds": 60, "balancers": {{"number": 1}}, "zones": {{"number": 2}},
         "fleet": {{"servers": 4, "capacity": 10}}, "clients": {{"rate": 1, "life": 9}},
@@ -13,17 +13,17 @@
     FleetModel::new(serde_json::from_str(&text).unwrap(), 1)
 }
 
-fn until(world: &mut FleetModel, end: f64) -> Vec<FleetEvent> {
+fn until(model: &mut FleetModel, end: f64) -> Vec<FleetEvent> {
     (0..=(end * 10.0) as u64)
-        .flat_map(|k| world.tick(k * 100 * MS))
+        .flat_map(|k| model.tick(k * 100 * MS))
         .collect()
 }
 
 #[test]
 fn a_restart_that_discovery_misses_is_listed_with_its_start() {
-    let mut world = world(r#"[{"what": "crash", "at": 5, "for": 1, "who": [2]}]"#);
-    until(&mut world, 10.0);
-    let told = world.since(1);
+    let mut model = model(r#"[{"what": "crash", "at": 5, "for": 1, "who": [2]}]"#);
+    until(&mut model, 10.0);
+    let told = model.since(1);
     assert_eq!(
         (
             told.len(),
@@ -37,22 +37,22 @@
 
 #[test]
 fn a_server_that_dies_is_listed_gone_late_and_comes_back_cold() {
-    let mut world = world(r#"[{"what": "vanish", "at": 5, "for": 10, "who": [1]}]"#);
-    until(&mut world, 8.0);
-    assert!(world.since(1).is_empty() && world.servers[1].status == ServerStatus::Unresponsive);
-    until(&mut world, 9.0);
-    assert_eq!(world.since(1)[0].state, EndpointState::Removed);
-    assert_eq!(world.since(0).len(), 3, "a whole list leaves it out");
-    until(&mut world, 15.0);
+    let mut model = model(r#"[{"what": "vanish", "at": 5, "for": 10, "who": [1]}]"#);
+    until(&mut model, 8.0);
+    assert!(model.since(1).is_empty() && model.servers[1].status == ServerStatus::Unresponsive);
+    until(&mut model, 9.0);
+    assert_eq!(model.since(1)[0].state, EndpointState::Removed);
+    assert_eq!(model.since(0).len(), 3, "a whole list leaves it out");
+    until(&mut model, 15.0);
     assert_eq!(
-        (world.since(1)[0].state, world.servers[1].status),
+        (model.since(1)[0].state, model.servers[1].status),
         (EndpointState::Ready, ServerStatus::Up)
     );
 }
 
 #[test]
 fn faults_overlap_and_each_takes_back_its_own() {
-    let mut world = world(
+    let mut model = model(
         r#"[{"what": "slow", "at": 2, "for": 8, "who": [0], "amount": 0.5},
         {"what": "decay", "at": 4, "for": 10, "who": [0], "amount": 0.2},
         {"what": "store-slow", "at": 2, "for": 4, "amount": 0.1},
@@ -62,13 +62,13 @@
         {"what": "zone-cut", "at": 1, "for": 4, "zone": 1},
         {"what": "zone-flaps", "at": 2, "for": 9, "zone": 1, "amount": 1}]"#,
     );
-    until(&mut world, 5.5);
-    assert!((world.store.health - 0.05).abs() < 1e-9 && world.servers[0].speed < 0.5);
-    assert_eq!(world.since(1)[0].state, EndpointState::Removed);
-    assert_eq!(world.reaches(0, 1), world.cuts[1] == 0);
-    until(&mut world, 20.0);
-    assert!((world.store.health - 1.0).abs() < 1e-9 && (world.servers[0].speed - 1.0).abs() < 1e-9);
-    assert!(world.reaches(0, 1) && world.since(1)[0].state == EndpointState::Ready);
+    until(&mut model, 5.5);
+    assert!((model.store.health - 0.05).abs() < 1e-9 && model.servers[0].speed < 0.5);
+    assert_eq!(model.since(1)[0].state, EndpointState::Removed);
+    assert_eq!(model.reaches(0, 1), model.cuts[1] == 0);
+    until(&mut model, 20.0);
+    assert!((model.store.health - 1.0).abs() < 1e-9 && (model.servers[0].speed - 1.0).abs() < 1e-9);
+    assert!(model.reaches(0, 1) && model.since(1)[0].state == EndpointState::Ready);
 }
 
 #[test]
@@ -81,7 +81,7 @@
         let fault = format!(
             r#"[{{"what": "shrink", "at": 2, "for": 1, "who": [0], "amount": 4, "drain_behavior": "{drain_behavior}"}}]"#
         );
-        let mut world = world(&fault);
+        let mut model = model(&fault);
         for id in 0..6 {
             let connection = crate::server::ServerConnection {
                 load: 0.1,
@@ -89,9 +89,9 @@
                 class: 0,
                 value: 1.0,
             };
-            world.servers[0].attach(id, connection);
+            model.servers[0].attach(id, connection);
         }
-        let events = until(&mut world, 10.0);
+        let events = until(&mut model, 10.0);
         let count =
             |pick: fn(&FleetEvent) -> Option<usize>| events.iter().filter_map(pick).sum::<usize>();
         let away = count(|h| match h {
@@ -103,6 +103,6 @@
             _ => None,
         });
         assert_eq!((away, reset), (sent_away, cut), "{drain_behavior}");
-        assert_eq!(world.since(1)[0].state, EndpointState::Removed);
+        assert_eq!(model.since(1)[0].state, EndpointState::Removed);
     }
 }
--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -1,5 +1,5 @@
-//! The clients and the plain front before the balancers. It owns who there is, what each wants and when it comes again; it must
-//! never know a server. The front deals clients out in turn and notices late that a balancer has died.
+//! The clients. It owns who they are, what each wants and when it tries again, and must never know
+//! a server.
 
 use std::collections::BTreeMap;
 
@@ -12,38 +12,44 @@
 use crate::server::ServerConnection;
 use crate::time::seconds;
 
-/// How soon a client that was told to move comes again, from and to.
-const MOVED: [Time; 2] = [50 * MS, 500 * MS];
-/// And one whose connection broke.
-const BROKEN: [Time; 2] = [100 * MS, SEC];
-/// How soon one that found its balancer dead tries the front again.
-const REFUSED: Time = 200 * MS;
+/// The shortest and the longest delay of a client that was told to migrate.
+const MIGRATED_DELAY: [Time; 2] = [50 * MS, 500 * MS];
+/// The same for a client whose connection broke.
+const BROKEN_DELAY: [Time; 2] = [100 * MS, SEC];
+/// The shortest delay of a client whose balancer refused it; the longest is twice this.
+const REFUSED_DELAY: Time = 200 * MS;
 
+/// A client, from its arrival until it has got what it wanted or has given up.
 #[derive(Clone, Debug)]
 pub struct Client {
+    /// The index of its traffic class.
     pub class: usize,
+    /// The index of its tenant.
     pub tenant: usize,
+    /// Its group, where clients have groups.
     pub group: Option<u32>,
+    /// The index of its zone.
     pub zone: usize,
+    /// The load that its connection brings.
     pub load: f64,
     /// Worth of a second of good service to it.
     pub value: f64,
-    /// When it will want nothing more.
+    /// When it has got what it wanted.
     pub ends: Time,
-    /// Tries since it was last served.
+    /// How often it has tried since it was last connected.
     pub tries: usize,
-    /// Its connection broke or was moved.
+    /// Whether its connection broke or was migrated.
     pub reconnecting: bool,
-    /// It was told when to come back, and comes then.
+    /// Whether it follows a Retry-After.
     pub told: bool,
-    /// It has wanted to be served since.
+    /// Since when it has wanted to be connected.
     pub since: Time,
-    /// It has given up for good, or has had what it wanted.
+    /// Whether it has given up for good or has got what it wanted.
     pub gone: bool,
 }
 
 impl Client {
-    /// What it is to a server that it connects to.
+    /// Returns what the client's connection is to a server.
     pub fn connection(&self) -> ServerConnection {
         ServerConnection {
             load: self.load,
@@ -54,6 +60,7 @@
     }
 }
 
+/// All clients that are there.
 pub struct ClientPopulation {
     clients: BTreeMap<u64, Client>,
     next: u64,
@@ -63,6 +70,7 @@
 }
 
 impl ClientPopulation {
+    /// Makes an empty population with the random stream of this seed.
     pub fn new(seed: u64) -> Self {
         ClientPopulation {
             clients: BTreeMap::new(),
@@ -72,18 +80,19 @@
         }
     }
 
+    /// Returns a client that is still there.
     pub fn get(&self, id: u64) -> Option<&Client> {
         self.clients.get(&id)
     }
 
-    /// How long until the next client comes.
-    pub fn next_arrival(&mut self, world: &FleetModel) -> Time {
-        let clients = &world.scenario.clients;
+    /// Draws the time until the next client arrives.
+    pub fn next_arrival(&mut self, model: &FleetModel) -> Time {
+        let clients = &model.scenario.clients;
         let extra = match clients.tenants.first() {
-            Some(share) => share * (world.tenant_surge - 1.0),
+            Some(share) => share * (model.tenant_surge - 1.0),
             None => 0.0,
         };
-        let rate = clients.rate * (world.surge + extra.max(0.0));
+        let rate = clients.rate * (model.surge + extra.max(0.0));
         if rate <= 0.0 {
             SEC
         } else {
@@ -91,19 +100,19 @@
         }
     }
 
-    /// A new client, who wants what it wants from now on.
-    pub fn arrive(&mut self, now: Time, world: &FleetModel) -> u64 {
-        let scenario = &world.scenario;
+    /// Adds a new client and returns its number.
+    pub fn arrive(&mut self, now: Time, model: &FleetModel) -> u64 {
+        let scenario = &model.scenario;
         let class = self
             .rng
             .weighted_index(scenario.types.iter().map(|t| t.share));
         let of = &scenario.types[class];
         let shares = &scenario.clients.tenants;
-        // What a tenant brings beyond its share is worth less.
+        // What a tenant brings beyond its quota is worth less.
         let extra = shares
             .first()
-            .map_or(0.0, |share| share * (world.tenant_surge - 1.0).max(0.0));
-        let surplus = extra > 0.0 && self.rng.uniform() < extra / (world.surge + extra);
+            .map_or(0.0, |share| share * (model.tenant_surge - 1.0).max(0.0));
+        let surplus = extra > 0.0 && self.rng.uniform() < extra / (model.surge + extra);
         let tenant = match surplus {
             true => 0,
             false if shares.is_empty() => 0,
@@ -138,8 +147,8 @@
         id
     }
 
-    /// It wants nothing more: the one place where it is given back.
-    pub fn over(&mut self, id: u64) {
+    /// Removes a client that wants nothing more. Every client leaves here.
+    pub fn remove(&mut self, id: u64) {
         if let Some(client) = self.clients.remove(&id) {
             self.wanted = if self.clients.is_empty() {
                 0.0
@@ -149,7 +158,7 @@
         }
     }
 
-    /// A connection's load changes: what it is now, and how long until the next change.
+    /// Changes a connection's load. Returns the new load and the time until the next change.
     pub fn change_load(&mut self, id: u64, scenario: &Scenario) -> Option<(f64, Time)> {
         let client = self.clients.get_mut(&id)?;
         client.load = self.rng.log_normal(
@@ -160,18 +169,20 @@
         Some((client.load, wait))
     }
 
+    /// Draws the time until the first change of a connection's load, where loads change.
     pub fn first_change(&mut self, scenario: &Scenario) -> Option<Time> {
         let every = scenario.clients.load_change_interval;
         (every > 0.0).then(|| seconds(self.rng.exponential(every)).max(MS))
     }
 
+    /// Returns whether a client's flow may be repeated.
     pub fn idempotency(&self, id: u64, scenario: &Scenario) -> Idempotency {
         self.clients.get(&id).map_or(Idempotency::Idempotent, |c| {
             scenario.types[c.class].idempotency()
         })
     }
 
-    /// It is served.
+    /// Notes that a client is connected.
     pub fn connected(&mut self, id: u64) {
         if let Some(client) = self.clients.get_mut(&id) {
             (client.tries, client.told) = (0, false);
@@ -182,7 +193,8 @@
         from + (self.rng.uniform() * (to - from) as f64) as Time
     }
 
-    /// It was turned away, with a Retry-After where it was told one; when it tries again.
+    /// Notes that a client was rejected. Returns how long it waits before it retries, or `None`
+    /// where it gives up.
     pub fn rejected(
         &mut self,
         id: u64,
@@ -198,7 +210,8 @@
         (!client.gone).then(|| retry_after.unwrap_or(own << client.tries.min(4)))
     }
 
-    /// Its flow failed, and may have run: only what may be repeated is tried again.
+    /// Notes that a client's flow failed. Returns how long it waits before it retries, or `None`
+    /// where it gives up, as it does where a repeat would have its effect again.
     pub fn failed(&mut self, id: u64, scenario: &Scenario) -> Option<Time> {
         if self.idempotency(id, scenario) == Idempotency::NonIdempotent {
             self.clients.get_mut(&id)?.gone = true;
@@ -207,63 +220,17 @@
         self.rejected(id, None, scenario)
     }
 
-    /// It was told to move, or its connection broke; when it comes again.
+    /// Notes that a client was told to migrate or that its connection broke. Returns how long it
+    /// waits before it reconnects, or `None` where it has gone.
     pub fn reconnect_delay(&mut self, now: Time, id: u64, moved: bool) -> Option<Time> {
-        let wait = self.spread(if moved { MOVED } else { BROKEN });
+        let wait = self.spread(if moved { MIGRATED_DELAY } else { BROKEN_DELAY });
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
         (client.reconnecting, client.told, client.since) = (true, false, now);
         Some(wait)
     }
 
-    /// It found nobody at the balancer that it was dealt.
+    /// Draws how long a client waits whose balancer refused it.
     pub fn refused(&mut self) -> Time {
-        self.spread([REFUSED, 2 * REFUSED])
+        self.spread([REFUSED_DELAY, 2 * REFUSED_DELAY])
     }
 }
-
-/// The front: deals clients out in turn among the balancers of their zone that it takes for alive.
-pub struct FrontEnd {
-    zones: Vec<Vec<usize>>,
-    /// When it notices that a balancer has died; none while it is well.
-    notices: Vec<Option<Time>>,
-    turns: Vec<usize>,
-}
-
-impl FrontEnd {
-    pub fn new(balancers: usize, zones: usize) -> Self {
-        let of = |zone: usize| (0..balancers).filter(|b| b % zones == zone).collect();
-        FrontEnd {
-            zones: (0..zones).map(of).collect(),
-            notices: vec![None; balancers],
-            turns: vec![0; zones],
-        }
-    }
-
-    /// The balancer for a client of that zone; another zone's where its own has none; none where there is none at all.
-    pub fn pick_balancer(&mut self, now: Time, zone: usize) -> Option<usize> {
-        let zones = self.zones.len();
-        for other in 0..zones {
-            let zone = (zone + other) % zones;
-            let among = &self.zones[zone];
-            for _ in 0..among.len() {
-                self.turns[zone] = (self.turns[zone] + 1) % among.len();
-                let balancer = among[self.turns[zone]];
-                if self.notices[balancer].is_none_or(|at| now < at) {
-                    return Some(balancer);
-                }
-            }
-        }
-        None
-    }
-
-    pub fn mark_dead(&mut self, balancer: usize, noticed: Time) {
-        self.notices[balancer] = Some(noticed);
-    }
-
-    pub fn mark_alive(&mut self, balancer: usize) {
-        self.notices[balancer] = None;
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -1,6 +1,6 @@
-//! A scenario: sizes, what clients want, which faults occur when, and the figures that are expected.
-//! It owns the names, units and defaults of its keys and must never read a file: whoever does names
-//! the place. The aliases read scenarios of earlier versions.
+//! A scenario: sizes, what clients want, which faults occur when, and the figures that are
+//! expected. It owns the names, units and defaults of its keys and must never read a file: whoever
+//! does names the place. The aliases read scenarios of earlier versions.
 //!
 //! Keys that are times are seconds, where nothing else is said.
 
@@ -225,8 +225,8 @@
     /// How often a client tries before it gives up for good.
     #[serde(default = "defaults::tries")]
     pub tries: usize,
-    /// How long a client waits before it retries without a Retry-After. Each wait is drawn from this
-    /// to twice this.
+    /// How long a client waits before it retries without a Retry-After. Each wait is drawn from
+    /// this to twice this.
     #[serde(default = "defaults::retry_interval", rename = "again")]
     pub retry_interval: f64,
     /// The mean time between two lines of a client.
@@ -320,8 +320,8 @@
     /// Whether balancers may check servers' health.
     #[serde(alias = "probes")]
     pub health_checks: bool,
-    /// What a health check costs, as a fraction of a flow's worth. Balancers that see few flows check
-    /// less often then.
+    /// What a health check costs, as a fraction of a flow's worth. Balancers that see few flows
+    /// check less often then.
     #[serde(alias = "probe_price")]
     pub health_check_price: f64,
     /// The longest Retry-After that clients may be told; 0: none is told.
--- a/crates/fleet-model/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -1,6 +1,6 @@
-//! One server as the model has it: what it carries, how much it can, how long it takes, what it reports, and when it falls
-//! over. It owns the connections on it and gives them back when it dies. It must never know who sends to it, nor answer
-//! for the network in between.
+//! One server as the model has it: what it carries, how much it can, how long it takes, what it
+//! reports, and when it falls over. It owns the connections on it and gives them back when it dies.
+//! It must never know who sends to it, nor answer for the network in between.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,18 +10,20 @@
 use crate::scenario::Fleet;
 use crate::time::seconds;
 
-/// Seconds of work that may pile up before a server drops its heaviest connections to save the others.
+/// Seconds of work that may pile up before a server drops its heaviest connections to save the
+/// others.
 const BACKLOG_SECONDS_MAX: f64 = 3.0;
-/// And the part of its connections that it drops at a time.
-const DROPPED: f64 = 0.05;
+/// The fraction of its connections that an overloaded server drops at a time.
+const DROPPED_FRACTION: f64 = 0.05;
 /// Never busier than this in the formula of a message's time: what is over piles up instead.
-const BUSIEST: f64 = 0.98;
-/// Connects of chance that a cold server bears beside its budget.
-pub const SLACK: f64 = 4.0;
+const UTILIZATION_MAX: f64 = 0.98;
+/// The attempts that a server in slow start bears beside its budget, which are put down to chance.
+pub const BUDGET_SLACK: f64 = 4.0;
 
 /// Whether a server runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStatus {
+    /// It serves.
     Up,
     /// Its process is gone: connections are refused.
     Down,
@@ -32,8 +34,11 @@
 /// A connection on a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerConnection {
+    /// The load that it brings.
     pub load: f64,
+    /// The client's group, where clients have groups.
     pub group: Option<u32>,
+    /// The index of its traffic class.
     pub class: usize,
     /// Worth of a second of good service to it.
     pub value: f64,
@@ -54,24 +59,35 @@
     NoResponse,
 }
 
+/// A server.
 pub struct Server {
+    /// The index of its zone.
     pub zone: usize,
+    /// The index of its cell.
     pub cell: usize,
+    /// The kind of its machine.
     pub machine: usize,
+    /// Whether it runs.
     pub status: ServerStatus,
     /// When it last started; 0: long ago.
     pub started: Time,
-    /// It fell over when it was cold, and stays down.
+    /// Whether it collapsed in its slow start, after which it stays down.
     pub fallen: bool,
+    /// Whether it takes no new connections.
     pub draining: bool,
-    /// Part of its capacity that slowness, and a neighbour, leave it.
+    /// The fraction of its capacity that faults leave it.
     pub speed: f64,
+    /// The fraction of its capacity that a neighbour takes.
     pub neighbour: f64,
+    /// Whether it answers attempts at once with an error.
     pub fast_errors: bool,
+    /// Whether it answers no health check.
     pub probes_fail: bool,
-    /// Its reports stay as they are, or say this whatever it carries.
+    /// Whether its load reports are no longer renewed.
     pub stuck: bool,
+    /// The utilization that it reports whatever it carries, where it does.
     pub absurd: Option<f64>,
+    /// Its connections, by the flow's number.
     pub connections: BTreeMap<u64, ServerConnection>,
     full: f64,
     groups: BTreeMap<u32, usize>,
@@ -88,6 +104,7 @@
 }
 
 impl Server {
+    /// Makes a warm server at a place: its zone, its cell and its kind of machine.
     pub fn new(
         fleet: &Fleet,
         types: usize,
@@ -123,7 +140,7 @@
         }
     }
 
-    /// The part of its capacity that a start leaves it now.
+    /// Returns the fraction of its capacity that its slow start leaves it now.
     pub fn slow_start_factor(&self, fleet: &Fleet, now: Time) -> f64 {
         let (age, warm_up) = (
             now.saturating_sub(self.started) as f64,
@@ -135,36 +152,38 @@
         fleet.initial_capacity + (1.0 - fleet.initial_capacity) * age / warm_up
     }
 
+    /// Returns the load that it can carry now.
     pub fn capacity(&self, fleet: &Fleet, now: Time) -> f64 {
         (self.full * self.slow_start_factor(fleet, now) * self.speed * (1.0 - self.neighbour))
             .max(1e-3)
     }
 
-    /// Load asked of it.
-    pub fn asked(&self, fleet: &Fleet) -> f64 {
+    /// Returns the load that its connections and their groups ask of it.
+    pub fn requested_load(&self, fleet: &Fleet) -> f64 {
         self.load + fleet.group_load * self.groups.len() as f64
     }
 
-    /// Load over capacity.
+    /// Returns its load over its capacity.
     pub fn utilization(&self, fleet: &Fleet, now: Time) -> f64 {
-        self.asked(fleet) / self.capacity(fleet, now)
+        self.requested_load(fleet) / self.capacity(fleet, now)
     }
 
-    /// Seconds that a message takes on average.
-    pub fn message(&self, fleet: &Fleet, now: Time) -> f64 {
-        fleet.message / (1.0 - self.utilization(fleet, now).min(BUSIEST)) + self.backlog
+    /// Returns the mean time of a message, in seconds.
+    pub fn message_seconds(&self, fleet: &Fleet, now: Time) -> f64 {
+        fleet.message / (1.0 - self.utilization(fleet, now).min(UTILIZATION_MAX)) + self.backlog
     }
 
-    /// The part of its messages that is answered within a target of so many seconds.
+    /// Returns the fraction of its messages that is answered within `target` seconds.
     pub fn in_time(&self, fleet: &Fleet, now: Time, target: f64) -> f64 {
         if self.status != ServerStatus::Up || target <= self.backlog {
             return 0.0;
         }
-        let mean = fleet.message / (1.0 - self.utilization(fleet, now).min(BUSIEST));
+        let mean = fleet.message / (1.0 - self.utilization(fleet, now).min(UTILIZATION_MAX));
         1.0 - (-(target - self.backlog) / mean).exp()
     }
 
-    /// Goes on to now: work piles up while more is asked than it can. Returns connections that it drops to save the others.
+    /// Advances to now: work piles up while more is asked than it can carry. Returns the
+    /// connections that it drops to save the others.
     pub fn advance(&mut self, fleet: &Fleet, now: Time) -> Vec<u64> {
         let passed = now.saturating_sub(self.at) as f64 / SEC as f64;
         self.at = self.at.max(now);
@@ -182,7 +201,7 @@
             .map(|(id, connection)| (*id, connection.load))
             .collect();
         heaviest.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        heaviest.truncate((heaviest.len() as f64 * DROPPED).ceil() as usize);
+        heaviest.truncate((heaviest.len() as f64 * DROPPED_FRACTION).ceil() as usize);
         self.backlog = BACKLOG_SECONDS_MAX / 2.0;
         heaviest.into_iter().map(|(id, _)| id).collect()
     }
@@ -192,11 +211,12 @@
         let warmth = self.slow_start_factor(fleet, now);
         let budget =
             fleet.collapse_multiple * warmth * fleet.connection_rate * fleet.collapse_window
-                + SLACK;
+                + BUDGET_SLACK;
         warmth < 1.0 && self.offers.len() as f64 > budget
     }
 
-    /// Takes an attempt that has come; the store's call is the caller's to add. The second word: it has just fallen over.
+    /// Answers an attempt that has arrived, without the time of the store's call. The second value
+    /// says whether the server has just collapsed.
     pub fn offer(&mut self, fleet: &Fleet, now: Time) -> (AttemptResponse, bool) {
         match self.status {
             ServerStatus::Down => return (AttemptResponse::Refused, false),
@@ -229,12 +249,14 @@
         self.connection_rate = (left - 1.0, now);
         (
             AttemptResponse::Accepted(
-                fleet.setup / (1.0 - self.utilization(fleet, now).min(BUSIEST)) + self.backlog,
+                fleet.setup / (1.0 - self.utilization(fleet, now).min(UTILIZATION_MAX))
+                    + self.backlog,
             ),
             false,
         )
     }
 
+    /// Puts a connection on the server.
     pub fn attach(&mut self, id: u64, connection: ServerConnection) {
         self.detach(id);
         self.load += connection.load;
@@ -245,7 +267,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// A connection goes; false if it wasn't there.
+    /// Takes a connection off the server. Returns whether it was there.
     pub fn detach(&mut self, id: u64) -> bool {
         let Some(connection) = self.connections.remove(&id) else {
             return false;
@@ -273,6 +295,7 @@
         true
     }
 
+    /// Sets the load of a connection.
     pub fn set_load(&mut self, id: u64, load: f64) {
         if let Some(connection) = self.connections.get_mut(&id) {
             self.load = (self.load + load - connection.load).max(0.0);
@@ -280,7 +303,7 @@
         }
     }
 
-    /// Its report: made anew now and then, noisy, and at times wrong. None: it doesn't answer the probe.
+    /// Returns its load report, or `None` where it answers no health check.
     pub fn report(&mut self, fleet: &Fleet, now: Time, rng: &mut Rng) -> Option<LoadReport> {
         if self.status != ServerStatus::Up || self.probes_fail {
             return None;
@@ -302,7 +325,7 @@
         })
     }
 
-    /// It is down or silent from now on; its connections are given back.
+    /// Stops the server. Returns the connections that it had.
     pub fn stop(&mut self, status: ServerStatus) -> Vec<u64> {
         self.status = status;
         let connections: Vec<u64> = self.connections.keys().copied().collect();
@@ -314,7 +337,8 @@
         connections
     }
 
-    /// It starts again, cold and empty; one that has fallen over stays down.
+    /// Starts the server again, without connections and in slow start. Returns whether it started:
+    /// one that has collapsed does not.
     pub fn start(&mut self, now: Time) -> bool {
         if self.fallen {
             return false;
--- a/crates/fleet-model/src/server/tests.rs
+++ b/crates/fleet-model/src/server/tests.rs
@@ -42,7 +42,7 @@
     let (fleet, mut server, _) = server();
     (1..=40).for_each(|id| server.attach(id, connection(0.5 + id as f64 / 100.0, None)));
     assert!(server.in_time(&fleet, 0, 0.2) < 0.5);
-    assert!(server.advance(&fleet, SEC).is_empty() && server.message(&fleet, SEC) > 1.0);
+    assert!(server.advance(&fleet, SEC).is_empty() && server.message_seconds(&fleet, SEC) > 1.0);
     assert_eq!(server.advance(&fleet, 4 * SEC), [40, 39]);
     assert_eq!(server.in_time(&fleet, 4 * SEC, 0.2), 0.0);
 }
--- a/crates/fleet-model/src/store.rs
+++ b/crates/fleet-model/src/store.rs
@@ -1,11 +1,14 @@
-//! The store that all servers share: each attempt costs it one call. It owns the calls that wait. A fluid queue: what it
-//! can't serve piles up and every new call waits behind it, which is what makes a retry storm feed itself.
+//! The store that all servers share: each attempt costs it one call. It owns the calls that wait. A
+//! fluid queue: what it can't serve piles up and every new call waits behind it, which is what
+//! makes a retry storm feed itself.
 
 use nettlemux_policy::{SEC, Time};
 
-/// Calls that wait longer than this have been given up by whoever made them; the pile is bounded by it.
-const LONGEST: f64 = 10.0;
+/// Calls that wait longer than this have been given up by whoever made them; the pile is bounded by
+/// it.
+const WAIT_SECONDS_MAX: f64 = 10.0;
 
+/// The store, a fluid queue.
 pub struct Store {
     /// Calls a second.
     rate: f64,
@@ -18,6 +21,8 @@
 }
 
 impl Store {
+    /// Makes a store that serves `rate` calls a second and takes `call_time` seconds for a call
+    /// that waits for no other.
     pub fn new(rate: f64, call_time: f64) -> Self {
         Store {
             rate,
@@ -42,7 +47,7 @@
     pub fn call(&mut self, now: Time) -> f64 {
         self.advance(now);
         let pace = self.pace();
-        self.waiting = (self.waiting + 1.0).min(LONGEST * pace);
+        self.waiting = (self.waiting + 1.0).min(WAIT_SECONDS_MAX * pace);
         self.call_time / self.health.max(1e-3) + (self.waiting - 1.0).max(0.0) / pace
     }
 
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -1,4 +1,5 @@
-//! The keys of scenarios and records: what is written now, and what earlier versions have written and is still read.
+//! The keys of scenarios and records: what is written now, and what earlier versions have written
+//! and is still read.
 
 use nettlemux_fleet_model::fault::{DrainBehavior, Fault, FaultKind};
 use nettlemux_fleet_model::observation::{
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -1,6 +1,6 @@
 //! The flows in a balancer's hands. A [`FlowTable`] owns one decision module, the flows that it has been asked about and the
 //! time at which it wants to be asked again; it turns what the module says into [`PolicyCommand`]s, in the order in which they are to
-//! be carried out. The balancer on sockets, the adapter and the laboratory all keep their flows here, so that none of
+//! be carried out. The balancer on sockets, the adapter and the testbed all keep their flows here, so that none of
 //! them keeps them differently. It has no I/O, clock, thread or chance of its own and must never decide
 //! anything: where a flow goes, whether it goes again and what is refused is the module's word.
 
@@ -15,7 +15,7 @@
 };
 
 /// What is asked of a decision module; times are nanoseconds of the caller's clock. [`Policy`] is the one that serves;
-/// the laboratory has others to compare it with.
+/// the testbed has others to compare it with.
 pub trait LoadBalancingPolicy {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement;
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory. [`simulate`] runs a scenario in virtual time with a decision module as each balancer's brain, [`sockets`]
+//! the testbed. [`simulate`] runs a scenario in virtual time with a decision module as each balancer's brain, [`sockets`]
 //! runs it in real time with real balancer processes between stand-ins; [`rules`]
 //! judges any run by its record alone; [`experiment`] compares, sweeps and hunts; [`scale`] grows one count at a time. Uses go down to the model
 //! (`nettlemux-fleet-model`) and the flows in hand (`nettlemux-flow-table`). Nothing here may know how the decision module decides.
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `nettlemux-testbed`: the command line of the laboratory. It owns arguments, what is printed and the exit code, and nothing else.
+//! `nettlemux-testbed`: the command line of the testbed. It owns arguments, what is printed and the exit code, and nothing else.
 
 mod capacity_command;
 
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
-/// The laboratory of nettlemux: scenarios, experiments, and the judge of the rules
+/// the testbed of nettlemux: scenarios, experiments, and the judge of the rules
 enum Command {
     /// Runs a scenario in virtual time; exit code 0 only if all expectations and the rules hold
     #[bpaf(command)]
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -8,7 +8,7 @@
     ClosedBy, DeduplicationScope, FinalAnswer, Idempotency, Observation,
 };
 use nettlemux_fleet_model::scenario::Scenario;
-use nettlemux_fleet_model::server::SLACK;
+use nettlemux_fleet_model::server::BUDGET_SLACK;
 use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{MS, SEC, Time};
 use serde::Serialize;
@@ -424,7 +424,7 @@
             self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / warm_up as f64;
         let budget =
             self.multiple * warmth * self.connection_rate * (collapse_window as f64 / SEC as f64)
-                + SLACK;
+                + BUDGET_SLACK;
         if place.sent.len() as f64 > budget {
             let sent = place.sent.len();
             place.sent.clear();
--- a/crates/testbed/src/scale/limits.rs
+++ b/crates/testbed/src/scale/limits.rs
@@ -8,7 +8,7 @@
 use super::scenario::Counts;
 use super::scenario::{LimitKeys, ModulePart, SocketPart, StormPart};
 
-/// Memory of the laboratory itself, and of each thing that it keeps; measured ones are rounded up to twice.
+/// Memory of the testbed itself, and of each thing that it keeps; measured ones are rounded up to twice.
 const LABORATORY_MB: u64 = 64;
 const REAL_BALANCER_MB: u64 = 24;
 const SERVER_BYTES: u64 = 4 << 10;
@@ -184,7 +184,7 @@
     descriptors_of_each: u64,
 ) -> Need {
     let probes_of_each = counts.servers.min(descriptors_of_each / PROBE_PART);
-    // In the laboratory: both ends of what is hollow, the clients' and the servers' ends of what is real.
+    // In the testbed: both ends of what is hollow, the clients' and the servers' ends of what is real.
     let of_hollow = hollow * (2 + 2 * hollow_connections + 2);
     let of_real = real * (2 * counts.connections + probes_of_each + 1);
     let of_balancer = 2 * counts.connections + probes_of_each;
--- a/crates/testbed/src/scale/scenario.rs
+++ b/crates/testbed/src/scale/scenario.rs
@@ -23,7 +23,7 @@
     pub storm: Option<StormPart>,
 }
 
-/// What the laboratory and its processes may take, beside what the system allows.
+/// What the testbed and its processes may take, beside what the system allows.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitKeys {
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -160,7 +160,7 @@
                 self.client_leaves(flow);
             }
         }
-        self.clients.over(client);
+        self.clients.remove(client);
     }
 
     /// The load of a connection changes; the next change is scheduled.
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -47,7 +47,7 @@
     fn load_report(&mut self, server: usize) -> Option<LoadReport> {
         let fleet = &self.model.scenario.fleet;
         let state = &mut self.model.servers[server];
-        let message_time = seconds(state.message(fleet, self.now));
+        let message_time = seconds(state.message_seconds(fleet, self.now));
         if state.status == ServerStatus::Up && message_time > MESSAGE_TIME_MAX {
             return None;
         }
--- a/crates/testbed/src/simulate/sampling.rs
+++ b/crates/testbed/src/simulate/sampling.rs
@@ -34,7 +34,7 @@
             .iter()
             .filter(|server| server.status == ServerStatus::Up)
         {
-            let seconds = server.message(fleet, self.now);
+            let seconds = server.message_seconds(fleet, self.now);
             self.figures
                 .message(self.now, seconds, server.connections.len() as u64);
         }
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -3,9 +3,10 @@
 use std::collections::BTreeMap;
 use std::io;
 
+use nettlemux_fleet_model::front_end::FrontEnd;
 use nettlemux_fleet_model::model::FleetModel;
 use nettlemux_fleet_model::observation::Observation;
-use nettlemux_fleet_model::population::{ClientPopulation, FrontEnd};
+use nettlemux_fleet_model::population::ClientPopulation;
 use nettlemux_fleet_model::rng::Rng;
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_fleet_model::time::seconds;
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -37,13 +37,13 @@
     loop {
         let wait = {
             let inner = &mut *stage.lock();
-            inner.population.next_arrival(&inner.world)
+            inner.population.next_arrival(&inner.model)
         };
         next += wait;
         tokio::time::sleep(span(next.saturating_sub(stage.now()))).await;
         let id = {
             let inner = &mut *stage.lock();
-            inner.population.arrive(stage.now(), &inner.world)
+            inner.population.arrive(stage.now(), &inner.model)
         };
         tokio::spawn(live(stage.clone(), id, None));
     }
@@ -53,9 +53,9 @@
 pub fn stand(stage: &Arc<Stage>) {
     let (id, server) = {
         let inner = &mut *stage.lock();
-        let id = inner.population.arrive(0, &inner.world);
+        let id = inner.population.arrive(0, &inner.model);
         let zone = inner.population.get(id).map_or(0, |client| client.zone);
-        (id, inner.world.stood_at(zone, &mut inner.rng))
+        (id, inner.model.stood_at(zone, &mut inner.rng))
     };
     tokio::spawn(live(stage.clone(), id, Some(server)));
 }
@@ -86,13 +86,13 @@
             }
             Came::Again(None) => {
                 // What it still wanted is lost, and counts until its end.
-                stage.lock().gather.clients_lost += 1;
+                stage.lock().figures.clients_lost += 1;
                 tokio::time::sleep(span(client.ends.saturating_sub(stage.now()))).await;
                 break;
             }
         }
     }
-    stage.lock().population.over(id);
+    stage.lock().population.remove(id);
 }
 
 async fn once(stage: &Arc<Stage>, id: u64, client: &Client, standing: Option<usize>) -> Came {
@@ -145,12 +145,12 @@
         let idempotency = inner.population.idempotency(id, &stage.scenario);
         accepted_at = stage.now();
         if standing.is_none() {
-            inner.gather.flows += 1;
+            inner.figures.flows += 1;
             if client.reconnecting {
-                inner.gather.returned(accepted_at);
+                inner.figures.returned(accepted_at);
             }
             if client.told {
-                inner.gather.came_when_told(accepted_at);
+                inner.figures.came_when_told(accepted_at);
             }
             let deadline = accepted_at + wait;
             inner.see(Observation::Accepted {
@@ -254,7 +254,7 @@
         };
         let Ok(Ok(Some(answer))) = answer else {
             // Nothing, or an end without a word: lost, unless the balancer has died, which its end will tell.
-            stage.lock().gather.unanswered += u64::from(!self.balancer_gone().await);
+            stage.lock().figures.unanswered += u64::from(!self.balancer_gone().await);
             let inner = &mut *stage.lock();
             return Came::Again(inner.population.failed(self.id, &stage.scenario));
         };
@@ -269,9 +269,9 @@
             let target = seconds(stage.scenario.types[client.class].target);
             let mut inner = stage.lock();
             inner
-                .gather
+                .figures
                 .answered(now, with, now - self.accepted_at, target);
-            inner.gather.of_client(now, client, with);
+            inner.figures.of_client(now, client, with);
             inner.see(Observation::Answered {
                 at: now,
                 flow: self.flow,
@@ -367,7 +367,7 @@
                         if let Some(sent) = waiting.pop_front() {
                             let took: Time = now - sent;
                             let mut inner = stage.lock();
-                            inner.gather.message(now, took as f64 / 1e9, 1);
+                            inner.figures.message(now, took as f64 / 1e9, 1);
                             if took <= target {
                                 inner.served += client.value * every as f64 / 1e9;
                             }
@@ -388,7 +388,7 @@
                     }
                     next = now + every;
                     count += 1;
-                    stage.lock().gather.steps += 1;
+                    stage.lock().figures.steps += 1;
                     if waiting.len() < LINES {
                         waiting.push_back(now);
                         let line = format!("m{count}\r\n");
@@ -415,8 +415,8 @@
             .get(&self.flow)
             .is_some_and(|known| known.by_server.is_some());
         match (told, by_server) {
-            (true, false) => inner.gather.moves += 1,
-            (false, _) => inner.gather.lost += 1,
+            (true, false) => inner.figures.moves += 1,
+            (false, _) => inner.figures.lost += 1,
             _ => {}
         }
         Came::Again(inner.population.reconnect_delay(stage.now(), self.id, told))
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -54,7 +54,7 @@
             }
         };
         let _ = tokio::time::timeout(Duration::from_millis(hold), newer).await;
-        if stage.lock().world.discovery().is_none() {
+        if stage.lock().model.discovery().is_none() {
             // Silent: the call is held for good.
             std::future::pending::<()>().await;
         }
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -120,7 +120,7 @@
     /// Says nothing any more until the server's machine is back or the other side goes.
     async fn mute(mut self, stage: &Stage, server: usize) {
         loop {
-            let up = stage.lock().world.servers[server].status == ServerStatus::Up;
+            let up = stage.lock().model.servers[server].status == ServerStatus::Up;
             let gone = tokio::time::timeout(Duration::from_millis(500), self.line()).await;
             if matches!(gone, Ok(None)) {
                 return;
@@ -161,7 +161,7 @@
         self.ended(false);
         let mut inner = self.stage.lock();
         if self.seated {
-            inner.world.servers[self.server].detach(self.flow);
+            inner.model.servers[self.server].detach(self.flow);
         }
         if let Some(known) = inner.flows.get_mut(&self.flow) {
             known.tell = None;
@@ -173,8 +173,8 @@
     let mut wire = Wire::new(stream);
     let way = {
         let inner = stage.lock();
-        let to = inner.world.servers[server].zone;
-        inner.world.way(zone, to)
+        let to = inner.model.servers[server].zone;
+        inner.model.way(zone, to)
     };
     loop {
         let Some(line) = wire.line().await else {
@@ -185,8 +185,8 @@
         tokio::time::sleep(span(2 * way)).await;
         let reaches = {
             let inner = stage.lock();
-            let one = &inner.world.servers[server];
-            one.status != ServerStatus::Unresponsive && inner.world.reaches(zone, one.zone)
+            let one = &inner.model.servers[server];
+            one.status != ServerStatus::Unresponsive && inner.model.reaches(zone, one.zone)
         };
         if !reaches {
             return wire.mute(&stage, server).await;
@@ -213,9 +213,9 @@
 fn stats(stage: &Stage, server: usize) -> Option<String> {
     let now = stage.now();
     let mut inner = stage.lock();
-    inner.gather.probes += 1;
+    inner.figures.probes += 1;
     let inner = &mut *inner;
-    let report = inner.world.servers[server].report(&stage.scenario.fleet, now, &mut inner.rng)?;
+    let report = inner.model.servers[server].report(&stage.scenario.fleet, now, &mut inner.rng)?;
     let (utilization, held) = (
         report.utilization.unwrap_or(0.0),
         report.connections.unwrap_or(0.0),
@@ -257,8 +257,8 @@
         let offer = match inherited {
             true => AttemptResponse::Accepted(0.0),
             false => {
-                inner.gather.attempts += 1;
-                let number = inner.gather.attempts as usize;
+                inner.figures.attempts += 1;
+                let number = inner.figures.attempts as usize;
                 inner.see(Observation::Attempt {
                     at: now,
                     balancer,
@@ -267,7 +267,7 @@
                     server,
                 });
                 seat.out = Some(number);
-                let (offer, more) = inner.world.offer(now, zone, server);
+                let (offer, more) = inner.model.offer(now, zone, server);
                 events = more;
                 offer
             }
@@ -310,7 +310,7 @@
         }
     }
     seat.ended(false);
-    let load = stage.lock().world.servers[server]
+    let load = stage.lock().model.servers[server]
         .connections
         .get(&flow)
         .map_or(1.0, |connection| connection.load);
@@ -329,7 +329,7 @@
         .get(&flow)
         .and_then(|known| inner.population.get(known.client));
     let Some(client) = client else { return false };
-    inner.world.servers[server].attach(flow, client.connection());
+    inner.model.servers[server].attach(flow, client.connection());
     true
 }
 
@@ -351,9 +351,9 @@
                 let now = stage.now();
                 let (takes, reaches) = {
                     let mut inner = stage.lock();
-                    let one = &inner.world.servers[server];
-                    let mean = one.message(&stage.scenario.fleet, now);
-                    let reaches = inner.world.reaches(zone, one.zone) && one.status == ServerStatus::Up;
+                    let one = &inner.model.servers[server];
+                    let mean = one.message_seconds(&stage.scenario.fleet, now);
+                    let reaches = inner.model.reaches(zone, one.zone) && one.status == ServerStatus::Up;
                     (inner.rng.exponential(mean).min(10.0 * mean), reaches)
                 };
                 if !reaches {
@@ -374,7 +374,7 @@
                     let client = inner.flows.get(&flow).map_or(0, |known| known.client);
                     let changed = inner.population.change_load(client, &stage.scenario);
                     if let Some((load, _)) = changed {
-                        inner.world.servers[server].set_load(flow, load);
+                        inner.model.servers[server].set_load(flow, load);
                     }
                     changed
                 };
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -7,9 +7,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Instant, SystemTime};
 
+use nettlemux_fleet_model::front_end::FrontEnd;
 use nettlemux_fleet_model::model::{FleetEvent, FleetModel};
 use nettlemux_fleet_model::observation::{ClosedBy, Observation};
-use nettlemux_fleet_model::population::{ClientPopulation, FrontEnd};
+use nettlemux_fleet_model::population::ClientPopulation;
 use nettlemux_fleet_model::rng::Rng;
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_fleet_model::server::ServerStatus;
@@ -54,10 +55,10 @@
 }
 
 pub struct Inner {
-    pub world: FleetModel,
+    pub model: FleetModel,
     pub population: ClientPopulation,
     pub front: FrontEnd,
-    pub gather: Gather,
+    pub figures: Gather,
     pub rng: Rng,
     pub flows: HashMap<u64, Known>,
     /// By balancer: the version of the list that it may see, and whether it runs.
@@ -96,10 +97,10 @@
         let Some(known) = self.flows.get(&flow) else {
             return;
         };
-        let zone = known.balancer % self.world.scenario.zones.number;
+        let zone = known.balancer % self.model.scenario.zones.number;
         let server_healthy = known.server.is_some_and(|server| {
-            let one = &self.world.servers[server];
-            one.status == ServerStatus::Up && self.world.reaches(zone, one.zone)
+            let one = &self.model.servers[server];
+            one.status == ServerStatus::Up && self.model.reaches(zone, one.zone)
         });
         let (by, told) = match known.by_server {
             Some(told) => (ClosedBy::Server, told),
@@ -139,7 +140,7 @@
         let inner = Inner {
             population: ClientPopulation::new(seed),
             front: FrontEnd::new(scenario.balancers.number, scenario.zones.number),
-            gather: Gather::new(seconds(scenario.settle)),
+            figures: Gather::new(seconds(scenario.settle)),
             rng: Rng::new(seed, 3),
             flows: HashMap::new(),
             visible: vec![1; scenario.balancers.number],
@@ -152,7 +153,7 @@
             failed: None,
             statuses: Vec::new(),
             sampled: 0,
-            world: FleetModel::new(scenario.clone(), seed),
+            model: FleetModel::new(scenario.clone(), seed),
         };
         Ok(Arc::new(Stage {
             inner: Mutex::new(inner),
@@ -217,7 +218,7 @@
     /// A server's stand-in begins to listen, at one address for each zone.
     pub fn joins(self: &Arc<Self>, server: usize) {
         let mut inner = self.lock();
-        let one = &inner.world.servers[server];
+        let one = &inner.model.servers[server];
         let (zone, cell, machine) = (one.zone, one.cell, one.machine);
         let at = self.now();
         inner.see(Observation::Server {
@@ -244,17 +245,17 @@
     /// The model goes on; what concerns balancers' processes is returned.
     pub fn tick(self: &Arc<Self>, now: Time) -> Vec<FleetEvent> {
         let mut inner = self.lock();
-        let events = inner.world.tick(now);
+        let events = inner.model.tick(now);
         let seconds = super::TICK as f64 / 1e9;
         let (wanted, served) = (
             inner.population.wanted * seconds,
             std::mem::take(&mut inner.served),
         );
-        inner.gather.worth(now, (wanted, served), seconds);
+        inner.figures.worth(now, (wanted, served), seconds);
         if inner.sampled + SAMPLE <= now {
             inner.sampled = now;
-            let utilizations: Vec<f64> = inner.world.utilizations(now).collect();
-            inner.gather.load(now, &utilizations);
+            let utilizations: Vec<f64> = inner.model.utilizations(now).collect();
+            inner.figures.load(now, &utilizations);
         }
         drop(inner);
         self.happen(events)
@@ -277,7 +278,7 @@
                 }
                 FleetEvent::ServerCollapsed { server } => {
                     let mut inner = self.lock();
-                    inner.gather.fell += 1;
+                    inner.figures.fell += 1;
                     inner.see(Observation::ServerCollapsed {
                         at: self.now(),
                         server,
@@ -311,7 +312,7 @@
 
     fn tell_lives(&self) {
         let inner = self.lock();
-        for (status, server) in inner.statuses.iter().zip(&inner.world.servers) {
+        for (status, server) in inner.statuses.iter().zip(&inner.model.servers) {
             status.send_if_modified(|old| std::mem::replace(old, server.status) != server.status);
         }
     }
@@ -320,15 +321,15 @@
     fn spread_list(self: &Arc<Self>) {
         let mut inner = self.lock();
         for balancer in 0..inner.visible.len() {
-            let Some(delay) = inner.world.discovery() else {
+            let Some(delay) = inner.model.discovery() else {
                 continue;
             };
             let stage = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(super::span(delay)).await;
                 let mut inner = stage.lock();
-                if inner.world.discovery().is_some() {
-                    inner.visible[balancer] = inner.world.version();
+                if inner.model.discovery().is_some() {
+                    inner.visible[balancer] = inner.model.version();
                 }
                 drop(inner);
                 stage.news.send_modify(|count| *count += 1);
@@ -343,9 +344,9 @@
         let (version, entries) = match from {
             Some(from) => (
                 inner.visible[balancer],
-                inner.world.entries_between(from, inner.visible[balancer]),
+                inner.model.entries_between(from, inner.visible[balancer]),
             ),
-            None => (inner.world.version(), inner.world.since(0)),
+            None => (inner.model.version(), inner.model.since(0)),
         };
         let at = self.now();
         let mut instances = Vec::new();
@@ -392,14 +393,14 @@
     pub fn finish(&self, end: Time, balancers: &[(f64, f64)]) -> io::Result<(Figures, Verdict)> {
         let mut inner = self.lock();
         let standing = inner
-            .world
+            .model
             .servers
             .iter()
             .map(|server| server.connections.len())
             .sum();
         let verdict = inner.rules.take().expect("finished once").finish(end);
-        let gather = std::mem::replace(&mut inner.gather, Gather::new(FOREVER));
-        let mut figures = gather.finish(standing, &verdict);
+        let figures = std::mem::replace(&mut inner.figures, Gather::new(FOREVER));
+        let mut figures = figures.finish(standing, &verdict);
         let cpu = balancers.iter().map(|one| one.0).sum::<f64>() / balancers.len().max(1) as f64;
         figures.0.insert("balancer_cpu", cpu);
         figures.0.insert(
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs the laboratory on this scenario, without a balancer; its lines and what it said.
+/// Runs the testbed on this scenario, without a balancer; its lines and what it said.
 fn scale(name: &str, scenario: &str) -> (Vec<Line>, Output) {
     let file = Temporary::new(name);
     let (toml, lines) = (
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -1,4 +1,4 @@
-//! The laboratory as it is run: scenarios kept in the repository, the command line, and what must come out the same each time.
+//! the testbed as it is run: scenarios kept in the repository, the command line, and what must come out the same each time.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
