--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/baselines.rs
@@ -19,45 +19,47 @@
 const RETRY_AFTER_SECONDS: [f64; 2] = [0.25, 1.0];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Module,
+pub enum PolicyKind {
+    Nettlemux,
     Random,
     RoundRobin,
     LeastConnections,
     PowerOfTwo,
 }
 
-impl Kind {
-    pub const BASELINES: [Kind; 4] = [
-        Kind::Random,
-        Kind::RoundRobin,
-        Kind::LeastConnections,
-        Kind::PowerOfTwo,
+impl PolicyKind {
+    pub const BASELINES: [PolicyKind; 4] = [
+        PolicyKind::Random,
+        PolicyKind::RoundRobin,
+        PolicyKind::LeastConnections,
+        PolicyKind::PowerOfTwo,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Module => "module",
-            Kind::Random => "random",
-            Kind::RoundRobin => "round-robin",
-            Kind::LeastConnections => "least-connections",
-            Kind::PowerOfTwo => "power-of-two",
+            PolicyKind::Nettlemux => "module",
+            PolicyKind::Random => "random",
+            PolicyKind::RoundRobin => "round-robin",
+            PolicyKind::LeastConnections => "least-connections",
+            PolicyKind::PowerOfTwo => "power-of-two",
         }
     }
 
     /// A brain for one balancer.
-    pub fn brain(self, settings: &Settings, seed: u64) -> Box<dyn LoadBalancingPolicy> {
+    pub fn policy(self, settings: &Settings, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         match self {
-            Kind::Module => Box::new(module(settings, seed)),
+            PolicyKind::Nettlemux => Box::new(module(settings, seed)),
             _ => Box::new(Baseline::new(self, settings, seed)),
         }
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for PolicyKind {
     type Err = String;
     fn from_str(name: &str) -> Result<Self, String> {
-        let mut all = Kind::BASELINES.into_iter().chain([Kind::Module]);
+        let mut all = PolicyKind::BASELINES
+            .into_iter()
+            .chain([PolicyKind::Nettlemux]);
         all.find(|kind| kind.name() == name).ok_or_else(|| {
             format!(
                 "'{name}' is none of module, random, round-robin, least-connections, power-of-two"
@@ -74,7 +76,7 @@
 }
 
 struct Baseline {
-    kind: Kind,
+    kind: PolicyKind,
     rng: Rng,
     types: Vec<TrafficClass>,
     attempts: usize,
@@ -86,7 +88,7 @@
 }
 
 impl Baseline {
-    fn new(kind: Kind, settings: &Settings, seed: u64) -> Self {
+    fn new(kind: PolicyKind, settings: &Settings, seed: u64) -> Self {
         Baseline {
             kind,
             rng: Rng::new(seed, 9),
@@ -185,16 +187,16 @@
         self.turn += 1;
         let start = self.rng.index_below(among.len());
         let server_id = match self.kind {
-            Kind::Random | Kind::Module => among[start],
-            Kind::RoundRobin => among[self.turn % among.len()],
+            PolicyKind::Random | PolicyKind::Nettlemux => among[start],
+            PolicyKind::RoundRobin => among[self.turn % among.len()],
             // Ties fall anywhere, so that balancers don't fill the first server together.
-            Kind::LeastConnections => {
+            PolicyKind::LeastConnections => {
                 let order = (0..among.len()).map(|i| among[(start + i) % among.len()]);
                 order
                     .min_by_key(|server_id| self.held(*server_id))
                     .expect("not empty")
             }
-            Kind::PowerOfTwo => {
+            PolicyKind::PowerOfTwo => {
                 let two = [among[start], among[self.rng.index_below(among.len())]];
                 two.into_iter()
                     .min_by_key(|server_id| self.held(*server_id))
--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -12,16 +12,16 @@
 
 /// How often a need arises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum When {
+enum Frequency {
     Always,
     OnEvent,
 }
 
-impl When {
+impl Frequency {
     fn describe(self) -> &'static str {
         match self {
-            When::Always => "every second",
-            When::OnEvent => "on an event",
+            Frequency::Always => "every second",
+            Frequency::OnEvent => "on an event",
         }
     }
 }
@@ -66,7 +66,7 @@
 struct Gap {
     remedy: Remedy,
     need_name: &'static str,
-    when: When,
+    when: Frequency,
     need: Option<f64>,
     budget: f64,
     /// What would be needed were the mechanism not there.
@@ -117,7 +117,7 @@
     let of_module = module_probes(inputs, fleet);
     let least = least_probes(inputs, fleet);
     let gap = |need_name, need, budget| {
-        let (remedy, when) = (Remedy::CandidatesAndBudget, When::Always);
+        let (remedy, when) = (Remedy::CandidatesAndBudget, Frequency::Always);
         Gap {
             remedy,
             need_name,
@@ -176,7 +176,7 @@
         Gap {
             remedy,
             need_name,
-            when: When::OnEvent,
+            when: Frequency::OnEvent,
             need: Some(need),
             budget,
             without_remedy: false,
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -7,9 +7,9 @@
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_policy::MS;
 
-use crate::brains::Kind;
+use crate::baselines::PolicyKind;
 use crate::file;
-use crate::mischief::Mischief;
+use crate::mutants::Mutant;
 use crate::rules::Verdict;
 use crate::simulate::{PolicyChoice, simulate};
 use crate::sockets::{self, Program};
@@ -25,13 +25,13 @@
 
 /// Results so far, and how many were not as they must be.
 #[derive(Default)]
-struct Said {
+struct CheckReport {
     text: String,
     all: usize,
     missed: usize,
 }
 
-impl Said {
+impl CheckReport {
     fn say(&mut self, name: &str, good: bool, what: &str) {
         self.all += 1;
         self.missed += usize::from(!good);
@@ -42,17 +42,21 @@
     fn sound(&mut self, name: &str, verdict: &Verdict) {
         let what = format!(
             "rules kept over {} flows: {:?}",
-            verdict.flows, verdict.broken
+            verdict.flows, verdict.violations
         );
         self.say(name, verdict.kept() && verdict.flows > 0, &what);
     }
 
-    fn caught(&mut self, name: &str, mischief: Mischief, verdict: &Verdict) {
-        let count = verdict.broken.get(&mischief.breaks()).copied().unwrap_or(0);
+    fn caught(&mut self, name: &str, mutant: Mutant, verdict: &Verdict) {
+        let count = verdict
+            .violations
+            .get(&mutant.breaks())
+            .copied()
+            .unwrap_or(0);
         self.say(
             name,
             count > 0,
-            &format!("{:?} seen {count} times", mischief.breaks()),
+            &format!("{:?} seen {count} times", mutant.breaks()),
         );
     }
 
@@ -83,16 +87,19 @@
 pub fn self_check() -> Result<(String, bool), String> {
     let scenario = scenario(SCENARIO)?;
     let run = |who| simulate(&scenario, scenario.seed, who, None).map_err(|e| e.to_string());
-    let mut said = Said::default();
-    said.sound("sound", &run(PolicyChoice::Policy(Kind::Module))?.verdict);
-    for mischief in Mischief::ALL {
-        said.caught(
-            mischief.name(),
-            mischief,
-            &run(PolicyChoice::Mutant(mischief))?.verdict,
+    let mut report = CheckReport::default();
+    report.sound(
+        "sound",
+        &run(PolicyChoice::Policy(PolicyKind::Nettlemux))?.verdict,
+    );
+    for mutant in Mutant::ALL {
+        report.caught(
+            mutant.name(),
+            mutant,
+            &run(PolicyChoice::Mutant(mutant))?.verdict,
         );
     }
-    Ok(said.closed())
+    Ok(report.closed())
 }
 
 /// The same on sockets, with small balancers started from this program (`lab`) and, where it is named, the real one. All
@@ -114,15 +121,15 @@
         };
         runs.push(("the balancer itself, on sockets".into(), None, program));
     }
-    for mischief in Mischief::ALL {
-        let name = mischief.name();
-        runs.push((format!("{name}, on sockets"), Some(mischief), small(name)));
+    for mutant in Mutant::ALL {
+        let name = mutant.name();
+        runs.push((format!("{name}, on sockets"), Some(mutant), small(name)));
     }
-    let mut said = Said::default();
+    let mut report = CheckReport::default();
     // A few at a time: the stand-ins of all at once would need more cores than there are.
     for some in runs.chunks(AT_ONCE) {
         let done: Vec<_> = std::thread::scope(|scope| {
-            let start = |(_, _, program): &(String, Option<Mischief>, Program)| {
+            let start = |(_, _, program): &(String, Option<Mutant>, Program)| {
                 let (scenario, program) = (&scenario, program.clone());
                 scope.spawn(move || sockets::run(scenario, scenario.seed, &program, None, None))
             };
@@ -131,27 +138,27 @@
                 .map(|one| one.join().unwrap_or_else(|_| Err("it panicked".into())))
                 .collect()
         });
-        for ((name, mischief, _), outcome) in some.iter().zip(done) {
+        for ((name, mutant, _), outcome) in some.iter().zip(done) {
             let outcome = outcome.map_err(|why| format!("{name}: {why}"))?;
-            match (mischief, &outcome.void) {
+            match (mutant, &outcome.void) {
                 // A break that was seen was seen, however slow the machine.
-                (Some(mischief), _) => said.caught(name, *mischief, &outcome.verdict),
-                (None, Some(void)) => said.say(name, false, &format!("void: {void}")),
+                (Some(mutant), _) => report.caught(name, *mutant, &outcome.verdict),
+                (None, Some(void)) => report.say(name, false, &format!("void: {void}")),
                 (None, None) => {
-                    said.sound(name, &outcome.verdict);
-                    for one in outcome.verdict.told.iter() {
-                        said.text +=
+                    report.sound(name, &outcome.verdict);
+                    for one in outcome.verdict.examples.iter() {
+                        report.text +=
                             &format!("     {:?} at {} ms: {}\n", one.rule, one.at / MS, one.what);
                     }
                     outcome
                         .died
                         .iter()
-                        .for_each(|why| said.say(name, false, why));
+                        .for_each(|why| report.say(name, false, why));
                 }
             }
         }
     }
-    Ok(said.closed())
+    Ok(report.closed())
 }
 
 /// Runs on sockets at a time.
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -9,7 +9,7 @@
 use nettlemux_fleet_model::scenario::Scenario;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-use crate::brains::Kind;
+use crate::baselines::PolicyKind;
 use crate::figures::Figures;
 use crate::rules::Verdict;
 use crate::simulate::{Outcome, PolicyChoice, simulate};
@@ -134,13 +134,13 @@
         .iter()
         .map(|b| b.figures.get("worth"))
         .fold(0.0, f64::max);
-    module.verdict.broken.len() as f64 + best - module.figures.get("worth")
+    module.verdict.violations.len() as f64 + best - module.figures.get("worth")
 }
 
 fn judge(scenarios: &[Scenario], threads: usize) -> Vec<(f64, Verdict)> {
-    let baselines = [Kind::LeastConnections, Kind::RoundRobin];
+    let baselines = [PolicyKind::LeastConnections, PolicyKind::RoundRobin];
     let each = |s: &Scenario| {
-        let whos = std::iter::once(Kind::Module).chain(baselines);
+        let whos = std::iter::once(PolicyKind::Nettlemux).chain(baselines);
         whos.map(|kind| (s.clone(), s.seed, PolicyChoice::Policy(kind)))
             .collect::<Vec<_>>()
     };
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -300,7 +300,7 @@
             self.fell as f64,
             self.clients_lost as f64,
             standing as f64,
-            verdict.broken.values().sum::<usize>() as f64,
+            verdict.violations.values().sum::<usize>() as f64,
             self.probes as f64,
             seconds(&self.quiet, 0.5),
             seconds(&self.quiet, 0.99),
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,13 +3,13 @@
 //! judges any run by its record alone; [`experiment`] compares, sweeps and hunts; [`scale`] grows one count at a time. Uses go down to the model
 //! (`nettlemux-fleet-model`) and the flows in hand (`nettlemux-flow-table`). Nothing here may know how the decision module decides.
 
-pub mod brains;
+pub mod baselines;
 pub mod capacity;
 pub mod check;
 pub mod experiment;
 pub mod figures;
 pub mod file;
-pub mod mischief;
+pub mod mutants;
 pub mod record;
 pub mod rules;
 pub mod scale;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -10,12 +10,12 @@
 use bpaf::{Bpaf, Parser};
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_policy::{MS, SEC};
-use nettlemux_testbed::brains::Kind;
+use nettlemux_testbed::baselines::PolicyKind;
 use nettlemux_testbed::experiment::{self, Estimate, Row};
 use nettlemux_testbed::figures::{Figures, show};
-use nettlemux_testbed::mischief::Mischief;
+use nettlemux_testbed::mutants::Mutant;
 use nettlemux_testbed::record::{self, Writer};
-use nettlemux_testbed::rules::{Rules, Verdict};
+use nettlemux_testbed::rules::{RuleChecker, Verdict};
 use nettlemux_testbed::scale::allocation::CountingAllocator;
 use nettlemux_testbed::scale::limits::Limits;
 use nettlemux_testbed::scale::measurement::LineWriter;
@@ -41,8 +41,8 @@
         #[bpaf(argument("N"))]
         seed: Option<u64>,
         /// What decides: module, random, round-robin, least-connections or power-of-two
-        #[bpaf(argument("NAME"), fallback(Kind::Module))]
-        policy: Kind,
+        #[bpaf(argument("NAME"), fallback(PolicyKind::Nettlemux))]
+        policy: PolicyKind,
         /// Writes the record there
         #[bpaf(argument("FILE"))]
         record: Option<PathBuf>,
@@ -55,7 +55,11 @@
     #[bpaf(command)]
     Compare {
         /// A policy's name, or a program's path
-        #[bpaf(long("a"), argument("NAME|PATH"), fallback(Side::Policy(Kind::Module)))]
+        #[bpaf(
+            long("a"),
+            argument("NAME|PATH"),
+            fallback(Side::Policy(PolicyKind::Nettlemux))
+        )]
         a: Side,
         /// All baselines where it is not given
         #[bpaf(long("b"), argument("NAME|PATH"))]
@@ -77,8 +81,8 @@
         /// Values, set apart by commas
         #[bpaf(argument("V,V,…"))]
         values: String,
-        #[bpaf(argument("NAME"), fallback(Kind::Module))]
-        policy: Kind,
+        #[bpaf(argument("NAME"), fallback(PolicyKind::Nettlemux))]
+        policy: PolicyKind,
         #[bpaf(argument("N"), fallback(3))]
         seeds: u64,
         #[bpaf(external)]
@@ -236,7 +240,7 @@
             .map_err(at)?;
             writer.map_or(Ok(()), Writer::finish).map_err(at)?;
             let (figures, verdict) = (outcome.figures, outcome.verdict);
-            let run = Told {
+            let run = RunReport {
                 seed,
                 policy: policy.name(),
                 figures,
@@ -260,7 +264,7 @@
             match (a, b) {
                 (Side::Policy(a), b) => {
                     let others = match b {
-                        None => Kind::BASELINES.to_vec(),
+                        None => PolicyKind::BASELINES.to_vec(),
                         Some(Side::Policy(b)) => vec![b],
                         Some(Side::Program(_)) => return Err(UNLIKE.into()),
                     };
@@ -342,7 +346,7 @@
                         json!({"key": key, "value": number, "figures": figures})
                     )
                 } else {
-                    let told: Vec<String> = names
+                    let examples: Vec<String> = names
                         .iter()
                         .map(|n| format!("{n} {}", interval(mean(n))))
                         .collect();
@@ -373,7 +377,7 @@
             let told = format!(
                 "{text}\n# {} days tried; worst: the best baseline serves {} of the worth more than the module, {}\n",
                 found.tried,
-                show(found.badness - found.verdict.broken.len() as f64),
+                show(found.badness - found.verdict.violations.len() as f64),
                 rules(&found.verdict)
             );
             Ok((told, found.verdict.kept()))
@@ -387,8 +391,8 @@
             let name = record.display().to_string();
             let opened = std::fs::File::open(&record).map_err(|e| format!("{name}: {e}"))?;
             let read = record::read(opened).map_err(|e| format!("{name}: {e}"))?;
-            let mut judge = Rules::new(&scenario, slack * MS);
-            read.seen.iter().for_each(|seen| judge.see(seen));
+            let mut judge = RuleChecker::new(&scenario, slack * MS);
+            read.seen.iter().for_each(|seen| judge.observe(seen));
             let end = read
                 .seen
                 .iter()
@@ -433,7 +437,7 @@
             let version = sockets::version(&balancer);
             let died: String = outcome.died.iter().map(|why| format!("{why}\n")).collect();
             let (figures, verdict) = (outcome.figures, outcome.verdict);
-            let run = Told {
+            let run = RunReport {
                 seed,
                 policy: &version,
                 figures,
@@ -464,13 +468,11 @@
         }
         Command::Capacity(arguments) => capacity_command::run(&arguments),
         Command::FaultyBalancer { name } => {
-            let mischief = Mischief::ALL
-                .into_iter()
-                .find(|mischief| mischief.name() == name);
-            if mischief.is_none() && name != "sound" {
+            let mutant = Mutant::ALL.into_iter().find(|mutant| mutant.name() == name);
+            if mutant.is_none() && name != "sound" {
                 return Err(format!("'{name}' is no mischief"));
             }
-            sockets::faulty::run(mischief).map(|()| (String::new(), true))
+            sockets::faulty::run(mutant).map(|()| (String::new(), true))
         }
     }
 }
@@ -498,7 +500,7 @@
 }
 
 /// One run, to be told.
-struct Told<'a> {
+struct RunReport<'a> {
     seed: u64,
     policy: &'a str,
     figures: Figures,
@@ -508,7 +510,7 @@
     simulated: bool,
 }
 
-impl Told<'_> {
+impl RunReport<'_> {
     fn told(&self, scenario: &Scenario, json: bool) -> (String, bool) {
         let unmet = self.figures.unmet(scenario);
         let good = unmet.is_empty() && self.verdict.kept();
@@ -556,7 +558,7 @@
         );
     }
     let each: Vec<String> = verdict
-        .broken
+        .violations
         .iter()
         .map(|(rule, count)| format!("{rule:?} {count} times"))
         .collect();
@@ -564,7 +566,7 @@
 }
 
 fn breaks(verdict: &Verdict) -> String {
-    let at = |one: &nettlemux_testbed::rules::Broken| one.at as f64 / SEC as f64;
+    let at = |one: &nettlemux_testbed::rules::Violation| one.at as f64 / SEC as f64;
     verdict
         .told
         .iter()
@@ -584,7 +586,7 @@
 /// One side of a comparison.
 #[derive(Clone, Debug)]
 enum Side {
-    Policy(Kind),
+    Policy(PolicyKind),
     Program(PathBuf),
 }
 
--- a/crates/testbed/src/mischief.rs
+++ b/crates/testbed/src/mutants.rs
@@ -12,7 +12,7 @@
 use crate::rules::Rule;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mischief {
+pub enum Mutant {
     LosesAnswers,
     AnswersTwice,
     AnswersLate,
@@ -24,62 +24,62 @@
     RejectsWhatMayHaveRun,
 }
 
-impl Mischief {
-    pub const ALL: [Mischief; 9] = [
-        Mischief::LosesAnswers,
-        Mischief::AnswersTwice,
-        Mischief::AnswersLate,
-        Mischief::ConnectsTwice,
-        Mischief::SendsToDraining,
-        Mischief::FloodsCold,
-        Mischief::CutsWithoutMove,
-        Mischief::RepeatsNonIdempotent,
-        Mischief::RejectsWhatMayHaveRun,
+impl Mutant {
+    pub const ALL: [Mutant; 9] = [
+        Mutant::LosesAnswers,
+        Mutant::AnswersTwice,
+        Mutant::AnswersLate,
+        Mutant::ConnectsTwice,
+        Mutant::SendsToDraining,
+        Mutant::FloodsCold,
+        Mutant::CutsWithoutMove,
+        Mutant::RepeatsNonIdempotent,
+        Mutant::RejectsWhatMayHaveRun,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Mischief::LosesAnswers => "loses-answers",
-            Mischief::AnswersTwice => "answers-twice",
-            Mischief::AnswersLate => "answers-late",
-            Mischief::ConnectsTwice => "connects-twice",
-            Mischief::SendsToDraining => "sends-to-draining",
-            Mischief::FloodsCold => "floods-cold",
-            Mischief::CutsWithoutMove => "cuts-without-move",
-            Mischief::RepeatsNonIdempotent => "repeats-non-idempotent",
-            Mischief::RejectsWhatMayHaveRun => "rejects-what-may-have-run",
+            Mutant::LosesAnswers => "loses-answers",
+            Mutant::AnswersTwice => "answers-twice",
+            Mutant::AnswersLate => "answers-late",
+            Mutant::ConnectsTwice => "connects-twice",
+            Mutant::SendsToDraining => "sends-to-draining",
+            Mutant::FloodsCold => "floods-cold",
+            Mutant::CutsWithoutMove => "cuts-without-move",
+            Mutant::RepeatsNonIdempotent => "repeats-non-idempotent",
+            Mutant::RejectsWhatMayHaveRun => "rejects-what-may-have-run",
         }
     }
 
     /// The rule that it breaks.
     pub fn breaks(self) -> Rule {
         match self {
-            Mischief::LosesAnswers => Rule::Lost,
-            Mischief::AnswersTwice => Rule::AnsweredTwice,
-            Mischief::AnswersLate => Rule::Late,
-            Mischief::ConnectsTwice => Rule::TwoInFlight,
-            Mischief::SendsToDraining => Rule::Drain,
-            Mischief::FloodsCold => Rule::Cold,
-            Mischief::CutsWithoutMove => Rule::Cut,
-            Mischief::RepeatsNonIdempotent | Mischief::RejectsWhatMayHaveRun => Rule::Twice,
+            Mutant::LosesAnswers => Rule::Lost,
+            Mutant::AnswersTwice => Rule::AnsweredTwice,
+            Mutant::AnswersLate => Rule::Late,
+            Mutant::ConnectsTwice => Rule::TwoInFlight,
+            Mutant::SendsToDraining => Rule::Drain,
+            Mutant::FloodsCold => Rule::Cold,
+            Mutant::CutsWithoutMove => Rule::Cut,
+            Mutant::RepeatsNonIdempotent | Mutant::RejectsWhatMayHaveRun => Rule::Twice,
         }
     }
 
     /// The brain of one that breaks its rule in its decisions; else the sound one.
-    pub fn brain(self, settings: &Value, seed: u64) -> Box<dyn LoadBalancingPolicy> {
+    pub fn policy(self, settings: &Value, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         let sound = |settings: &Value| -> Box<dyn LoadBalancingPolicy> {
             let settings = Settings::within(settings).expect("an object");
-            Box::new(crate::brains::module(&settings, seed))
+            Box::new(crate::baselines::module(&settings, seed))
         };
         match self {
-            Mischief::SendsToDraining | Mischief::FloodsCold | Mischief::RejectsWhatMayHaveRun => {
-                Box::new(Bent {
+            Mutant::SendsToDraining | Mutant::FloodsCold | Mutant::RejectsWhatMayHaveRun => {
+                Box::new(MutantPolicy {
                     inner: sound(settings),
-                    mischief: self,
+                    mutant: self,
                     youngest: None,
                 })
             }
-            Mischief::RepeatsNonIdempotent => {
+            Mutant::RepeatsNonIdempotent => {
                 let mut settings = settings.clone();
                 for one in settings["service-types"]
                     .as_array_mut()
@@ -96,30 +96,30 @@
 }
 
 /// A sound brain that is misled, or whose word is bent.
-struct Bent {
+struct MutantPolicy {
     inner: Box<dyn LoadBalancingPolicy>,
-    mischief: Mischief,
+    mutant: Mutant,
     /// The server that started last.
     youngest: Option<(Time, ServerId)>,
 }
 
-impl Bent {
-    fn bend(&self, place: Placement, flow: &Flow) -> Placement {
-        match (place, self.mischief, self.youngest) {
+impl MutantPolicy {
+    fn mutate(&self, place: Placement, flow: &Flow) -> Placement {
+        match (place, self.mutant, self.youngest) {
             (
                 Placement::Forward {
                     timeout,
                     send_within,
                     ..
                 },
-                Mischief::FloodsCold,
+                Mutant::FloodsCold,
                 Some((_, server_id)),
             ) => Placement::Forward {
                 server_id,
                 timeout,
                 send_within,
             },
-            (Placement::Fail, Mischief::RejectsWhatMayHaveRun, _) if !flow.attempts.is_empty() => {
+            (Placement::Fail, Mutant::RejectsWhatMayHaveRun, _) if !flow.attempts.is_empty() => {
                 Placement::Reject { retry_after: None }
             }
             (place, ..) => place,
@@ -127,10 +127,10 @@
     }
 }
 
-impl LoadBalancingPolicy for Bent {
+impl LoadBalancingPolicy for MutantPolicy {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         let place = self.inner.place(now, flow);
-        self.bend(place, flow)
+        self.mutate(place, flow)
     }
 
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
@@ -143,7 +143,7 @@
             },
         ) = (actions.placement, event)
         {
-            actions.placement = Some(self.bend(place, flow));
+            actions.placement = Some(self.mutate(place, flow));
         }
         actions
     }
@@ -155,11 +155,10 @@
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         let mut entries = entries.to_vec();
         for entry in &mut entries {
-            if self.mischief == Mischief::SendsToDraining && entry.state == EndpointState::Draining
-            {
+            if self.mutant == Mutant::SendsToDraining && entry.state == EndpointState::Draining {
                 entry.state = EndpointState::Ready;
             }
-            if self.mischief == Mischief::FloodsCold && entry.started > 0 {
+            if self.mutant == Mutant::FloodsCold && entry.started > 0 {
                 self.youngest = self.youngest.max(Some((entry.started, entry.server_id)));
                 entry.started = 0;
             }
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -44,7 +44,7 @@
 
 /// One break.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: Time,
     pub what: String,
@@ -53,20 +53,20 @@
 /// What a whole run comes to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    pub broken: BTreeMap<Rule, usize>,
+    pub violations: BTreeMap<Rule, usize>,
     /// The first few.
-    pub told: Vec<Broken>,
+    pub examples: Vec<Violation>,
     pub flows: usize,
     pub attempts: usize,
 }
 
 impl Verdict {
     pub fn kept(&self) -> bool {
-        self.broken.is_empty()
+        self.violations.is_empty()
     }
 }
 
-struct Made {
+struct AttemptRecord {
     number: usize,
     server: usize,
     at: Time,
@@ -81,11 +81,11 @@
     answered: Option<FinalAnswer>,
     /// Nothing more is owed, and since when.
     over: Option<Time>,
-    attempts: Vec<Made>,
+    attempts: Vec<AttemptRecord>,
 }
 
 #[derive(Default)]
-struct Place {
+struct ServerRecord {
     zone: usize,
     cell: usize,
     started: Option<Time>,
@@ -94,7 +94,7 @@
 }
 
 /// Watches a run.
-pub struct Rules {
+pub struct RuleChecker {
     hedging: bool,
     grace: Time,
     initial_capacity: f64,
@@ -104,19 +104,19 @@
     connection_rate: f64,
     /// What is added to each time limit: nothing in virtual time, 50 ms on sockets.
     slack: Time,
-    servers: BTreeMap<usize, Place>,
+    servers: BTreeMap<usize, ServerRecord>,
     /// When a balancer was told that a server is not ready.
-    told: BTreeMap<(usize, usize), Time>,
+    draining_since: BTreeMap<(usize, usize), Time>,
     flows: BTreeMap<u64, Flow>,
     over: VecDeque<(Time, u64)>,
     verdict: Verdict,
     now: Time,
 }
 
-impl Rules {
+impl RuleChecker {
     pub fn new(scenario: &Scenario, slack: Time) -> Self {
         let (limits, fleet) = (&scenario.limits, &scenario.fleet);
-        Rules {
+        RuleChecker {
             hedging: limits.hedging,
             grace: seconds(limits.grace),
             initial_capacity: fleet.initial_capacity,
@@ -126,7 +126,7 @@
             connection_rate: fleet.connection_rate,
             slack,
             servers: BTreeMap::new(),
-            told: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
             flows: BTreeMap::new(),
             over: VecDeque::new(),
             verdict: Verdict::default(),
@@ -135,9 +135,9 @@
     }
 
     fn broken(&mut self, rule: Rule, what: String) {
-        *self.verdict.broken.entry(rule).or_default() += 1;
-        if self.verdict.told.len() < TOLD {
-            self.verdict.told.push(Broken {
+        *self.verdict.violations.entry(rule).or_default() += 1;
+        if self.verdict.examples.len() < TOLD {
+            self.verdict.examples.push(Violation {
                 rule,
                 at: self.now,
                 what,
@@ -146,7 +146,7 @@
     }
 
     /// The next fact, in order of time.
-    pub fn see(&mut self, seen: &Observation) {
+    pub fn observe(&mut self, seen: &Observation) {
         self.now = self.now.max(seen.at().unwrap_or(self.now));
         while self
             .over
@@ -182,9 +182,9 @@
                 ready,
             } => {
                 if ready {
-                    self.told.remove(&(balancer, server));
+                    self.draining_since.remove(&(balancer, server));
                 } else {
-                    self.told.entry((balancer, server)).or_insert(at);
+                    self.draining_since.entry((balancer, server)).or_insert(at);
                 }
             }
             Observation::Accepted {
@@ -286,7 +286,7 @@
                     }
                     self.ends(at, flow);
                 }
-                self.told.retain(|(b, _), _| *b != balancer);
+                self.draining_since.retain(|(b, _), _| *b != balancer);
             }
         }
     }
@@ -341,7 +341,7 @@
     }
 
     fn connect(&mut self, at: Time, balancer: usize, id: u64, (number, server): (usize, usize)) {
-        let since = self.told.get(&(balancer, server)).copied();
+        let since = self.draining_since.get(&(balancer, server)).copied();
         if since.is_some_and(|since| at > since + self.grace + self.slack) {
             self.broken(
                 Rule::Drain,
@@ -372,7 +372,7 @@
                 !same || at > made.at + window + slack
             }),
         };
-        let made = Made {
+        let made = AttemptRecord {
             number,
             server,
             at,
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -44,7 +44,7 @@
 }
 
 fn judge(seen: &[Observation]) -> Vec<Rule> {
-    let mut rules = Rules::new(&scenario(), 0);
+    let mut rules = RuleChecker::new(&scenario(), 0);
     let servers = [(0, 0), (1, 1)].map(|(server, zone)| Observation::Server {
         at: 0,
         server,
@@ -52,8 +52,11 @@
         cell: 0,
         machine: 0,
     });
-    servers.iter().chain(seen).for_each(|one| rules.see(one));
-    rules.finish(9 * SEC).broken.into_keys().collect()
+    servers
+        .iter()
+        .chain(seen)
+        .for_each(|one| rules.observe(one));
+    rules.finish(9 * SEC).violations.into_keys().collect()
 }
 
 #[test]
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -28,7 +28,7 @@
 
 /// A server as the list tells it.
 #[derive(Deserialize)]
-struct Told {
+struct EndpointUpdate {
     #[serde(rename = "instanceId")]
     id: String,
     #[serde(rename = "hostPort")]
@@ -41,7 +41,7 @@
 struct Answer {
     generation: u64,
     reset: bool,
-    instances: Vec<Told>,
+    instances: Vec<EndpointUpdate>,
 }
 
 #[derive(Default)]
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -28,9 +28,9 @@
 
 use nettlemux_fleet_model::scenario::Scenario;
 
-use crate::brains;
+use crate::baselines;
 use crate::figures::Figures;
-use crate::mischief::Mischief;
+use crate::mutants::Mutant;
 use crate::record::Writer;
 use crate::rules::Verdict;
 use simulation::Simulation;
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyChoice {
     /// A sound policy.
-    Policy(brains::Kind),
+    Policy(baselines::PolicyKind),
     /// A mutant that breaks one rule on purpose.
-    Mutant(Mischief),
+    Mutant(Mutant),
 }
 
 impl PolicyChoice {
@@ -49,7 +49,7 @@
     pub fn name(self) -> &'static str {
         match self {
             PolicyChoice::Policy(kind) => kind.name(),
-            PolicyChoice::Mutant(mischief) => mischief.name(),
+            PolicyChoice::Mutant(mutant) => mutant.name(),
         }
     }
 }
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -152,7 +152,7 @@
             if self.connected_flow(flow).is_some() {
                 let closure = Closure {
                     by: ClosedBy::Client,
-                    told: false,
+                    client_notified: false,
                     server_healthy: true,
                 };
                 self.close_connection(flow, closure, Ending::may_have_run(AttemptEnd::Done));
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -11,7 +11,7 @@
 pub(super) struct Closure {
     pub(super) by: ClosedBy,
     /// The client was told to move.
-    pub(super) told: bool,
+    pub(super) client_notified: bool,
     /// The server still answered.
     pub(super) server_healthy: bool,
 }
@@ -43,30 +43,30 @@
         }
     }
 
-    /// A server has reset a connection or told its client to move.
+    /// A server has reset a connection or client_notified its client to move.
     pub(super) fn closed_by_server(&mut self, flow: FlowId, response: ServerResponse) {
-        let told = response == ServerResponse::Redirected;
+        let client_notified = response == ServerResponse::Redirected;
         let closure = Closure {
             by: ClosedBy::Server,
-            told,
+            client_notified,
             server_healthy: false,
         };
         let Some(client) = self.close_connection(flow, closure, response.ending()) else {
             return;
         };
-        self.figures.lost += u64::from(!told);
-        self.reconnect(client, told);
+        self.figures.lost += u64::from(!client_notified);
+        self.reconnect(client, client_notified);
     }
 
     /// The balancer tells a client to move to another server by connecting again, as soon as it is connected.
     pub(super) fn move_client(&mut self, flow: FlowId) {
         if self.connected_flow(flow).is_some() {
-            let told = self.announces_moves();
+            let client_notified = self.announces_moves();
             self.closed_by_balancer(
                 flow,
                 Closure {
                     by: ClosedBy::Balancer,
-                    told,
+                    client_notified,
                     server_healthy: true,
                 },
                 AttemptEnd::Cancelled,
@@ -94,7 +94,7 @@
             flow,
             Closure {
                 by: ClosedBy::Balancer,
-                told: true,
+                client_notified: true,
                 server_healthy: false,
             },
             AttemptEnd::ConnectionLost,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Closes a connection: its server is released, the flow table is told, the flow ends. Returns its client.
+    /// Closes a connection: its server is released, the flow table is client_notified, the flow ends. Returns its client.
     pub(super) fn close_connection(
         &mut self,
         flow: FlowId,
@@ -119,14 +119,14 @@
         let (client, attempt) = (state.client, state.attempt?);
         let Closure {
             by,
-            told,
+            client_notified,
             server_healthy,
         } = closure;
         self.observe(Observation::ConnectionClosed {
             at: self.now,
             flow,
             by,
-            client_notified: told,
+            client_notified,
             server_healthy,
         });
         self.detach(flow, attempt.server);
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -10,7 +10,7 @@
 use super::event::Event;
 use super::flow::Attempt;
 use super::simulation::Simulation;
-use crate::mischief::Mischief;
+use crate::mutants::Mutant;
 
 /// One in so many attempts is sent twice by the mutant that does this.
 const DUPLICATE_EVERY: u64 = 10;
@@ -20,7 +20,7 @@
 const LATENESS: Time = PATIENCE / 2;
 
 impl Simulation<'_> {
-    fn is_mutant(&self, mutant: Mischief) -> bool {
+    fn is_mutant(&self, mutant: Mutant) -> bool {
         self.policy == PolicyChoice::Mutant(mutant)
     }
 
@@ -31,15 +31,15 @@
         answer: FinalAnswer,
         retry_after: Option<Time>,
     ) {
-        if self.is_mutant(Mischief::LosesAnswers) {
+        if self.is_mutant(Mutant::LosesAnswers) {
             return;
         }
-        if self.is_mutant(Mischief::AnswersLate) {
+        if self.is_mutant(Mutant::AnswersLate) {
             return self.answer_late(flow, answer, retry_after);
         }
         let was_waiting = self.waiting_flow(flow).is_some();
         self.answer(flow, answer, retry_after);
-        if was_waiting && self.is_mutant(Mischief::AnswersTwice) {
+        if was_waiting && self.is_mutant(Mutant::AnswersTwice) {
             let second = Event::DelayedAnswer {
                 flow,
                 answer,
@@ -88,7 +88,7 @@
     pub(super) fn duplicate_attempt(&mut self, balancer: usize, flow: FlowId, attempt: Attempt) {
         self.attempts_arrived += 1;
         let chosen = self.attempts_arrived.is_multiple_of(DUPLICATE_EVERY);
-        if chosen && self.is_mutant(Mischief::ConnectsTwice) {
+        if chosen && self.is_mutant(Mutant::ConnectsTwice) {
             let server = (attempt.server + 1) % self.model.servers.len();
             self.observe_attempt(
                 balancer,
@@ -103,6 +103,6 @@
 
     /// Whether clients are told to move before their connection is closed.
     pub(super) fn announces_moves(&self) -> bool {
-        !self.is_mutant(Mischief::CutsWithoutMove)
+        !self.is_mutant(Mutant::CutsWithoutMove)
     }
 }
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -21,7 +21,7 @@
 use crate::figures::Gather;
 use crate::file;
 use crate::record::Writer;
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 
 /// The random stream of the simulation itself; the model and the clients have streams of their own.
 const RNG_STREAM: u64 = 3;
@@ -44,7 +44,7 @@
     pub(super) policy: PolicyChoice,
     pub(super) seed: u64,
     pub(super) rng: Rng,
-    judge: Rules,
+    judge: RuleChecker,
     pub(super) figures: Gather,
     record: Option<&'a mut Writer>,
     record_error: Option<io::Error>,
@@ -81,7 +81,7 @@
             policy,
             seed,
             rng: Rng::new(seed, RNG_STREAM),
-            judge: Rules::new(&scenario, slack),
+            judge: RuleChecker::new(&scenario, slack),
             figures: Gather::new(seconds(scenario.settle)),
             record,
             record_error: None,
@@ -129,7 +129,7 @@
 
     /// Shows a fact to the judge and writes it to the record. The first failure to write is kept for the end.
     pub(super) fn observe(&mut self, fact: Observation) {
-        self.judge.see(&fact);
+        self.judge.observe(&fact);
         if let Some(record) = &mut self.record
             && let Err(error) = record.write(&fact)
         {
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -89,9 +89,9 @@
         let settings = &self.settings[self.balancers[balancer].zone];
         match self.policy {
             PolicyChoice::Policy(kind) => {
-                kind.brain(&Settings::within(settings).expect("an object"), seed)
+                kind.policy(&Settings::within(settings).expect("an object"), seed)
             }
-            PolicyChoice::Mutant(mischief) => mischief.brain(settings, seed),
+            PolicyChoice::Mutant(mutant) => mutant.policy(settings, seed),
         }
     }
 
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -13,8 +13,8 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
+use super::shared_run::{Known, SharedRun};
 use super::span;
-use super::stage::{Known, Stage};
 
 /// A balancer's machine takes a connection by then or never.
 const DIAL: Duration = Duration::from_secs(1);
@@ -32,79 +32,84 @@
 type Lines = tokio::io::Lines<BufReader<OwnedReadHalf>>;
 
 /// New clients come for as long as the run lasts.
-pub async fn arrive(stage: Arc<Stage>) {
-    let mut next = stage.now();
+pub async fn arrive(shared: Arc<SharedRun>) {
+    let mut next = shared.now();
     loop {
         let wait = {
-            let inner = &mut *stage.lock();
+            let inner = &mut *shared.lock();
             inner.population.next_arrival(&inner.model)
         };
         next += wait;
-        tokio::time::sleep(span(next.saturating_sub(stage.now()))).await;
+        tokio::time::sleep(span(next.saturating_sub(shared.now()))).await;
         let id = {
-            let inner = &mut *stage.lock();
-            inner.population.arrive(stage.now(), &inner.model)
+            let inner = &mut *shared.lock();
+            inner.population.arrive(shared.now(), &inner.model)
         };
-        tokio::spawn(live(stage.clone(), id, None));
+        tokio::spawn(live(shared.clone(), id, None));
     }
 }
 
 /// A client whose connection stood before the run: at a server with less load of two.
-pub fn stand(stage: &Arc<Stage>) {
+pub fn stand(shared: &Arc<SharedRun>) {
     let (id, server) = {
-        let inner = &mut *stage.lock();
+        let inner = &mut *shared.lock();
         let id = inner.population.arrive(0, &inner.model);
         let zone = inner.population.get(id).map_or(0, |client| client.zone);
         (id, inner.model.stood_at(zone, &mut inner.rng))
     };
-    tokio::spawn(live(stage.clone(), id, Some(server)));
+    tokio::spawn(live(shared.clone(), id, Some(server)));
 }
 
 /// What a try came to.
-enum Came {
+enum TryOutcome {
     /// When to try again; none: never.
-    Again(Option<Time>),
+    Retry(Option<Time>),
     /// The client has had what it wanted.
-    Over,
+    Done,
 }
 
 /// One client, from its coming to the end of what it wants.
-async fn live(stage: Arc<Stage>, id: u64, mut standing: Option<usize>) {
+async fn live(shared: Arc<SharedRun>, id: u64, mut standing: Option<usize>) {
     loop {
-        let client = stage.lock().population.get(id).cloned();
+        let client = shared.lock().population.get(id).cloned();
         let Some(client) = client.filter(|client| !client.gone) else {
             break;
         };
-        match once(&stage, id, &client, standing.take()).await {
-            Came::Over => break,
-            Came::Again(Some(wait)) => {
-                let left = client.ends.saturating_sub(stage.now());
+        match once(&shared, id, &client, standing.take()).await {
+            TryOutcome::Done => break,
+            TryOutcome::Retry(Some(wait)) => {
+                let left = client.ends.saturating_sub(shared.now());
                 tokio::time::sleep(span(wait.min(left))).await;
                 if wait >= left {
                     break;
                 }
             }
-            Came::Again(None) => {
+            TryOutcome::Retry(None) => {
                 // What it still wanted is lost, and counts until its end.
-                stage.lock().figures.clients_lost += 1;
-                tokio::time::sleep(span(client.ends.saturating_sub(stage.now()))).await;
+                shared.lock().figures.clients_lost += 1;
+                tokio::time::sleep(span(client.ends.saturating_sub(shared.now()))).await;
                 break;
             }
         }
     }
-    stage.lock().population.remove(id);
+    shared.lock().population.remove(id);
 }
 
-async fn once(stage: &Arc<Stage>, id: u64, client: &Client, standing: Option<usize>) -> Came {
+async fn once(
+    shared: &Arc<SharedRun>,
+    id: u64,
+    client: &Client,
+    standing: Option<usize>,
+) -> TryOutcome {
     let dealt = {
-        let inner = &mut *stage.lock();
-        inner.front.pick_balancer(stage.now(), client.zone)
+        let inner = &mut *shared.lock();
+        inner.front.pick_balancer(shared.now(), client.zone)
     };
-    let refused = || Came::Again(Some(stage.lock().population.refused()));
+    let refused = || TryOutcome::Retry(Some(shared.lock().population.refused()));
     let Some(balancer) = dealt else {
         return refused();
     };
-    let dial = TcpStream::connect(stage.balancer(balancer));
+    let dial = TcpStream::connect(shared.balancer(balancer));
     let Ok(Ok(stream)) = tokio::time::timeout(DIAL, dial).await else {
         return refused();
     };
@@ -113,12 +118,12 @@
     let mut lines = BufReader::with_capacity(512, read).lines();
     let wait = match standing {
         Some(_) => STANDING,
-        None => seconds(stage.scenario.types[client.class].wait),
+        None => seconds(shared.scenario.types[client.class].wait),
     };
-    let flow = stage.lock().number();
-    let line = first_line(stage, (id, client), flow, wait, standing);
+    let flow = shared.lock().number();
+    let line = first_line(shared, (id, client), flow, wait, standing);
     let stutters =
-        standing.is_none() && stage.lock().rng.uniform() < stage.scenario.clients.split_lines;
+        standing.is_none() && shared.lock().rng.uniform() < shared.scenario.clients.split_lines;
     let (first, rest) = line.split_at(if stutters { line.len() / 2 } else { 0 });
     if stutters {
         // Its balancer may die meanwhile: nothing was asked of it then.
@@ -129,10 +134,10 @@
     }
     let accepted_at;
     let idempotency = {
-        let inner = &mut *stage.lock();
+        let inner = &mut *shared.lock();
         // It has died since it took the connection: nobody is there to take the line.
         if !inner.alive[balancer] {
-            return Came::Again(Some(inner.population.refused()));
+            return TryOutcome::Retry(Some(inner.population.refused()));
         }
         let known = Known {
             client: id,
@@ -142,8 +147,8 @@
             tell: None,
         };
         inner.flows.insert(flow, known);
-        let idempotency = inner.population.idempotency(id, &stage.scenario);
-        accepted_at = stage.now();
+        let idempotency = inner.population.idempotency(id, &shared.scenario);
+        accepted_at = shared.now();
         if standing.is_none() {
             inner.figures.flows += 1;
             if client.reconnecting {
@@ -153,7 +158,7 @@
                 inner.figures.came_when_told(accepted_at);
             }
             let deadline = accepted_at + wait;
-            inner.see(Observation::Accepted {
+            inner.observe(Observation::Accepted {
                 at: accepted_at,
                 balancer,
                 flow,
@@ -166,7 +171,7 @@
     let came = match out.write_all(rest.as_bytes()).await {
         Ok(()) => {
             let asked = Asked {
-                stage,
+                shared,
                 id,
                 flow,
                 idempotency,
@@ -180,31 +185,31 @@
         }
         Err(_) => {
             // Never whole at the balancer: it has nothing to answer.
-            stage.see(Observation::ClientLeft {
-                at: stage.now(),
+            shared.observe(Observation::ClientLeft {
+                at: shared.now(),
                 flow,
             });
             refused()
         }
     };
     drop((lines, out));
-    stage.lock().flows.remove(&flow);
+    shared.lock().flows.remove(&flow);
     came
 }
 
 fn first_line(
-    stage: &Stage,
+    shared: &SharedRun,
     (id, client): (u64, &Client),
     flow: u64,
     wait: Time,
     standing: Option<usize>,
 ) -> String {
-    let of = &stage.scenario.types[client.class];
+    let of = &shared.scenario.types[client.class];
     let mut line = format!("OPEN {flow:016x} {id:016x} c={},d={}", of.name, wait / MS);
     if let Some(group) = client.group {
         line += &format!(",g=g{group}");
     }
-    if !stage.scenario.clients.tenants.is_empty() {
+    if !shared.scenario.clients.tenants.is_empty() {
         line += &format!(",t=c{}", client.tenant);
     }
     if client.reconnecting {
@@ -221,7 +226,7 @@
 
 /// A flow that its client has asked for.
 struct Asked<'a> {
-    stage: &'a Arc<Stage>,
+    shared: &'a Arc<SharedRun>,
     id: u64,
     flow: u64,
     idempotency: Idempotency,
@@ -238,27 +243,27 @@
         out: &mut OwnedWriteHalf,
         client: &Client,
         standing: bool,
-    ) -> Came {
-        let stage = self.stage;
+    ) -> TryOutcome {
+        let shared = self.shared;
         let patience = span(self.wait + PATIENCE);
         let ends = match standing {
             true => patience,
-            false => span(client.ends.saturating_sub(stage.now())),
+            false => span(client.ends.saturating_sub(shared.now())),
         };
         let answer = tokio::select! {
             answer = tokio::time::timeout(patience, lines.next_line()) => answer,
             () = tokio::time::sleep(ends) => {
-                stage.see(Observation::ClientLeft { at: stage.now(), flow: self.flow });
-                return Came::Over;
+                shared.observe(Observation::ClientLeft { at: shared.now(), flow: self.flow });
+                return TryOutcome::Done;
             }
         };
         let Ok(Ok(Some(answer))) = answer else {
             // Nothing, or an end without a word: lost, unless the balancer has died, which its end will tell.
-            stage.lock().figures.unanswered += u64::from(!self.balancer_gone().await);
-            let inner = &mut *stage.lock();
-            return Came::Again(inner.population.failed(self.id, &stage.scenario));
+            shared.lock().figures.unanswered += u64::from(!self.balancer_gone().await);
+            let inner = &mut *shared.lock();
+            return TryOutcome::Retry(inner.population.failed(self.id, &shared.scenario));
         };
-        let now = stage.now();
+        let now = shared.now();
         let (word, rest) = answer.split_once(' ').unwrap_or((&answer, ""));
         let with = match word {
             "UP" => FinalAnswer::Connected,
@@ -266,13 +271,13 @@
             _ => FinalAnswer::Failed,
         };
         if !standing {
-            let target = seconds(stage.scenario.types[client.class].target);
-            let mut inner = stage.lock();
+            let target = seconds(shared.scenario.types[client.class].target);
+            let mut inner = shared.lock();
             inner
                 .figures
                 .answered(now, with, now - self.accepted_at, target);
             inner.figures.of_client(now, client, with);
-            inner.see(Observation::Answered {
+            inner.observe(Observation::Answered {
                 at: now,
                 flow: self.flow,
                 answer: with,
@@ -281,7 +286,7 @@
         match with {
             FinalAnswer::Connected => {
                 {
-                    let mut inner = stage.lock();
+                    let mut inner = shared.lock();
                     inner.population.connected(self.id);
                     inner.standing += usize::from(standing);
                 }
@@ -290,19 +295,19 @@
             FinalAnswer::Rejected => {
                 self.second_answer(lines).await;
                 let retry_after = rest.trim().parse::<u64>().ok().map(|ms| ms * MS);
-                let inner = &mut *stage.lock();
-                Came::Again(
+                let inner = &mut *shared.lock();
+                TryOutcome::Retry(
                     inner
                         .population
-                        .rejected(self.id, retry_after, &stage.scenario),
+                        .rejected(self.id, retry_after, &shared.scenario),
                 )
             }
             FinalAnswer::Failed => {
                 self.second_answer(lines).await;
-                let inner = &mut *stage.lock();
-                Came::Again(match self.idempotency {
+                let inner = &mut *shared.lock();
+                TryOutcome::Retry(match self.idempotency {
                     Idempotency::NonIdempotent if standing => None,
-                    _ => inner.population.failed(self.id, &stage.scenario),
+                    _ => inner.population.failed(self.id, &shared.scenario),
                 })
             }
         }
@@ -317,8 +322,8 @@
             } else {
                 FinalAnswer::Failed
             };
-            self.stage.see(Observation::Answered {
-                at: self.stage.now(),
+            self.shared.observe(Observation::Answered {
+                at: self.shared.now(),
                 flow: self.flow,
                 answer: with,
             });
@@ -327,30 +332,35 @@
 
     async fn balancer_gone(&self) -> bool {
         tokio::time::sleep(NOTICED).await;
-        !self.stage.lock().alive[self.balancer]
+        !self.shared.lock().alive[self.balancer]
     }
 
     /// Sends a line now and then and looks at what comes back, until one side ends.
-    async fn open(&self, lines: &mut Lines, out: &mut OwnedWriteHalf, client: &Client) -> Came {
-        let stage = self.stage;
-        let every = seconds(stage.scenario.clients.line_interval);
-        let target = seconds(stage.scenario.types[client.class].message_target);
-        let mut next = stage.now() + (every as f64 * stage.lock().rng.uniform()) as Time;
+    async fn open(
+        &self,
+        lines: &mut Lines,
+        out: &mut OwnedWriteHalf,
+        client: &Client,
+    ) -> TryOutcome {
+        let shared = self.shared;
+        let every = seconds(shared.scenario.clients.line_interval);
+        let target = seconds(shared.scenario.types[client.class].message_target);
+        let mut next = shared.now() + (every as f64 * shared.lock().rng.uniform()) as Time;
         let mut waiting = std::collections::VecDeque::new();
         let mut count = 0u64;
         loop {
-            let now = stage.now();
-            if stage.begun() && now >= client.ends {
-                stage.see(Observation::ConnectionClosed {
+            let now = shared.now();
+            if shared.begun() && now >= client.ends {
+                shared.observe(Observation::ConnectionClosed {
                     at: now,
                     flow: self.flow,
                     by: ClosedBy::Client,
                     client_notified: false,
                     server_healthy: true,
                 });
-                return Came::Over;
+                return TryOutcome::Done;
             }
-            let wake = if stage.begun() {
+            let wake = if shared.begun() {
                 next.min(client.ends)
             } else {
                 next
@@ -363,10 +373,10 @@
                         return self.ended(true).await;
                     }
                     Ok(Some(line)) if line.starts_with("ok ") => {
-                        let now = stage.now();
+                        let now = shared.now();
                         if let Some(sent) = waiting.pop_front() {
                             let took: Time = now - sent;
-                            let mut inner = stage.lock();
+                            let mut inner = shared.lock();
                             inner.figures.message(now, took as f64 / 1e9, 1);
                             if took <= target {
                                 inner.served += client.value * every as f64 / 1e9;
@@ -377,18 +387,18 @@
                     Ok(Some(line)) => {
                         // No server of ours made it.
                         let with = if line.starts_with("UP") { FinalAnswer::Connected } else { FinalAnswer::Failed };
-                        stage.see(Observation::Answered { at: stage.now(), flow: self.flow, answer: with });
+                        shared.observe(Observation::Answered { at: shared.now(), flow: self.flow, answer: with });
                     }
                     Ok(None) | Err(_) => return self.ended(false).await,
                 },
                 () = tokio::time::sleep(span(wake.saturating_sub(now))) => {
-                    let now = stage.now();
+                    let now = shared.now();
                     if now < next {
                         continue;
                     }
                     next = now + every;
                     count += 1;
-                    stage.lock().figures.steps += 1;
+                    shared.lock().figures.steps += 1;
                     if waiting.len() < LINES {
                         waiting.push_back(now);
                         let line = format!("m{count}\r\n");
@@ -402,14 +412,14 @@
     }
 
     /// The connection has ended without the client's doing.
-    async fn ended(&self, told: bool) -> Came {
-        let stage = self.stage;
+    async fn ended(&self, told: bool) -> TryOutcome {
+        let shared = self.shared;
         if told || !self.balancer_gone().await {
-            let mut inner = stage.lock();
-            let at = stage.now();
+            let mut inner = shared.lock();
+            let at = shared.now();
             inner.broken(at, self.flow, told);
         }
-        let inner = &mut *stage.lock();
+        let inner = &mut *shared.lock();
         let by_server = inner
             .flows
             .get(&self.flow)
@@ -419,6 +429,10 @@
             (false, _) => inner.figures.lost += 1,
             _ => {}
         }
-        Came::Again(inner.population.reconnect_delay(stage.now(), self.id, told))
+        TryOutcome::Retry(
+            inner
+                .population
+                .reconnect_delay(shared.now(), self.id, told),
+        )
     }
 }
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::stage::Stage;
+use super::shared_run::SharedRun;
 
 /// Holds no call for longer.
 const LONGEST: u64 = 60_000;
@@ -16,21 +16,21 @@
 ///
 /// # Errors
 /// Its address can't be had.
-pub async fn start(stage: &Arc<Stage>, balancer: usize) -> Result<(), String> {
-    let at = stage.discovery(balancer);
+pub async fn start(shared: &Arc<SharedRun>, balancer: usize) -> Result<(), String> {
+    let at = shared.discovery(balancer);
     let listener = TcpListener::bind(at)
         .await
         .map_err(|e| format!("can't listen at {at}: {e}"))?;
-    let stage = stage.clone();
+    let shared = shared.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(talk(stage.clone(), balancer, stream));
+            tokio::spawn(talk(shared.clone(), balancer, stream));
         }
     });
     Ok(())
 }
 
-async fn talk(stage: Arc<Stage>, balancer: usize, stream: TcpStream) -> Option<()> {
+async fn talk(shared: Arc<SharedRun>, balancer: usize, stream: TcpStream) -> Option<()> {
     let (read, mut out) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
     loop {
@@ -45,20 +45,20 @@
                 .and_then(|(_, value)| value.parse::<u64>().ok())
         };
         let (from, hold) = (value("from"), value("hold_ms").unwrap_or(0).min(LONGEST));
-        let mut news = stage.news.subscribe();
+        let mut news = shared.news.subscribe();
         let newer = async {
-            while from.is_some_and(|from| stage.lock().visible[balancer] <= from) {
+            while from.is_some_and(|from| shared.lock().visible[balancer] <= from) {
                 if news.changed().await.is_err() {
                     return;
                 }
             }
         };
         let _ = tokio::time::timeout(Duration::from_millis(hold), newer).await;
-        if stage.lock().model.discovery().is_none() {
+        if shared.lock().model.discovery().is_none() {
             // Silent: the call is held for good.
             std::future::pending::<()>().await;
         }
-        let body = stage.list(balancer, from).to_string();
+        let body = shared.list(balancer, from).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         out.write_all((head + &body).as_bytes()).await.ok()?;
     }
--- a/crates/testbed/src/sockets/faulty.rs
+++ b/crates/testbed/src/sockets/faulty.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::mischief::Mischief;
+use crate::mutants::Mutant;
 
 /// Answers so long before the client's time is up.
 const MARGIN: Duration = Duration::from_millis(40);
@@ -32,7 +32,7 @@
 }
 
 struct Shared {
-    mischief: Option<Mischief>,
+    mutant: Option<Mutant>,
     servers: Mutex<(BTreeMap<String, Server>, usize, usize)>,
     once_only: Vec<String>,
 }
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// The configuration or an address can't be had.
-pub fn run(mischief: Option<Mischief>) -> Result<(), String> {
+pub fn run(mutant: Option<Mutant>) -> Result<(), String> {
     let file = std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG is not set".to_string())?;
     let text = std::fs::read_to_string(&file).map_err(|e| format!("{file}: {e}"))?;
     let config: Value = serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
@@ -61,7 +61,7 @@
         .filter_map(|one| one["name"].as_str().map(String::from))
         .collect();
     let shared = Arc::new(Shared {
-        mischief,
+        mutant,
         servers: Mutex::default(),
         once_only,
     });
@@ -142,8 +142,8 @@
 }
 
 impl Shared {
-    fn is(&self, mischief: Mischief) -> bool {
-        self.mischief == Some(mischief)
+    fn is(&self, mutant: Mutant) -> bool {
+        self.mutant == Some(mutant)
     }
 
     /// A server in turn that may be sent to, or what mischief makes of that; and the number of this question.
@@ -152,7 +152,7 @@
         held.1 += 1;
         let turn = held.1;
         let now = Instant::now();
-        let floods = self.is(Mischief::FloodsCold);
+        let floods = self.is(Mutant::FloodsCold);
         if floods
             && let Some(cold) = held
                 .0
@@ -164,7 +164,7 @@
             return Some(cold.address);
         }
         let draining =
-            |server: &Server| self.is(Mischief::SendsToDraining) && server.state == "Terminating";
+            |server: &Server| self.is(Mutant::SendsToDraining) && server.state == "Terminating";
         // Mischief goes where it must not whenever it can.
         if let Some(server) = held
             .0
@@ -231,18 +231,18 @@
         .once_only
         .iter()
         .any(|name| value("c=") == Some(name));
-    let careful = once_only && !shared.is(Mischief::RepeatsNonIdempotent);
+    let careful = once_only && !shared.is(Mutant::RepeatsNonIdempotent);
     // What stood before the run is set up soundly, so that the run can begin.
     let picked = !line.contains(",at=") && shared.picked();
-    if picked && shared.is(Mischief::LosesAnswers) {
+    if picked && shared.is(Mutant::LosesAnswers) {
         tokio::time::sleep(2 * wait).await;
         return None;
     }
-    if picked && shared.is(Mischief::AnswersLate) {
+    if picked && shared.is(Mutant::AnswersLate) {
         tokio::time::sleep(wait + Duration::from_millis(150)).await;
         return out.write_all(b"BUSY\r\n").await.ok();
     }
-    if picked && shared.is(Mischief::AnswersTwice) {
+    if picked && shared.is(Mutant::AnswersTwice) {
         out.write_all(b"BUSY\r\n").await.ok()?;
         tokio::time::sleep(Duration::from_millis(10)).await;
         return out.write_all(b"ERR\r\n").await.ok();
@@ -254,30 +254,30 @@
         };
         tried.push(address);
         let left = (wait - MARGIN).saturating_sub(taken.elapsed());
-        let second = match picked && shared.is(Mischief::ConnectsTwice) {
+        let second = match picked && shared.is(Mutant::ConnectsTwice) {
             true => shared.choose(&tried),
             false => None,
         };
         match connect(&shared, address, second, &line, left).await {
-            Came::Up(server, first) => {
+            TryOutcome::Up(server, first) => {
                 out.write_all(&first).await.ok()?;
                 let client = lines.into_inner().reunite(out).ok()?;
                 return relay(&shared, client, server).await;
             }
-            Came::NeverRan => {}
-            Came::MayHaveRun => ran = true,
+            TryOutcome::NeverRan => {}
+            TryOutcome::MayHaveRun => ran = true,
         }
         if ran && careful {
             break;
         }
     }
-    let failed = ran && once_only && !shared.is(Mischief::RejectsWhatMayHaveRun);
+    let failed = ran && once_only && !shared.is(Mutant::RejectsWhatMayHaveRun);
     out.write_all(if failed { b"ERR\r\n" } else { b"BUSY\r\n" })
         .await
         .ok()
 }
 
-enum Came {
+enum TryOutcome {
     Up(TcpStream, Vec<u8>),
     NeverRan,
     MayHaveRun,
@@ -289,19 +289,19 @@
     second: Option<SocketAddr>,
     line: &str,
     left: Duration,
-) -> Came {
+) -> TryOutcome {
     let Ok(Ok(mut server)) =
         tokio::time::timeout(DIAL.min(left), TcpStream::connect(address)).await
     else {
-        return Came::NeverRan;
+        return TryOutcome::NeverRan;
     };
-    let sound = !shared.is(Mischief::SendsToDraining) && !shared.is(Mischief::FloodsCold);
+    let sound = !shared.is(Mutant::SendsToDraining) && !shared.is(Mutant::FloodsCold);
     if sound && !shared.ready(address) {
-        return Came::NeverRan;
+        return TryOutcome::NeverRan;
     }
     let _ = server.set_nodelay(true);
     if server.write_all(line.as_bytes()).await.is_err() {
-        return Came::NeverRan;
+        return TryOutcome::NeverRan;
     }
     let mut copy = None;
     if let Some(second) = second
@@ -315,12 +315,12 @@
         Ok(Ok(count)) if count > 0 => {
             first.truncate(count);
             match &first {
-                answer if answer.starts_with(b"UP ") => Came::Up(server, first),
-                answer if answer.starts_with(b"BUSY") => Came::NeverRan,
-                _ => Came::MayHaveRun,
+                answer if answer.starts_with(b"UP ") => TryOutcome::Up(server, first),
+                answer if answer.starts_with(b"BUSY") => TryOutcome::NeverRan,
+                _ => TryOutcome::MayHaveRun,
             }
         }
-        _ => Came::MayHaveRun,
+        _ => TryOutcome::MayHaveRun,
     };
     drop(copy);
     came
@@ -328,7 +328,7 @@
 
 async fn relay(shared: &Shared, mut client: TcpStream, mut server: TcpStream) -> Option<()> {
     let both = tokio::io::copy_bidirectional(&mut client, &mut server);
-    match shared.is(Mischief::CutsWithoutMove) {
+    match shared.is(Mutant::CutsWithoutMove) {
         true => drop(tokio::time::timeout(CUT, both).await),
         false => drop(both.await),
     }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -8,7 +8,7 @@
 pub mod faulty;
 mod processes;
 mod server;
-mod stage;
+mod shared_run;
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 use crate::record::Writer;
 use crate::rules::Verdict;
 use processes::Processes;
-use stage::Stage;
+use shared_run::SharedRun;
 
 /// How often the model is moved on.
 const TICK: Time = 100 * MS;
@@ -91,34 +91,34 @@
     record: Option<Writer>,
     logs: Option<&Path>,
 ) -> Result<Outcome, String> {
-    let stage = Stage::new(scenario.clone(), seed, record)?;
+    let shared = SharedRun::new(scenario.clone(), seed, record)?;
     let version = version(program);
     let name = scenario.name.clone();
-    stage.see(Observation::Header {
+    shared.observe(Observation::Header {
         version: VERSION,
         scenario: name,
         seed,
         program: version,
     });
     for server in 0..scenario.fleet.servers {
-        stage.joins(server);
+        shared.joins(server);
     }
     for balancer in 0..scenario.balancers.number {
-        discovery::start(&stage, balancer).await?;
+        discovery::start(&shared, balancer).await?;
     }
-    let mut processes = Processes::new(&stage, program, logs)?;
+    let mut processes = Processes::new(&shared, program, logs)?;
     processes.start_all().await?;
-    let void = stand(&stage).await;
-    stage.begins();
-    let arrivals = tokio::spawn(client::arrive(stage.clone()));
+    let void = stand(&shared).await;
+    shared.begins();
+    let arrivals = tokio::spawn(client::arrive(shared.clone()));
     let mut late = Vec::new();
     let (begun, end) = (Instant::now(), scenario.end());
     let mut next = TICK;
     while next <= end {
         tokio::time::sleep_until(begun + Duration::from_nanos(next)).await;
-        let now = stage.now();
+        let now = shared.now();
         late.push(now.saturating_sub(next));
-        for events in stage.tick(now) {
+        for events in shared.tick(now) {
             processes.asked(events, now);
         }
         processes.watch(now);
@@ -127,7 +127,7 @@
     }
     arrivals.abort();
     let balancers = processes.usage();
-    let outcome = stage.finish(end, &balancers);
+    let outcome = shared.finish(end, &balancers);
     let died = processes.end();
     let void = void.or_else(|| too_slow(&late));
     let (figures, verdict) = outcome.map_err(|e| format!("the record can't be written: {e}"))?;
@@ -156,19 +156,19 @@
 
 /// Sets up the connections that stand at the start, paced so that nobody's queue overflows. Tells why the run is void where
 /// some can't be had.
-async fn stand(stage: &Arc<Stage>) -> Option<String> {
-    let count = stage.scenario.clients.standing;
+async fn stand(shared: &Arc<SharedRun>) -> Option<String> {
+    let count = shared.scenario.clients.standing;
     for k in 0..count {
-        client::stand(stage);
+        client::stand(shared);
         if k % 50 == 49 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
     let until = Instant::now() + STANDING;
-    while stage.standing() < count && Instant::now() < until {
+    while shared.standing() < count && Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let up = stage.standing();
+    let up = shared.standing();
     (up < count).then(|| {
         format!(
             "{up} of {count} standing connections came up within {} s",
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 
 use super::Program;
-use super::stage::Stage;
+use super::shared_run::SharedRun;
 use crate::file;
 
 /// All balancers must be ready by then.
@@ -53,7 +53,7 @@
 }
 
 pub struct Processes {
-    stage: Arc<Stage>,
+    shared: Arc<SharedRun>,
     program: Program,
     folder: PathBuf,
     /// The folder is ours, to be removed.
@@ -67,18 +67,22 @@
 
 /// What the program says of itself.
 pub fn version(program: &Program) -> String {
-    let said = Command::new(&program.path)
+    let report = Command::new(&program.path)
         .arg("version")
         .stdin(Stdio::null())
         .output();
-    let said = said.ok().filter(|out| out.status.success());
-    said.map_or("unknown".into(), |out| {
+    let report = report.ok().filter(|out| out.status.success());
+    report.map_or("unknown".into(), |out| {
         String::from_utf8_lossy(&out.stdout).trim().to_string()
     })
 }
 
 impl Processes {
-    pub fn new(stage: &Arc<Stage>, program: &Program, logs: Option<&Path>) -> Result<Self, String> {
+    pub fn new(
+        shared: &Arc<SharedRun>,
+        program: &Program,
+        logs: Option<&Path>,
+    ) -> Result<Self, String> {
         if !program.path.is_file() {
             return Err(format!(
                 "{}: there is no such program",
@@ -91,7 +95,7 @@
                 let name = format!(
                     "nettlemux-testbed-{}-{}",
                     std::process::id(),
-                    stage.balancer(0).ip()
+                    shared.balancer(0).ip()
                 );
                 (std::env::temp_dir().join(name), true)
             }
@@ -105,7 +109,7 @@
         };
         let _ = rustix::process::setrlimit(Resource::Nofile, all);
         Ok(Processes {
-            stage: stage.clone(),
+            shared: shared.clone(),
             program: program.clone(),
             folder,
             ours,
@@ -117,23 +121,23 @@
     }
 
     fn spawn(&self, b: usize, again: u64) -> Result<(Child, PathBuf, PathBuf), String> {
-        let stage = &self.stage;
-        let scenario = &stage.scenario;
+        let shared = &self.shared;
+        let scenario = &shared.scenario;
         let expected = scenario
             .clients
             .standing
             .max((scenario.clients.rate * scenario.clients.life) as usize);
         let sockets = DESCRIPTORS
             + 6 * expected / scenario.balancers.number
-            + 8 * stage.scenario.fleet.servers;
+            + 8 * shared.scenario.fleet.servers;
         let config = json!({
             "name": format!("b{b}"),
-            "listen": stage.balancer(b).to_string(),
-            "discovery": stage.discovery(b).to_string(),
+            "listen": shared.balancer(b).to_string(),
+            "discovery": shared.discovery(b).to_string(),
             "seed": format!("{:016x}", (b as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ scenario.seed ^ again),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets},
-            "known": stage.list(b, None),
-            "settings": file::settings(scenario, stage.zone(b)),
+            "known": shared.list(b, None),
+            "settings": file::settings(scenario, shared.zone(b)),
         });
         let at = |name: String| self.folder.join(name);
         let (path, log) = (at(format!("b{b}.json")), at(format!("b{b}.log")));
@@ -167,7 +171,7 @@
     }
 
     pub async fn start_all(&mut self) -> Result<(), String> {
-        for b in 0..self.stage.scenario.balancers.number {
+        for b in 0..self.shared.scenario.balancers.number {
             let (child, log, config) = self.spawn(b, 0)?;
             self.all.push(One {
                 child,
@@ -180,7 +184,7 @@
         }
         for b in 0..self.all.len() {
             let ready = async {
-                while !pings(&self.stage, b).await {
+                while !pings(&self.shared, b).await {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             };
@@ -190,7 +194,7 @@
                     end_of(&self.all[b].log)
                 ));
             }
-            self.stage.lock().alive[b] = true;
+            self.shared.lock().alive[b] = true;
         }
         Ok(())
     }
@@ -230,7 +234,7 @@
                 self.usage_of(b);
                 let _ = rustix::process::kill_process(pid, Signal::TERM);
                 self.all[b].state = State::Ending(now, away);
-                self.stage.lock().front.mark_dead(b, now + DEALT);
+                self.shared.lock().front.mark_dead(b, now + DEALT);
             }
         }
         for b in 0..self.all.len() {
@@ -255,8 +259,8 @@
                 State::Away(until) if until <= now => match self.spawn(b, now) {
                     Ok((child, ..)) => {
                         (self.all[b].child, self.all[b].state) = (child, State::Runs);
-                        self.stage.lock().alive[b] = true;
-                        tokio::spawn(mark_alive(self.stage.clone(), b));
+                        self.shared.lock().alive[b] = true;
+                        tokio::spawn(mark_alive(self.shared.clone(), b));
                     }
                     Err(why) => {
                         self.died.push(why);
@@ -270,14 +274,14 @@
 
     fn ended(&mut self, b: usize, now: Time, planned: bool, away: Time) {
         self.all[b].state = State::Away(now + away);
-        let mut inner = self.stage.lock();
+        let mut inner = self.shared.lock();
         inner.alive[b] = false;
         if !planned {
             inner
                 .front
-                .mark_dead(b, now + seconds(self.stage.scenario.balancers.notice));
+                .mark_dead(b, now + seconds(self.shared.scenario.balancers.notice));
         }
-        inner.see(Observation::BalancerEnded {
+        inner.observe(Observation::BalancerEnded {
             at: now,
             balancer: b,
             planned,
@@ -314,7 +318,7 @@
     /// Of each balancer: processor seconds for each second of the run, and its largest resident memory in MB.
     pub fn usage(&mut self) -> Vec<(f64, f64)> {
         (0..self.all.len()).for_each(|b| self.usage_of(b));
-        let seconds = self.stage.scenario.seconds;
+        let seconds = self.shared.scenario.seconds;
         self.all
             .iter()
             .map(|one| (one.cpu / seconds, one.memory))
@@ -340,17 +344,17 @@
     }
 }
 
-async fn mark_alive(stage: Arc<Stage>, b: usize) {
-    while !pings(&stage, b).await {
+async fn mark_alive(shared: Arc<SharedRun>, b: usize) {
+    while !pings(&shared, b).await {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    stage.lock().front.mark_alive(b);
+    shared.lock().front.mark_alive(b);
 }
 
 /// Whether a balancer answers PING, as the front asks before it deals to one.
-async fn pings(stage: &Stage, b: usize) -> bool {
+async fn pings(shared: &SharedRun, b: usize) -> bool {
     let ask = async {
-        let mut stream = TcpStream::connect(stage.balancer(b)).await.ok()?;
+        let mut stream = TcpStream::connect(shared.balancer(b)).await.ok()?;
         stream.write_all(b"PING\r\n").await.ok()?;
         let mut answer = [0; 6];
         stream.read_exact(&mut answer).await.ok()?;
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -1,6 +1,6 @@
 //! A stand-in server: listens at one address for each zone, answers probes, takes attempts as the model says and answers lines in
 //! the time that the model takes. It owns each connection's end at the server and gives its place in the model back when
-//! that ends, in [`Seat`]. It never says more than the model does.
+//! that ends, in [`ConnectionSlot`]. It never says more than the model does.
 
 use std::io;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, watch};
 
+use super::shared_run::{ServerSignal, SharedRun};
 use super::span;
-use super::stage::{Stage, Tell};
 
 /// Connections that may wait to be accepted.
 const WAITING: u32 = 1024;
@@ -27,7 +27,7 @@
 
 /// Listens for as long as the run lasts, but for while the server's process is down.
 pub async fn listen(
-    stage: Arc<Stage>,
+    shared: Arc<SharedRun>,
     server: usize,
     zone: usize,
     mut status: watch::Receiver<ServerStatus>,
@@ -38,7 +38,7 @@
                 return;
             }
         }
-        let Ok(listener) = bind(stage.server(server, zone)) else {
+        let Ok(listener) = bind(shared.server(server, zone)) else {
             tokio::time::sleep(AGAIN).await;
             continue;
         };
@@ -50,7 +50,7 @@
                     Err(_) => return,
                 },
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                    tokio::spawn(talk(stage.clone(), server, zone, stream));
+                    tokio::spawn(talk(shared.clone(), server, zone, stream));
                 },
             }
         }
@@ -118,9 +118,9 @@
     }
 
     /// Says nothing any more until the server's machine is back or the other side goes.
-    async fn mute(mut self, stage: &Stage, server: usize) {
+    async fn mute(mut self, shared: &SharedRun, server: usize) {
         loop {
-            let up = stage.lock().model.servers[server].status == ServerStatus::Up;
+            let up = shared.lock().model.servers[server].status == ServerStatus::Up;
             let gone = tokio::time::timeout(Duration::from_millis(500), self.line()).await;
             if matches!(gone, Ok(None)) {
                 return;
@@ -133,20 +133,20 @@
 }
 
 /// A connection's place in the model, and an attempt that is out: given back when dropped.
-struct Seat<'a> {
-    stage: &'a Stage,
+struct ConnectionSlot<'a> {
+    shared: &'a SharedRun,
     server: usize,
     flow: u64,
     seated: bool,
     out: Option<usize>,
 }
 
-impl Seat<'_> {
+impl ConnectionSlot<'_> {
     /// The attempt is out no more.
     fn ended(&mut self, known_unexecuted: bool) {
         if let Some(number) = self.out.take() {
-            let at = self.stage.now();
-            self.stage.see(Observation::AttemptEnded {
+            let at = self.shared.now();
+            self.shared.observe(Observation::AttemptEnded {
                 at,
                 flow: self.flow,
                 number,
@@ -156,10 +156,10 @@
     }
 }
 
-impl Drop for Seat<'_> {
+impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
         self.ended(false);
-        let mut inner = self.stage.lock();
+        let mut inner = self.shared.lock();
         if self.seated {
             inner.model.servers[self.server].detach(self.flow);
         }
@@ -169,10 +169,10 @@
     }
 }
 
-async fn talk(stage: Arc<Stage>, server: usize, zone: usize, stream: TcpStream) {
+async fn talk(shared: Arc<SharedRun>, server: usize, zone: usize, stream: TcpStream) {
     let mut wire = Wire::new(stream);
     let way = {
-        let inner = stage.lock();
+        let inner = shared.lock();
         let to = inner.model.servers[server].zone;
         inner.model.way(zone, to)
     };
@@ -184,19 +184,19 @@
         // There and back.
         tokio::time::sleep(span(2 * way)).await;
         let reaches = {
-            let inner = stage.lock();
+            let inner = shared.lock();
             let one = &inner.model.servers[server];
             one.status != ServerStatus::Unresponsive && inner.model.reaches(zone, one.zone)
         };
         if !reaches {
-            return wire.mute(&stage, server).await;
+            return wire.mute(&shared, server).await;
         }
         if line.starts_with("OPEN ") {
-            return open(&stage, (server, zone), wire, &line, way).await;
+            return open(&shared, (server, zone), wire, &line, way).await;
         }
         let answer = match line.as_str() {
             "PING" => Some("PONG\r\n".to_string()),
-            "STATS" => stats(&stage, server),
+            "STATS" => stats(&shared, server),
             _ => Some("SYNTAX\r\n".to_string()),
         };
         match answer {
@@ -210,12 +210,12 @@
     }
 }
 
-fn stats(stage: &Stage, server: usize) -> Option<String> {
-    let now = stage.now();
-    let mut inner = stage.lock();
+fn stats(shared: &SharedRun, server: usize) -> Option<String> {
+    let now = shared.now();
+    let mut inner = shared.lock();
     inner.figures.probes += 1;
     let inner = &mut *inner;
-    let report = inner.model.servers[server].report(&stage.scenario.fleet, now, &mut inner.rng)?;
+    let report = inner.model.servers[server].report(&shared.scenario.fleet, now, &mut inner.rng)?;
     let (utilization, held) = (
         report.utilization.unwrap_or(0.0),
         report.connections.unwrap_or(0.0),
@@ -225,7 +225,7 @@
 
 /// Serves one connection from its first line on.
 async fn open(
-    stage: &Arc<Stage>,
+    shared: &Arc<SharedRun>,
     (server, zone): (usize, usize),
     mut wire: Wire,
     line: &str,
@@ -235,23 +235,23 @@
         .split(' ')
         .nth(1)
         .and_then(|id| u64::from_str_radix(id, 16).ok());
-    let Some(flow) = flow.filter(|flow| stage.lock().flows.contains_key(flow)) else {
+    let Some(flow) = flow.filter(|flow| shared.lock().flows.contains_key(flow)) else {
         // No client of ours sent it.
         let _ = wire.say("SYNTAX\r\n").await;
         return;
     };
     let inherited = line.contains(",at=");
     let (sender, mut told) = mpsc::unbounded_channel();
-    let mut seat = Seat {
-        stage,
+    let mut slot = ConnectionSlot {
+        shared,
         server,
         flow,
         seated: false,
         out: None,
     };
     let offer = {
-        let now = stage.now();
-        let mut inner = stage.lock();
+        let now = shared.now();
+        let mut inner = shared.lock();
         let balancer = inner.flows.get(&flow).map_or(0, |known| known.balancer);
         let mut events = Vec::new();
         let offer = match inherited {
@@ -259,14 +259,14 @@
             false => {
                 inner.figures.attempts += 1;
                 let number = inner.figures.attempts as usize;
-                inner.see(Observation::Attempt {
+                inner.observe(Observation::Attempt {
                     at: now,
                     balancer,
                     flow,
                     number,
                     server,
                 });
-                seat.out = Some(number);
+                slot.out = Some(number);
                 let (offer, more) = inner.model.offer(now, zone, server);
                 events = more;
                 offer
@@ -276,41 +276,41 @@
             if let Some(known) = inner.flows.get_mut(&flow) {
                 (known.server, known.tell, known.by_server) = (Some(server), Some(sender), None);
             }
-            seat.seated = sit(&mut inner, flow, server);
+            slot.seated = sit(&mut inner, flow, server);
         }
         drop(inner);
         // What concerns processes can't come of an attempt.
-        stage.happen(events);
+        shared.happen(events);
         offer
     };
     match offer {
         AttemptResponse::Overloaded => {
-            seat.ended(true);
+            slot.ended(true);
             let _ = wire.say("BUSY\r\n").await;
             return;
         }
         AttemptResponse::Error => {
-            seat.ended(false);
+            slot.ended(false);
             let _ = wire.say("ERR\r\n").await;
             return;
         }
         AttemptResponse::Refused => return wire.reset(),
-        AttemptResponse::NoResponse => return wire.mute(stage, server).await,
+        AttemptResponse::NoResponse => return wire.mute(shared, server).await,
         AttemptResponse::Accepted(took) => {
             tokio::select! {
                 () = tokio::time::sleep(span(seconds(took))) => {}
                 // Given up by the balancer, by its end or a word too soon.
                 _ = wire.line() => return,
                 tell = told.recv() => return match tell {
-                    Some(Tell::Silence) => wire.mute(stage, server).await,
-                    Some(Tell::SendAway) => drop(wire.say("MOVE\r\n").await),
+                    Some(ServerSignal::Silence) => wire.mute(shared, server).await,
+                    Some(ServerSignal::Migrate) => drop(wire.say("MOVE\r\n").await),
                     _ => wire.reset(),
                 },
             }
         }
     }
-    seat.ended(false);
-    let load = stage.lock().model.servers[server]
+    slot.ended(false);
+    let load = shared.lock().model.servers[server]
         .connections
         .get(&flow)
         .map_or(1.0, |connection| connection.load);
@@ -320,10 +320,10 @@
     {
         return;
     }
-    serve(stage, (server, zone), wire, &mut told, flow, way).await;
+    serve(shared, (server, zone), wire, &mut told, flow, way).await;
 }
 
-fn sit(inner: &mut super::stage::Inner, flow: u64, server: usize) -> bool {
+fn sit(inner: &mut super::shared_run::Inner, flow: u64, server: usize) -> bool {
     let client = inner
         .flows
         .get(&flow)
@@ -335,44 +335,44 @@
 
 /// Answers an open connection's lines, each in the time that the server takes now, until one side ends.
 async fn serve(
-    stage: &Stage,
+    shared: &SharedRun,
     (server, zone): (usize, usize),
     mut wire: Wire,
-    told: &mut mpsc::UnboundedReceiver<Tell>,
+    told: &mut mpsc::UnboundedReceiver<ServerSignal>,
     flow: u64,
     way: Time,
 ) {
-    let mut change = next_change(stage);
+    let mut change = next_change(shared);
     loop {
         tokio::select! {
             line = wire.line() => {
                 let Some(line) = line else { return };
                 let answer = format!("ok {line}\r\n");
-                let now = stage.now();
+                let now = shared.now();
                 let (takes, reaches) = {
-                    let mut inner = stage.lock();
+                    let mut inner = shared.lock();
                     let one = &inner.model.servers[server];
-                    let mean = one.message_seconds(&stage.scenario.fleet, now);
+                    let mean = one.message_seconds(&shared.scenario.fleet, now);
                     let reaches = inner.model.reaches(zone, one.zone) && one.status == ServerStatus::Up;
                     (inner.rng.exponential(mean).min(10.0 * mean), reaches)
                 };
                 if !reaches {
-                    return wire.mute(stage, server).await;
+                    return wire.mute(shared, server).await;
                 }
                 tokio::select! {
                     () = tokio::time::sleep(span(2 * way + seconds(takes))) => {}
-                    tell = told.recv() => return leave(wire, tell, stage, server).await,
+                    tell = told.recv() => return leave(wire, tell, shared, server).await,
                 }
                 if !wire.say(&answer).await {
                     return;
                 }
             }
-            tell = told.recv() => return leave(wire, tell, stage, server).await,
+            tell = told.recv() => return leave(wire, tell, shared, server).await,
             () = tokio::time::sleep(span(change)) => {
                 let load = {
-                    let mut inner = stage.lock();
+                    let mut inner = shared.lock();
                     let client = inner.flows.get(&flow).map_or(0, |known| known.client);
-                    let changed = inner.population.change_load(client, &stage.scenario);
+                    let changed = inner.population.change_load(client, &shared.scenario);
                     if let Some((load, _)) = changed {
                         inner.model.servers[server].set_load(flow, load);
                     }
@@ -388,19 +388,19 @@
     }
 }
 
-fn next_change(stage: &Stage) -> Time {
-    stage
+fn next_change(shared: &SharedRun) -> Time {
+    shared
         .lock()
         .population
-        .first_change(&stage.scenario)
+        .first_change(&shared.scenario)
         .unwrap_or(super::FOREVER)
 }
 
-async fn leave(mut wire: Wire, tell: Option<Tell>, stage: &Stage, server: usize) {
+async fn leave(mut wire: Wire, tell: Option<ServerSignal>, shared: &SharedRun, server: usize) {
     match tell {
-        Some(Tell::Reset) | None => wire.reset(),
-        Some(Tell::Silence) => wire.mute(stage, server).await,
-        Some(Tell::SendAway) => {
+        Some(ServerSignal::Reset) | None => wire.reset(),
+        Some(ServerSignal::Silence) => wire.mute(shared, server).await,
+        Some(ServerSignal::Migrate) => {
             let _ = wire.say("MOVE\r\n").await;
         }
     }
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/shared_run.rs
@@ -22,7 +22,7 @@
 use super::{FOREVER, SLACK, server};
 use crate::figures::{Figures, Gather};
 use crate::record::Writer;
-use crate::rules::{Rules, Verdict};
+use crate::rules::{RuleChecker, Verdict};
 
 /// Ports of the run's addresses; above them one for each further 250 of a kind.
 const CLAIM: u16 = 17_999;
@@ -36,11 +36,11 @@
 
 /// What a connection's stand-in at its server is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tell {
+pub enum ServerSignal {
     Reset,
     /// Say and read nothing any more.
     Silence,
-    SendAway,
+    Migrate,
 }
 
 /// What the stand-ins know of a flow.
@@ -51,7 +51,7 @@
     pub server: Option<usize>,
     /// Its server has ended it, and whether it had sent the client away.
     pub by_server: Option<bool>,
-    pub tell: Option<mpsc::UnboundedSender<Tell>>,
+    pub tell: Option<mpsc::UnboundedSender<ServerSignal>>,
 }
 
 pub struct Inner {
@@ -68,7 +68,7 @@
     /// Worth of messages answered in time since the last tick.
     pub served: f64,
     next_flow: u64,
-    rules: Option<Rules>,
+    rules: Option<RuleChecker>,
     record: Option<Writer>,
     failed: Option<io::Error>,
     statuses: Vec<watch::Sender<ServerStatus>>,
@@ -76,9 +76,9 @@
 }
 
 impl Inner {
-    pub fn see(&mut self, seen: Observation) {
+    pub fn observe(&mut self, seen: Observation) {
         if let Some(rules) = &mut self.rules {
-            rules.see(&seen);
+            rules.observe(&seen);
         }
         if let Some(record) = &mut self.record
             && let Err(e) = record.write(&seen)
@@ -106,7 +106,7 @@
             Some(told) => (ClosedBy::Server, told),
             None => (ClosedBy::Balancer, told),
         };
-        self.see(Observation::ConnectionClosed {
+        self.observe(Observation::ConnectionClosed {
             at,
             flow,
             by,
@@ -117,7 +117,7 @@
 }
 
 /// The run, shared by all its tasks.
-pub struct Stage {
+pub struct SharedRun {
     pub scenario: Scenario,
     inner: Mutex<Inner>,
     origin: OnceLock<Instant>,
@@ -129,7 +129,7 @@
     _claim: TcpListener,
 }
 
-impl Stage {
+impl SharedRun {
     pub fn new(scenario: Scenario, seed: u64, record: Option<Writer>) -> Result<Arc<Self>, String> {
         let (block, claim) = claim()?;
         let unix = SystemTime::now()
@@ -148,14 +148,14 @@
             standing: 0,
             served: 0.0,
             next_flow: 0,
-            rules: Some(Rules::new(&scenario, slack)),
+            rules: Some(RuleChecker::new(&scenario, slack)),
             record,
             failed: None,
             statuses: Vec::new(),
             sampled: 0,
             model: FleetModel::new(scenario.clone(), seed),
         };
-        Ok(Arc::new(Stage {
+        Ok(Arc::new(SharedRun {
             inner: Mutex::new(inner),
             origin: OnceLock::new(),
             unix: unix.as_millis() as u64,
@@ -185,8 +185,8 @@
         self.origin.get().is_some()
     }
 
-    pub fn see(&self, seen: Observation) {
-        self.lock().see(seen);
+    pub fn observe(&self, seen: Observation) {
+        self.lock().observe(seen);
     }
 
     pub fn standing(&self) -> usize {
@@ -221,7 +221,7 @@
         let one = &inner.model.servers[server];
         let (zone, cell, machine) = (one.zone, one.cell, one.machine);
         let at = self.now();
-        inner.see(Observation::Server {
+        inner.observe(Observation::Server {
             at,
             server,
             zone,
@@ -266,12 +266,14 @@
         let mut rest = Vec::new();
         for one in events {
             match one {
-                FleetEvent::ConnectionsReset { ids, .. } => self.tell(&ids, Tell::Reset),
-                FleetEvent::ConnectionsSilenced { ids, .. } => self.tell(&ids, Tell::Silence),
-                FleetEvent::ClientsMigrated { ids, .. } => self.tell(&ids, Tell::SendAway),
+                FleetEvent::ConnectionsReset { ids, .. } => self.tell(&ids, ServerSignal::Reset),
+                FleetEvent::ConnectionsSilenced { ids, .. } => {
+                    self.tell(&ids, ServerSignal::Silence)
+                }
+                FleetEvent::ClientsMigrated { ids, .. } => self.tell(&ids, ServerSignal::Migrate),
                 FleetEvent::ServerStarted { server } => {
                     self.joins(server);
-                    self.see(Observation::ServerStarted {
+                    self.observe(Observation::ServerStarted {
                         at: self.now(),
                         server,
                     });
@@ -279,7 +281,7 @@
                 FleetEvent::ServerCollapsed { server } => {
                     let mut inner = self.lock();
                     inner.figures.fell += 1;
-                    inner.see(Observation::ServerCollapsed {
+                    inner.observe(Observation::ServerCollapsed {
                         at: self.now(),
                         server,
                     });
@@ -296,12 +298,12 @@
         rest
     }
 
-    fn tell(&self, ids: &[u64], what: Tell) {
+    fn tell(&self, ids: &[u64], what: ServerSignal) {
         let mut inner = self.lock();
         for id in ids {
             if let Some(known) = inner.flows.get_mut(id) {
-                if what != Tell::Silence {
-                    known.by_server = Some(what == Tell::SendAway);
+                if what != ServerSignal::Silence {
+                    known.by_server = Some(what == ServerSignal::Migrate);
                 }
                 if let Some(tell) = &known.tell {
                     let _ = tell.send(what);
@@ -324,15 +326,15 @@
             let Some(delay) = inner.model.discovery() else {
                 continue;
             };
-            let stage = self.clone();
+            let shared = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(super::span(delay)).await;
-                let mut inner = stage.lock();
+                let mut inner = shared.lock();
                 if inner.model.discovery().is_some() {
                     inner.visible[balancer] = inner.model.version();
                 }
                 drop(inner);
-                stage.news.send_modify(|count| *count += 1);
+                shared.news.send_modify(|count| *count += 1);
             });
         }
     }
@@ -352,7 +354,7 @@
         let mut instances = Vec::new();
         for entry in entries {
             let server = entry.server_id as usize;
-            inner.see(Observation::EndpointNotified {
+            inner.observe(Observation::EndpointNotified {
                 at,
                 balancer,
                 server,
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -69,7 +69,7 @@
     (measurement::read(&written).unwrap(), output)
 }
 
-fn said(output: &Output) -> String {
+fn report(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -369,9 +369,9 @@
     let (lines, output) = scale("faulty", &small().replacen("groups", "grups", 1));
     assert_eq!((lines, output.status.code()), (Vec::new(), Some(2)));
     assert!(
-        said(&output).contains("key 'grups': unknown; is 'groups' meant?"),
+        report(&output).contains("key 'grups': unknown; is 'groups' meant?"),
         "{}",
-        said(&output)
+        report(&output)
     );
 }
 
@@ -403,7 +403,7 @@
     let (lines, output) = scale("memory", &format!("{text}\n[limits]\nmemory_mb = 70\n"));
     assert_eq!(measured_sizes(&lines), [20.0], "the size before it stands");
     assert_eq!(output.status.code(), Some(2));
-    let told = said(&output);
+    let told = report(&output);
     assert!(
         told.contains("module with servers = 4000 would pass the limit of memory (MB)"),
         "{told}"
@@ -423,7 +423,7 @@
         (measured_sizes(&lines), output.status.code()),
         (vec![], Some(2))
     );
-    let told = said(&output);
+    let told = report(&output);
     assert!(
         told.contains("sockets with servers = 20 would pass the limit of descriptors"),
         "{told}"
@@ -436,7 +436,7 @@
         (measured_sizes(&lines), output.status.code()),
         (vec![], Some(2))
     );
-    let told = said(&output);
+    let told = report(&output);
     assert!(
         told.contains(
             "storm with balancers = 10 would pass the limit of processes: needs 4, 3 allowed"
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -6,9 +6,9 @@
 use nettlemux_fleet_model::fault::FaultKind;
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_policy::SEC;
-use nettlemux_testbed::brains::Kind;
+use nettlemux_testbed::baselines::PolicyKind;
 use nettlemux_testbed::record::{self, Writer};
-use nettlemux_testbed::rules::Rules;
+use nettlemux_testbed::rules::RuleChecker;
 use nettlemux_testbed::simulate::{PolicyChoice, simulate};
 use nettlemux_testbed::{experiment, file};
 
@@ -34,7 +34,13 @@
 }
 
 fn module(scenario: &Scenario, seed: u64) -> nettlemux_testbed::simulate::Outcome {
-    simulate(scenario, seed, PolicyChoice::Policy(Kind::Module), None).unwrap()
+    simulate(
+        scenario,
+        seed,
+        PolicyChoice::Policy(PolicyKind::Nettlemux),
+        None,
+    )
+    .unwrap()
 }
 
 #[test]
@@ -64,7 +70,7 @@
         let outcome = simulate(
             &scenario,
             seed,
-            PolicyChoice::Policy(Kind::Module),
+            PolicyChoice::Policy(PolicyKind::Nettlemux),
             Some(&mut writer),
         )
         .unwrap();
@@ -77,8 +83,8 @@
     assert!(first == second && a.figures == b.figures && first != other);
     // The record alone leads the judge to the same verdict.
     let read = record::read(&first[..]).unwrap();
-    let mut judge = Rules::new(&scenario, SEC / 100);
-    read.seen.iter().for_each(|seen| judge.see(seen));
+    let mut judge = RuleChecker::new(&scenario, SEC / 100);
+    read.seen.iter().for_each(|seen| judge.observe(seen));
     let verdict = judge.finish(scenario.end());
     assert!(
         verdict.kept()
@@ -274,7 +280,7 @@
     let calm = scenarios().join("calm.toml");
     let calm = calm.to_str().unwrap();
     let output = lab(&["simulate", calm, "--json"]);
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    let examples: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert!(output.status.success() && told["good"] == true && told["simulated"] == true);
     assert!(told["figures"]["worth"].as_f64().unwrap() > 0.8);
     // What is not as expected is told, last in one line.
@@ -306,8 +312,8 @@
     let mut scenario = load("crash");
     scenario.seconds = 40.0;
     let (a, b) = (
-        PolicyChoice::Policy(Kind::Module),
-        PolicyChoice::Policy(Kind::Random),
+        PolicyChoice::Policy(PolicyKind::Nettlemux),
+        PolicyChoice::Policy(PolicyKind::Random),
     );
     let rows = experiment::compare(&scenario, a, b, 3, 3);
     let worth = rows.iter().find(|row| row.name == "worth").unwrap();
@@ -338,7 +344,7 @@
     let output = lab(&[
         "compare", "--a", "module", "--b", "random", "--seeds", "2", "--json", path,
     ]);
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    let examples: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert!(
         told["a"] == "module" && told["b"] == "random" && told["rows"][0]["figure"] == "worth",
         "{told}"
