--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -280,7 +280,7 @@
     let calm = scenarios().join("calm.toml");
     let calm = calm.to_str().unwrap();
     let output = lab(&["simulate", calm, "--json"]);
-    let examples: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert!(output.status.success() && told["good"] == true && told["simulated"] == true);
     assert!(told["figures"]["worth"].as_f64().unwrap() > 0.8);
     // What is not as expected is told, last in one line.
@@ -344,7 +344,7 @@
     let output = lab(&[
         "compare", "--a", "module", "--b", "random", "--seeds", "2", "--json", path,
     ]);
-    let examples: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert!(
         told["a"] == "module" && told["b"] == "random" && told["rows"][0]["figure"] == "worth",
         "{told}"
