--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,6 +1,7 @@
-//! The judge of the rules. It reads only what crossed the stand-ins ([`Observation`]), in order of time, and keeps what it needs to
-//! judge and no more: open flows, the last few seconds of closed ones, and cold servers' attempts. It must never be told
-//! anything by a balancer, nor by the model about what it would have done.
+//! The rule checker. It reads only what the stand-ins observed ([`Observation`]), in order of time,
+//! and keeps what it needs and no more: open flows, recently closed ones, and the recent attempts at
+//! servers in slow start. It must never be told anything by a balancer, nor by the model about what it
+//! would have done.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,53 +15,60 @@
 use serde::Serialize;
 
 /// How long after a flow's end a further answer or attempt is still noticed.
-const REMEMBERED: Time = 10 * SEC;
-/// So many breaks are told one by one; all are counted.
-const TOLD: usize = 20;
+const CLOSED_FLOW_RETENTION: Time = 10 * SEC;
+/// How many violations are described. All are counted.
+const EXAMPLES_MAX: usize = 20;
 
-/// The rules, by the names that are told.
+/// The rules, by the names that reports have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// 1: a flow without an answer by its time.
+    /// Rule 1: a flow without an answer by its deadline.
     Lost,
-    /// 1: a second answer.
+    /// Rule 1: a second answer.
     AnsweredTwice,
-    /// 1: an answer after its time.
+    /// Rule 1: an answer after the deadline.
     Late,
-    /// 1: an answer, or an attempt, for a flow that is over.
+    /// Rule 1: an answer or an attempt for a flow that is closed.
     AfterTheEnd,
-    /// 1: a connection cut off by the balancer, unannounced, while its server still answered.
+    /// Rule 1: a connection ended by the balancer, unannounced, while its server still answered.
     Cut,
-    /// 2: an effect that may come twice.
+    /// Rule 2: an effect that may come twice.
     Twice,
-    /// 2: two attempts in flight.
+    /// Rule 2: two attempts in flight.
     TwoInFlight,
-    /// 3: new work to a server that drains or is gone, after the grace.
+    /// Rule 3: an attempt at a draining or removed server after the grace.
     Drain,
-    /// 4: a cold server sent more than it can bear.
+    /// Rule 4: more attempts than a server in slow start can bear.
     Cold,
 }
 
-/// One break.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
+    /// The rule.
     pub rule: Rule,
+    /// When it was noticed, in nanoseconds from the start of the run.
     pub at: Time,
+    /// What was observed.
     pub what: String,
 }
 
-/// What a whole run comes to.
+/// The result of a whole run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
+    /// How often each rule was violated.
     pub violations: BTreeMap<Rule, usize>,
-    /// The first few.
+    /// The first violations.
     pub examples: Vec<Violation>,
+    /// How many flows balancers have accepted.
     pub flows: usize,
+    /// How many attempts servers have got.
     pub attempts: usize,
 }
 
 impl Verdict {
+    /// Whether all rules were kept.
     pub fn kept(&self) -> bool {
         self.violations.is_empty()
     }
@@ -70,384 +78,418 @@
     number: usize,
     server: usize,
     at: Time,
-    /// Once it is out no more: whether it was known not to have run.
-    ended: Option<bool>,
+    /// Whether it was known not to have run, once it is no longer in flight.
+    known_unexecuted: Option<bool>,
 }
 
-struct Flow {
+impl AttemptRecord {
+    fn new(number: usize, server: usize, at: Time) -> Self {
+        AttemptRecord {
+            number,
+            server,
+            at,
+            known_unexecuted: None,
+        }
+    }
+
+    fn may_have_run(&self) -> bool {
+        self.known_unexecuted != Some(true)
+    }
+}
+
+struct FlowRecord {
     balancer: usize,
     idempotency: Idempotency,
     deadline: Time,
-    answered: Option<FinalAnswer>,
-    /// Nothing more is owed, and since when.
-    over: Option<Time>,
+    answer: Option<FinalAnswer>,
+    closed_at: Option<Time>,
     attempts: Vec<AttemptRecord>,
 }
 
+impl FlowRecord {
+    fn new(balancer: usize, idempotency: Idempotency, deadline: Time) -> Self {
+        FlowRecord {
+            balancer,
+            idempotency,
+            deadline,
+            answer: None,
+            closed_at: None,
+            attempts: Vec::new(),
+        }
+    }
+
+    fn awaits_answer(&self) -> bool {
+        self.answer.is_none() && self.closed_at.is_none()
+    }
+
+    fn may_have_run(&self) -> bool {
+        self.attempts.iter().any(AttemptRecord::may_have_run)
+    }
+
+    /// Whether a rejection, which says that a retry is safe, would be wrong.
+    fn must_not_be_rejected(&self) -> bool {
+        self.may_have_run()
+            && match self.idempotency {
+                Idempotency::Idempotent => false,
+                // Wherever the retry goes, it is dropped while the window lasts.
+                Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
+                Idempotency::NonIdempotent => true,
+            }
+    }
+}
+
 #[derive(Default)]
 struct ServerRecord {
     zone: usize,
     cell: usize,
     started: Option<Time>,
-    /// Connects since it started, while it is cold.
+    /// When it got attempts, since it started and while it is in slow start.
     sent: VecDeque<Time>,
 }
 
-/// Watches a run.
-pub struct RuleChecker {
-    hedging: bool,
-    grace: Time,
+impl ServerRecord {
+    /// Whether this server drops repeats of attempts at another one.
+    fn shares_scope(&self, other: &ServerRecord, scope: DeduplicationScope) -> bool {
+        match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => self.zone == other.zone,
+            DeduplicationScope::Cell => self.cell == other.cell,
+        }
+    }
+}
+
+/// What the rule on servers in slow start depends on.
+struct SlowStart {
     initial_capacity: f64,
     warm_up: Time,
-    multiple: f64,
+    collapse_multiple: f64,
     collapse_window: Time,
     connection_rate: f64,
-    /// What is added to each time limit: nothing in virtual time, 50 ms on sockets.
+}
+
+impl SlowStart {
+    /// Returns how many attempts a server of this age may get within the collapse window.
+    fn budget(&self, age: Time) -> f64 {
+        let warmth = self.initial_capacity
+            + (1.0 - self.initial_capacity) * age as f64 / self.warm_up as f64;
+        self.collapse_multiple
+            * warmth
+            * self.connection_rate
+            * (self.collapse_window as f64 / SEC as f64)
+            + BUDGET_SLACK
+    }
+}
+
+/// Checks the rules over a run.
+pub struct RuleChecker {
+    hedging: bool,
+    grace: Time,
+    slow_start: SlowStart,
+    /// The time that is added to each limit.
     slack: Time,
     servers: BTreeMap<usize, ServerRecord>,
-    /// When a balancer was told that a server is not ready.
-    draining_since: BTreeMap<(usize, usize), Time>,
-    flows: BTreeMap<u64, Flow>,
-    over: VecDeque<(Time, u64)>,
+    /// Since when a balancer knows that a server is not ready, by balancer and server.
+    unready_since: BTreeMap<(usize, usize), Time>,
+    flows: BTreeMap<u64, FlowRecord>,
+    /// Closed flows, in the order in which they were closed.
+    closed: VecDeque<(Time, u64)>,
     verdict: Verdict,
     now: Time,
 }
 
 impl RuleChecker {
+    /// Makes a checker. `slack` is added to each time limit, in nanoseconds.
     pub fn new(scenario: &Scenario, slack: Time) -> Self {
         let (limits, fleet) = (&scenario.limits, &scenario.fleet);
         RuleChecker {
             hedging: limits.hedging,
             grace: seconds(limits.grace),
-            initial_capacity: fleet.initial_capacity,
-            warm_up: seconds(fleet.warm_up),
-            multiple: fleet.collapse_multiple,
-            collapse_window: seconds(fleet.collapse_window),
-            connection_rate: fleet.connection_rate,
+            slow_start: SlowStart {
+                initial_capacity: fleet.initial_capacity,
+                warm_up: seconds(fleet.warm_up),
+                collapse_multiple: fleet.collapse_multiple,
+                collapse_window: seconds(fleet.collapse_window),
+                connection_rate: fleet.connection_rate,
+            },
             slack,
             servers: BTreeMap::new(),
-            draining_since: BTreeMap::new(),
+            unready_since: BTreeMap::new(),
             flows: BTreeMap::new(),
-            over: VecDeque::new(),
+            closed: VecDeque::new(),
             verdict: Verdict::default(),
             now: 0,
         }
     }
 
-    fn broken(&mut self, rule: Rule, what: String) {
+    fn violation(&mut self, rule: Rule, what: String) {
         *self.verdict.violations.entry(rule).or_default() += 1;
-        if self.verdict.examples.len() < TOLD {
-            self.verdict.examples.push(Violation {
-                rule,
-                at: self.now,
-                what,
-            });
+        if self.verdict.examples.len() < EXAMPLES_MAX {
+            let at = self.now;
+            self.verdict.examples.push(Violation { rule, at, what });
         }
     }
 
-    /// The next fact, in order of time.
-    pub fn observe(&mut self, seen: &Observation) {
-        self.now = self.now.max(seen.at().unwrap_or(self.now));
-        while self
-            .over
-            .front()
-            .is_some_and(|(at, _)| at + REMEMBERED < self.now)
-        {
-            let (_, flow) = self.over.pop_front().expect("looked at");
-            self.flows.remove(&flow);
-        }
-        match *seen {
+    /// Takes the next fact, in order of time.
+    pub fn observe(&mut self, fact: &Observation) {
+        self.now = self.now.max(fact.at().unwrap_or(self.now));
+        self.forget_closed_flows();
+        match *fact {
             Observation::Header { .. } => {}
             Observation::Server {
                 server, zone, cell, ..
             } => {
-                let place = self.servers.entry(server).or_default();
-                (place.zone, place.cell) = (zone, cell);
+                let record = self.servers.entry(server).or_default();
+                (record.zone, record.cell) = (zone, cell);
             }
             Observation::ServerStarted { at, server } => {
-                let place = self.servers.entry(server).or_default();
-                place.started = Some(at);
-                place.sent.clear();
+                let record = self.servers.entry(server).or_default();
+                record.started = Some(at);
+                record.sent.clear();
             }
             Observation::ServerCollapsed { server, .. } => {
-                self.broken(
-                    Rule::Cold,
-                    format!("server {server} fell over when it was cold"),
-                );
+                let what = format!("server {server} collapsed in its slow start");
+                self.violation(Rule::Cold, what);
             }
             Observation::EndpointNotified {
                 at,
                 balancer,
                 server,
                 ready,
-            } => {
-                if ready {
-                    self.draining_since.remove(&(balancer, server));
-                } else {
-                    self.draining_since.entry((balancer, server)).or_insert(at);
-                }
-            }
+            } => self.endpoint_notified(at, balancer, server, ready),
             Observation::Accepted {
                 flow,
                 balancer,
                 idempotency,
                 deadline,
                 ..
-            } => {
-                self.verdict.flows += 1;
-                let (answered, over, attempts) = (None, None, Vec::new());
-                self.flows.insert(
-                    flow,
-                    Flow {
-                        balancer,
-                        idempotency,
-                        deadline,
-                        answered,
-                        over,
-                        attempts,
-                    },
-                );
-            }
-            Observation::Answered {
-                at,
-                flow,
-                answer: with,
-            } => self.answered(at, flow, with),
-            Observation::ClientLeft { at, flow } => {
-                // Guards against a client that has waited in vain and is taken for one that changed its mind.
-                let owed = self
-                    .flows
-                    .get(&flow)
-                    .filter(|f| f.answered.is_none() && f.over.is_none());
-                if owed.is_some_and(|f| at > f.deadline + self.slack) {
-                    self.broken(Rule::Lost, format!("flow {flow} was not answered in time"));
-                }
-                self.ends(at, flow);
-            }
+            } => self.accepted(flow, FlowRecord::new(balancer, idempotency, deadline)),
+            Observation::Answered { at, flow, answer } => self.answered(at, flow, answer),
+            Observation::ClientLeft { at, flow } => self.client_left(at, flow),
             Observation::Attempt {
                 at,
                 balancer,
                 flow,
                 number,
                 server,
-            } => {
-                self.verdict.attempts += 1;
-                self.connect(at, balancer, flow, (number, server));
-            }
+            } => self.attempt(balancer, flow, AttemptRecord::new(number, server, at)),
             Observation::AttemptEnded {
                 flow,
                 number,
                 known_unexecuted,
                 ..
-            } => {
-                let made = self.flows.get_mut(&flow).and_then(|f| {
-                    f.attempts
-                        .iter_mut()
-                        .rev()
-                        .find(|made| made.number == number && made.ended.is_none())
-                });
-                if let Some(made) = made {
-                    made.ended = Some(known_unexecuted);
-                }
-            }
+            } => self.attempt_ended(flow, number, known_unexecuted),
             Observation::ConnectionClosed {
                 at,
                 flow,
                 by,
-                client_notified: told,
+                client_notified,
                 server_healthy,
             } => {
-                if by == ClosedBy::Balancer && server_healthy && !told {
-                    self.broken(Rule::Cut, format!("flow {flow} was cut off unannounced"));
+                if by == ClosedBy::Balancer && server_healthy && !client_notified {
+                    let what = format!("flow {flow} was cut off unannounced");
+                    self.violation(Rule::Cut, what);
                 }
-                self.ends(at, flow);
+                self.close(at, flow);
             }
             Observation::BalancerEnded {
                 at,
                 balancer,
                 planned,
-            } => {
-                let held: Vec<u64> = (self.flows.iter())
-                    .filter(|(_, f)| f.balancer == balancer && f.over.is_none())
-                    .map(|(id, _)| *id)
-                    .collect();
-                for flow in held {
-                    // One that is ended in an orderly way still owes each flow an answer, and each client a word.
-                    if planned {
-                        let unanswered = self.flows[&flow].answered.is_none();
-                        let (rule, what) = match unanswered {
-                            true => (Rule::Lost, "unanswered"),
-                            false => (Rule::Cut, "open"),
-                        };
-                        self.broken(
-                            rule,
-                            format!("flow {flow} was {what} when balancer {balancer} ended"),
-                        );
-                    }
-                    self.ends(at, flow);
-                }
-                self.draining_since.retain(|(b, _), _| *b != balancer);
+            } => self.balancer_ended(at, balancer, planned),
+        }
+    }
+
+    fn forget_closed_flows(&mut self) {
+        while let Some((closed_at, flow)) = self.closed.front().copied()
+            && closed_at + CLOSED_FLOW_RETENTION < self.now
+        {
+            self.closed.pop_front();
+            self.flows.remove(&flow);
+        }
+    }
+
+    fn endpoint_notified(&mut self, at: Time, balancer: usize, server: usize, ready: bool) {
+        if ready {
+            self.unready_since.remove(&(balancer, server));
+        } else {
+            self.unready_since.entry((balancer, server)).or_insert(at);
+        }
+    }
+
+    fn accepted(&mut self, id: u64, flow: FlowRecord) {
+        self.verdict.flows += 1;
+        self.flows.insert(id, flow);
+    }
+
+    fn client_left(&mut self, at: Time, id: u64) {
+        // Guards against a client that has waited in vain and is taken for one that changed its mind.
+        let unanswered = self.flows.get(&id).filter(|flow| flow.awaits_answer());
+        if unanswered.is_some_and(|flow| at > flow.deadline + self.slack) {
+            self.violation(Rule::Lost, format!("flow {id} was not answered in time"));
+        }
+        self.close(at, id);
+    }
+
+    fn attempt_ended(&mut self, id: u64, number: usize, known_unexecuted: bool) {
+        let Some(flow) = self.flows.get_mut(&id) else {
+            return;
+        };
+        let in_flight = |attempt: &&mut AttemptRecord| {
+            attempt.number == number && attempt.known_unexecuted.is_none()
+        };
+        if let Some(attempt) = flow.attempts.iter_mut().rev().find(in_flight) {
+            attempt.known_unexecuted = Some(known_unexecuted);
+        }
+    }
+
+    fn balancer_ended(&mut self, at: Time, balancer: usize, planned: bool) {
+        let open: Vec<u64> = (self.flows.iter())
+            .filter(|(_, flow)| flow.balancer == balancer && flow.closed_at.is_none())
+            .map(|(id, _)| *id)
+            .collect();
+        for id in open {
+            // A balancer that shuts down gracefully still owes each flow an answer and each client a
+            // word.
+            if planned {
+                let (rule, what) = match self.flows[&id].answer {
+                    None => (Rule::Lost, "unanswered"),
+                    Some(_) => (Rule::Cut, "open"),
+                };
+                let what = format!("flow {id} was {what} when balancer {balancer} ended");
+                self.violation(rule, what);
             }
+            self.close(at, id);
         }
+        self.unready_since
+            .retain(|(other, _), _| *other != balancer);
     }
 
-    fn answered(&mut self, at: Time, id: u64, with: FinalAnswer) {
+    fn answered(&mut self, at: Time, id: u64, answer: FinalAnswer) {
         let Some(flow) = self.flows.get_mut(&id) else {
-            return self.broken(
-                Rule::AfterTheEnd,
-                format!("flow {id} was answered {with:?}, long over"),
-            );
+            let what = format!("flow {id} was answered {answer:?}, long over");
+            return self.violation(Rule::AfterTheEnd, what);
         };
-        let before = flow.answered.replace(with);
-        let (late, left) = (
-            at > flow.deadline + self.slack,
-            flow.over.is_some() && before.is_none(),
-        );
-        let may_have_run = flow.attempts.iter().any(|made| made.ended != Some(true));
-        let unsafe_word = with == FinalAnswer::Rejected
-            && may_have_run
-            && match flow.idempotency {
-                Idempotency::Idempotent => false,
-                // It is dropped wherever it comes again, while the window lasts.
-                Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
-                Idempotency::NonIdempotent => true,
-            };
-        if with != FinalAnswer::Connected {
-            self.ends(at, id);
+        let before = flow.answer.replace(answer);
+        let late = at > flow.deadline + self.slack;
+        let client_left = flow.closed_at.is_some() && before.is_none();
+        let unsafe_reject = answer == FinalAnswer::Rejected && flow.must_not_be_rejected();
+        if answer != FinalAnswer::Connected {
+            self.close(at, id);
         }
         if let Some(before) = before {
-            self.broken(
-                Rule::AnsweredTwice,
-                format!("flow {id}: {before:?}, then {with:?}"),
-            );
-        } else if late && !left {
-            self.broken(Rule::Late, format!("flow {id}: {with:?}"));
+            let what = format!("flow {id}: {before:?}, then {answer:?}");
+            self.violation(Rule::AnsweredTwice, what);
+        } else if late && !client_left {
+            self.violation(Rule::Late, format!("flow {id}: {answer:?}"));
         }
-        if unsafe_word {
-            self.broken(
-                Rule::Twice,
-                format!("flow {id} was rejected and may have run"),
-            );
+        if unsafe_reject {
+            let what = format!("flow {id} was rejected and may have run");
+            self.violation(Rule::Twice, what);
         }
     }
 
-    fn ends(&mut self, at: Time, id: u64) {
+    fn close(&mut self, at: Time, id: u64) {
         if let Some(flow) = self.flows.get_mut(&id)
-            && flow.over.is_none()
+            && flow.closed_at.is_none()
         {
-            flow.over = Some(at);
-            self.over.push_back((at, id));
+            flow.closed_at = Some(at);
+            self.closed.push_back((at, id));
         }
     }
 
-    fn connect(&mut self, at: Time, balancer: usize, id: u64, (number, server): (usize, usize)) {
-        let since = self.draining_since.get(&(balancer, server)).copied();
-        if since.is_some_and(|since| at > since + self.grace + self.slack) {
-            self.broken(
-                Rule::Drain,
-                format!("flow {id} went to server {server}, which takes nothing new"),
-            );
-        }
-        self.cold(at, server);
-        let (hedging, slack) = (self.hedging, self.slack);
+    fn attempt(&mut self, balancer: usize, id: u64, attempt: AttemptRecord) {
+        self.verdict.attempts += 1;
+        let (at, server) = (attempt.at, attempt.server);
+        self.check_drain(at, balancer, id, server);
+        self.check_slow_start(at, server);
         let Some(flow) = self.flows.get(&id) else {
-            return self.broken(
-                Rule::AfterTheEnd,
-                format!("a connect for flow {id}, which nobody asked for"),
-            );
-        };
-        let over = flow.answered.is_some() || flow.over.is_some_and(|over| at > over + slack);
-        let two = !hedging && flow.attempts.iter().any(|made| made.ended.is_none());
-        let ran = || flow.attempts.iter().filter(|made| made.ended != Some(true));
-        let twice = match flow.idempotency {
-            Idempotency::Idempotent => false,
-            Idempotency::NonIdempotent => ran().next().is_some(),
-            Idempotency::Deduplicated { scope, window } => ran().any(|made| {
-                let (first, now) = (self.servers.get(&made.server), self.servers.get(&server));
-                let same = first.zip(now).is_some_and(|(first, now)| match scope {
-                    DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => first.zone == now.zone,
-                    DeduplicationScope::Cell => first.cell == now.cell,
-                });
-                !same || at > made.at + window + slack
-            }),
+            let what = format!("an attempt for flow {id}, which nobody asked for");
+            return self.violation(Rule::AfterTheEnd, what);
         };
-        let made = AttemptRecord {
-            number,
-            server,
-            at,
-            ended: None,
-        };
-        self.flows
-            .get_mut(&id)
-            .expect("looked at")
-            .attempts
-            .push(made);
+        let closed = flow
+            .closed_at
+            .is_some_and(|closed| at > closed + self.slack);
+        let over = flow.answer.is_some() || closed;
+        let in_flight = |attempt: &AttemptRecord| attempt.known_unexecuted.is_none();
+        let two_in_flight = !self.hedging && flow.attempts.iter().any(in_flight);
+        let twice = self.may_run_twice(flow, &attempt);
+        let flow = self.flows.get_mut(&id).expect("it was found above");
+        flow.attempts.push(attempt);
         if over {
-            self.broken(
-                Rule::AfterTheEnd,
-                format!("a connect for flow {id}, which is answered"),
-            );
+            let what = format!("an attempt for flow {id}, which is answered");
+            self.violation(Rule::AfterTheEnd, what);
         }
-        if two {
-            self.broken(Rule::TwoInFlight, format!("flow {id} has two connects out"));
+        if two_in_flight {
+            let what = format!("flow {id} has two attempts in flight");
+            self.violation(Rule::TwoInFlight, what);
         }
         if twice {
-            self.broken(
-                Rule::Twice,
-                format!("flow {id} went again and may have run"),
-            );
+            let what = format!("flow {id} went again and may have run");
+            self.violation(Rule::Twice, what);
+        }
+    }
+
+    fn check_drain(&mut self, at: Time, balancer: usize, id: u64, server: usize) {
+        let since = self.unready_since.get(&(balancer, server)).copied();
+        if since.is_some_and(|since| at > since + self.grace + self.slack) {
+            let what = format!("flow {id} went to server {server}, which takes nothing new");
+            self.violation(Rule::Drain, what);
+        }
+    }
+
+    /// Whether the effect of a flow may come twice with one more attempt.
+    fn may_run_twice(&self, flow: &FlowRecord, attempt: &AttemptRecord) -> bool {
+        let mut ran = flow.attempts.iter().filter(|other| other.may_have_run());
+        match flow.idempotency {
+            Idempotency::Idempotent => false,
+            Idempotency::NonIdempotent => ran.next().is_some(),
+            Idempotency::Deduplicated { scope, window } => ran.any(|earlier| {
+                let servers = self
+                    .servers
+                    .get(&earlier.server)
+                    .zip(self.servers.get(&attempt.server));
+                let dropped = servers.is_some_and(|(first, now)| first.shares_scope(now, scope));
+                !dropped || attempt.at > earlier.at + window + self.slack
+            }),
         }
     }
 
-    /// The budget of a cold server: what it could set up in the window, so many times over, and a little chance.
-    fn cold(&mut self, at: Time, server: usize) {
-        let (collapse_window, warm_up) = (self.collapse_window, self.warm_up);
-        let Some(place) = self.servers.get_mut(&server) else {
+    fn check_slow_start(&mut self, at: Time, server: usize) {
+        let Some(record) = self.servers.get_mut(&server) else {
             return;
         };
-        let Some(age) = place.started.map(|started| at.saturating_sub(started)) else {
+        let Some(age) = record.started.map(|started| at.saturating_sub(started)) else {
             return;
         };
-        if age >= warm_up {
+        if age >= self.slow_start.warm_up {
             return;
         }
-        place.sent.push_back(at);
-        while place
+        record.sent.push_back(at);
+        while record
             .sent
             .front()
-            .is_some_and(|sent| sent + collapse_window < at)
+            .is_some_and(|sent| sent + self.slow_start.collapse_window < at)
         {
-            place.sent.pop_front();
+            record.sent.pop_front();
         }
-        let warmth =
-            self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / warm_up as f64;
-        let budget =
-            self.multiple * warmth * self.connection_rate * (collapse_window as f64 / SEC as f64)
-                + BUDGET_SLACK;
-        if place.sent.len() as f64 > budget {
-            let sent = place.sent.len();
-            place.sent.clear();
-            self.broken(
-                Rule::Cold,
-                format!("server {server} was sent {sent} connects, {budget:.1} at most"),
-            );
+        let (sent, budget) = (record.sent.len(), self.slow_start.budget(age));
+        if sent as f64 > budget {
+            record.sent.clear();
+            let what = format!("server {server} was sent {sent} attempts, {budget:.1} at most");
+            self.violation(Rule::Cold, what);
         }
     }
 
-    /// The run has ended: whoever's time was up by then must have been answered.
+    /// Ends the run. Flows whose deadline has passed by then must have been answered.
     pub fn finish(mut self, end: Time) -> Verdict {
         self.now = end;
-        let owed = self
-            .flows
-            .iter()
-            .filter(|(_, f)| f.answered.is_none() && f.over.is_none());
-        let lost: Vec<u64> = owed
-            .filter(|(_, f)| f.deadline + self.slack + MS < end)
+        let overdue = |flow: &FlowRecord| flow.deadline + self.slack + MS < end;
+        let lost: Vec<u64> = (self.flows.iter())
+            .filter(|(_, flow)| flow.awaits_answer() && overdue(flow))
             .map(|(id, _)| *id)
             .collect();
-        for flow in lost {
-            self.broken(Rule::Lost, format!("flow {flow} was never answered"));
+        for id in lost {
+            self.violation(Rule::Lost, format!("flow {id} was never answered"));
         }
         self.verdict
     }
