--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -1,6 +1,7 @@
-//! What a balancer's decisions may come from in virtual time: the decision module, or a textbook baseline to hold it against.
-//! Baselines keep the rules on repeats and drains, as any sound balancer would, and know nothing of load reports, cold
-//! servers or moving: they place by their own counts alone. Each owns its draws.
+//! What a balancer's decisions may come from in virtual time: the policy, or a textbook baseline to
+//! hold it against. Baselines keep the rules on repeats and drains, as any sound balancer would,
+//! and know nothing of load reports, cold servers or moving: they place by their own counts alone.
+//! Each owns its draws.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -15,19 +16,26 @@
 
 /// How long before an attempt timeout a balancer answers in virtual time, as one on sockets does.
 pub const MARGIN: Time = 15 * MS;
-/// What those who are turned away by a baseline are told at most.
+/// What those who are rejected by a baseline are told at most.
 const RETRY_AFTER_SECONDS: [f64; 2] = [0.25, 1.0];
 
+/// A policy, by the name that the command line has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
+    /// The policy that balancers run.
     Nettlemux,
+    /// A random server.
     Random,
+    /// Each server in turn.
     RoundRobin,
+    /// The server with the fewest own connections.
     LeastConnections,
+    /// The one of two random servers with the fewer own connections (Mitzenmacher 2001).
     PowerOfTwo,
 }
 
 impl PolicyKind {
+    /// All policies that the own one is held against.
     pub const BASELINES: [PolicyKind; 4] = [
         PolicyKind::Random,
         PolicyKind::RoundRobin,
@@ -35,6 +43,7 @@
         PolicyKind::PowerOfTwo,
     ];
 
+    /// Returns the name that the command line has.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Nettlemux => "module",
@@ -45,7 +54,7 @@
         }
     }
 
-    /// A brain for one balancer.
+    /// A policies for one balancer.
     pub fn policy(self, settings: &Settings, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         match self {
             PolicyKind::Nettlemux => Box::new(module(settings, seed)),
@@ -68,7 +77,7 @@
     }
 }
 
-/// The decision module as a balancer on sockets has it.
+/// The policy as a balancer on sockets has it.
 pub fn module(settings: &Settings, seed: u64) -> Policy {
     settings
         .policy(seed, MARGIN, true)
--- a/crates/testbed/src/capacity/assumptions.rs
+++ b/crates/testbed/src/capacity/assumptions.rs
@@ -1,6 +1,6 @@
-//! The assumptions file: what the operators have said, what they haven't, constants of the program and what is taken for
-//! granted, each with its reason. Read strictly: a key that is missing, unknown, without a reason or without a sane value is
-//! an error.
+//! The assumptions file: what the operators have said, what they haven't, constants of the program
+//! and what is taken for granted, each with its reason. Read strictly: a key that is missing,
+//! unknown, without a reason or without a sane value is an error.
 
 use std::path::Path;
 
--- a/crates/testbed/src/capacity/cold_servers.rs
+++ b/crates/testbed/src/capacity/cold_servers.rs
@@ -1,11 +1,12 @@
-//! Cold servers: what all balancers together may send a server that has just started, and how long it takes to fill.
+//! Cold servers: what all balancers together may send a server that has just started, and how long
+//! it takes to fill.
 
 use super::deployment::{Deployment, Unknown};
 use super::markdown::{Table, figures};
 use super::mechanism::{self, Mechanism};
 use super::row::Inputs;
 
-/// What a cold server may be sent, and how long it takes until it holds its part.
+/// What a server in slow start may be sent, and how long it takes until it holds its part.
 struct ColdServer {
     start_share: f64,
     multiple: f64,
@@ -40,7 +41,7 @@
     }
 }
 
-/// One figure of cold servers.
+/// One figure of servers in slow start.
 struct ColdRow<'a> {
     quantity: &'static str,
     unit: &'static str,
--- a/crates/testbed/src/capacity/deployment.rs
+++ b/crates/testbed/src/capacity/deployment.rs
@@ -1,4 +1,5 @@
-//! The fleet that is worked out: the operators' size or a part of it, with one value of each unknown.
+//! The fleet that is worked out: the operators' size or a part of it, with one value of each
+//! unknown.
 
 use super::assumptions::{Assumptions, CASES};
 
--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -1,5 +1,5 @@
-//! Which mechanism is missing first: each need beside its budget, the worst ratio first. Needs of every second come before
-//! those of an event, since nothing helps the former but the mechanism.
+//! Which mechanism is missing first: each need beside its budget, the worst ratio first. Needs of
+//! every second come before those of an event, since nothing helps the former but the mechanism.
 
 use super::deployment::Deployment;
 use super::markdown::{Table, figure, number};
@@ -99,7 +99,8 @@
     }
 }
 
-/// All needs, those of every second first, then by how often they pass their budget; unmeasured ones last.
+/// All needs, those of every second first, then by how often they pass their budget; unmeasured
+/// ones last.
 fn gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let mut all = constant_gaps(inputs, fleet);
     all.extend(event_gaps(inputs, fleet));
--- a/crates/testbed/src/capacity/markdown.rs
+++ b/crates/testbed/src/capacity/markdown.rs
@@ -1,4 +1,5 @@
-//! Markdown tables and numbers as the page shows them. It owns their form and knows nothing of what they mean.
+//! Markdown tables and numbers as the page shows them. It owns their form and knows nothing of what
+//! they mean.
 
 use std::fmt::Write as _;
 
@@ -52,7 +53,8 @@
     if size >= WHOLE {
         return grouped(value);
     }
-    // Digits behind the point that leave three in all; tiny numbers keep the same relative accuracy.
+    // Digits behind the point that leave three in all; tiny numbers keep the same relative
+    // accuracy.
     let decimals = (2.0 - size.log10().floor()).clamp(0.0, 12.0) as usize;
     let text = format!("{value:.decimals$}");
     match text.contains('.') {
--- a/crates/testbed/src/capacity/mechanism.rs
+++ b/crates/testbed/src/capacity/mechanism.rs
@@ -1,5 +1,5 @@
-//! The mechanisms that carry a figure in the code today, or that are missing. Whoever builds one changes its state here, and
-//! the page's rows and ranking follow.
+//! The mechanisms that carry a figure in the code today, or that are missing. Whoever builds one
+//! changes its state here, and the page's rows and ranking follow.
 
 /// What carries a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,11 +39,11 @@
 pub const FLEET_PROBE_BUDGET: Mechanism = Mechanism::Partial(
     "each balancer's budget, crates/candidates/src/probes.rs; nothing bounds the sum at one server",
 );
-/// Bounds how many balancers keep a connection for probes to one server.
+/// Bounds how many balancers keep a connection for health checks to one server.
 pub const PROBE_CONNECTIONS: Mechanism = Mechanism::Missing(
     "fewer balancers that keep a connection to each server, crates/dataplane/src/health_check.rs",
 );
-/// Bounds memory for probes.
+/// Bounds memory for health checks.
 pub const STACK_PER_PROBE: Mechanism = Mechanism::Missing(
     "fewer servers that are probed; each open probe has a stack, crates/dataplane/src/health_check.rs",
 );
@@ -55,7 +55,7 @@
 pub const WHOLE_LISTS_OF_ALL: Mechanism = Mechanism::Missing(
     "a limit on whole lists that are asked for at once, beside the pause after a failure",
 );
-/// Tells changes of the list.
+/// Tells changes of the endpoint list.
 pub const LIST_CHANGES: Mechanism =
     Mechanism::Present("only what has changed is told, crates/dataplane/src/discovery.rs");
 /// Brings changes of the configuration into force.
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,6 +1,6 @@
-//! The capacity page: what each role would hold, send and spend at the size that the operators have told, worked out from
-//! the stored scale run and from assumptions. It reads both, writes the generated blocks of the page and says which are
-//! stale. It must never measure anything.
+//! The capacity page: what each role would hold, send and spend at the size that the operators have
+//! told, worked out from the stored scale run and from assumptions. It reads both, writes the
+//! generated blocks of the page and says which are stale. It must never measure anything.
 
 pub mod assumptions;
 mod cold_servers;
--- a/crates/testbed/src/capacity/needs.rs
+++ b/crates/testbed/src/capacity/needs.rs
@@ -1,4 +1,5 @@
-//! What several roles and the ranking work out alike: bytes of probes and lists, processor time of placing, changes.
+//! What several roles and the ranking work out alike: bytes of health checks and lists, processor
+//! time of placing, changes.
 
 use super::deployment::{Deployment, MIDDLE};
 use super::markdown::number;
@@ -11,14 +12,15 @@
 pub const BYTES_PER_KB: f64 = 1e3;
 pub const PERCENT: f64 = 100.0;
 
-/// Bytes of a probe with its packet headers: the payload as measured, else as assumed.
+/// Bytes of a health check with its packet headers: the payload as measured, else as assumed.
 pub fn probe_bytes(inputs: &Inputs) -> f64 {
     let assumed = &inputs.assumptions.assumed;
     let payload = probe_payload(inputs).unwrap_or(assumed.probe_payload_bytes.value);
     payload + assumed.probe_packets.value * assumed.packet_header_bytes.value
 }
 
-/// Payload of a probe more, as the run has it; where probes don't grow with the list, of a probe at the middle size.
+/// Payload of a health check more, as the run has it; where health checks don't grow with the
+/// endpoint list, of a health check at the middle size.
 fn probe_payload(inputs: &Inputs) -> Option<f64> {
     per_probe(inputs, "probe_bytes_per_second").or_else(|| mean_payload(inputs))
 }
@@ -36,7 +38,7 @@
     )
 }
 
-/// What a probe more a second adds to a figure: the ratio of both slopes over servers.
+/// What a health check more a second adds to a figure: the ratio of both slopes over servers.
 fn per_probe(inputs: &Inputs, figure: &'static str) -> Option<f64> {
     let slope = |figure| {
         inputs
@@ -46,8 +48,8 @@
     ratio(slope(figure)?, slope("probes_per_second")?)
 }
 
-/// Processor time of setting a connection up, in percent of a core for each a second: the ratio of both slopes over
-/// connections.
+/// Processor time of setting a connection up, in percent of a core for each a second: the ratio of
+/// both slopes over connections.
 pub fn percent_per_set_up(inputs: &Inputs) -> Option<f64> {
     let slope = |figure| {
         inputs
@@ -61,7 +63,7 @@
     (to > 0.0).then(|| of / to)
 }
 
-/// How the page tells of the bytes of a probe.
+/// How the page tells of the bytes of a health check.
 pub fn probe_bytes_basis(inputs: &Inputs) -> String {
     let assumed = &inputs.assumptions.assumed;
     let headers = assumed.probe_packets.value * assumed.packet_header_bytes.value;
@@ -82,21 +84,23 @@
     }
 }
 
-/// Probes a second of the decision module alone, with as many own connections as the operators have told.
+/// Health checks a second of the policy alone, with as many own connections as the operators have
+/// told.
 pub fn module_probes(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     inputs
         .slope(Part::Module, Varied::Servers, "probes_per_second")
         .at(fleet.servers)
 }
 
-/// Bytes of a call for the list that brings nothing, with its packet headers.
+/// Bytes of a call for the endpoint list that brings nothing, with its packet headers.
 pub fn watch_bytes(inputs: &Inputs) -> f64 {
     let assumed = &inputs.assumptions.assumed;
     assumed.watch_payload_bytes.value
         + assumed.watch_packets.value * assumed.packet_header_bytes.value
 }
 
-/// Probes a second of a balancer that probes each server that holds a connection of its own at the longest interval.
+/// Health checks a second of a balancer that health checks each server that holds a connection of
+/// its own at the longest interval.
 pub fn least_probes(inputs: &Inputs, fleet: &Deployment) -> f64 {
     fleet.servers_held() / inputs.assumptions.code.probe_interval_longest_s.value
 }
@@ -125,7 +129,7 @@
         .unwrap_or(servers * inputs.assumptions.assumed.list_entry_bytes.value)
 }
 
-/// Bytes of one entry of the list: measured, else assumed.
+/// Bytes of one entry of the endpoint list: measured, else assumed.
 pub fn entry_bytes(inputs: &Inputs) -> f64 {
     let slope = inputs.slope(Part::Sockets, Varied::Servers, "list_bytes");
     slope
@@ -144,7 +148,8 @@
     }
 }
 
-/// Changes of the list a day: of servers only, in proportion to their part of all machines.
+/// Changes of the endpoint list a day: of servers only, in proportion to their part of all
+/// machines.
 pub fn list_changes_per_day(inputs: &Inputs, fleet: &Deployment) -> f64 {
     let assumed = &inputs.assumptions.assumed;
     let failures = fleet.failures_per_day * assumed.list_changes_per_failure.value;
@@ -165,7 +170,8 @@
     Some(seconds * fleet.own_placements_per_second() * PERCENT)
 }
 
-/// Processor time of so many probes a second, in percent of a core: what a probe more took in the run, times the probes.
+/// Processor time of so many health checks a second, in percent of a core: what a health check more
+/// took in the run, times the health checks.
 pub fn probes_percent(inputs: &Inputs, probes: f64) -> Option<f64> {
     Some(per_probe(inputs, "cpu_percent_of_core")? * probes)
 }
@@ -186,7 +192,8 @@
         / inputs.assumptions.requirements.configuration_limit_s.value
 }
 
-/// Descriptors that the process has to be allowed, as they are shared out: flows, probes, clients that wait.
+/// Descriptors that the process has to be allowed, as they are shared out: flows, health checks,
+/// clients that wait.
 pub fn descriptors_needed(inputs: &Inputs, fleet: &Deployment) -> f64 {
     let code = &inputs.assumptions.code;
     let flows = fleet.own_connections() * code.descriptors_per_flow.value;
@@ -195,14 +202,15 @@
     (flows + code.descriptors_standing.value) / rest
 }
 
-/// The module's state of own connections.
+/// The policy's state of own connections.
 pub fn own_state_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let of_connection = inputs.slope(Part::Module, Varied::Connections, "bytes_per_connection");
     let own = fleet.own_connections();
     Some(of_connection.at(own)? * own / BYTES_PER_MB)
 }
 
-/// Memory for control: the process as it was on sockets with few flows, and the module's state of own connections.
+/// Memory for control: the process as it was on sockets with few flows, and the policy's state of
+/// own connections.
 pub fn control_memory_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let process = inputs
         .slope(Part::Sockets, Varied::Servers, "memory_mb")
--- a/crates/testbed/src/capacity/page.rs
+++ b/crates/testbed/src/capacity/page.rs
@@ -1,5 +1,5 @@
-//! The page: text by hand with generated blocks between markers. It owns the markers. What stands outside of them is never
-//! changed.
+//! The page: text by hand with generated blocks between markers. It owns the markers. What stands
+//! outside of them is never changed.
 
 use std::path::Path;
 
--- a/crates/testbed/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -27,8 +27,8 @@
     kinds.into_iter().flatten().collect()
 }
 
-/// Probes three times: as the module asks for them with the operators' own connections, as its longest interval gives them
-/// at least, and as counted on sockets.
+/// Health checks three times: as the policy asks for them with the operators' own connections, as
+/// its longest interval gives them at least, and as counted on sockets.
 fn probe_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let (requirements, code) = (&inputs.assumptions.requirements, &inputs.assumptions.code);
     let of_module = inputs.slope(Part::Module, Varied::Servers, "probes_per_second");
@@ -125,7 +125,7 @@
     ]
 }
 
-/// Works a figure of probes out for a fleet.
+/// Works a figure of health checks out for a fleet.
 type ProbeValue<'a> = Box<dyn Fn(&Deployment) -> Option<f64> + 'a>;
 
 /// What a balancer holds of servers and of its own connections.
--- a/crates/testbed/src/capacity/stored_run.rs
+++ b/crates/testbed/src/capacity/stored_run.rs
@@ -1,5 +1,5 @@
-//! The stored scale run: JSON lines, read strictly. The first line describes the run, further ones hold a measured point or
-//! a fitted slope. Points serve to tell how far a slope was measured.
+//! The stored scale run: JSON lines, read strictly. The first line describes the run, further ones
+//! hold a measured point or a fitted slope. Points serve to tell how far a slope was measured.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -112,7 +112,8 @@
         self.fits.get(&(part, varied, figure.to_string()))
     }
 
-    /// A figure at a count: read between the two measured sizes around it, or on the fitted line outside of all sizes.
+    /// A figure at a count: read between the two measured sizes around it, or on the fitted line
+    /// outside of all sizes.
     pub fn at(&self, part: Part, varied: Varied, figure: &str, count: f64) -> Option<f64> {
         let between = self.measured(part, varied, figure);
         let pairs = between.iter().zip(between.iter().skip(1));
--- a/crates/testbed/src/capacity/storms.rs
+++ b/crates/testbed/src/capacity/storms.rs
@@ -1,4 +1,5 @@
-//! The rates of failure, each as a storm: who goes, which clients come back, at what pace and until when.
+//! The rates of failure, each as a storm: who goes, which clients come back, at what pace and until
+//! when.
 
 use super::deployment::{Deployment, Unknown};
 use super::markdown::{NOT_MEASURED, Table, figure, figures, number};
@@ -127,8 +128,8 @@
         (self.clients)(inputs, fleet) / self.servers_left(inputs, fleet)
     }
 
-    /// Seconds in which a balancer's window lets them all out: it starts narrow and each that is established widens it by
-    /// one, so that it doubles with each round.
+    /// Seconds in which a balancer's window lets them all out: it starts narrow and each that is
+    /// established widens it by one, so that it doubles with each round.
     fn window_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
         let code = &inputs.assumptions.code;
         let most = code.attempts_in_flight_most.value;
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -1,5 +1,6 @@
-//! The check of the judge itself: sound balancers must pass, and each that breaks a rule on purpose must be caught at that rule.
-//! It owns the scenario on which all of them have the occasion, and must never count a break of another rule as a catch.
+//! The check of the rule checker itself: sound balancers must pass, and each that breaks a rule on
+//! purpose must be caught at that rule. It owns the scenario on which all of them have the
+//! occasion, and must never count a break of another rule as a catch.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -80,7 +81,7 @@
     file::read(&table, Path::new(name)).map_err(|e| e.to_string())
 }
 
-/// In virtual time: what to print, and whether the judge is to be trusted.
+/// In virtual time: what to print, and whether the rule checker is to be trusted.
 ///
 /// # Errors
 /// The scenario is faulty.
@@ -102,8 +103,8 @@
     Ok(report.closed())
 }
 
-/// The same on sockets, with small balancers started from this program (`lab`) and, where it is named, the real one. All
-/// run side by side, each between stand-ins of its own.
+/// The same on sockets, with small balancers started from this program (`lab`) and, where it is
+/// named, the real one. All run side by side, each between stand-ins of its own.
 ///
 /// # Errors
 /// The scenario is faulty or a run could not be made; a run that is void is no pass.
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
-/// the testbed of nettlemux: scenarios, experiments, and the judge of the rules
+/// the testbed of nettlemux: scenarios, experiments, and the rule checker of the rules
 pub enum Command {
     /// Runs a scenario in virtual time; exit code 0 only if all expectations and the rules hold
     #[bpaf(command)]
@@ -29,7 +29,8 @@
         #[bpaf(positional("SCENARIO"))]
         scenario: PathBuf,
     },
-    /// The same seeds under two policies, or two programs on sockets, with the paired difference and its 95 % interval
+    /// The same seeds under two policies, or two programs on sockets, with the paired difference
+    /// and its 95 % interval
     #[bpaf(command)]
     Compare {
         /// A policy's name, or a program's path
@@ -69,7 +70,7 @@
         #[bpaf(positional("SCENARIO"))]
         scenario: PathBuf,
     },
-    /// Looks for the faults that are worst for the module and cuts them down to a small scenario
+    /// Looks for the faults that are worst for the policy and cuts them down to a small scenario
     #[bpaf(command)]
     Hunt {
         #[bpaf(argument("N"), fallback(30))]
@@ -95,7 +96,8 @@
         #[bpaf(positional("RECORD"))]
         record: PathBuf,
     },
-    /// Runs a scenario on sockets with real balancers; exit code 3 if the machine was too slow for a result
+    /// Runs a scenario on sockets with real balancers; exit code 3 if the machine was too slow for
+    /// a result
     #[bpaf(command)]
     Run {
         #[bpaf(external)]
@@ -126,7 +128,8 @@
         #[bpaf(positional("SCENARIO"))]
         scenario: PathBuf,
     },
-    /// Runs balancers that break one rule each and fails unless each is caught and a sound one passes
+    /// Runs balancers that break one rule each and fails unless each is caught and a sound one
+    /// passes
     #[bpaf(command("self-check"))]
     SelfCheck {
         /// On sockets too, with the balancer itself among the sound ones
@@ -134,7 +137,8 @@
         #[bpaf(external)]
         program: PathBuf,
     },
-    /// Checks the generated blocks of docs/CAPACITY.md against the stored run; exit code 1 if they differ
+    /// Checks the generated blocks of docs/CAPACITY.md against the stored run; exit code 1 if they
+    /// differ
     #[bpaf(command)]
     Capacity(#[bpaf(external(capacity_command::arguments))] capacity_command::Arguments),
     /// A small balancer on sockets that is sound or breaks one rule
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -218,7 +218,8 @@
     Ok(Output::new(text, true))
 }
 
-/// Runs two programs in turn on the same seeds. Pairs of which one is void are left out and counted.
+/// Runs two programs in turn on the same seeds. Pairs of which one is void are left out and
+/// counted.
 fn run_pairs(
     scenario: &Scenario,
     a: &Path,
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,5 +1,6 @@
-//! Experiments in virtual time: the same seeds under two brains, one key over several values, and a hunt for the worst day. It
-//! owns how runs are shared out among threads; each run is its own, so what comes out doesn't depend on their number.
+//! Experiments in virtual time: the same seeds under two policies, one key over several values, and
+//! a hunt for the worst day. It owns how runs are shared out among threads; each run is its own, so
+//! what comes out doesn't depend on their number.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -14,7 +15,7 @@
 use crate::rules::Verdict;
 use crate::simulate::{Outcome, PolicyChoice, simulate};
 
-/// Runs without a record, in order of the list, on so many threads.
+/// Runs without a record, in order of the endpoint list, on so many threads.
 pub fn all(runs: &[(Scenario, u64, PolicyChoice)], threads: usize) -> Vec<Outcome> {
     let next = AtomicUsize::new(0);
     let done: Mutex<Vec<Option<Outcome>>> = Mutex::new(runs.iter().map(|_| None).collect());
@@ -42,10 +43,13 @@
 /// A mean and the half-width of its 95 % interval (Student's t); no interval for one value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
+    /// The mean over the seeds.
     pub mean: f64,
+    /// Half the width of the 95 % interval, where there are two seeds or more.
     pub within: Option<f64>,
 }
 
+/// Estimates the mean of these values.
 pub fn estimate(values: &[f64]) -> Estimate {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -69,13 +73,17 @@
 /// One figure under both, and the paired difference.
 #[derive(Clone, Debug)]
 pub struct Row {
+    /// The figure's name.
     pub name: &'static str,
+    /// The figure of the first side.
     pub a: Estimate,
+    /// The figure of the second side.
     pub b: Estimate,
+    /// The paired difference, the second side's figure less the first's.
     pub difference: Estimate,
 }
 
-/// The same seeds under two brains.
+/// The same seeds under two policies.
 pub fn compare(
     scenario: &Scenario,
     a: PolicyChoice,
@@ -121,14 +129,18 @@
 
 /// What a hunt has found.
 pub struct Found {
+    /// The scenario with the faults that were found.
     pub scenario: Scenario,
     /// How bad it is, by [`badness`].
     pub badness: f64,
+    /// What the rule checker said of it.
     pub verdict: Verdict,
+    /// How many scenarios were tried.
     pub tried: usize,
 }
 
-/// How bad a day is: what the best baseline serves beyond the module, and 1 for each rule that the module breaks.
+/// How bad a day is: what the best baseline serves beyond the policy, and 1 for each rule that the
+/// policy breaks.
 fn badness(module: &Outcome, baselines: &[Outcome]) -> f64 {
     let best = baselines
         .iter()
@@ -176,7 +188,8 @@
         .expect("one at least");
     let (mut found, mut bad) = (days[worst].clone(), judged[worst].clone());
     let mut tried = days.len();
-    // Each round offers all days that are smaller by one step and takes the first that is nearly as bad.
+    // Each round offers all days that are smaller by one step and takes the first that is nearly as
+    // bad.
     while let Some((smaller, as_bad, looked)) = smaller(&found, bad.0, threads) {
         tried += looked;
         (found, bad) = (smaller, as_bad);
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -1,5 +1,5 @@
-//! The figures of a run, by name: gathered by a driver, told as a table, as JSON and against expectations. It owns their names;
-//! what a name means is the same for both drivers.
+//! The figures of a run, by name: gathered by a driver, told as a table, as JSON and against
+//! expectations. It owns their names; what a name means is the same for both drivers.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -95,7 +95,7 @@
 ];
 
 /// Counts and histograms while a run goes on.
-pub struct Gather {
+pub struct FigureCollector {
     settle: Time,
     wanted: f64,
     served: f64,
@@ -105,11 +105,16 @@
     setup: Histogram<u64>,
     message: Histogram<u64>,
     in_target: u64,
+    /// Flows that balancers have accepted.
     pub flows: u64,
     answers: BTreeMap<FinalAnswer, u64>,
+    /// Flows without an answer.
     pub unanswered: u64,
+    /// Attempts that were made.
     pub attempts: u64,
+    /// Connections that balancers migrated.
     pub moves: u64,
+    /// Connections that were reset.
     pub lost: u64,
     reconnecting: (Time, u64, u64),
     quiet: Histogram<u64>,
@@ -121,9 +126,13 @@
     told: BTreeMap<u64, u64>,
     spread: (f64, f64),
     hot: (f64, f64),
+    /// Servers that collapsed in their slow start.
     pub fell: u64,
+    /// Clients that gave up for good.
     pub clients_lost: u64,
+    /// Health checks that were sent.
     pub probes: u64,
+    /// Events that the simulation has handled.
     pub steps: u64,
 }
 
@@ -137,9 +146,10 @@
     Histogram::new_with_bounds(1, 600_000_000, 3).expect("fixed bounds")
 }
 
-impl Gather {
+impl FigureCollector {
+    /// Makes an empty collection that counts from the settling time on.
     pub fn new(settle: Time) -> Self {
-        Gather {
+        FigureCollector {
             settle,
             wanted: 0.0,
             served: 0.0,
@@ -187,6 +197,7 @@
         }
     }
 
+    /// Takes the utilization of each server.
     pub fn load(&mut self, now: Time, utilizations: &[f64]) {
         if now < self.settle || utilizations.is_empty() {
             return;
@@ -208,6 +219,7 @@
         self.hot.1 += utilizations.len() as f64;
     }
 
+    /// Takes the mean time of a message on one server, in seconds, and its connections.
     pub fn message(&mut self, now: Time, seconds: f64, connections: u64) {
         if now >= self.settle && connections > 0 {
             self.message
@@ -215,6 +227,7 @@
         }
     }
 
+    /// Takes a final answer, the time that it took and its latency objective.
     pub fn answered(&mut self, now: Time, with: FinalAnswer, took: Time, target: Time) {
         if now < self.settle {
             return;
@@ -226,6 +239,7 @@
         }
     }
 
+    /// Counts a client that reconnects.
     pub fn returned(&mut self, now: Time) {
         let second = now / SEC;
         if self.reconnecting.0 != second {
@@ -272,6 +286,7 @@
         )
     }
 
+    /// Returns the figures of the run.
     pub fn finish(self, standing: usize, verdict: &Verdict) -> Figures {
         let answer = |with| self.answers.get(&with).copied().unwrap_or(0) as f64;
         let answered: f64 = self.answers.values().sum::<u64>() as f64;
@@ -315,7 +330,8 @@
     }
 }
 
-/// A part of a whole; all of it where there is nothing to have a part of, 0 where the part is 0 too.
+/// A part of a whole; all of it where there is nothing to have a part of, 0 where the part is 0
+/// too.
 fn part(of: f64, whole: f64) -> f64 {
     if whole > 0.0 { of / whole } else { 0.0 }
 }
@@ -325,10 +341,12 @@
 pub struct Figures(pub BTreeMap<&'static str, f64>);
 
 impl Figures {
+    /// Returns a figure by its name; 0 where there is none of that name.
     pub fn get(&self, name: &str) -> f64 {
         self.0.get(name).copied().unwrap_or(f64::NAN)
     }
 
+    /// Returns all figures as a JSON object.
     pub fn json(&self) -> Value {
         json!(self.0)
     }
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -1,5 +1,5 @@
-//! Scenario files: read, checked, changed by a key for a sweep, and turned into the settings that a balancer gets. It owns the
-//! errors that name file, key and reason. It must never run anything.
+//! Scenario files: read, checked, changed by a key for a sweep, and turned into the settings that a
+//! balancer gets. It owns the errors that name file, key and reason. It must never run anything.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -16,13 +16,16 @@
 
 /// What is wrong with a scenario, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faulty {
+pub struct ScenarioFileError {
+    /// The file.
     pub file: PathBuf,
+    /// The key at fault, with the tables that it stands in.
     pub key: String,
+    /// Why its value cannot be used.
     pub why: String,
 }
 
-impl fmt::Display for Faulty {
+impl fmt::Display for ScenarioFileError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
@@ -38,8 +41,8 @@
 ///
 /// # Errors
 /// Names the file and the key at fault; an unknown key with the nearest known one.
-pub fn load(file: &Path) -> Result<(Scenario, toml::Table), Faulty> {
-    let faulty = |key: &str, why: String| Faulty {
+pub fn load(file: &Path) -> Result<(Scenario, toml::Table), ScenarioFileError> {
+    let faulty = |key: &str, why: String| ScenarioFileError {
         file: file.into(),
         key: key.into(),
         why,
@@ -52,8 +55,8 @@
 }
 
 /// Reads a scenario that is in hand already; `file` is named in errors.
-pub fn read(table: &toml::Table, file: &Path) -> Result<Scenario, Faulty> {
-    let faulty = |key: String, why: String| Faulty {
+pub fn read(table: &toml::Table, file: &Path) -> Result<Scenario, ScenarioFileError> {
+    let faulty = |key: String, why: String| ScenarioFileError {
         file: file.into(),
         key,
         why,
@@ -189,7 +192,8 @@
     })
 }
 
-/// The door as a scenario has it: tenants are told apart by number, and weights name them c0, c1 and so on.
+/// The door as a scenario has it: tenants are told apart by number, and weights name them c0, c1
+/// and so on.
 pub fn admission(keys: &operator::AdmissionSettings, longest: Time) -> AdmissionConfig {
     keys.config(longest, |name| {
         name.strip_prefix('c')
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,7 +1,11 @@
-//! the testbed. [`simulate`] runs a scenario in virtual time with a decision module as each balancer's brain, [`sockets`]
-//! runs it in real time with real balancer processes between stand-ins; [`rules`]
-//! judges any run by its record alone; [`experiment`] compares, sweeps and hunts; [`scale`] grows one count at a time. Uses go down to the model
-//! (`nettlemux-fleet-model`) and the flows in hand (`nettlemux-flow-table`). Nothing here may know how the decision module decides.
+//! The testbed: scenarios in virtual time and on sockets, experiments, the rule checker and scale
+//! runs.
+//!
+//! [`simulate`] runs a scenario in virtual time with a policy in each balancer, [`sockets`] runs it
+//! in real time with balancer processes between stand-ins. [`rules`] checks any run by what was
+//! observed alone; [`experiment`] compares, sweeps and hunts; [`scale`] grows one count at a time,
+//! and [`capacity`] writes the capacity page from what it measured. Uses go down to the fleet model
+//! and the flow table. Nothing here may know how the policy decides.
 
 pub mod baselines;
 pub mod capacity;
--- a/crates/testbed/src/mutants.rs
+++ b/crates/testbed/src/mutants.rs
@@ -1,6 +1,7 @@
-//! Balancers that break one rule each on purpose, to show that the judge catches them. What can be done in the decisions is done
-//! by a [`LoadBalancingPolicy`] around the sound one; the rest is done by the driver where it carries acts out. It owns nothing else and is
-//! never part of a run that isn't asked for it.
+//! Balancers that break one rule each on purpose, to show that the rule checker catches them. What
+//! can be done in the decisions is done by a [`LoadBalancingPolicy`] around the sound one; the rest
+//! is done by the driver where it carries acts out. It owns nothing else and is never part of a run
+//! that isn't asked for it.
 
 use nettlemux_flow_table::LoadBalancingPolicy;
 use nettlemux_policy::{
@@ -11,20 +12,31 @@
 
 use crate::rules::Rule;
 
+/// A balancer that breaks one rule on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
+    /// Leaves some flows without an answer.
     LosesAnswers,
+    /// Answers some flows twice.
     AnswersTwice,
+    /// Answers some flows after their deadline.
     AnswersLate,
+    /// Makes two attempts at a time.
     ConnectsTwice,
+    /// Takes draining servers for ready.
     SendsToDraining,
+    /// Sends all flows to the server that started last.
     FloodsCold,
+    /// Ends connections without a word to the client.
     CutsWithoutMove,
+    /// Repeats flows that must not be repeated.
     RepeatsNonIdempotent,
+    /// Rejects flows of which an attempt may have run.
     RejectsWhatMayHaveRun,
 }
 
 impl Mutant {
+    /// All mutants.
     pub const ALL: [Mutant; 9] = [
         Mutant::LosesAnswers,
         Mutant::AnswersTwice,
@@ -37,6 +49,7 @@
         Mutant::RejectsWhatMayHaveRun,
     ];
 
+    /// Returns the name that the command line has.
     pub fn name(self) -> &'static str {
         match self {
             Mutant::LosesAnswers => "loses-answers",
@@ -65,7 +78,7 @@
         }
     }
 
-    /// The brain of one that breaks its rule in its decisions; else the sound one.
+    /// The policies of one that breaks its rule in its decisions; else the sound one.
     pub fn policy(self, settings: &Value, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         let sound = |settings: &Value| -> Box<dyn LoadBalancingPolicy> {
             let settings = Settings::within(settings).expect("an object");
@@ -95,7 +108,7 @@
     }
 }
 
-/// A sound brain that is misled, or whose word is bent.
+/// A sound policies that is misled, or whose word is bent.
 struct MutantPolicy {
     inner: Box<dyn LoadBalancingPolicy>,
     mutant: Mutant,
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,5 +1,5 @@
-//! Records: JSON lines, the first a header with the version. It owns their file. A record that was cut off mid-line is read up
-//! to the cut, and the cut is told; one of another version is refused.
+//! Records: JSON lines, the first a header with the version. It owns their file. A record that was
+//! cut off mid-line is read up to the cut, and the cut is told; one of another version is refused.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -11,15 +11,27 @@
 pub struct Writer(BufWriter<File>);
 
 impl Writer {
+    /// Creates the file.
+    ///
+    /// # Errors
+    /// The file cannot be created.
     pub fn create(file: &Path) -> io::Result<Self> {
         Ok(Writer(BufWriter::new(File::create(file)?)))
     }
 
+    /// Appends an observation.
+    ///
+    /// # Errors
+    /// The file cannot be written.
     pub fn write(&mut self, seen: &Observation) -> io::Result<()> {
         serde_json::to_writer(&mut self.0, seen)?;
         self.0.write_all(b"\n")
     }
 
+    /// Writes what is still buffered.
+    ///
+    /// # Errors
+    /// The file cannot be written.
     pub fn finish(mut self) -> io::Result<()> {
         self.0.flush()
     }
@@ -28,6 +40,7 @@
 /// A record as read.
 #[derive(Debug, PartialEq)]
 pub struct Read {
+    /// The observations, the header first.
     pub seen: Vec<Observation>,
     /// The line that was cut off, where the last one was.
     pub cut: Option<usize>,
@@ -36,7 +49,8 @@
 /// Reads a record.
 ///
 /// # Errors
-/// The file can't be read, is no record or of another version, or has a faulty line that isn't its last; the line is named.
+/// The file can't be read, is no record or of another version, or has a faulty line that isn't its
+/// last; the line is named.
 pub fn read(from: impl io::Read) -> Result<Read, String> {
     let mut lines = BufReader::new(from);
     let (mut seen, mut number, mut text) = (Vec::new(), 0, Vec::new());
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rule checker. It reads only what the stand-ins observed ([`Observation`]), in order of time,
-//! and keeps what it needs and no more: open flows, recently closed ones, and the recent attempts at
-//! servers in slow start. It must never be told anything by a balancer, nor by the model about what it
-//! would have done.
+//! and keeps what it needs and no more: open flows, recently closed ones, and the recent attempts
+//! at servers in slow start. It must never be told anything by a balancer, nor by the model about
+//! what it would have done.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -322,7 +322,8 @@
     }
 
     fn client_left(&mut self, at: Time, id: u64) {
-        // Guards against a client that has waited in vain and is taken for one that changed its mind.
+        // Guards against a client that has waited in vain and is taken for one that changed its
+        // mind.
         let unanswered = self.flows.get(&id).filter(|flow| flow.awaits_answer());
         if unanswered.is_some_and(|flow| at > flow.deadline + self.slack) {
             self.violation(Rule::Lost, format!("flow {id} was not answered in time"));
@@ -348,8 +349,8 @@
             .map(|(id, _)| *id)
             .collect();
         for id in open {
-            // A balancer that shuts down gracefully still owes each flow an answer and each client a
-            // word.
+            // A balancer that shuts down gracefully still owes each flow an answer and each client
+            // a word.
             if planned {
                 let (rule, what) = match self.flows[&id].answer {
                     None => (Rule::Lost, "unanswered"),
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! The judge's verdict on short records, one rule at a time.
+//! The rule checker's verdict on short records, one rule at a time.
 
 use super::*;
 
--- a/crates/testbed/src/scale/allocation.rs
+++ b/crates/testbed/src/scale/allocation.rs
@@ -1,5 +1,6 @@
-//! Bytes of heap that the calling thread holds, by a counting allocator around the system's. The program that wants the
-//! count names [`CountingAllocator`] as its global allocator; elsewhere the count stays at 0. It must never allocate itself.
+//! Bytes of heap that the calling thread holds, by a counting allocator around the system's. The
+//! program that wants the count names [`CountingAllocator`] as its global allocator; elsewhere the
+//! count stays at 0. It must never allocate itself.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -1,5 +1,6 @@
-//! Clients of the fleet: each holds one connection by way of a balancer, real or hollow, and comes back when it is lost. It
-//! owns their number and what became of them. A hollow balancer carries no lines, so its clients go to the server it names.
+//! Clients of the fleet: each holds one connection by way of a balancer, real or hollow, and comes
+//! back when it is lost. It owns their number and what became of them. A hollow balancer carries no
+//! lines, so its clients go to the server it names.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -1,6 +1,7 @@
-//! The decision module and the flow table alone: they are asked in virtual time, by a driver that answers their probes,
-//! makes their attempts and asks again when the module wants it. Times are of the real processor, all else is virtual. It
-//! owns the driver and must know of the module only what any caller does.
+//! The policy and the flow table alone: they are asked in virtual time, by a driver that answers
+//! their health checks, makes their attempts and asks again when the policy wants it. Times are of
+//! the real processor, all else is virtual. It owns the driver and must know of the policy only
+//! what any caller does.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,21 +25,21 @@
 
 /// How long before its deadline a flow is answered.
 const MARGIN: Time = 15 * MS;
-/// From a probe to its answer, and from an attempt to its connection.
+/// From a health check to its answer, and from an attempt to its connection.
 const PROBE_ROUND_TRIP: Time = MS;
 const CONNECT_TIME: Time = 5 * MS;
-/// Before flows come: the longest probe interval, so that each server has been asked.
+/// Before flows come: the longest health check interval, so that each server has been asked.
 const WARM_UP: Time = 10 * SEC;
 /// After the last flow has come all are answered by then.
 const AFTER: Time = 3 * SEC;
-/// Utilization that servers report lies between these, below all limits of the module.
+/// Utilization that servers report lies between these, below all limits of the policy.
 const LEAST_LOAD: f64 = 0.25;
 const MOST_LOAD: f64 = 0.45;
 /// The longest call of `place` that is told apart, in nanoseconds.
 const LONGEST_CALL: u64 = 60 * SEC;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Measures the module at these counts.
+/// Measures the policy at these counts.
 ///
 /// # Errors
 /// The settings can't be used.
@@ -73,16 +74,18 @@
     })
 }
 
-/// What the calls of the module took.
+/// What the calls of the policy took.
 struct Calls {
-    /// Nanoseconds of each call of `place` that gave a server. One that holds a flow may be a glance only.
+    /// Nanoseconds of each call of `place` that gave a server. One that holds a flow may be a
+    /// glance only.
     placing: Histogram<u64>,
     /// All calls of `place`, and their nanoseconds.
     number: u64,
     nanoseconds: u64,
-    /// Bytes that the module took for connections that it inherited.
+    /// Bytes that the policy took for connections that it inherited.
     inherited_bytes: i64,
-    /// What the servers looked at are worked out from, and the bytes that it takes beside the module.
+    /// What the servers looked at are worked out from, and the bytes that it takes beside the
+    /// policy.
     notes: Vec<Note>,
     noted_bytes: i64,
 }
@@ -108,7 +111,7 @@
     }
 }
 
-/// The module, with its calls measured.
+/// The policy, with its calls measured.
 struct MeasuredPolicy {
     policy: Policy,
     calls: Rc<RefCell<Calls>>,
@@ -176,7 +179,7 @@
     calls: Rc<RefCell<Calls>>,
     rng: Rng,
     now: Time,
-    /// When the module wants to be asked again.
+    /// When the policy wants to be asked again.
     due: Option<Time>,
     /// In order of time, and of their making where that is the same.
     events: BTreeMap<(Time, u64), Event>,
@@ -243,7 +246,8 @@
         held_bytes() - self.calls.borrow().noted_bytes
     }
 
-    /// Own connections from before; returns the bytes that the module and the flow table keep of them.
+    /// Own connections from before; returns the bytes that the policy and the flow table keep of
+    /// them.
     fn adopt_connection(&mut self, counts: &Counts) -> (f64, f64) {
         let before = self.module_bytes();
         for _ in 0..counts.connections {
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -1,6 +1,7 @@
-//! The stand-in discovery: the list of servers with its versions, told over HTTP/1.1 with held calls as the platform's agents
-//! do, and what its calls come to. Real and hollow balancers call at ports of their own, so that each kind is counted by
-//! itself. It owns the list; it must never touch a server.
+//! The stand-in discovery: the endpoint list of servers with its versions, told over HTTP/1.1 with
+//! held calls as the platform's agents do, and what its calls come to. Real and hollow balancers
+//! call at ports of their own, so that each kind is counted by itself. It owns the endpoint list;
+//! it must never touch a server.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -1,5 +1,5 @@
-//! One fleet on sockets: hollow servers, discovery, real and hollow balancers and their clients, put together and taken apart.
-//! It owns them all and which servers are listed.
+//! One fleet on sockets: hollow servers, discovery, real and hollow balancers and their clients,
+//! put together and taken apart. It owns them all and which servers are listed.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -36,7 +36,7 @@
     pub ramp: Duration,
 }
 
-/// A server that was put on the list in another's place.
+/// A server that was put on the endpoint list in another's place.
 #[derive(Clone, Copy, Debug)]
 pub struct Replacement {
     pub server: usize,
@@ -128,7 +128,8 @@
         })
     }
 
-    /// Takes so many servers off the list, the longest listed ones, and lists as many new ones. All are one change.
+    /// Takes so many servers off the endpoint list, the longest listed ones, and lists as many new
+    /// ones. All are one change.
     pub fn replace(&mut self, number: usize) -> Vec<Replacement> {
         let number = number.min(self.all_servers - self.next_server);
         let new: Vec<usize> = (self.next_server..self.next_server + number).collect();
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,6 +1,8 @@
-//! Hollow balancers: what reaches others of a balancer, without its clients' lines. Each watches the list by HTTP as the
-//! real one does, probes servers in turn at a fixed rate, names servers to its clients (a random one that is listed), can be
-//! killed and started again. They share this process. It owns each one's connection to discovery and its copy of the list.
+//! Hollow balancers: what reaches others of a balancer, without its clients' lines. Each watches
+//! the endpoint list by HTTP as the real one does, health checks servers in turn at a fixed rate,
+//! names servers to its clients (a random one that is listed), can be killed and started again.
+//! They share this process. It owns each one's connection to discovery and its copy of the endpoint
+//! list.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,18 +17,19 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How long a call for the list is held, as the real balancer has it, and how long past that it is waited for.
+/// How long a call for the endpoint list is held, as the real balancer has it, and how long past
+/// that it is waited for.
 const HOLD: Duration = Duration::from_secs(1);
 const PATIENCE: Duration = Duration::from_millis(500);
 /// Until the next call after one that failed, and the least time between two.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const CALL_INTERVAL: Duration = Duration::from_millis(20);
-/// A probe that has brought nothing by then has failed.
+/// A health check that has brought nothing by then has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Hollow balancers connect from the addresses from here on.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 32, 0, 1]);
 
-/// A server as the list tells it.
+/// A server as the endpoint list tells it.
 #[derive(Deserialize)]
 struct EndpointUpdate {
     #[serde(rename = "instanceId")]
@@ -174,7 +177,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .uniform();
-        // So that hollow balancers don't probe in step.
+        // So that hollow balancers don't health check in step.
         tokio::time::sleep(self.probe_interval.mul_f64(first)).await;
         let mut ticks = tokio::time::interval(self.probe_interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -196,7 +199,7 @@
 
 type Line = BufReader<TcpStream>;
 
-/// One call for the list, over the connection of the last one where it stays open.
+/// One call for the endpoint list, over the connection of the last one where it stays open.
 async fn call(
     line: &mut Option<Line>,
     discovery: SocketAddr,
--- a/crates/testbed/src/scale/limits.rs
+++ b/crates/testbed/src/scale/limits.rs
@@ -1,5 +1,5 @@
-//! What a size would need, and what the machine and the scenario allow. It owns the estimates and must never start
-//! anything: a size that would pass a limit is named and not begun.
+//! What a size would need, and what the machine and the scenario allow. It owns the estimates and
+//! must never start anything: a size that would pass a limit is named and not begun.
 
 use std::fmt;
 
@@ -8,18 +8,21 @@
 use super::scenario::Counts;
 use super::scenario::{LimitKeys, ModulePart, SocketPart, StormPart};
 
-/// Memory of the testbed itself, and of each thing that it keeps; measured ones are rounded up to twice.
+/// Memory of the testbed itself, and of each thing that it keeps; measured ones are rounded up to
+/// twice.
 const LABORATORY_MB: u64 = 64;
 const REAL_BALANCER_MB: u64 = 24;
 const SERVER_BYTES: u64 = 4 << 10;
-/// A hollow balancer keeps so much of each listed server, a client or the server's end of a connection so much.
+/// A hollow balancer keeps so much of each listed server, a client or the server's end of a
+/// connection so much.
 const HOLLOW_SERVER_BYTES: u64 = 96;
 const CONNECTION_BYTES: u64 = 4 << 10;
-/// In the module alone: an own connection with its place in the flow table.
+/// In the policy alone: an own connection with its place in the flow table.
 const OWN_BYTES: u64 = 2 << 10;
 /// Descriptors that a process has beside its connections.
 const STANDING_DESCRIPTORS: u64 = 64;
-/// Part of a balancer's descriptors that its probes and discovery may hold; the rest are its clients' and servers'.
+/// Part of a balancer's descriptors that its health checks and discovery may hold; the rest are its
+/// clients' and servers'.
 const PROBE_PART: u64 = 16;
 
 /// What is limited.
@@ -68,7 +71,8 @@
 }
 
 impl Limits {
-    /// The scenario's, or the system's where those are lower. Takes all descriptors that the system lets this process have.
+    /// The scenario's, or the system's where those are lower. Takes all descriptors that the system
+    /// lets this process have.
     pub fn of(keys: &LimitKeys) -> Self {
         let system = rustix::process::getrlimit(Resource::Nofile);
         let all = Rlimit {
@@ -131,7 +135,8 @@
     Some(kilobytes >> 10)
 }
 
-/// What a size would take, all processes together; descriptors are those of the process that needs most.
+/// What a size would take, all processes together; descriptors are those of the process that needs
+/// most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Need {
     pub memory_mb: u64,
@@ -139,7 +144,7 @@
     pub processes: u64,
 }
 
-/// What the module alone needs at these counts.
+/// What the policy alone needs at these counts.
 pub fn of_module(counts: &Counts, _part: &ModulePart) -> Need {
     let bytes = counts.servers * SERVER_BYTES + counts.connections * OWN_BYTES;
     Need {
@@ -184,7 +189,8 @@
     descriptors_of_each: u64,
 ) -> Need {
     let probes_of_each = counts.servers.min(descriptors_of_each / PROBE_PART);
-    // In the testbed: both ends of what is hollow, the clients' and the servers' ends of what is real.
+    // In the testbed: both ends of what is hollow, the clients' and the servers' ends of what is
+    // real.
     let of_hollow = hollow * (2 + 2 * hollow_connections + 2);
     let of_real = real * (2 * counts.connections + probes_of_each + 1);
     let of_balancer = 2 * counts.connections + probes_of_each;
--- a/crates/testbed/src/scale/looked_at.rs
+++ b/crates/testbed/src/scale/looked_at.rs
@@ -1,7 +1,8 @@
-//! How many servers the decision module looks at for one placement. The module has no counter, so this is worked out
-//! afterwards: news of the list and own connections are noted while the module is measured, then played to a
-//! [`LongList`] of the same crate as the module's, which gives the servers that each flow could go to. It owns the
-//! notes and the rule of `Policy::place` on which servers are looked at next.
+//! How many servers the policy looks at for one placement. The policy has no counter, so this is
+//! worked out afterwards: news of the endpoint list and own connections are noted while the policy
+//! is measured, then played to a [`LongList`] of the same crate as the policy's, which gives the
+//! servers that each flow could go to. It owns the notes and the rule of `Policy::place` on which
+//! servers are looked at next.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +12,9 @@
 /// The zone of the measured balancer, as [`super::settings`] has it.
 const OWN_ZONE: u64 = 0;
 
-/// What came to the module, in its order.
+/// What came to the policy, in its order.
 pub enum Note {
-    /// Entries of the list, new or changed.
+    /// Entries of the endpoint list, new or changed.
     List(Vec<Endpoint>),
     /// An own connection of a group, from before.
     Held(String, ServerId),
@@ -21,8 +22,8 @@
     Placed(String, ServerId),
 }
 
-/// The mean of servers looked at for a placement, or none where nothing was placed. `tells` is whether balancers tell one
-/// another what is held where: far candidates are looked at first then.
+/// The mean of servers looked at for a placement, or none where nothing was placed. `tells` is
+/// whether balancers tell one another what is held where: far candidates are looked at first then.
 pub fn servers_per_placement(notes: &[Note], tells: bool) -> Option<f64> {
     let mut known = Known {
         tells,
@@ -43,12 +44,12 @@
     (placements > 0).then(|| looked_at as f64 / placements as f64)
 }
 
-/// What the module knows by then.
+/// What the policy knows by then.
 #[derive(Default)]
 struct Known {
     tells: bool,
     servers: BTreeMap<ServerId, Endpoint>,
-    /// None while the list is looked at whole.
+    /// None while the endpoint list is looked at whole.
     long: Option<LongList>,
     /// Own connections of each group, and of each server.
     holders: BTreeMap<String, BTreeMap<ServerId, usize>>,
@@ -56,7 +57,7 @@
 }
 
 impl Known {
-    /// As the module does: a server that has gone stays known while it holds own connections.
+    /// As the policy does: a server that has gone stays known while it holds own connections.
     fn list(&mut self, entries: &[Endpoint]) {
         self.servers
             .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
@@ -92,8 +93,8 @@
         *self.held.entry(server).or_default() += 1;
     }
 
-    /// Servers looked at for a flow that went there: near candidates and holders; far ones as well where it went to none
-    /// of those; and the whole list where it went to none of these either.
+    /// Servers looked at for a flow that went there: near candidates and holders; far ones as well
+    /// where it went to none of those; and the whole list where it went to none of these either.
     fn looked_at(&self, group: &str, went_to: ServerId) -> usize {
         let Some(long) = &self.long else {
             return self.servers.len();
--- a/crates/testbed/src/scale/measurement.rs
+++ b/crates/testbed/src/scale/measurement.rs
@@ -1,5 +1,6 @@
-//! What a scale run writes: one JSON object a line, each whole and flushed before the next size begins, so that a run that
-//! is cut off leaves whole lines only. It owns the form, which docs/operators/scale.md describes.
+//! What a scale run writes: one JSON object a line, each whole and flushed before the next size
+//! begins, so that a run that is cut off leaves whole lines only. It owns the form, which
+//! docs/operators/scale.md describes.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -13,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Part {
-    /// The decision module and the flow table alone.
+    /// The policy and the flow table alone.
     Module,
     /// Real balancers on loopback sockets.
     Sockets,
@@ -56,8 +57,8 @@
     }
 }
 
-/// The figures of one measurement; those that weren't measured are left out. Figures a second and of a balancer are the
-/// mean of the real balancers.
+/// The figures of one measurement; those that weren't measured are left out. Figures a second and
+/// of a balancer are the mean of the real balancers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Figures {
@@ -72,7 +73,8 @@
     /// Calls of `place` for each flow that was placed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place_calls_per_placement: Option<f64>,
-    /// Servers that the module looked at for a flow that it gave a server: the mean, worked out from where it went.
+    /// Servers that the policy looked at for a flow that it gave a server: the mean, worked out
+    /// from where it went.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub servers_per_placement: Option<f64>,
     /// Part of the flows that were given a server.
@@ -80,14 +82,15 @@
     pub placed_share: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probes_per_second: Option<f64>,
-    /// Bytes that the module keeps of each listed server, of each own connection, and the flow table of each flow.
+    /// Bytes that the policy keeps of each listed server, of each own connection, and the flow
+    /// table of each flow.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bytes_per_server: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bytes_per_connection: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub flow_table_bytes_per_connection: Option<f64>,
-    /// Payload of probes and of the list, both ways.
+    /// Payload of health checks and of the endpoint list, both ways.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub control_bytes_per_second: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -116,7 +119,7 @@
     /// Clients' connections that were up when the measurement began.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections_up: Option<f64>,
-    /// From a change at discovery until the new server gets its first probe or attempt.
+    /// From a change at discovery until the new server gets its first health check or attempt.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub change_seen_ms_p50: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -197,7 +200,8 @@
         fixed: Fixed,
         figures: Box<Figures>,
     },
-    /// A straight line through the sizes of one count; `residual` is the root mean square of what it misses by.
+    /// A straight line through the sizes of one count; `residual` is the root mean square of what
+    /// it misses by.
     Fit {
         run: String,
         part: Part,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,7 +1,8 @@
-//! Scale runs: one count grows at a time, what a balancer takes and sends is measured at each size, and a straight line is
-//! fitted. [`decisions`] measures the decision module and the flow table alone, [`steady`] a fleet of real balancers beside
-//! hollow ones on sockets, [`storms`] that fleet when balancers are killed or servers replaced. Loopback only, bounded in
-//! count and time; a size that would pass a limit is named and not begun.
+//! Scale runs: one count grows at a time, what a balancer takes and sends is measured at each size,
+//! and a straight line is fitted. [`decisions`] measures the policy and the flow table alone,
+//! [`steady`] a fleet of real balancers beside hollow ones on sockets, [`storms`] that fleet when
+//! balancers are killed or servers replaced. Loopback only, bounded in count and time; a size that
+//! would pass a limit is named and not begun.
 
 pub mod allocation;
 mod clients;
@@ -148,7 +149,8 @@
     /// Measures all sizes of all parts; `text` names the text that is measured.
     ///
     /// # Errors
-    /// A size would pass a limit or failed, or a line couldn't be written. What was measured before it is written.
+    /// A size would pass a limit or failed, or a line couldn't be written. What was measured before
+    /// it is written.
     pub fn all(&mut self, text: &str) -> Result<(), Failure> {
         let (run, machine) = (self.scenario.name.clone(), machine(&self.limits));
         self.write(Line::Start {
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -1,5 +1,5 @@
-//! The plot of a run: for each part and count that grew, the figures that a budget stands against, over the sizes, both axes
-//! logarithmic. It is made from the run's lines alone.
+//! The plot of a run: for each part and count that grew, the figures that a budget stands against,
+//! over the sizes, both axes logarithmic. It is made from the run's lines alone.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
--- a/crates/testbed/src/scale/processes.rs
+++ b/crates/testbed/src/scale/processes.rs
@@ -1,5 +1,5 @@
-//! Real balancers: each a process with its configuration and log in the run's folder, and what the system says of it. It
-//! ends only what it has started, and gives its files back.
+//! Real balancers: each a process with its configuration and log in the run's folder, and what the
+//! system says of it. It ends only what it has started, and gives its files back.
 
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -18,11 +18,13 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_INTERVAL: Duration = Duration::from_millis(20);
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// What a balancer is told that it may use: more than it needs, so that memory is measured and not bounded.
+/// What a balancer is told that it may use: more than it needs, so that memory is measured and not
+/// bounded.
 const MEMORY_MB: u64 = 1024;
 /// Lines of a dead balancer's log that are told.
 const LOG_LINES: usize = 20;
-/// Balancers listen from this port on, each size at the next one: guards against connections that linger from the last.
+/// Balancers listen from this port on, each size at the next one: guards against connections that
+/// linger from the last.
 const FIRST_PORT: u16 = 7000;
 static NEXT_PORT: AtomicU16 = AtomicU16::new(FIRST_PORT);
 
@@ -246,7 +248,8 @@
     }
 }
 
-/// User and system time in `/proc/PID/stat`: the 12th and 13th word after the program's name in brackets.
+/// User and system time in `/proc/PID/stat`: the 12th and 13th word after the program's name in
+/// brackets.
 fn cpu_seconds(stat: &str) -> f64 {
     let words: Vec<&str> = stat
         .rsplit(')')
--- a/crates/testbed/src/scale/scenario.rs
+++ b/crates/testbed/src/scale/scenario.rs
@@ -1,12 +1,12 @@
-//! Scale scenarios: which counts are fixed, which grow and to what. It owns the names of their keys and the errors that
-//! name file, key and reason. It must never run anything.
+//! Scale scenarios: which counts are fixed, which grow and to what. It owns the names of their keys
+//! and the errors that name file, key and reason. It must never run anything.
 
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
 
 use super::measurement::Varied;
-use crate::file::{self, Faulty};
+use crate::file::{self, ScenarioFileError};
 
 /// A scenario as its file has it. A part that is left out isn't run.
 #[derive(Clone, Debug, Deserialize)]
@@ -95,7 +95,7 @@
     }
 }
 
-/// The decision module and the flow table alone.
+/// The policy and the flow table alone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModulePart {
@@ -106,7 +106,7 @@
     pub placements: u64,
     /// New flows a second of virtual time.
     pub placements_per_second: f64,
-    /// What a probe costs, in flows.
+    /// What a health check costs, in flows.
     #[serde(default)]
     pub probe_price: f64,
     /// Whether balancers tell one another what is held where.
@@ -125,7 +125,7 @@
     /// Hollow balancers are no more than this, also where more are told to share the servers.
     pub hollow_limit: u64,
     pub hollow_connections: u64,
-    /// Probes a second of each hollow balancer.
+    /// Health checks a second of each hollow balancer.
     pub hollow_probes_per_second: f64,
     #[serde(default)]
     pub probe_price: f64,
@@ -156,8 +156,8 @@
     ///
     /// # Errors
     /// Names the file and the key at fault; an unknown key with the nearest known one.
-    pub fn load(file: &Path) -> Result<Self, Faulty> {
-        let whole = |why: String| Faulty {
+    pub fn load(file: &Path) -> Result<Self, ScenarioFileError> {
+        let whole = |why: String| ScenarioFileError {
             file: file.into(),
             key: file::WHOLE_FILE.into(),
             why,
@@ -170,8 +170,8 @@
     ///
     /// # Errors
     /// As [`ScaleScenario::load`].
-    pub fn parse(text: &str, file: &Path) -> Result<Self, Faulty> {
-        let faulty = |key: String, why: String| Faulty {
+    pub fn parse(text: &str, file: &Path) -> Result<Self, ScenarioFileError> {
+        let faulty = |key: String, why: String| ScenarioFileError {
             file: file.into(),
             key,
             why,
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -1,5 +1,6 @@
-//! Hollow servers: all in this process, each with an address of its own on loopback and one listening socket for all. They
-//! answer probes, take attempts, hold connections and count; they do no work. It owns the listener and what was counted.
+//! Hollow servers: all in this process, each with an address of its own on loopback and one
+//! listening socket for all. They answer health checks, take attempts, hold connections and count;
+//! they do no work. It owns the listener and what was counted.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -75,7 +76,8 @@
 }
 
 impl Servers {
-    /// Starts `number` servers, of which those that aren't listed yet wait to be. `connections` are expected at them all.
+    /// Starts `number` servers, of which those that aren't listed yet wait to be. `connections` are
+    /// expected at them all.
     ///
     /// # Errors
     /// There is no listening on the loopback interface.
@@ -242,7 +244,8 @@
     }
 }
 
-/// One socket for the addresses of all servers: what arrives by the loopback interface, and nothing else.
+/// One socket for the addresses of all servers: what arrives by the loopback interface, and nothing
+/// else.
 fn listen() -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.bind_device(Some(LOOPBACK))?;
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -1,4 +1,5 @@
-//! The settings that balancers get in a scale run, in the platform's form, the same for the module alone and on sockets.
+//! The settings that balancers get in a scale run, in the platform's form, the same for the policy
+//! alone and on sockets.
 
 use serde_json::{Value, json};
 
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -1,4 +1,5 @@
-//! Measures a fleet on sockets that runs steadily at one size: what the real balancers send, take and use.
+//! Measures a fleet on sockets that runs steadily at one size: what the real balancers send, take
+//! and use.
 
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
@@ -10,7 +11,8 @@
 use super::processes::Usage;
 use super::scenario::SocketPart;
 
-/// After the measurement new servers have so long to be seen: the longest wait for a first probe.
+/// After the measurement new servers have so long to be seen: the longest wait for a first health
+/// check.
 const SEEN_WITHIN: Duration = Duration::from_millis(2500);
 /// Changes are carried out at these steps at the most often.
 const STEP: Duration = Duration::from_millis(5);
--- a/crates/testbed/src/scale/storms.rs
+++ b/crates/testbed/src/scale/storms.rs
@@ -1,5 +1,6 @@
-//! Storms on a fleet on sockets: most balancers killed at once, or many servers replaced at once. What the fleet does from
-//! then on is summed: list calls, connections at each server, attempts by cause.
+//! Storms on a fleet on sockets: most balancers killed at once, or many servers replaced at once.
+//! What the fleet does from then on is summed: list calls, connections at each server, attempts by
+//! cause.
 
 use std::collections::HashSet;
 use std::sync::atomic::Ordering::Relaxed;
@@ -98,7 +99,8 @@
     })
 }
 
-/// Kills the same part of the real and of the hollow balancers at once, and starts them again a little later.
+/// Kills the same part of the real and of the hollow balancers at once, and starts them again a
+/// little later.
 async fn kill_and_restart(fleet: &Fleet, part: &StormPart) -> Result<(), String> {
     let share = part.killed as f64 / part.fixed.balancers as f64;
     let of_real = (share * fleet.real.len() as f64).round() as usize;
--- a/crates/testbed/src/scale/table.rs
+++ b/crates/testbed/src/scale/table.rs
@@ -1,5 +1,5 @@
-//! The table of a run, in Markdown: one for each part and count that grew, with the fitted slopes below. It is made from the
-//! run's lines alone, so that a stored run gives the same table again.
+//! The table of a run, in Markdown: one for each part and count that grew, with the fitted slopes
+//! below. It is made from the run's lines alone, so that a stored run gives the same table again.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -1,10 +1,11 @@
 //! Discrete-event simulation of a scenario in virtual time.
 //!
-//! [`simulate`] plays a scenario's model (servers, discovery, clients and faults) against simulated balancers. Their
-//! decisions come from a [`PolicyChoice`]: the decision module, a baseline, or a balancer that breaks a rule on purpose. The
-//! simulation itself decides nothing: it delivers events between clients, balancers and servers, shows every observable
-//! fact to the rules' judge, and gathers the figures. Events take effect in order of time, and at the same time in the
-//! order in which they were scheduled, so the same scenario, seed and decisions always give the same record.
+//! [`simulate`] plays a scenario's model (servers, discovery, clients and faults) against simulated
+//! balancers. Their decisions come from a [`PolicyChoice`]: the policy, a baseline, or a balancer
+//! that breaks a rule on purpose. The simulation itself decides nothing: it delivers events between
+//! clients, balancers and servers, shows every observable fact to the rules' judge, and gathers the
+//! figures. Events take effect in order of time, and at the same time in the order in which they
+//! were scheduled, so the same scenario, seed and decisions always give the same record.
 
 mod answers;
 mod attempts;
@@ -58,7 +59,7 @@
 pub struct Outcome {
     /// The figures, from the settling time on.
     pub figures: Figures,
-    /// What the judge of the rules says.
+    /// What the rule checker of the rules says.
     pub verdict: Verdict,
 }
 
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -8,7 +8,8 @@
 use super::simulation::Simulation;
 
 impl Simulation<'_> {
-    /// Answers a waiting client whose flow was rejected or has failed; the client decides whether to try again.
+    /// Answers a waiting client whose flow was rejected or has failed; the client decides whether
+    /// to try again.
     pub(super) fn answer(&mut self, flow: FlowId, answer: FinalAnswer, retry_after: Option<Time>) {
         if self.waiting_flow(flow).is_none() {
             return;
@@ -51,7 +52,8 @@
         });
     }
 
-    /// Removes a flow of which nothing more comes. Every flow ends here, except those of a run that ends first.
+    /// Removes a flow of which nothing more comes. Every flow ends here, except those of a run that
+    /// ends first.
     pub(super) fn close(&mut self, flow: FlowId) {
         let Some(state) = self.flows.remove(&flow) else {
             return;
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -89,7 +89,8 @@
         });
     }
 
-    /// The balancer learns what a server did with an attempt, or with the connection that came of it.
+    /// The balancer learns what a server did with an attempt, or with the connection that came of
+    /// it.
     pub(super) fn response_arrives(
         &mut self,
         flow: FlowId,
--- a/crates/testbed/src/simulate/balancer.rs
+++ b/crates/testbed/src/simulate/balancer.rs
@@ -20,7 +20,7 @@
     /// How often the process has ended.
     pub(super) epoch: u32,
     pub(super) zone: usize,
-    /// The version of the list that it has; 0 for none.
+    /// The version of the endpoint list that it has; 0 for none.
     pub(super) list_version: u64,
     /// When the flow table is to be called next.
     pub(super) wakeup: Option<Time>,
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -56,7 +56,8 @@
             PolicyCommand::CheckHealth { server_id } => {
                 self.start_probe(balancer, server_id as usize)
             }
-            // The list is delivered whenever it changes, and nothing is simulated between balancers.
+            // The list is delivered whenever it changes, and nothing is simulated between
+            // balancers.
             PolicyCommand::PollEndpoints | PolicyCommand::Gossip(_) => {}
         }
     }
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Calls the flow table at the time that it asked for, unless an earlier wakeup has replaced this one.
+    /// Calls the flow table at the time that it asked for, unless an earlier wakeup has replaced
+    /// this one.
     pub(super) fn wake_up(&mut self, incarnation: Incarnation) {
         let balancer = incarnation.balancer;
         if self.is_current(incarnation) && self.balancers[balancer].wakeup == Some(self.now) {
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -30,8 +30,8 @@
         self.model.servers[server].detach(flow);
     }
 
-    /// Schedules what happens to a new connection. A connection that stands when the run starts also gets its end here;
-    /// other clients got theirs when they arrived.
+    /// Schedules what happens to a new connection. A connection that stands when the run starts
+    /// also gets its end here; other clients got theirs when they arrived.
     pub(super) fn connection_opened(&mut self, flow: FlowId, client: ClientId) {
         let known = self.clients.get(client);
         let first_try = known.is_some_and(|client| !client.reconnecting && client.tries == 0);
@@ -58,7 +58,8 @@
         self.reconnect(client, client_notified);
     }
 
-    /// The balancer tells a client to move to another server by connecting again, as soon as it is connected.
+    /// The balancer tells a client to move to another server by connecting again, as soon as it is
+    /// connected.
     pub(super) fn move_client(&mut self, flow: FlowId) {
         if self.connected_flow(flow).is_some() {
             let client_notified = self.announces_moves();
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Closes a connection: its server is released, the flow table is client_notified, the flow ends. Returns its client.
+    /// Closes a connection: its server is released, the flow table is client_notified, the flow
+    /// ends. Returns its client.
     pub(super) fn close_connection(
         &mut self,
         flow: FlowId,
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,4 +1,4 @@
-//! Delivery of the list of servers from discovery to the balancers.
+//! Delivery of the endpoint list of servers from discovery to the balancers.
 
 use nettlemux_fleet_model::observation::Observation;
 use nettlemux_policy::EndpointState;
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Gives a balancer what has changed since its last version, or the whole list where it has none.
+    /// Gives a balancer what has changed since its last version, or the whole list where it has
+    /// none.
     pub(super) fn deliver_list(&mut self, balancer: usize) {
         let known_version = self.balancers[balancer].list_version;
         let entries = self.model.since(known_version);
--- a/crates/testbed/src/simulate/event.rs
+++ b/crates/testbed/src/simulate/event.rs
@@ -37,12 +37,12 @@
     AttemptDeadline { flow: FlowId, number: usize },
     /// The balancer notices that the server of a connection no longer answers.
     ServerSilent { flow: FlowId },
-    /// A probe is answered, or fails.
+    /// A health check is answered, or fails.
     ProbeReturns {
         balancer: Incarnation,
         server: usize,
     },
-    /// A change of the list arrives at a balancer.
+    /// A change of the endpoint list arrives at a balancer.
     ListArrives { balancer: Incarnation },
     /// A balancer is asked to shut down.
     ShutdownBegins { balancer: usize, downtime: Time },
--- a/crates/testbed/src/simulate/faults.rs
+++ b/crates/testbed/src/simulate/faults.rs
@@ -9,12 +9,13 @@
 use super::restarts::{RESTART_GAP, SHUTDOWN_TIME};
 use super::simulation::Simulation;
 
-/// After how long, at least and at most, a balancer notices that the server of a connection has fallen silent: 5 s without
-/// an answer to a message, and clients send one every 2 s.
+/// After how long, at least and at most, a balancer notices that the server of a connection has
+/// fallen silent: 5 s without an answer to a message, and clients send one every 2 s.
 const SILENCE_TIMEOUT: [Time; 2] = [5 * SEC, 7 * SEC];
 
 impl Simulation<'_> {
-    /// Carries out what happened in the model. Restarts that begin together are done one after another.
+    /// Carries out what happened in the model. Restarts that begin together are done one after
+    /// another.
     pub(super) fn carry_out(&mut self, events: Vec<FleetEvent>) {
         let mut restarts = 0;
         for happening in events {
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -1,5 +1,5 @@
-//! Faults that a mutant balancer commits where its actions are executed, rather than in its decisions. A sound balancer
-//! passes through these functions unchanged.
+//! Faults that a mutant balancer commits where its actions are executed, rather than in its
+//! decisions. A sound balancer passes through these functions unchanged.
 
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::time::seconds;
@@ -16,7 +16,8 @@
 const DUPLICATE_EVERY: u64 = 10;
 /// How long after the first the mutant that answers twice sends its second answer.
 const SECOND_ANSWER_DELAY: Time = 10 * MS;
-/// How long past the deadline the mutant that answers late does so: before the client's patience is over.
+/// How long past the deadline the mutant that answers late does so: before the client's patience is
+/// over.
 const LATENESS: Time = PATIENCE / 2;
 
 impl Simulation<'_> {
@@ -66,7 +67,8 @@
         );
     }
 
-    /// A held-back answer is sent. Where the client was answered before, it receives this one as well.
+    /// A held-back answer is sent. Where the client was answered before, it receives this one as
+    /// well.
     pub(super) fn delayed_answer(
         &mut self,
         flow: FlowId,
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of servers by balancers.
+//! Health checks of servers by balancers.
 
 use nettlemux_fleet_model::server::ServerStatus;
 use nettlemux_fleet_model::time::seconds;
@@ -8,13 +8,13 @@
 use super::event::Event;
 use super::simulation::Simulation;
 
-/// A probe that is not answered by then has failed.
+/// A health check that is not answered by then has failed.
 const PROBE_TIMEOUT: Time = 500 * MS;
-/// A server whose messages take longer than this on average fails its probes.
+/// A server whose messages take longer than this on average fails its health checks.
 const MESSAGE_TIME_MAX: Time = 3 * PROBE_TIMEOUT;
 
 impl Simulation<'_> {
-    /// A balancer sends a probe.
+    /// A balancer sends a health check.
     pub(super) fn start_probe(&mut self, balancer: usize, server: usize) {
         let zone = self.balancers[balancer].zone;
         self.figures.probes += 1;
@@ -23,8 +23,8 @@
         self.schedule(self.now + latency, Event::ProbeReturns { balancer, server });
     }
 
-    /// A probe is answered or fails. The way back and the probe's timeout are left out, since reports are older than
-    /// that in any case.
+    /// A health check is answered or fails. The way back and the health check's timeout are left
+    /// out, since reports are older than that in any case.
     pub(super) fn probe_returns(&mut self, incarnation: Incarnation, server: usize) {
         let balancer = incarnation.balancer;
         if !self.is_current(incarnation) || !self.balancers[balancer].is_running() {
--- a/crates/testbed/src/simulate/queue.rs
+++ b/crates/testbed/src/simulate/queue.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// An event with its place in the order. The sequence number is unique, so the event itself is never compared.
+/// An event with its place in the order. The sequence number is unique, so the event itself is
+/// never compared.
 struct Scheduled {
     at: Time,
     sequence: u64,
--- a/crates/testbed/src/simulate/queue/tests.rs
+++ b/crates/testbed/src/simulate/queue/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Events of one time must keep the order in which they were scheduled, or a run would not be the same twice. There are
-/// many of them, since a heap keeps a few in order by chance.
+/// Events of one time must keep the order in which they were scheduled, or a run would not be the
+/// same twice. There are many of them, since a heap keeps a few in order by chance.
 #[test]
 fn events_leave_by_time_and_then_by_scheduling() {
     const TIMES: u64 = 3;
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -9,9 +9,10 @@
 use super::flow::{ClientId, FlowPhase, FlowState};
 use super::simulation::Simulation;
 
-// A planned shutdown takes the same course as that of the balancer on sockets. Each time is from its beginning.
+// A planned shutdown takes the same course as that of the balancer on sockets. Each time is from
+// its beginning.
 
-/// The front stops dealing clients to the balancer.
+/// The front end stops dealing clients to the balancer.
 const FRONT_STOPS: Time = 300 * MS;
 /// The balancer begins to move its clients.
 const MOVES_BEGIN: Time = 1500 * MS;
@@ -23,7 +24,8 @@
 pub(super) const SHUTDOWN_TIME: Time = 3500 * MS;
 /// How often another part of the clients is moved.
 const DRAIN_INTERVAL: Time = 50 * MS;
-/// The time between one balancer's return and the next one's shutdown when they are restarted in turn.
+/// The time between one balancer's return and the next one's shutdown when they are restarted in
+/// turn.
 pub(super) const RESTART_GAP: Time = SEC;
 
 impl Simulation<'_> {
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Ends the attempts of flows that still wait for an answer, and fails those that have none in flight.
+    /// Ends the attempts of flows that still wait for an answer, and fails those that have none in
+    /// flight.
     fn give_up_waiting_flows(&mut self, balancer: usize) {
         for flow in self.cut_short(balancer) {
             match self.flows.get(&flow).and_then(|state| state.attempt) {
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Lets the flow table give up what it can, and returns the flows that are still owed an answer, in order.
+    /// Lets the flow table give up what it can, and returns the flows that are still owed an
+    /// answer, in order.
     fn cut_short(&mut self, balancer: usize) -> Vec<FlowId> {
         let Some(flow_table) = &mut self.balancers[balancer].flow_table else {
             return Vec::new();
@@ -157,7 +161,8 @@
         }
     }
 
-    /// A client lost its balancer while it waited. It takes a non-idempotent flow for failed, since it may have run.
+    /// A client lost its balancer while it waited. It takes a non-idempotent flow for failed, since
+    /// it may have run.
     fn retry_unanswered(&mut self, client: ClientId) {
         let wait = match self.clients.idempotency(client, &self.model.scenario) {
             Idempotency::NonIdempotent => self.clients.failed(client, &self.model.scenario),
@@ -166,7 +171,7 @@
         self.retry_after(client, wait);
     }
 
-    /// A balancer's process starts again and the front deals clients to it.
+    /// A balancer's process starts again and the front end deals clients to it.
     pub(super) fn balancer_returns(&mut self, balancer: usize) {
         self.start_balancer(balancer);
         self.front.mark_alive(balancer);
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -18,7 +18,7 @@
 use super::flow::{ClientId, FlowPhase, FlowState};
 use super::queue::EventQueue;
 use super::{Outcome, PolicyChoice};
-use crate::figures::Gather;
+use crate::figures::FigureCollector;
 use crate::file;
 use crate::record::Writer;
 use crate::rules::RuleChecker;
@@ -45,7 +45,7 @@
     pub(super) seed: u64,
     pub(super) rng: Rng,
     judge: RuleChecker,
-    pub(super) figures: Gather,
+    pub(super) figures: FigureCollector,
     record: Option<&'a mut Writer>,
     record_error: Option<io::Error>,
     /// Attempts that have arrived at servers, for mutants that misbehave now and then.
@@ -61,7 +61,7 @@
         record: Option<&'a mut Writer>,
     ) -> Self {
         let zones = scenario.zones.number;
-        // Balancers act on news that took this long to arrive; the judge allows for it.
+        // Balancers act on news that took this long to arrive; the rule checker allows for it.
         let slack = seconds(scenario.zones.between.max(scenario.zones.inside)) + MS;
         Simulation {
             now: 0,
@@ -82,7 +82,7 @@
             seed,
             rng: Rng::new(seed, RNG_STREAM),
             judge: RuleChecker::new(&scenario, slack),
-            figures: Gather::new(seconds(scenario.settle)),
+            figures: FigureCollector::new(seconds(scenario.settle)),
             record,
             record_error: None,
             attempts_arrived: 0,
@@ -127,7 +127,8 @@
         self.queue.schedule(at, event);
     }
 
-    /// Shows a fact to the judge and writes it to the record. The first failure to write is kept for the end.
+    /// Shows a fact to the rule checker and writes it to the record. The first failure to write is
+    /// kept for the end.
     pub(super) fn observe(&mut self, fact: Observation) {
         self.judge.observe(&fact);
         if let Some(record) = &mut self.record
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -15,7 +15,8 @@
 use super::simulation::Simulation;
 use crate::file;
 
-/// Mixed with a balancer's number, so that balancers draw differently (the golden ratio in 64 bits).
+/// Mixed with a balancer's number, so that balancers draw differently (the golden ratio in 64
+/// bits).
 const BALANCER_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Simulation<'_> {
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -1,6 +1,6 @@
-//! Stand-in clients: each asks a balancer that the front deals it, waits for its answer, sends a line now and then, and comes again
-//! when it is moved, turned away or cut off. It owns its socket, notes what reaches it, and believes no balancer's word
-//! that it can check.
+//! Stand-in clients: each asks a balancer that the front end deals it, waits for its answer, sends
+//! a line now and then, and comes again when it is moved, rejected or cut off. It owns its socket,
+//! notes what reaches it, and believes no balancer's word that it can check.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,11 +18,13 @@
 
 /// A balancer's machine takes a connection by then or never.
 const DIAL: Duration = Duration::from_secs(1);
-/// How long past its deadline a client goes on listening: what comes then is late, or a second answer.
+/// How long past its deadline a client goes on listening: what comes then is late, or a second
+/// answer.
 const PATIENCE: Time = 300 * MS;
 /// One that was open before the run is waited for so long.
 const STANDING: Time = 40 * SEC;
-/// A balancer's process that has died is noticed by then: until it is, an end without a word isn't judged.
+/// A balancer's process that has died is noticed by then: until it is, an end without a word isn't
+/// judged.
 const NOTICED: Duration = Duration::from_millis(400);
 /// Between the two pieces of a first line.
 const STUTTER: Duration = Duration::from_millis(50);
@@ -258,7 +260,8 @@
             }
         };
         let Ok(Ok(Some(answer))) = answer else {
-            // Nothing, or an end without a word: lost, unless the balancer has died, which its end will tell.
+            // Nothing, or an end without a word: lost, unless the balancer has died, which its end
+            // will tell.
             shared.lock().figures.unanswered += u64::from(!self.balancer_gone().await);
             let inner = &mut *shared.lock();
             return TryOutcome::Retry(inner.population.failed(self.id, &shared.scenario));
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -1,5 +1,6 @@
-//! The stand-in discovery agent, one for each balancer: HTTP/1.1 with held calls, as the platform has it. It owns its listener,
-//! tells what the balancer may see by now, and notes it as told when it writes it. While discovery is down it says nothing.
+//! The stand-in discovery agent, one for each balancer: HTTP/1.1 with held calls, as the platform
+//! has it. It owns its listener, tells what the balancer may see by now, and notes it as told when
+//! it writes it. While discovery is down it says nothing.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/testbed/src/sockets/faulty.rs
+++ b/crates/testbed/src/sockets/faulty.rs
@@ -1,6 +1,7 @@
-//! Small balancers on sockets that break one rule each on purpose, and a sound one beside them: a process of its own each, started by
-//! `self-check` to show that the judge catches them where they cross real stand-ins. They place in turn, know no load, and
-//! are never part of a run that isn't asked for them.
+//! Small balancers on sockets that break one rule each on purpose, and a sound one beside them: a
+//! process of its own each, started by `self-check` to show that the rule checker catches them
+//! where they cross real stand-ins. They place in turn, know no load, and are never part of a run
+//! that isn't asked for them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 /// Answers so long before the client's time is up.
 const MARGIN: Duration = Duration::from_millis(40);
 const DIAL: Duration = Duration::from_millis(250);
-/// Connects to one cold server come this far apart.
+/// Connects to one server in slow start come this far apart.
 const COLD: Duration = Duration::from_secs(1);
 /// How long a connection lasts at one that cuts them off.
 const CUT: Duration = Duration::from_millis(700);
@@ -146,7 +147,8 @@
         self.mutant == Some(mutant)
     }
 
-    /// A server in turn that may be sent to, or what mischief makes of that; and the number of this question.
+    /// A server in turn that may be sent to, or what mutant makes of that; and the number of this
+    /// question.
     fn choose(&self, tried: &[SocketAddr]) -> Option<SocketAddr> {
         let mut held = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
         held.1 += 1;
@@ -195,7 +197,7 @@
             .any(|server| server.address == address && server.state == "Ready")
     }
 
-    /// Whether this flow is one of those on which mischief is done.
+    /// Whether this flow is one of those on which mutant is done.
     fn picked(&self) -> bool {
         let mut held = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
         held.2 += 1;
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,7 +1,8 @@
-//! A scenario on sockets: real balancer processes between stand-ins for servers, discovery, the front and clients, all in this
-//! process on a few threads, on loopback addresses of the run's own. The model is the same as in virtual time and is asked
-//! with the time that has passed. It owns the run's addresses, files and processes and gives them back at the end.
-//! A machine that can't keep up makes the run void, never a result.
+//! A scenario on sockets: real balancer processes between stand-ins for servers, discovery, the
+//! front end and clients, all in this process on a few threads, on loopback addresses of the run's
+//! own. The model is the same as in virtual time and is asked with the time that has passed. It
+//! owns the run's addresses, files and processes and gives them back at the end. A machine that
+//! can't keep up makes the run void, never a result.
 
 mod client;
 mod discovery;
@@ -31,7 +32,8 @@
 pub const SLACK: Time = 50 * MS;
 /// Standing connections that aren't up by then won't be.
 const STANDING: Duration = Duration::from_secs(40);
-/// A tick that comes later than this, but for a few, shows a machine that is too slow: a good part of the slack.
+/// A tick that comes later than this, but for a few, shows a machine that is too slow: a good part
+/// of the slack.
 const LATE: Time = 25 * MS;
 /// The part of ticks that may be so late, and how late none may be.
 const LATE_PART: f64 = 0.02;
@@ -42,7 +44,9 @@
 /// What is run as the balancers.
 #[derive(Clone, Debug)]
 pub struct Program {
+    /// The program's path.
     pub path: PathBuf,
+    /// Its arguments.
     pub args: Vec<String>,
 }
 
@@ -53,9 +57,12 @@
 
 /// What a run on sockets comes to.
 pub struct Outcome {
+    /// The figures, from the settling time on.
     pub figures: Figures,
+    /// What the rule checker said of the run.
     pub verdict: Verdict,
-    /// Of each balancer: processor seconds for each second of the run, and its largest resident memory in MB.
+    /// Of each balancer: processor seconds for each second of the run, and its largest resident
+    /// memory in MB.
     pub balancers: Vec<(f64, f64)>,
     /// Why it is no result: the machine was too slow, or not all that was to stand did.
     pub void: Option<String>,
@@ -154,8 +161,8 @@
     })
 }
 
-/// Sets up the connections that stand at the start, paced so that nobody's queue overflows. Tells why the run is void where
-/// some can't be had.
+/// Sets up the connections that stand at the start, paced so that nobody's queue overflows. Tells
+/// why the run is void where some can't be had.
 async fn stand(shared: &Arc<SharedRun>) -> Option<String> {
     let count = shared.scenario.clients.standing;
     for k in 0..count {
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -1,5 +1,6 @@
-//! The balancers' processes: their configurations, logs, planned ends and returns. It owns each child and its files, ends only what
-//! it has started, and reports one that dies by itself with the end of its log.
+//! The balancers' processes: their configurations, logs, planned ends and returns. It owns each
+//! child and its files, ends only what it has started, and reports one that dies by itself with the
+//! end of its log.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -23,7 +24,7 @@
 
 /// All balancers must be ready by then.
 const READY: Duration = Duration::from_secs(10);
-/// From SIGTERM to SIGKILL, and how long the front goes on dealing after the first.
+/// From SIGTERM to SIGKILL, and how long the front end goes on dealing after the first.
 const ENDS: Time = 4200 * MS;
 const DEALT: Time = 300 * MS;
 /// Between one balancer's return and the next one's end when they are restarted in turn.
@@ -315,7 +316,8 @@
         self.all[b].memory = self.all[b].memory.max(kb / 1024.0);
     }
 
-    /// Of each balancer: processor seconds for each second of the run, and its largest resident memory in MB.
+    /// Of each balancer: processor seconds for each second of the run, and its largest resident
+    /// memory in MB.
     pub fn usage(&mut self) -> Vec<(f64, f64)> {
         (0..self.all.len()).for_each(|b| self.usage_of(b));
         let seconds = self.shared.scenario.seconds;
@@ -351,7 +353,7 @@
     shared.lock().front.mark_alive(b);
 }
 
-/// Whether a balancer answers PING, as the front asks before it deals to one.
+/// Whether a balancer answers PING, as the front end asks before it deals to one.
 async fn pings(shared: &SharedRun, b: usize) -> bool {
     let ask = async {
         let mut stream = TcpStream::connect(shared.balancer(b)).await.ok()?;
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -1,6 +1,7 @@
-//! A stand-in server: listens at one address for each zone, answers probes, takes attempts as the model says and answers lines in
-//! the time that the model takes. It owns each connection's end at the server and gives its place in the model back when
-//! that ends, in [`ConnectionSlot`]. It never says more than the model does.
+//! A stand-in server: listens at one address for each zone, answers health checks, takes attempts
+//! as the model says and answers lines in the time that the model takes. It owns each connection's
+//! end at the server and gives its place in the model back when that ends, in [`ConnectionSlot`].
+//! It never says more than the model does.
 
 use std::io;
 use std::sync::Arc;
@@ -333,7 +334,8 @@
     true
 }
 
-/// Answers an open connection's lines, each in the time that the server takes now, until one side ends.
+/// Answers an open connection's lines, each in the time that the server takes now, until one side
+/// ends.
 async fn serve(
     shared: &SharedRun,
     (server, zone): (usize, usize),
--- a/crates/testbed/src/sockets/shared_run.rs
+++ b/crates/testbed/src/sockets/shared_run.rs
@@ -1,5 +1,6 @@
-//! What the stand-ins share: the model, the clients, the judge and the figures behind one lock that is never held while anybody
-//! waits, and how each server's life is told to its listeners. It owns the run's time and its block of loopback addresses.
+//! What the stand-ins share: the model, the clients, the rule checker and the figures behind one
+//! lock that is never held while anybody waits, and how each server's life is told to its
+//! listeners. It owns the run's time and its block of loopback addresses.
 
 use std::collections::HashMap;
 use std::io;
@@ -20,7 +21,7 @@
 use tokio::sync::{mpsc, watch};
 
 use super::{FOREVER, SLACK, server};
-use crate::figures::{Figures, Gather};
+use crate::figures::{FigureCollector, Figures};
 use crate::record::Writer;
 use crate::rules::{RuleChecker, Verdict};
 
@@ -58,10 +59,10 @@
     pub model: FleetModel,
     pub population: ClientPopulation,
     pub front: FrontEnd,
-    pub figures: Gather,
+    pub figures: FigureCollector,
     pub rng: Rng,
     pub flows: HashMap<u64, Known>,
-    /// By balancer: the version of the list that it may see, and whether it runs.
+    /// By balancer: the version of the endpoint list that it may see, and whether it runs.
     pub visible: Vec<u64>,
     pub alive: Vec<bool>,
     pub standing: usize,
@@ -124,7 +125,7 @@
     /// The wall clock at the run's start, in milliseconds.
     unix: u64,
     block: u8,
-    /// Rung when a balancer may see more of the list.
+    /// Rung when a balancer may see more of the endpoint list.
     pub news: watch::Sender<u64>,
     _claim: TcpListener,
 }
@@ -140,7 +141,7 @@
         let inner = Inner {
             population: ClientPopulation::new(seed),
             front: FrontEnd::new(scenario.balancers.number, scenario.zones.number),
-            figures: Gather::new(seconds(scenario.settle)),
+            figures: FigureCollector::new(seconds(scenario.settle)),
             rng: Rng::new(seed, 3),
             flows: HashMap::new(),
             visible: vec![1; scenario.balancers.number],
@@ -206,7 +207,8 @@
         self.address(251, balancer, DISCOVERY)
     }
 
-    /// A server as balancers of that zone reach it: what comes over it is delayed by the way between the zones.
+    /// A server as balancers of that zone reach it: what comes over it is delayed by the way
+    /// between the zones.
     pub fn server(&self, server: usize, zone: usize) -> SocketAddr {
         self.address(1 + zone, server, SERVERS)
     }
@@ -319,7 +321,7 @@
         }
     }
 
-    /// Each balancer may see the list as it is now, after its own delay.
+    /// Each balancer may see the endpoint list as it is now, after its own delay.
     fn spread_list(self: &Arc<Self>) {
         let mut inner = self.lock();
         for balancer in 0..inner.visible.len() {
@@ -401,7 +403,7 @@
             .map(|server| server.connections.len())
             .sum();
         let verdict = inner.rules.take().expect("finished once").finish(end);
-        let figures = std::mem::replace(&mut inner.figures, Gather::new(FOREVER));
+        let figures = std::mem::replace(&mut inner.figures, FigureCollector::new(FOREVER));
         let mut figures = figures.finish(standing, &verdict);
         let cpu = balancers.iter().map(|one| one.0).sum::<f64>() / balancers.len().max(1) as f64;
         figures.0.insert("balancer_cpu", cpu);
@@ -417,7 +419,8 @@
     }
 }
 
-/// A block of loopback addresses (127.BLOCK.0.0/16) that no other run holds: held by a listener for as long as the run lasts.
+/// A block of loopback addresses (127.BLOCK.0.0/16) that no other run holds: held by a listener for
+/// as long as the run lasts.
 fn claim() -> Result<(u8, TcpListener), String> {
     let first = std::process::id() % 250;
     for k in 0..250 {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,6 +1,7 @@
-//! The capacity page: that the committed one is what the stored run and the assumptions give, that a change of any of the
-//! three is noticed, what is said of bad input, and the arithmetic against figures worked out by hand. The run in
-//! `capacity/synthetic-run.jsonl` is made up, never measured.
+//! The capacity page: that the committed one is what the stored run and the assumptions give, that
+//! a change of any of the three is noticed, what is said of bad input, and the arithmetic against
+//! figures worked out by hand. The run in `capacity/synthetic-run.jsonl` is made up, never
+//! measured.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -28,7 +29,8 @@
     std::fs::read_to_string(file).unwrap()
 }
 
-/// A folder of its own with the committed page and assumptions and the synthetic run; removed when dropped.
+/// A folder of its own with the committed page and assumptions and the synthetic run; removed when
+/// dropped.
 struct Scratch {
     folder: PathBuf,
     files: Files,
@@ -188,7 +190,8 @@
     }
 }
 
-/// Worked out by hand from the synthetic slopes at 6,000 servers, 1,400 balancers and an hour's life.
+/// Worked out by hand from the synthetic slopes at 6,000 servers, 1,400 balancers and an hour's
+/// life.
 #[test]
 fn figures_are_slope_times_count() {
     let scratch = Scratch::new("arithmetic");
@@ -204,7 +207,7 @@
             "200 / 350 / 650",
         ),
         ("bytes of the module's probes", "35,200 / 61,600 / 114,400"),
-        // 0.0025 / 0.25 % of a core a probe.
+        // 0.0025 / 0.25 % of a core a health check.
         ("processor for the module's probes", "2 / 3.5 / 6.5"),
         // 10 + 0.25 x servers.
         (
@@ -288,7 +291,8 @@
     );
 }
 
-/// Guards against a ratio of slopes where probes no longer grow with the list: a budget bounds them.
+/// Guards against a ratio of slopes where health checks no longer grow with the endpoint list: a
+/// budget bounds them.
 #[test]
 fn where_probes_do_not_grow_with_the_list_a_probes_bytes_are_read_at_a_size_and_its_processor_time_is_not_known()
  {
@@ -383,7 +387,8 @@
     assert_eq!(run.range(Part::Module, Varied::Servers), Some((60.0, 60.0)));
 }
 
-/// Guards against a line through all sizes that is under 0 at small ones, where the program's figure bends.
+/// Guards against a line through all sizes that is under 0 at small ones, where the program's
+/// figure bends.
 #[test]
 fn a_figure_is_read_between_measured_sizes_and_on_the_line_beyond() {
     let point = |size: f64, value: &str| {
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Scale runs: their counts, their limits, what they say to faulty scenarios, and that a run that is cut off leaves whole
-//! lines only. What needs the real balancer stands in the balancer's tests.
+//! Scale runs: their counts, their limits, what they say to faulty scenarios, and that a run that
+//! is cut off leaves whole lines only. What needs the real balancer stands in the balancer's tests.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -98,7 +98,8 @@
     decisions::measure(&counts, &part, 7).unwrap()
 }
 
-/// Where probes cost nothing each server is asked each 2 s. What is counted may miss that by so much.
+/// Where health checks cost nothing each server is asked each 2 s. What is counted may miss that by
+/// so much.
 const PROBE_TOLERANCE: std::ops::RangeInclusive<f64> = 0.7..=1.3;
 
 fn assert_all_are_probed(servers: u64, figures: &Figures) {
@@ -125,7 +126,8 @@
     }
 }
 
-/// Flows and their rate on long lists: some seconds, so that what was saved up of a budget weighs little.
+/// Flows and their rate on long lists: some seconds, so that what was saved up of a budget weighs
+/// little.
 const LONG_LIST_PLACEMENTS: u64 = 500;
 const LONG_LIST_PLACEMENTS_PER_SECOND: f64 = 50.0;
 
@@ -149,7 +151,8 @@
     .unwrap()
 }
 
-/// Within the budget, with what may have been saved up before, and not much under it, as servers and flows ask for more.
+/// Within the budget, with what may have been saved up before, and not much under it, as servers
+/// and flows ask for more.
 fn assert_probes_use_their_budget(servers: u64, figures: &Figures) {
     let (seconds, budget) = (
         LONG_LIST_PLACEMENTS as f64 / LONG_LIST_PLACEMENTS_PER_SECOND,
@@ -171,7 +174,8 @@
     for servers in [WHOLE_LIST as u64 + 1, 240, 600, 3_000, 12_000] {
         let figures = measure_long_list(servers, 0.0);
         assert_probes_use_their_budget(servers, &figures);
-        // Candidates and own holders; a walk over the list, or a key that isn't the module's, would pass that.
+        // Candidates and own holders; a walk over the endpoint list, or a key that isn't the
+        // policy's, would pass that.
         let most = 2 * MOST_CANDIDATES.min(servers as usize / 2);
         let looked_at = figures.servers_per_placement.unwrap();
         assert!(
@@ -199,7 +203,8 @@
 /// Lists on both sides of the limit up to which all servers are looked at.
 const SPARSE_SERVERS: [u64; 2] = [WHOLE_LIST as u64, 240];
 
-/// Guards against a driver that takes "not yet" for leaving: past the sparse limit hardly any flow was placed.
+/// Guards against a driver that takes "not yet" for leaving: past the sparse limit hardly any flow
+/// was placed.
 #[test]
 fn past_the_sparse_limit_flows_are_asked_about_again_and_placed() {
     for servers in SPARSE_SERVERS {
@@ -212,8 +217,8 @@
     }
 }
 
-/// Guards against flows that are held for ever, since each new one asks for a figure of its own before those that have
-/// come are looked at.
+/// Guards against flows that are held for ever, since each new one asks for a figure of its own
+/// before those that have come are looked at.
 #[test]
 fn past_the_sparse_limit_flows_that_come_close_together_are_placed_too() {
     for servers in SPARSE_SERVERS {
@@ -228,8 +233,9 @@
     }
 }
 
-/// Guards against probes that are put off by each change of the list, and so for ever where changes come fast. Servers
-/// that have gone count to the list while they hold own connections, so few are listed where many change.
+/// Guards against health checks that are put off by each change of the endpoint list, and so for
+/// ever where changes come fast. Servers that have gone count to the endpoint list while they hold
+/// own connections, so few are listed where many change.
 #[test]
 fn probes_go_on_while_the_list_changes_many_times_a_second() {
     for (servers, changes_per_second) in [(190, 2.0), (60, 2.0), (60, 32.0)] {
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -1,4 +1,5 @@
-//! the testbed as it is run: scenarios kept in the repository, the command line, and what must come out the same each time.
+//! the testbed as it is run: scenarios kept in the repository, the command line, and what must come
+//! out the same each time.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -53,7 +54,7 @@
     );
 }
 
-/// The same where what crosses real sockets is all that the judge sees.
+/// The same where what crosses real sockets is all that the rule checker sees.
 #[test]
 fn the_judge_catches_each_mischief_on_sockets() {
     let lab = Path::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
@@ -81,7 +82,7 @@
     };
     let ((first, a), (second, b), (other, _)) = (run("a", 3), run("b", 3), run("c", 4));
     assert!(first == second && a.figures == b.figures && first != other);
-    // The record alone leads the judge to the same verdict.
+    // The record alone leads the rule checker to the same verdict.
     let read = record::read(&first[..]).unwrap();
     let mut judge = RuleChecker::new(&scenario, SEC / 100);
     read.seen.iter().for_each(|seen| judge.observe(seen));
@@ -93,7 +94,8 @@
     );
 }
 
-/// Each scenario in the repository must load and be as it expects, the module deciding; `size` and `many` are too long for here.
+/// Each scenario in the repository must load and be as it expects, the policy deciding; `size` and
+/// `many` are too long for here.
 #[test]
 fn the_scenarios_are_as_they_expect() {
     for entry in std::fs::read_dir(scenarios()).unwrap() {
@@ -119,8 +121,8 @@
     }
 }
 
-/// Guards against a fault that does nothing, or that stays when it is over: each kind must leave a mark, and no kind
-/// may make a sound module break a rule or lose a flow.
+/// Guards against a fault that does nothing, or that stays when it is over: each kind must leave a
+/// mark, and no kind may make a sound module break a rule or lose a flow.
 #[test]
 fn every_fault_acts_and_breaks_no_rule() {
     let mut scenario = load("calm");
