--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -48,7 +48,7 @@
         self.observe(Observation::Answered {
             at: self.now,
             flow,
-            answer: answer,
+            answer,
         });
     }
 
