--- a/crates/dataplane/src/send/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -11,7 +11,7 @@
 
 use super::*;
 use crate::mailbox::Mailbox;
-use crate::messages::Server;
+use crate::messages::{DispatcherMessage, Server};
 use crate::net::Caller;
 use crate::pool::{Buffers, DescriptorBudgets, Descriptors};
 use crate::shared::{RuntimeSettings, SharedSettings};
@@ -56,7 +56,7 @@
             deadline: Time::MAX,
             ..Flow::default()
         };
-        let mut book = Book::open(&dataplane, &flow, Caller::new(stream, slot), id);
+        let mut flow = FlowGuard::new(&dataplane, &flow, Caller::new(stream, slot), id);
         let server = Arc::new(Server {
             name: "s-0".into(),
             address,
@@ -70,17 +70,20 @@
             until,
             by: until,
         };
-        let sent = send(
+        let result = run(
             &dataplane,
-            &mut book,
+            &mut flow,
             &target,
             b"OPEN 9b1f 7f3a c=chat,d=900",
-            false,
+            FlowOrigin::New,
         );
-        if book.owed() {
-            book.fail();
+        if flow.owes_answer() {
+            flow.fail();
         }
-        matches!(sent, Sent::Left { unsent: true })
+        matches!(
+            result,
+            Err(AttemptFailure::ClientLeft(LineProgress::Unsent))
+        )
     });
     let unsent = unsent.join().unwrap();
     let dialled = !matches!(server.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock);
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -3,10 +3,11 @@
 //! [`pipeline::serve`]; the program puts the parts together. Uses go one way, from the chain down to the clock, and no file
 //! here reads a configuration or a client's protocol.
 
-mod book;
+mod attempt;
 pub mod clock;
 pub mod discovery;
 pub mod dispatcher;
+mod flow_guard;
 pub mod gossip;
 pub mod health_check;
 pub mod mailbox;
@@ -17,7 +18,6 @@
 mod relay;
 pub mod retry;
 mod route;
-mod send;
 pub mod shared;
 pub mod shutdown;
 mod start_times;
--- a/crates/dataplane/src/messages.rs
+++ b/crates/dataplane/src/messages.rs
@@ -127,6 +127,37 @@
     pub by: Time,
 }
 
+/// How an attempt that brought no connection has ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AttemptOutcome {
+    /// What ended it.
+    pub end: AttemptEnd,
+    /// Whether the server certainly did not run the request.
+    pub known_unexecuted: bool,
+    /// The load report that came with the end; empty where none did.
+    pub report: LoadReport,
+}
+
+impl AttemptOutcome {
+    /// The outcome of an attempt whose line was never written whole, without a load report.
+    pub fn unsent(end: AttemptEnd) -> Self {
+        AttemptOutcome {
+            end,
+            known_unexecuted: true,
+            report: LoadReport::default(),
+        }
+    }
+
+    /// The outcome of an attempt whose line was written, which the server may have run, without a load report.
+    pub fn sent(end: AttemptEnd) -> Self {
+        AttemptOutcome {
+            end,
+            known_unexecuted: false,
+            report: LoadReport::default(),
+        }
+    }
+}
+
 /// A server as the list has it now. Shared with those that send, who look again just before they do.
 pub struct Server {
     pub name: String,
--- a/crates/dataplane/src/pipeline.rs
+++ b/crates/dataplane/src/pipeline.rs
@@ -1,62 +1,147 @@
-//! The chain of stages that one admitted flow passes: route, send, relay, book. It owns the order of the stages and
-//! nothing else; it must never decide what becomes of a flow.
+//! The stages that one admitted flow passes: route, attempt, relay, under its guard. It owns the order of the stages
+//! and nothing else; it must never decide what becomes of a flow.
 
+use std::ops::ControlFlow;
 use std::sync::Arc;
 
-use crate::book::Book;
-use crate::messages::FlowCommand;
+use nettlemux_flow_table::ClientIdentity;
+use nettlemux_policy::{AttemptEnd, Flow};
+
+use crate::attempt::{self, AttemptFailure, FlowOrigin, LineProgress};
+use crate::flow_guard::FlowGuard;
+use crate::messages::{AttemptOutcome, AttemptTarget, FlowCommand};
+use crate::net::Caller;
 use crate::relay::relay;
-use crate::route::{self, Next};
-use crate::send::{Sent, called_off, send};
-use crate::shared::{Admitted, Dataplane};
+use crate::route::{PlacementRequest, RouteDecision, wait_for_command};
+use crate::shared::{Dataplane, Id};
+
+/// A flow that a front has admitted, with all that the stages need of it.
+pub struct AdmittedFlow {
+    /// The flow.
+    pub flow: Flow,
+    /// The client as admission control knows it.
+    pub identity: ClientIdentity,
+    /// The server that held the connection before the run, where it was open then.
+    pub previous_server: Option<String>,
+    /// The client's connection.
+    pub client: Caller,
+    /// The first line as it came, without its end.
+    pub line: Vec<u8>,
+    /// The client's own id.
+    pub client_id: Id,
+}
 
-/// One flow, from its admission on, until its connection has ended.
-pub fn serve(dataplane: &Arc<Dataplane>, admitted: Admitted) {
-    let Admitted {
+/// Serves one flow, from its admission until its connection has ended.
+pub fn serve(dataplane: &Arc<Dataplane>, admitted: AdmittedFlow) {
+    let AdmittedFlow {
         flow,
-        who,
-        at,
-        caller,
+        identity,
+        previous_server,
+        client,
         line,
-        id,
+        client_id,
     } = admitted;
-    let mut book = Book::open(dataplane, &flow, caller, id);
-    let asked = route::ask(dataplane, &mut book, flow.clone(), who, at.as_deref());
+    let origin = match previous_server {
+        Some(_) => FlowOrigin::Adopted,
+        None => FlowOrigin::New,
+    };
+    let mut guard = FlowGuard::new(dataplane, &flow, client, client_id);
+    let request = PlacementRequest {
+        flow,
+        identity,
+        previous_server,
+    };
+    request.send(dataplane, &guard);
+    while let ControlFlow::Continue(target) = next_target(dataplane, &mut guard, &request) {
+        let failure = match attempt::run(dataplane, &mut guard, &target, &line, origin) {
+            Ok(server) => return relay(dataplane, guard, &target, server),
+            Err(failure) => failure,
+        };
+        if after_failure(dataplane, &mut guard, &request, &target, failure).is_break() {
+            return;
+        }
+    }
+}
+
+/// Waits for the dispatcher's command: where the next attempt goes, unless the flow has got its answer.
+fn next_target(
+    dataplane: &Dataplane,
+    flow: &mut FlowGuard,
+    request: &PlacementRequest,
+) -> ControlFlow<(), AttemptTarget> {
     loop {
-        let target = match route::command(&mut book) {
-            Next::FlowCommand(FlowCommand::StartAttempt(target)) => target,
-            Next::FlowCommand(FlowCommand::EndpointUnknown) => {
-                // Open before the run: asked for again until its server is there.
-                match asked.again(dataplane, &mut book) {
-                    true => continue,
-                    false => return book.fail(),
-                }
+        match wait_for_command(flow) {
+            RouteDecision::Command(FlowCommand::StartAttempt(target)) => {
+                return ControlFlow::Continue(target);
             }
-            Next::FlowCommand(FlowCommand::Reject(retry_after)) => return book.reject(retry_after),
-            Next::FlowCommand(_) => return book.fail(),
-            Next::Left => {
-                book.left();
-                return book.finish_left();
+            // An adopted connection waits until its server is listed.
+            RouteDecision::Command(FlowCommand::EndpointUnknown) => {
+                resend_or_fail(dataplane, flow, request)?;
             }
-        };
-        match send(dataplane, &mut book, &target, &line, at.is_some()) {
-            Sent::Up(server, up) => return relay(dataplane, book, &target, server, up),
-            Sent::Ended(ended) if at.is_none() => {
-                book.ended(&target, ended);
-                // The client left meanwhile, so nothing more will be ordered.
-                if !book.owed() {
-                    return book.finish_left();
-                }
+            RouteDecision::Command(FlowCommand::Reject(retry_after)) => {
+                flow.reject(retry_after);
+                return ControlFlow::Break(());
+            }
+            RouteDecision::Command(_) => {
+                flow.fail();
+                return ControlFlow::Break(());
+            }
+            RouteDecision::ClientLeft => {
+                flow.record_client_left();
+                flow.finish_answer();
+                return ControlFlow::Break(());
             }
-            Sent::Ended(_) => match asked.again(dataplane, &mut book) {
-                true => {}
-                false => return book.fail(),
-            },
-            Sent::Left { unsent } => {
-                called_off(&book, &target, unsent);
-                book.left();
-                return book.finish_left();
+        }
+    }
+}
+
+/// Reports an attempt that brought no connection; breaks where the flow has ended with it.
+fn after_failure(
+    dataplane: &Dataplane,
+    flow: &mut FlowGuard,
+    request: &PlacementRequest,
+    target: &AttemptTarget,
+    failure: AttemptFailure,
+) -> ControlFlow<()> {
+    match failure {
+        AttemptFailure::Ended(_) if request.previous_server.is_some() => {
+            resend_or_fail(dataplane, flow, request)
+        }
+        AttemptFailure::Ended(outcome) => {
+            flow.record_attempt_ended(target, outcome);
+            if flow.owes_answer() {
+                return ControlFlow::Continue(());
             }
+            // The client left meanwhile, so no further command will come.
+            flow.finish_answer();
+            ControlFlow::Break(())
+        }
+        AttemptFailure::ClientLeft(progress) => {
+            flow.report_attempt_ended(target, cancelled_outcome(progress));
+            flow.record_client_left();
+            flow.finish_answer();
+            ControlFlow::Break(())
         }
     }
 }
+
+/// Asks again for an adopted connection's server; the flow fails where there is no time left.
+fn resend_or_fail(
+    dataplane: &Dataplane,
+    flow: &mut FlowGuard,
+    request: &PlacementRequest,
+) -> ControlFlow<()> {
+    if request.resend(dataplane, flow) {
+        return ControlFlow::Continue(());
+    }
+    flow.fail();
+    ControlFlow::Break(())
+}
+
+/// The outcome of an attempt that ended with its client.
+fn cancelled_outcome(progress: LineProgress) -> AttemptOutcome {
+    match progress {
+        LineProgress::Unsent => AttemptOutcome::unsent(AttemptEnd::NotSent),
+        LineProgress::Sent => AttemptOutcome::sent(AttemptEnd::Cancelled),
+    }
+}
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -1,194 +1,333 @@
-//! The fifth stage: passes an open connection's lines on, both ways, until one side ends. It owns both sockets
-//! and gives them back when it returns. It must never change what passes, never cut a client off whose server still
-//! answers, and say `MOVE` only between two lines.
+//! The fifth stage: passes an open connection's lines on, both ways, until one side ends. It owns both sockets and
+//! gives them back when it returns. It must never change what passes, never cut a client off whose server still
+//! answers, and tell a client to move only between two lines.
 
 mod direction;
 
+use std::ops::ControlFlow;
+
 use nettlemux_policy::{AttemptEnd, LoadReport, MS, SEC, Time};
 use tracing::{debug, info};
 
-use crate::book::Book;
+use crate::attempt::ServerConnection;
 use crate::clock;
-use crate::messages::{AttemptTarget, DispatcherMessage, FlowCommand, FlowEvent};
+use crate::flow_guard::FlowGuard;
+use crate::messages::{AttemptOutcome, AttemptTarget, DispatcherMessage, FlowCommand, FlowEvent};
 use crate::net::{LINGER, Socket};
-use crate::pool::Buffer;
 use crate::shared::Dataplane;
 use crate::wire::{self, Passing};
 
-use direction::{Broken, Direction};
+use direction::{BrokenSide, Direction};
 
-/// A client's line that brought nothing back for so long: the server is silent. Clients send every 2 s and
+/// After a client's line that brought nothing back for so long the server counts as silent. Clients send every 2 s and
 /// sound servers answer at once, so two lines in a row have gone unanswered; it must be noticed within 7 s.
-const SILENCE: Time = 5 * SEC;
-/// A client that has sent nothing for so long has vanished, as clients send every 2 s. It is told to move, in
-/// case it hasn't, and its descriptors are free again.
-const VANISHED: Time = 30 * SEC;
+const RESPONSE_TIMEOUT: Time = 5 * SEC;
+/// A client that has sent nothing for so long counts as gone, as clients send every 2 s. It is told to move, in case it
+/// isn't, and its descriptors are free again.
+const CLIENT_IDLE_TIMEOUT: Time = 30 * SEC;
 /// How long the other side may take to end once one has. A server's end must reach the client within 1 s.
-const END: Time = 800 * MS;
+const CLOSE_TIMEOUT: Time = 800 * MS;
 /// What a peer hasn't taken by then it won't take.
-const STUCK: Time = 7 * SEC;
-
-/// How soon an alarm that could not be acted on is looked at again.
-const AGAIN: Time = 50 * MS;
+const WRITE_STALL_TIMEOUT: Time = 7 * SEC;
+/// How soon a timer that could not be acted on is looked at again.
+const OVERDUE_TIMER_INTERVAL: Time = 50 * MS;
+/// How soon a direction that had its turn goes on.
+const NEXT_TURN_DELAY: Time = MS;
 
+/// Passes lines on between a flow's client and its server until their connection has ended.
 pub fn relay(
     dataplane: &Dataplane,
-    mut book: Book,
+    mut flow: FlowGuard,
     target: &AttemptTarget,
-    server: Socket,
-    (bytes, held): (Buffer, usize),
+    server: ServerConnection,
 ) {
-    book.connected(target);
-    let mut down = Direction::of_lines(bytes, held);
-    let mut up = Direction::default();
-    let mut passing = Passing::new(dataplane.settings.now().reports);
-    // The client's first line that nothing has come back for.
-    let mut unanswered: Option<Time> = None;
-    let mut last_sent = clock::now();
-    let mut slowest = 0;
-    let none = LoadReport::default();
-    let mut close_by: Option<Time> = None;
-    let mut over: Option<AttemptEnd> = None;
-    let tell_end = |book: &Book, over: &mut Option<AttemptEnd>, slowest: Time, end, report| {
-        if over.is_none() {
-            *over = Some(end);
-            debug!(
-                id = book.id,
-                server = target.server.name,
-                ?end,
-                slowest_ms = slowest / MS,
-                "connection ended"
-            );
-            let known_unexecuted = false;
-            let (flow, server_id, number) = (book.id, target.server_id, target.number);
-            book.tell(DispatcherMessage::AttemptEnded {
-                flow,
-                server_id,
-                number,
-                end,
-                known_unexecuted,
-                report,
-            });
+    flow.record_connected(target);
+    Relay::new(dataplane, flow, target, server).run();
+}
+
+/// How a connection is closed.
+enum Close {
+    /// Both sockets, as they are.
+    Now,
+    /// The client is told to move to another server.
+    Migrate { now: Time },
+}
+
+/// One open connection. Fields are dropped in their order: the server's socket is closed before the flow's end is
+/// reported.
+struct Relay<'a> {
+    dataplane: &'a Dataplane,
+    target: &'a AttemptTarget,
+    /// From the server to the client.
+    downstream: Direction,
+    /// From the client to the server.
+    upstream: Direction,
+    /// Follows the server's lines.
+    scanner: Passing,
+    server: Socket,
+    flow: FlowGuard,
+    /// When the client sent the first line that nothing has come back for.
+    unanswered_since: Option<Time>,
+    /// When the client last sent something.
+    client_active_at: Time,
+    slowest_response: Time,
+    /// When the connection is closed although one side hasn't ended.
+    close_by: Option<Time>,
+    end_reported: bool,
+}
+
+impl<'a> Relay<'a> {
+    fn new(
+        dataplane: &'a Dataplane,
+        flow: FlowGuard,
+        target: &'a AttemptTarget,
+        server: ServerConnection,
+    ) -> Self {
+        Relay {
+            dataplane,
+            target,
+            downstream: Direction::of_lines(server.received, server.received_length),
+            upstream: Direction::default(),
+            scanner: Passing::new(dataplane.settings.now().reports),
+            server: server.socket,
+            flow,
+            unanswered_since: None,
+            client_active_at: clock::now(),
+            slowest_response: 0,
+            close_by: None,
+            end_reported: false,
+        }
+    }
+
+    fn run(mut self) {
+        loop {
+            match self.turn() {
+                ControlFlow::Continue(wake_at) => self.wait(wake_at),
+                ControlFlow::Break(Close::Now) => return,
+                ControlFlow::Break(Close::Migrate { now }) => return self.migrate(now),
+            }
         }
-    };
+    }
 
-    loop {
-        let client = &book.caller.socket;
-        client.looked_at();
-        server.looked_at();
+    /// Passes on what there is and checks all timers. Returns when the next one expires.
+    fn turn(&mut self) -> ControlFlow<Close, Time> {
+        self.flow.caller.socket.looked_at();
+        self.server.looked_at();
         let now = clock::now();
+        let server_sent = self.pump_downstream(now)?;
+        self.pump_upstream(now)?;
+        self.check_ends(now, server_sent)?;
+        self.check_write_stall(now)?;
+        self.check_migration(now)?;
+        ControlFlow::Continue(self.next_wakeup(now))
+    }
+
+    /// Passes on what the server sends. Returns whether any of it has reached the client.
+    fn pump_downstream(&mut self, now: Time) -> ControlFlow<Close, bool> {
+        let client = &self.flow.caller.socket;
         let mut load = None;
-        let mut answered = false;
-        let passed = down.pump(&server, client, &dataplane.buffers, |bytes| {
-            answered = true;
-            load = passing.pass(bytes).or(load);
-        });
-        if let Some(load) = load {
-            book.tell(DispatcherMessage::ConnectionLoad {
-                flow: book.id,
-                load,
+        let mut server_sent = false;
+        let buffers = &self.dataplane.buffers;
+        let pumped = self
+            .downstream
+            .pump(&self.server, client, buffers, |bytes| {
+                server_sent = true;
+                load = self.scanner.pass(bytes).or(load);
             });
+        if let Some(load) = load {
+            let flow = self.flow.id;
+            self.flow
+                .notify_dispatcher(DispatcherMessage::ConnectionLoad { flow, load });
         }
-        if answered && let Some(since) = unanswered.take() {
-            slowest = slowest.max(now - since);
+        if server_sent && let Some(since) = self.unanswered_since.take() {
+            self.slowest_response = self.slowest_response.max(now - since);
         }
-        if let Err(broken) = passed {
-            let end = if broken == Broken::Sender {
-                AttemptEnd::ConnectionLost
-            } else {
-                AttemptEnd::Done
-            };
-            tell_end(&book, &mut over, slowest, end, none);
+        if let Err(broken) = pumped {
+            self.report_end(match broken {
+                BrokenSide::Sender => AttemptEnd::ConnectionLost,
+                BrokenSide::Receiver => AttemptEnd::Done,
+            });
             // A reset is passed on as one.
-            client.reset();
-            server.reset();
-            return;
+            self.flow.caller.socket.reset();
+            self.server.reset();
+            return ControlFlow::Break(Close::Now);
         }
-        let passed = up.pump(client, &server, &dataplane.buffers, |_| {
-            unanswered.get_or_insert(now);
-            last_sent = now;
+        ControlFlow::Continue(server_sent)
+    }
+
+    /// Passes on what the client sends.
+    fn pump_upstream(&mut self, now: Time) -> ControlFlow<Close> {
+        let client = &self.flow.caller.socket;
+        let buffers = &self.dataplane.buffers;
+        let pumped = self.upstream.pump(client, &self.server, buffers, |_| {
+            self.unanswered_since.get_or_insert(now);
+            self.client_active_at = now;
         });
-        match passed {
-            Err(Broken::Sender) => {
-                tell_end(&book, &mut over, slowest, AttemptEnd::Done, none);
-                server.reset();
-                return;
+        match pumped {
+            Err(BrokenSide::Sender) => {
+                self.report_end(AttemptEnd::Done);
+                self.server.reset();
+                ControlFlow::Break(Close::Now)
             }
-            // Its last words have been passed on by now, or are about to be read.
-            Err(Broken::Receiver) if !down.ended => {
-                tell_end(&book, &mut over, slowest, AttemptEnd::ConnectionLost, none);
-                client.reset();
-                return;
+            // Where the server has ended, its last lines have been passed on by now or are about to be read.
+            Err(BrokenSide::Receiver) if !self.downstream.sender_ended => {
+                self.report_end(AttemptEnd::ConnectionLost);
+                self.flow.caller.socket.reset();
+                ControlFlow::Break(Close::Now)
             }
-            _ => {}
+            _ => ControlFlow::Continue(()),
         }
-        if down.ended && down.told {
-            let (end, report) = passing.last.unwrap_or((AttemptEnd::ConnectionLost, none));
-            tell_end(&book, &mut over, slowest, end, report);
-            close_by.get_or_insert(now + END);
-        } else if up.ended {
-            tell_end(&book, &mut over, slowest, AttemptEnd::Done, none);
-            if answered || close_by.is_none() {
-                close_by = Some(now + SILENCE);
+    }
+
+    /// Reports the end of a side that has ended, and closes once both have or the other takes too long.
+    fn check_ends(&mut self, now: Time, server_sent: bool) -> ControlFlow<Close> {
+        if self.downstream.sender_ended && self.downstream.end_forwarded {
+            let (end, report) = self
+                .scanner
+                .last
+                .unwrap_or((AttemptEnd::ConnectionLost, LoadReport::default()));
+            self.report_end_with(end, report);
+            self.close_by.get_or_insert(now + CLOSE_TIMEOUT);
+        } else if self.upstream.sender_ended {
+            self.report_end(AttemptEnd::Done);
+            if server_sent || self.close_by.is_none() {
+                self.close_by = Some(now + RESPONSE_TIMEOUT);
             }
         }
-        if (down.told && up.told) || close_by.is_some_and(|at| at <= now) {
-            return;
+        let both_ended = self.downstream.end_forwarded && self.upstream.end_forwarded;
+        if both_ended || self.close_by.is_some_and(|close_by| close_by <= now) {
+            return ControlFlow::Break(Close::Now);
         }
-        let stuck = [down.stuck, up.stuck].into_iter().flatten().min();
-        if stuck.is_some_and(|since| since + STUCK <= now) {
-            tell_end(&book, &mut over, slowest, AttemptEnd::ConnectionLost, none);
-            return;
+        ControlFlow::Continue(())
+    }
+
+    /// Since when the side that has waited longest for its peer to take bytes waits.
+    fn stalled_since(&self) -> Option<Time> {
+        let directions = [&self.downstream, &self.upstream];
+        let stalls = directions.into_iter().filter_map(|d| d.stalled_since);
+        stalls.min()
+    }
+
+    fn check_write_stall(&mut self, now: Time) -> ControlFlow<Close> {
+        let is_over = |since| since + WRITE_STALL_TIMEOUT <= now;
+        if self.stalled_since().is_some_and(is_over) {
+            self.report_end(AttemptEnd::ConnectionLost);
+            return ControlFlow::Break(Close::Now);
         }
+        ControlFlow::Continue(())
+    }
 
-        let silent = unanswered.is_some_and(|since| since + SILENCE <= now);
-        let silent = silent || last_sent + VANISHED <= now;
-        let may_move = !up.ended && !down.ended && down.all_passed();
-        let line_is_whole = !down.holds_part() || book.move_by.is_some_and(|by| by <= now);
-        let moves = book.move_by.is_some() && passing.between_lines() && line_is_whole;
-        if may_move && (silent || moves) {
-            let end = if silent {
-                AttemptEnd::ConnectionLost
-            } else {
-                AttemptEnd::Cancelled
-            };
-            info!(id = book.id, server = target.server.name, silent, "moved");
-            tell_end(&book, &mut over, slowest, end, none);
-            // Where part of an overlong line has been passed on the client can't be told, only ended.
-            if passing.between_lines() {
-                let _ = book.caller.write(wire::MOVE, now + LINGER);
-            }
-            server.end_sending();
-            drop(server);
-            book.caller.finish(now + LINGER);
-            return;
+    /// Closes with a migration where one side is silent, or where the policy wants it and no line is cut by it.
+    fn check_migration(&mut self, now: Time) -> ControlFlow<Close> {
+        let may_migrate = !self.upstream.sender_ended
+            && !self.downstream.sender_ended
+            && self.downstream.all_forwarded();
+        let is_silent = self.is_silent(now);
+        if !may_migrate || !(is_silent || self.is_migration_due(now)) {
+            return ControlFlow::Continue(());
         }
-        let (silent_at, stuck_at) = (
-            unanswered.map(|at| at + SILENCE),
-            stuck.map(|at| at + STUCK),
+        info!(
+            id = self.flow.id,
+            server = self.target.server.name,
+            silent = is_silent,
+            "client migrated"
         );
-        let move_at = book.move_by.filter(|by| *by > now);
-        let wake = [
-            close_by,
-            silent_at,
-            stuck_at,
-            move_at,
-            Some(last_sent + VANISHED),
-        ];
-        let until = wake.into_iter().flatten().min().unwrap_or(now + SEC);
-        // Guards against a coroutine that keeps the core busy while an alarm is past and can't be acted on.
-        let until = if until <= now { now + AGAIN } else { until };
-        // Parked, not yielded: the worker looks at sockets only once nobody is ready to run.
-        let until = if down.more || up.more {
-            now + MS
+        self.report_end(if is_silent {
+            AttemptEnd::ConnectionLost
         } else {
-            until
+            AttemptEnd::Cancelled
+        });
+        ControlFlow::Break(Close::Migrate { now })
+    }
+
+    /// Whether the server leaves a line unanswered, or the client sends nothing.
+    fn is_silent(&self, now: Time) -> bool {
+        let is_overdue = |since| since + RESPONSE_TIMEOUT <= now;
+        self.unanswered_since.is_some_and(is_overdue)
+            || self.client_active_at + CLIENT_IDLE_TIMEOUT <= now
+    }
+
+    /// Whether the policy wants the client migrated and its server is between two lines, or the wait for the rest of a
+    /// line is over.
+    fn is_migration_due(&self, now: Time) -> bool {
+        let Some(migrate_by) = self.flow.migrate_by else {
+            return false;
         };
-        // Anything else was meant for the attempt.
-        if let Some(FlowEvent::Command(FlowCommand::Migrate(by))) = book.caller.mailbox.next(until)
+        let line_is_whole = !self.downstream.holds_partial_line() || migrate_by <= now;
+        self.scanner.between_lines() && line_is_whole
+    }
+
+    /// Tells the client to move to another server and closes both sockets, the server's first.
+    fn migrate(self, now: Time) {
+        let Relay {
+            scanner,
+            server,
+            flow,
+            ..
+        } = self;
+        // Where part of an overlong line has been passed on the client can't be told, only ended.
+        if scanner.between_lines() {
+            let _ = flow.caller.write(wire::MOVE, now + LINGER);
+        }
+        server.end_sending();
+        drop(server);
+        flow.caller.finish(now + LINGER);
+    }
+
+    /// When the next timer expires, or the next turn is due.
+    fn next_wakeup(&self, now: Time) -> Time {
+        if self.downstream.has_more || self.upstream.has_more {
+            // Parked, not yielded: the worker looks at sockets only once no coroutine is ready to run.
+            return now + NEXT_TURN_DELAY;
+        }
+        let response_due = self.unanswered_since.map(|since| since + RESPONSE_TIMEOUT);
+        let stall_over = self
+            .stalled_since()
+            .map(|since| since + WRITE_STALL_TIMEOUT);
+        let migration_due = self.flow.migrate_by.filter(|by| *by > now);
+        let client_idle = self.client_active_at + CLIENT_IDLE_TIMEOUT;
+        let timers = [self.close_by, response_due, stall_over, migration_due];
+        let next = timers.into_iter().flatten().fold(client_idle, Time::min);
+        // Guards against a coroutine that keeps the processor busy while a timer has expired and can't be acted on.
+        if next <= now {
+            now + OVERDUE_TIMER_INTERVAL
+        } else {
+            next
+        }
+    }
+
+    fn wait(&mut self, until: Time) {
+        // Anything else was meant for the attempt, or only ends the wait.
+        if let Some(FlowEvent::Command(FlowCommand::Migrate(by))) =
+            self.flow.caller.mailbox.next(until)
         {
-            book.move_by = Some(by);
+            self.flow.migrate_by = Some(by);
+        }
+    }
+
+    fn report_end(&mut self, end: AttemptEnd) {
+        self.report_end_with(end, LoadReport::default());
+    }
+
+    /// Reports how the connection has ended, once.
+    fn report_end_with(&mut self, end: AttemptEnd, report: LoadReport) {
+        if self.end_reported {
+            return;
         }
+        self.end_reported = true;
+        debug!(
+            id = self.flow.id,
+            server = self.target.server.name,
+            ?end,
+            slowest_response_ms = self.slowest_response / MS,
+            "connection ended"
+        );
+        let outcome = AttemptOutcome {
+            end,
+            known_unexecuted: false,
+            report,
+        };
+        self.flow.report_attempt_ended(self.target, outcome);
     }
 }
 
--- a/crates/dataplane/src/relay/direction.rs
+++ b/crates/dataplane/src/relay/direction.rs
@@ -11,150 +11,183 @@
 
 /// Buffers that one side may pass on before others get their turn: guards against a flow that keeps the worker to
 /// itself while both its sides keep up.
-pub const TURN: usize = 16;
+pub const BUFFERS_PER_TURN_MAX: usize = 16;
+
+/// What is passed on at once.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum Framing {
+    /// Bytes as they come.
+    #[default]
+    Bytes,
+    /// Lines once they are whole. Guards against a peer that stops inside a line: nothing could be sent between two
+    /// lines any more, and whoever reads them would have to be cut off without a word.
+    Lines,
+}
 
 /// What waits in one direction, and how far it has come.
 #[derive(Default)]
 pub struct Direction {
-    bytes: Option<Buffer>,
-    /// What has been read and not been written: from here to there.
-    from: usize,
-    to: usize,
-    /// Up to here it may be written.
-    ready: usize,
-    /// Lines go on once they are whole. Guards against a peer that stops inside a line: nothing could be said between two
-    /// lines any more, and whoever reads them had to be cut off without a word.
-    whole_lines: bool,
+    buffer: Option<Buffer>,
+    /// The buffer's bytes up to here have been written.
+    written: usize,
+    /// The buffer's bytes from `written` to here may be written.
+    writable: usize,
+    /// The buffer's bytes up to here have been read.
+    filled: usize,
+    framing: Framing,
     /// Bytes have waited for the receiver since.
-    pub stuck: Option<Time>,
+    pub stalled_since: Option<Time>,
     /// The sender has ended.
-    pub ended: bool,
-    /// And the receiver was told.
-    pub told: bool,
+    pub sender_ended: bool,
+    /// The sender's end has been passed on.
+    pub end_forwarded: bool,
     /// Its turn was over before it had passed on all.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// Which side has broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum BrokenSide {
+    /// The side that is read from.
     Sender,
+    /// The side that is written to.
     Receiver,
 }
 
+/// Whether a call has done all that it could.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    Made,
+    /// The other side has to do something first.
+    Blocked,
+}
+
 impl Direction {
-    /// One that passes on whole lines, and begins with these bytes.
-    pub fn of_lines(bytes: Buffer, held: usize) -> Self {
+    /// Returns a direction that passes on whole lines, and begins with a buffer's first `length` bytes.
+    pub fn of_lines(buffer: Buffer, length: usize) -> Self {
         let mut direction = Direction {
-            bytes: Some(bytes),
-            to: held,
-            whole_lines: true,
+            buffer: Some(buffer),
+            filled: length,
+            framing: Framing::Lines,
             ..Direction::default()
         };
-        direction.mark_ready();
+        direction.mark_writable();
         direction
     }
 
-    /// Passes on what there is, without waiting. `seen` is shown what goes on.
+    /// Passes on what there is, without waiting. `inspect` is shown what has been written.
     ///
     /// # Errors
-    /// One side has broken.
+    /// The side that has broken.
     pub fn pump(
         &mut self,
         sender: &Socket,
         receiver: &Socket,
         buffers: &Arc<Buffers>,
-        mut seen: impl FnMut(&[u8]),
-    ) -> Result<(), Broken> {
-        let mut turns = 0;
-        self.more = false;
+        mut inspect: impl FnMut(&[u8]),
+    ) -> Result<(), BrokenSide> {
+        let mut buffers_read = 0;
+        self.has_more = false;
         loop {
-            if !self.write(receiver, &mut seen)? {
+            if self.write(receiver, &mut inspect)? == Progress::Blocked {
                 return Ok(());
             }
-            if self.ended {
-                if !self.told {
-                    receiver.end_sending();
-                    self.told = true;
-                }
-                self.bytes = None;
+            if self.sender_ended {
+                self.forward_end(receiver);
                 return Ok(());
             }
-            if turns == TURN {
-                self.more = true;
+            if buffers_read == BUFFERS_PER_TURN_MAX {
+                self.has_more = true;
                 return Ok(());
             }
-            turns += 1;
-            if !self.read(sender, buffers)? {
+            buffers_read += 1;
+            if self.read(sender, buffers)? == Progress::Blocked {
                 return Ok(());
             }
         }
     }
 
-    /// Writes what is ready; whether all of it has gone.
-    fn write(&mut self, receiver: &Socket, seen: &mut impl FnMut(&[u8])) -> Result<bool, Broken> {
-        while self.from < self.ready {
-            let bytes = self.bytes.as_ref().expect("it holds what waits");
+    /// Passes the sender's end on, once.
+    fn forward_end(&mut self, receiver: &Socket) {
+        if !self.end_forwarded {
+            receiver.end_sending();
+            self.end_forwarded = true;
+        }
+        self.buffer = None;
+    }
+
+    /// Writes what is writable; blocked where the receiver has no room for all of it.
+    fn write(
+        &mut self,
+        receiver: &Socket,
+        inspect: &mut impl FnMut(&[u8]),
+    ) -> Result<Progress, BrokenSide> {
+        while self.written < self.writable {
+            let buffer = self.buffer.as_ref().expect("it holds what is writable");
             let count = receiver
-                .write(&bytes[self.from..self.ready])
-                .map_err(|_| Broken::Receiver)?;
+                .write(&buffer[self.written..self.writable])
+                .map_err(|_| BrokenSide::Receiver)?;
             if count == 0 {
-                self.stuck.get_or_insert_with(clock::now);
-                return Ok(false);
+                self.stalled_since.get_or_insert_with(clock::now);
+                return Ok(Progress::Blocked);
             }
-            self.stuck = None;
-            seen(&bytes[self.from..self.from + count]);
-            self.from += count;
+            self.stalled_since = None;
+            inspect(&buffer[self.written..self.written + count]);
+            self.written += count;
         }
-        Ok(true)
+        Ok(Progress::Made)
     }
 
-    /// Reads what there is room for; whether anything came, the end too.
-    fn read(&mut self, sender: &Socket, buffers: &Arc<Buffers>) -> Result<bool, Broken> {
-        let bytes = self.bytes.get_or_insert_with(|| buffers.take());
-        // What is kept of a line that isn't whole begins the buffer.
-        bytes.copy_within(self.from..self.to, 0);
-        (self.from, self.to, self.ready) = (0, self.to - self.from, 0);
-        match sender.read(&mut bytes[self.to..]) {
+    /// Reads what there is room for; blocked where the sender has sent nothing, not even its end.
+    fn read(&mut self, sender: &Socket, buffers: &Arc<Buffers>) -> Result<Progress, BrokenSide> {
+        let buffer = self.buffer.get_or_insert_with(|| buffers.take());
+        // The part of a line that is held back begins the buffer.
+        buffer.copy_within(self.written..self.filled, 0);
+        self.filled -= self.written;
+        self.written = 0;
+        self.writable = 0;
+        match sender.read(&mut buffer[self.filled..]) {
             Ok(Some(0)) => {
-                self.ended = true;
-                self.ready = self.to;
-                Ok(true)
+                self.sender_ended = true;
+                self.writable = self.filled;
+                Ok(Progress::Made)
             }
             Ok(Some(count)) => {
-                self.to += count;
-                self.mark_ready();
-                Ok(true)
+                self.filled += count;
+                self.mark_writable();
+                Ok(Progress::Made)
             }
             Ok(None) => {
                 // An idle connection holds no buffer.
-                if self.to == 0 {
-                    self.bytes = None;
+                if self.filled == 0 {
+                    self.buffer = None;
                 }
-                Ok(false)
+                Ok(Progress::Blocked)
             }
-            Err(_) => Err(Broken::Sender),
+            Err(_) => Err(BrokenSide::Sender),
         }
     }
 
-    /// Finds how much may go on: whole lines, and what is longer than any line.
-    fn mark_ready(&mut self) {
-        let Some(bytes) = &self.bytes else { return };
-        let last_end = bytes[..self.to].iter().rposition(|byte| *byte == b'\n');
-        self.ready = match last_end {
-            Some(end) if self.whole_lines => end + 1,
-            None if self.whole_lines && self.to < BUFFER => 0,
-            _ => self.to,
+    /// Finds how much may be written: whole lines, and what is longer than any line.
+    fn mark_writable(&mut self) {
+        let Some(buffer) = &self.buffer else { return };
+        let last_end = buffer[..self.filled]
+            .iter()
+            .rposition(|byte| *byte == b'\n');
+        self.writable = match (self.framing, last_end) {
+            (Framing::Lines, Some(end)) => end + 1,
+            (Framing::Lines, None) if self.filled < BUFFER => 0,
+            _ => self.filled,
         };
     }
 
     /// Whether a line has begun and isn't whole yet.
-    pub fn holds_part(&self) -> bool {
-        self.ready < self.to
+    pub fn holds_partial_line(&self) -> bool {
+        self.writable < self.filled
     }
 
-    /// Whether all that may go on has gone on.
-    pub fn all_passed(&self) -> bool {
-        self.from == self.ready
+    /// Whether all that may be written has been written.
+    pub fn all_forwarded(&self) -> bool {
+        self.written == self.writable
     }
 }
--- a/crates/dataplane/src/relay/tests.rs
+++ b/crates/dataplane/src/relay/tests.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-use super::direction::TURN;
+use super::direction::BUFFERS_PER_TURN_MAX;
 use super::*;
 use crate::net::Caller;
 use crate::pool::{BUFFER, Buffers, Descriptors};
@@ -34,12 +34,15 @@
                 .unwrap();
             let mut read = vec![0; count];
             to.read_exact(&mut read).unwrap();
-            passed.push((count, direction.more));
+            passed.push((count, direction.has_more));
         }
         passed
     });
     let passed = passed.join().unwrap();
-    assert!(passed[0].0 <= TURN * BUFFER && passed[0].1, "{passed:?}");
+    assert!(
+        passed[0].0 <= BUFFERS_PER_TURN_MAX * BUFFER && passed[0].1,
+        "{passed:?}"
+    );
     assert_eq!(
         (passed.iter().map(|p| p.0).sum::<usize>(), passed[2].1),
         (24 * BUFFER, false),
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -1,5 +1,5 @@
-//! The third stage: asks the desk where a flow goes and waits for its order. It owns nothing. It must never
-//! choose a server itself, and never wait past the flow's deadline.
+//! The third stage: asks the dispatcher where a flow goes and waits for its command. It owns nothing but the request.
+//! It must never choose a server itself, and never wait past the flow's deadline.
 
 use std::time::Duration;
 
@@ -7,97 +7,88 @@
 use nettlemux_policy::{Flow, MS, Time};
 use tracing::error;
 
-use crate::book::Book;
 use crate::clock;
+use crate::flow_guard::FlowGuard;
 use crate::messages::{DispatcherMessage, FlowCommand, FlowEvent};
 use crate::shared::Dataplane;
 
-/// The desk's word is late by so much past the deadline only if something is badly wrong.
-const OVERDUE: Time = 20 * MS;
-/// Between tries of one that was open before the run.
-const PAUSE: Duration = Duration::from_millis(250);
+/// How far past the deadline the dispatcher's command may come: later only where something is badly wrong.
+const COMMAND_GRACE: Time = 20 * MS;
+/// Between two requests for a connection that was open before the run.
+const ADOPTION_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-pub enum Next {
-    FlowCommand(FlowCommand),
-    Left,
+/// What the wait for a command was ended by.
+pub enum RouteDecision {
+    /// The dispatcher's command.
+    Command(FlowCommand),
+    /// The client went away.
+    ClientLeft,
 }
 
-/// A flow as it was asked about.
-pub struct Asked {
-    flow: Flow,
-    who: ClientIdentity,
-    at: Option<String>,
+/// A flow as the dispatcher is asked to place it.
+pub struct PlacementRequest {
+    /// The flow.
+    pub flow: Flow,
+    /// The client as admission control knows it.
+    pub identity: ClientIdentity,
+    /// The server that held the connection before the run.
+    pub previous_server: Option<String>,
 }
 
-pub fn ask(
-    dataplane: &Dataplane,
-    book: &mut Book,
-    flow: Flow,
-    who: ClientIdentity,
-    at: Option<&str>,
-) -> Asked {
-    let mailbox = book.caller.mailbox.sender();
-    let ask = match at {
-        Some(at) => DispatcherMessage::AdoptConnection {
-            flow: flow.clone(),
-            at: at.to_string(),
-            mailbox,
-        },
-        None => DispatcherMessage::PlaceFlow {
-            flow: flow.clone(),
-            who,
-            mailbox,
-        },
-    };
-    dataplane.dispatcher.send(ask);
-    Asked {
-        flow,
-        who,
-        at: at.map(String::from),
+impl PlacementRequest {
+    /// Asks the dispatcher, which answers at the flow's mailbox.
+    pub fn send(&self, dataplane: &Dataplane, flow: &FlowGuard) {
+        let mailbox = flow.caller.mailbox.sender();
+        let message = match &self.previous_server {
+            Some(previous_server) => DispatcherMessage::AdoptConnection {
+                flow: self.flow.clone(),
+                at: previous_server.clone(),
+                mailbox,
+            },
+            None => DispatcherMessage::PlaceFlow {
+                flow: self.flow.clone(),
+                who: self.identity,
+                mailbox,
+            },
+        };
+        dataplane.dispatcher.send(message);
     }
-}
 
-impl Asked {
-    /// Asks once more after a pause; false once there is no time left.
-    pub fn again(&self, dataplane: &Dataplane, book: &mut Book) -> bool {
+    /// Asks once more after a pause. Returns false where there is no time left.
+    pub fn resend(&self, dataplane: &Dataplane, flow: &FlowGuard) -> bool {
         if clock::now() >= self.flow.deadline {
             return false;
         }
-        may::coroutine::sleep(PAUSE);
-        ask(
-            dataplane,
-            book,
-            self.flow.clone(),
-            self.who,
-            self.at.as_deref(),
-        );
+        may::coroutine::sleep(ADOPTION_RETRY_INTERVAL);
+        self.send(dataplane, flow);
         true
     }
 }
 
-pub fn command(book: &mut Book) -> Next {
-    // Guards against a client whose end has come in one with its line, which rings no bell, and who is waited for.
-    if book.client_left() {
-        return Next::Left;
+/// Waits for the dispatcher's command, until the flow's deadline.
+pub fn wait_for_command(flow: &mut FlowGuard) -> RouteDecision {
+    // Guards against a client whose end has come in one with its line, which notifies nobody, and who is waited for.
+    if flow.client_has_left() {
+        return RouteDecision::ClientLeft;
     }
     loop {
-        match book.caller.mailbox.next(book.deadline + OVERDUE) {
-            Some(FlowEvent::Command(FlowCommand::Migrate(by))) => book.move_by = Some(by),
+        match flow.caller.mailbox.next(flow.deadline + COMMAND_GRACE) {
+            Some(FlowEvent::Command(FlowCommand::Migrate(by))) => flow.migrate_by = Some(by),
             // Of an attempt that has ended meanwhile.
             Some(
                 FlowEvent::Command(FlowCommand::CancelAttempt | FlowCommand::AttemptTimedOut)
                 | FlowEvent::Stop,
             ) => {}
-            Some(FlowEvent::Command(command)) => return Next::FlowCommand(command),
+            Some(FlowEvent::Command(command)) => return RouteDecision::Command(command),
             Some(FlowEvent::SocketReady) => {
-                if book.client_left() {
-                    return Next::Left;
+                if flow.client_has_left() {
+                    return RouteDecision::ClientLeft;
                 }
             }
             None => {
-                // Guards against a flow without an answer where the desk is stuck.
-                error!(id = book.id, "no word from the desk in time");
-                return Next::FlowCommand(FlowCommand::Fail);
+                // Guards against a flow without an answer where the dispatcher is stuck.
+                error!(id = flow.id, "no command from the dispatcher in time");
+                return RouteDecision::Command(FlowCommand::Fail);
             }
         }
     }
--- a/crates/dataplane/src/shared.rs
+++ b/crates/dataplane/src/shared.rs
@@ -5,13 +5,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use nettlemux_flow_table::ClientIdentity;
-use nettlemux_policy::{Flow, Time};
+use nettlemux_policy::Time;
 use nettlemux_settings::LoadReportFormat;
 
 use crate::mailbox::Sender;
 use crate::messages::DispatcherMessage;
-use crate::net::Caller;
 use crate::pool::{Buffers, DescriptorBudgets};
 
 /// Ids of ended flows that are remembered: an id is new with every connection, so one that comes again is somebody
@@ -62,18 +60,6 @@
     }
 }
 
-/// A flow that a front has taken, with all that the stages need of it.
-pub struct Admitted {
-    pub flow: Flow,
-    pub who: ClientIdentity,
-    /// The server that held it before the run.
-    pub at: Option<String>,
-    pub caller: Caller,
-    /// The first line as it came, without its end.
-    pub line: Vec<u8>,
-    pub id: Id,
-}
-
 /// The clients' ids that can't be used again.
 #[derive(Default)]
 pub struct Ids {
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -3,7 +3,8 @@
 
 use nettlemux_dataplane::clock;
 use nettlemux_dataplane::net::LINGER;
-use nettlemux_dataplane::shared::{Admitted, Dataplane};
+use nettlemux_dataplane::pipeline::AdmittedFlow;
+use nettlemux_dataplane::shared::Dataplane;
 use nettlemux_dataplane::wire::{FAILED, NO, PONG, rejected};
 
 use nettlemux_policy::{Flow, MS, SEC, Time};
@@ -20,7 +21,7 @@
     dataplane: &Dataplane,
     known: &FirstLineSettings,
     mut taken: AcceptedConnection,
-) -> Option<Admitted> {
+) -> Option<AdmittedFlow> {
     for _ in 0..QUESTIONS {
         let (length, next) = taken.line;
         if next != length + 2 {
@@ -77,13 +78,13 @@
                 debug!(id = flow.id, line = %String::from_utf8_lossy(&taken.bytes[..length]), "taken");
                 let line = taken.bytes[..length].to_vec();
                 let who = known.who(&open, flow.class, flow.accepted_at);
-                return Some(Admitted {
+                return Some(AdmittedFlow {
                     flow,
-                    who,
-                    at,
-                    caller: taken.caller,
+                    identity: who,
+                    previous_server: at,
+                    client: taken.caller,
                     line,
-                    id,
+                    client_id: id,
                 });
             }
             // We are asked only once the listener stands, and then can serve.
@@ -101,7 +102,7 @@
 }
 
 /// Answers a line that can't be used, and ends.
-fn refuse(taken: AcceptedConnection, why: &str) -> Option<Admitted> {
+fn refuse(taken: AcceptedConnection, why: &str) -> Option<AdmittedFlow> {
     warn!(why, line = %String::from_utf8_lossy(&taken.bytes[..taken.line.0.min(200)]), "malformed first line");
     taken.refuse(FAILED);
     None
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -582,12 +582,12 @@
         (
             code.idle_client_s.value,
             30.0,
-            "const VANISHED: Time = 30 * SEC;",
+            "const CLIENT_IDLE_TIMEOUT: Time = 30 * SEC;",
         ),
         (
             code.silent_server_s.value,
             5.0,
-            "const SILENCE: Time = 5 * SEC;",
+            "const RESPONSE_TIMEOUT: Time = 5 * SEC;",
         ),
     ];
     let mut sources = String::new();
