--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -11,7 +11,7 @@
 use nettlemux_admission::AdmissionConfig;
 use nettlemux_dataplane::discovery::{self, ListUpdate};
 use nettlemux_dataplane::retry;
-use nettlemux_dataplane::shared::RuntimeSettings;
+use nettlemux_dataplane::runtime_settings::RuntimeSettings;
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
 use nettlemux_settings::operator::{self, Deprecated, Operator};
@@ -61,13 +61,11 @@
     /// What the settings say beside the module's part.
     pub fn runtime_settings(&self) -> RuntimeSettings {
         let how = self.settings.maybe("report/how").and_then(Value::as_str);
-        let stats = how != Some("silent");
-        let (reports, dial_limit, asked) = (self.settings.reports(), self.dial_limit, self.asked);
         RuntimeSettings {
-            reports,
-            stats,
-            dial_limit,
-            asked,
+            report_format: self.settings.reports(),
+            load_reports_on_request: how != Some("silent"),
+            connect_timeout: self.dial_limit,
+            endpoint_poll_interval_max: self.asked,
         }
     }
 
@@ -126,7 +124,7 @@
 /// The same at the start, where one that can't be read at this moment is read a moment later.
 pub fn load_at_start(file: Option<&Path>) -> Result<Config, Faulty> {
     load_by(file, |file| {
-        retry::until_it_passes(|| fs::read_to_string(file))
+        retry::retry_transient(|| fs::read_to_string(file))
     })
 }
 
@@ -151,7 +149,7 @@
 /// The same at the start, where one that can't be read at this moment is read a moment later.
 pub fn operator_at_start(file: Option<&Path>) -> Result<Operator, String> {
     operator_by(file, |file| {
-        retry::until_it_passes(|| fs::read_to_string(file))
+        retry::retry_transient(|| fs::read_to_string(file))
     })
 }
 
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -16,14 +16,16 @@
 
 use bpaf::{Parser, construct, long, pure};
 use nettlemux_admission::AdmissionController;
+use nettlemux_dataplane::buffers::BufferPool;
+use nettlemux_dataplane::dataplane::Dataplane;
+use nettlemux_dataplane::descriptors::DescriptorBudgets;
 use nettlemux_dataplane::discovery::{self, Agent};
 use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig};
 use nettlemux_dataplane::gossip::Peers;
 use nettlemux_dataplane::health_check::{self, HealthChecker};
 use nettlemux_dataplane::mailbox::Mailbox;
 use nettlemux_dataplane::messages::DispatcherMessage;
-use nettlemux_dataplane::pool::{Buffers, DescriptorBudgets};
-use nettlemux_dataplane::shared::{Dataplane, SharedSettings};
+use nettlemux_dataplane::runtime_settings::SharedSettings;
 use nettlemux_dataplane::shutdown::AnswerDeadline;
 use nettlemux_dataplane::supervisor;
 use nettlemux_flow_table::FlowTable;
@@ -197,8 +199,8 @@
         .with_gossip(operator.peers.is_some());
     let faulty = |e: nettlemux_settings::Malformed| format!("settings: {e}");
     let policy = settings.policy(config.seed, MARGIN, true).map_err(faulty)?;
-    let descriptors = budgets.others.clone();
-    let buffers = Buffers::new();
+    let descriptors = budgets.control.clone();
+    let buffers = BufferPool::new();
     let messages = Mailbox::new();
     let dispatcher = messages.sender();
     let runtime_settings = SharedSettings::new(config.runtime_settings());
@@ -227,9 +229,9 @@
         dispatcher: dispatcher.clone(),
         buffers: buffers.clone(),
         budgets,
-        ids: Arc::default(),
+        client_ids: Arc::default(),
         settings: runtime_settings.clone(),
-        numbers: AtomicU64::new(1),
+        next_flow: AtomicU64::new(1),
     });
 
     let front = Acceptor::new(dataplane.clone(), known);
@@ -246,7 +248,7 @@
     let listener = listener.map_err(|e| format!("can't listen at {}: {e}", config.listen))?;
     let (flows, waiting) = (
         dataplane.budgets.flows.limit(),
-        dataplane.budgets.waiting.limit(),
+        dataplane.budgets.pending.limit(),
     );
     info!(name = config.name, listen = %config.listen, sockets = config.sockets, flows, waiting, "serving");
     let (zones, machines) = (settings.names("areas"), settings.names("models"));
@@ -261,7 +263,7 @@
         None => (None, None),
     };
     signals::untold(&config.settings, peers.is_some());
-    let pending_connections = dataplane.budgets.waiting.clone();
+    let pending_connections = dataplane.budgets.pending.clone();
     let given = DispatcherConfig {
         seed: config.seed,
         margin: MARGIN,
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -16,7 +16,7 @@
 use nettlemux_dataplane::mailbox::Sender;
 use nettlemux_dataplane::messages::DispatcherMessage;
 use nettlemux_dataplane::retry;
-use nettlemux_dataplane::shared::SharedSettings;
+use nettlemux_dataplane::runtime_settings::SharedSettings;
 use nettlemux_line_protocol::acceptor::Acceptor;
 use nettlemux_line_protocol::first_line::FirstLineSettings;
 use nettlemux_settings::Settings;
@@ -37,7 +37,7 @@
 /// Takes over the signals. To be called before all else: until then SIGHUP ends the process. What comes before
 /// [`listen`] waits.
 pub fn catch() -> io::Result<Signals> {
-    retry::until_it_passes(|| Signals::new([SIGTERM, SIGINT, SIGHUP]))
+    retry::retry_transient(|| Signals::new([SIGTERM, SIGINT, SIGHUP]))
 }
 
 /// What SIGHUP reads again, and what it says now.
@@ -134,7 +134,7 @@
             dispatcher.send(DispatcherMessage::ApplySettings(Box::new(
                 merged.clone().with_gossip(self.peers.is_some()),
             )));
-            self.runtime_settings.change(new.runtime_settings());
+            self.runtime_settings.replace(new.runtime_settings());
             self.front.change(known);
             info!("other settings from now on");
             (self.in_file, self.config.settings) = (new.settings.clone(), merged);
--- a/crates/dataplane/src/attempt.rs
+++ b/crates/dataplane/src/attempt.rs
@@ -1,20 +1,20 @@
-//! The fourth stage: makes one attempt. It dials the server, writes the client's first line and waits for the answer.
-//! It owns the server's socket until it hands it on, and closes it before the attempt is reported as ended. It must
-//! never write to a server that the endpoint list no longer calls ready, never write twice, and never retry: retries
-//! are the policy's decision.
+//! The fourth stage: makes one attempt. It dials the server, writes the client's first line and
+//! waits for the answer. It owns the server's socket until it hands it on, and closes it before the
+//! attempt is reported as ended. It must never write to a server that the endpoint list no longer
+//! calls ready, never write twice, and never retry: retries are the policy's decision.
 
 use std::io::{self, ErrorKind};
 
 use nettlemux_policy::{AttemptEnd, Time};
 use tracing::warn;
 
+use crate::buffers::Buffer;
 use crate::clock;
+use crate::dataplane::Dataplane;
 use crate::flow_guard::FlowGuard;
 use crate::messages::{AttemptOutcome, AttemptTarget, FlowCommand, FlowEvent};
-use crate::net::Socket;
-use crate::pool::Buffer;
-use crate::shared::Dataplane;
-use crate::wire::{self, Answer};
+use crate::socket::Socket;
+use crate::wire::{self, ServerAnswer};
 
 /// A server that has accepted the client.
 pub struct ServerConnection {
@@ -78,8 +78,8 @@
         target,
         client_left: false,
     };
-    // Guards against an attempt that begins long after its client has left, where the worker has been busy since the
-    // command and nothing has been notified yet.
+    // Guards against an attempt that begins long after its client has left, where the worker has
+    // been busy since the command and nothing has been notified yet.
     attempt.check_client()?;
     let server = attempt.dial()?;
     attempt.wait_until_connected(&server)?;
@@ -98,10 +98,11 @@
 }
 
 impl Attempt<'_> {
-    /// Fails where the client has left. Up to its line's last byte an attempt has not been sent, so whoever is gone by
-    /// then needs none, whether or not the settings allow attempts to be cancelled. Guards against a flow that is
-    /// forwarded long after its client has left: while a connection comes up late, or since the client's end came in
-    /// one with its line and notified nobody.
+    /// Fails where the client has left. Up to its line's last byte an attempt has not been sent, so
+    /// whoever is gone by then needs none, whether or not the settings allow attempts to be
+    /// cancelled. Guards against a flow that is forwarded long after its client has left: while a
+    /// connection comes up late, or since the client's end came in one with its line and notified
+    /// nobody.
     fn check_client(&mut self) -> Result<(), AttemptFailure> {
         if self.has_client_left() {
             return Err(AttemptFailure::ClientLeft(LineProgress::Unsent));
@@ -120,9 +121,10 @@
     }
 
     fn dial(&self) -> Result<Socket, AttemptFailure> {
-        let caller = &self.flow.caller;
-        let notifier = caller.mailbox.sender();
-        Socket::dial(self.target.server.address, caller.socket.slot(), notifier).map_err(|error| {
+        let client = &self.flow.client;
+        let address = self.target.server.address;
+        let server = Socket::dial(address, client.socket.permit(), client.mailbox.sender());
+        server.map_err(|error| {
             if concerns_server(&error) {
                 return unsent(AttemptEnd::Unreachable);
             }
@@ -132,11 +134,11 @@
     }
 
     fn wait_until_connected(&mut self, server: &Socket) -> Result<(), AttemptFailure> {
-        let connect_timeout = self.dataplane.settings.now().dial_limit;
+        let connect_timeout = self.dataplane.settings.current().connect_timeout;
         let connect_by = self.target.by.min(clock::now() + connect_timeout);
         loop {
-            server.looked_at();
-            match server.connected() {
+            server.rearm_notification();
+            match server.is_connected() {
                 Ok(true) => return Ok(()),
                 Ok(false) => {}
                 Err(_) => return Err(unsent(AttemptEnd::Unreachable)),
@@ -145,8 +147,8 @@
         }
     }
 
-    /// What a connection that isn't up in time says: where its time was cut short so that a retry can't be late,
-    /// nothing of the server.
+    /// What a connection that isn't up in time says: where its time was cut short so that a retry
+    /// can't be late, nothing of the server.
     fn connect_timeout_end(&self) -> AttemptEnd {
         let is_cut_short = self.target.by < self.target.until;
         if is_cut_short && clock::now() >= self.target.by {
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Waits while the line's last byte isn't written; `timeout_end` says how the attempt ends where that takes too
-    /// long.
+    /// Waits while the line's last byte isn't written; `timeout_end` says how the attempt ends
+    /// where that takes too long.
     fn wait_unsent(
         &mut self,
         until: Time,
@@ -172,9 +174,9 @@
         }
     }
 
-    /// Returns the line as it goes to the server, where it may still be sent. The endpoint list may have changed since
-    /// the command was given, and a retry that was in time may be late by now. An adopted connection goes back to its
-    /// server whatever the list says.
+    /// Returns the line as it goes to the server, where it may still be sent. The endpoint list may
+    /// have changed since the command was given, and a retry that was in time may be late by now.
+    /// An adopted connection goes back to its server whatever the list says.
     fn line_to_send(&self, line: &[u8], origin: FlowOrigin) -> Result<Vec<u8>, AttemptFailure> {
         match origin {
             FlowOrigin::Adopted => Ok([line, b"\r\n"].concat()),
@@ -183,7 +185,7 @@
             }
             FlowOrigin::New => {
                 let wait = self.target.until.saturating_sub(clock::now());
-                Ok(wire::onward(line, wait))
+                Ok(wire::forwarded_line(line, wait))
             }
         }
     }
@@ -191,7 +193,7 @@
     fn write_line(&mut self, server: &Socket, line: &[u8]) -> Result<(), AttemptFailure> {
         let mut written = 0;
         while written < line.len() {
-            server.looked_at();
+            server.rearm_notification();
             match server.write(&line[written..]) {
                 Ok(count) => written += count,
                 // Its last byte was never written.
@@ -209,7 +211,7 @@
         let mut length = 0;
         let mut timed_out = false;
         loop {
-            server.looked_at();
+            server.rearm_notification();
             match server.read(&mut received[length..]) {
                 Ok(Some(0)) | Err(_) => return Err(sent(AttemptEnd::ConnectionLost)),
                 Ok(Some(count)) => length += count,
@@ -220,16 +222,16 @@
                 }
                 Ok(None) => match self.wait(self.target.until) {
                     Wakeup::Progress => {}
-                    // Looked at once more: guards against an answer that has come and whose notification comes after
-                    // the timer's.
+                    // Looked at once more: guards against an answer that has come and whose
+                    // notification comes after the timer's.
                     Wakeup::TimedOut => timed_out = true,
                     Wakeup::Cancelled => {
                         return Err(AttemptFailure::ClientLeft(LineProgress::Sent));
                     }
                 },
             }
-            if let Some((_, next)) = wire::line_end(&received[..length]) {
-                self.check_answer(&received[..next])?;
+            if let Some(line) = wire::first_line(&received[..length]) {
+                self.check_answer(&received[..line.next])?;
                 return Ok(ServerConnection {
                     socket: server,
                     received,
@@ -244,21 +246,18 @@
 
     /// Fails unless the server has accepted and the client is still there.
     fn check_answer(&self, answer: &[u8]) -> Result<(), AttemptFailure> {
-        match wire::answer(answer, &self.dataplane.settings.now().reports) {
-            Answer::Up if self.client_left => Err(AttemptFailure::ClientLeft(LineProgress::Sent)),
-            Answer::Up => Ok(()),
-            Answer::Ended(end, known_unexecuted, report) => {
-                Err(AttemptFailure::Ended(AttemptOutcome {
-                    end,
-                    known_unexecuted,
-                    report,
-                }))
+        let report_format = self.dataplane.settings.current().report_format;
+        match ServerAnswer::parse(answer, &report_format) {
+            ServerAnswer::Accepted if self.client_left => {
+                Err(AttemptFailure::ClientLeft(LineProgress::Sent))
             }
+            ServerAnswer::Accepted => Ok(()),
+            ServerAnswer::Ended(outcome) => Err(AttemptFailure::Ended(outcome)),
         }
     }
 
     fn wait(&mut self, until: Time) -> Wakeup {
-        match self.flow.caller.mailbox.next(until) {
+        match self.flow.client.mailbox.next(until) {
             None | Some(FlowEvent::Command(FlowCommand::AttemptTimedOut)) => Wakeup::TimedOut,
             Some(FlowEvent::Command(FlowCommand::CancelAttempt)) if self.client_left => {
                 Wakeup::Cancelled
@@ -288,8 +287,8 @@
     AttemptFailure::Ended(AttemptOutcome::sent(end))
 }
 
-/// Whether a connection that could not be begun says something of its server. All other errors are this machine's: no
-/// descriptor, port, memory, route or permission.
+/// Whether a connection that could not be begun says something of its server. All other errors are
+/// this machine's: no descriptor, port, memory, route or permission.
 fn concerns_server(error: &io::Error) -> bool {
     use ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, TimedOut};
     matches!(
--- a/crates/dataplane/src/attempt/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -10,27 +10,29 @@
 use socket2::SockRef;
 
 use super::*;
+use crate::buffers::BufferPool;
+use crate::connection::Connection;
+use crate::descriptors::{DescriptorBudget, DescriptorBudgets};
 use crate::mailbox::Mailbox;
 use crate::messages::{DispatcherMessage, Server};
-use crate::net::Caller;
-use crate::pool::{Buffers, DescriptorBudgets, Descriptors};
-use crate::shared::{RuntimeSettings, SharedSettings};
+use crate::runtime_settings::{RuntimeSettings, SharedSettings};
 
 fn dataplane(messages: &Mailbox<DispatcherMessage>) -> Arc<Dataplane> {
     Arc::new(Dataplane {
         dispatcher: messages.sender(),
-        buffers: Buffers::new(),
+        buffers: BufferPool::new(),
         budgets: DescriptorBudgets::new(256, 32 << 20),
-        ids: Arc::default(),
+        client_ids: Arc::default(),
         settings: SharedSettings::new(RuntimeSettings {
-            dial_limit: SEC,
+            connect_timeout: SEC,
             ..RuntimeSettings::default()
         }),
-        numbers: AtomicU64::new(1),
+        next_flow: AtomicU64::new(1),
     })
 }
 
-/// Sends a flow on whose client has done that before; whether nothing was sent, and whether the server was dialled.
+/// Sends a flow on whose client has done that before; whether nothing was sent, and whether the
+/// server was dialled.
 fn sent_on(leave: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
     let (front, server) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
@@ -47,16 +49,21 @@
     let unsent = may::go!(move || {
         let messages = Mailbox::new();
         let dataplane = dataplane(&messages);
-        let (slot, id) = (
-            Descriptors::new(9).take(0).unwrap(),
-            dataplane.ids.take("9b1f").unwrap(),
+        let (permit, client_id) = (
+            DescriptorBudget::new(9).try_acquire().unwrap(),
+            dataplane.client_ids.reserve("9b1f").unwrap(),
         );
         let flow = Flow {
             id: 5,
             deadline: Time::MAX,
             ..Flow::default()
         };
-        let mut flow = FlowGuard::new(&dataplane, &flow, Caller::new(stream, slot), id);
+        let mut flow = FlowGuard::new(
+            &dataplane,
+            &flow,
+            Connection::new(stream, permit),
+            client_id,
+        );
         let server = Arc::new(Server {
             name: "s-0".into(),
             address,
@@ -90,8 +97,8 @@
     (unsent, dialled)
 }
 
-/// Its end has rung for nobody yet, as where the worker has been busy since. Guards against an attempt that begins long
-/// after the client has gone.
+/// Its end has rung for nobody yet, as where the worker has been busy since. Guards against an
+/// attempt that begins long after the client has gone.
 #[test]
 fn a_server_is_not_dialled_for_a_client_that_has_left() {
     assert_eq!(sent_on(|_| {}), (false, true), "one that stays");
--- /dev/null
+++ b/crates/dataplane/src/buffers.rs
@@ -0,0 +1,70 @@
+//! The pool of line buffers. It owns the buffers that are not in use, and must never wait: where it
+//! is empty a new buffer is made.
+
+use std::ops::{Deref, DerefMut};
+use std::sync::Arc;
+
+use crossbeam_queue::ArrayQueue;
+
+/// Bytes of each buffer: a line of 4 KiB and its CRLF.
+pub const BUFFER_BYTES: usize = 4096 + 2;
+/// Buffers that are kept while nobody uses them; most connections hold none, since lines go on as
+/// they come.
+const POOLED_BUFFERS_MAX: usize = 64;
+
+/// Buffers to use again.
+pub struct BufferPool {
+    free: ArrayQueue<Box<[u8; BUFFER_BYTES]>>,
+}
+
+impl BufferPool {
+    /// Returns an empty pool.
+    pub fn new() -> Arc<Self> {
+        Arc::new(BufferPool {
+            free: ArrayQueue::new(POOLED_BUFFERS_MAX),
+        })
+    }
+
+    /// Takes a buffer, whose bytes are those of its last use.
+    pub fn take(self: &Arc<Self>) -> Buffer {
+        let bytes = self
+            .free
+            .pop()
+            .unwrap_or_else(|| Box::new([0; BUFFER_BYTES]));
+        Buffer {
+            bytes: Some(bytes),
+            pool: self.clone(),
+        }
+    }
+}
+
+/// A buffer on loan, which goes back to its pool when it is dropped.
+pub struct Buffer {
+    bytes: Option<Box<[u8; BUFFER_BYTES]>>,
+    pool: Arc<BufferPool>,
+}
+
+impl Deref for Buffer {
+    type Target = [u8; BUFFER_BYTES];
+
+    fn deref(&self) -> &Self::Target {
+        self.bytes.as_deref().expect("held until dropped")
+    }
+}
+
+impl DerefMut for Buffer {
+    fn deref_mut(&mut self) -> &mut Self::Target {
+        self.bytes.as_deref_mut().expect("held until dropped")
+    }
+}
+
+impl Drop for Buffer {
+    fn drop(&mut self) {
+        if let Some(bytes) = self.bytes.take() {
+            let _ = self.pool.free.push(bytes);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/dataplane/src/discovery.rs
+++ b/crates/dataplane/src/discovery.rs
@@ -19,12 +19,13 @@
 use self::agent::Location;
 use self::backoff::{Failure, QUEUE_TIMEOUT, RETRY_MIN, pause, pause_limit};
 pub use self::list::{ListUpdate, update_of};
+use crate::buffers::BufferPool;
 use crate::clock;
+use crate::connection::{Connection, ConnectionError};
+use crate::descriptors::DescriptorBudget;
 use crate::mailbox::{Mailbox, Sender};
 use crate::messages::DispatcherMessage;
-use crate::net::{Caller, ConnectionError};
-use crate::pool::{Buffers, Descriptors};
-use crate::shared::SharedSettings;
+use crate::runtime_settings::SharedSettings;
 
 /// How long one call is held. Short, since a silent agent shows only once a hold is over: what it should have
 /// told counts as told 2 s after.
@@ -46,8 +47,8 @@
     pub settings: Arc<SharedSettings>,
     /// For random draws.
     pub seed: u64,
-    pub descriptors: Arc<Descriptors>,
-    pub buffers: Arc<Buffers>,
+    pub descriptors: Arc<DescriptorBudget>,
+    pub buffers: Arc<BufferPool>,
 }
 
 /// Watches for as long as the desk listens, from the version that is known.
@@ -75,7 +76,7 @@
     dispatcher: &'a Sender<DispatcherMessage>,
     rng: WyRand,
     /// Kept from the last call.
-    connection: Option<Caller>,
+    connection: Option<Connection>,
     /// The version of the list that we have; none where all of it is to be asked for.
     version: Option<u64>,
     /// How often the agent had moved when it was last called.
@@ -176,7 +177,7 @@
 
     fn request(&self) -> Request {
         let started = clock::now();
-        let ask_within = self.context.settings.now().asked;
+        let ask_within = self.context.settings.current().endpoint_poll_interval_max;
         // Where one service is asked by all, a whole list for each after its failure would fill its queue.
         let after_restart = self.restarted && ask_within.is_none() && started >= self.next_whole;
         let from = self.version.filter(|_| !after_restart);
@@ -204,7 +205,7 @@
 
     fn call(&mut self, location: &Location, request: &Request) -> Result<ListUpdate, CallError> {
         let connection = match self.connection.take() {
-            Some(connection) if connection.quiet() => connection,
+            Some(connection) if connection.is_idle() => connection,
             kept => {
                 // Guards against an agent that was started anew between two calls: its end shows here and nowhere else.
                 self.restarted |= kept.is_some();
@@ -224,17 +225,17 @@
         Ok(update)
     }
 
-    fn connect(&self, location: &Location, deadline: Time) -> Result<Caller, CallError> {
+    fn connect(&self, location: &Location, deadline: Time) -> Result<Connection, CallError> {
         let slot = self
             .context
             .descriptors
-            .take(0)
+            .try_acquire()
             .ok_or(CallError::NoDescriptor)?;
         let mailbox = Mailbox::new();
         if !self.context.agent.notify(mailbox.sender(), location) {
             return Err(CallError::Moved);
         }
-        Ok(Caller::dial(mailbox, location.address, slot, deadline)?)
+        Ok(Connection::dial(mailbox, location.address, slot, deadline)?)
     }
 
     /// Takes over what a call has brought.
--- a/crates/dataplane/src/discovery/http.rs
+++ b/crates/dataplane/src/discovery/http.rs
@@ -6,8 +6,8 @@
 use httparse::Status;
 use nettlemux_policy::Time;
 
-use crate::net::{Caller, ConnectionError};
-use crate::pool::{Buffer, Buffers};
+use crate::buffers::{Buffer, BufferPool};
+use crate::connection::{Connection, ConnectionError};
 
 /// An answer is no longer than this: guards against an endless one. 12,000 entries, indented by four, are 3.5 MB.
 const RESPONSE_MAX: usize = 4 << 20;
@@ -55,8 +55,8 @@
 /// # Errors
 /// `Malformed` where it came and can't be used or isn't a 200; else what ended the connection or the wait.
 pub fn read_response(
-    connection: &Caller,
-    buffers: &Arc<Buffers>,
+    connection: &Connection,
+    buffers: &Arc<BufferPool>,
     deadline: Time,
 ) -> Result<Response, ConnectionError> {
     let mut reader = Reader {
@@ -76,7 +76,7 @@
 
 /// What has been read of an answer and not been used yet.
 struct Reader<'a> {
-    connection: &'a Caller,
+    connection: &'a Connection,
     buffer: Buffer,
     held: Vec<u8>,
     deadline: Time,
--- a/crates/dataplane/src/discovery/http/tests.rs
+++ b/crates/dataplane/src/discovery/http/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::clock;
-use crate::pool::Descriptors;
+use crate::descriptors::DescriptorBudget;
 
 /// Reads an answer that is written in these pieces, one after another, after which the connection ends.
 fn read(pieces: Vec<Vec<u8>>) -> Result<Response, ConnectionError> {
@@ -18,8 +18,8 @@
     let writer =
         std::thread::spawn(move || pieces.iter().try_for_each(|piece| agent.write_all(piece)));
     let read = may::go!(move || {
-        let connection = Caller::new(stream, Descriptors::new(1).take(0).unwrap());
-        read_response(&connection, &Buffers::new(), clock::now() + 5 * SEC)
+        let connection = Connection::new(stream, DescriptorBudget::new(1).try_acquire().unwrap());
+        read_response(&connection, &BufferPool::new(), clock::now() + 5 * SEC)
     });
     let read = read.join().unwrap();
     let _ = writer.join();
--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -16,13 +16,13 @@
 use tracing::{error, info, warn};
 
 use crate::clock;
+use crate::descriptors::DescriptorBudget;
 use crate::health_check::HealthChecker;
 use crate::mailbox::{Mailbox, Sender};
 use crate::messages::{
     AttemptTarget, DiscoveredEndpoint, DispatcherMessage, FlowCommand, FlowEvent, GossipMessage,
     Server,
 };
-use crate::pool::Descriptors;
 use crate::shutdown::AnswerDeadline;
 use crate::start_times::StartTimes;
 
@@ -92,7 +92,7 @@
     /// When the last answer is due once the end is asked for.
     pub answer_deadline: AnswerDeadline,
     /// Connections that no flow has come of yet, or that are on their way out.
-    pub pending_connections: Arc<Descriptors>,
+    pub pending_connections: Arc<DescriptorBudget>,
 }
 
 pub struct Dispatcher {
@@ -549,7 +549,7 @@
                     .send(FlowEvent::Command(FlowCommand::AttemptTimedOut))
             });
         }
-        let all_said = self.clients.is_empty() && self.given.pending_connections.open() == 0;
+        let all_said = self.clients.is_empty() && self.given.pending_connections.in_use() == 0;
         passed >= last_answer + EXIT || passed >= move_until && all_said
     }
 }
--- a/crates/dataplane/src/flow_guard/tests.rs
+++ b/crates/dataplane/src/flow_guard/tests.rs
@@ -5,21 +5,22 @@
 use std::sync::atomic::AtomicU64;
 
 use super::*;
+use crate::buffers::BufferPool;
+use crate::descriptors::{DescriptorBudget, DescriptorBudgets};
 use crate::mailbox::Mailbox;
-use crate::pool::{Buffers, DescriptorBudgets, Descriptors};
 
 /// Guards against a flow that is lost, and a desk that keeps it, when its coroutine panics.
 #[test]
 fn a_flow_that_panics_is_answered_and_given_back() {
     let messages = Mailbox::new();
-    let descriptors = Descriptors::new(9);
+    let descriptors = DescriptorBudget::new(9);
     let dataplane = Arc::new(Dataplane {
         dispatcher: messages.sender(),
-        buffers: Buffers::new(),
+        buffers: BufferPool::new(),
         budgets: DescriptorBudgets::new(256, 32 << 20),
-        ids: Arc::default(),
+        client_ids: Arc::default(),
         settings: Arc::default(),
-        numbers: AtomicU64::new(1),
+        next_flow: AtomicU64::new(1),
     });
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -28,25 +29,30 @@
         .unwrap();
     let stream = listener.accept().unwrap().0;
     stream.set_nonblocking(true).unwrap();
-    let slot = descriptors.take(0).unwrap();
-    let id = dataplane.ids.take("9b1f").unwrap();
+    let permit = descriptors.try_acquire().unwrap();
+    let client_id = dataplane.client_ids.reserve("9b1f").unwrap();
     // Guards against a flow that is opened under another's id, also once that has ended.
-    assert!(dataplane.ids.take("9b1f").is_none());
-    let ids = dataplane.ids.clone();
+    assert!(dataplane.client_ids.reserve("9b1f").is_none());
+    let ids = dataplane.client_ids.clone();
     let flow = Flow {
         id: 5,
         deadline: Time::MAX,
         ..Flow::default()
     };
     let panicked = may::go!(move || {
-        let _flow = FlowGuard::new(&dataplane, &flow, Caller::new(stream, slot), id);
+        let _flow = FlowGuard::new(
+            &dataplane,
+            &flow,
+            Connection::new(stream, permit),
+            client_id,
+        );
         panic!("on purpose");
     });
     assert!(panicked.join().is_err());
-    assert!(ids.take("9b1f").is_none() && ids.take("9b20").is_some());
+    assert!(ids.reserve("9b1f").is_none() && ids.reserve("9b20").is_some());
     let mut answer = String::new();
     client.read_to_string(&mut answer).unwrap();
-    assert_eq!(answer.as_bytes(), wire::FAILED);
+    assert_eq!(answer.as_bytes(), wire::REPLY_FAILED);
     let told = may::go!(move || messages.next(clock::now() + 1000 * MS))
         .join()
         .unwrap();
@@ -55,7 +61,7 @@
         Some(DispatcherMessage::FlowClosed { flow: 5 })
     ));
     let until = clock::now() + 1000 * MS;
-    while descriptors.open() > 0 {
+    while descriptors.in_use() > 0 {
         assert!(clock::now() < until, "its descriptor is given back");
         std::thread::yield_now();
     }
--- a/crates/dataplane/src/health_check.rs
+++ b/crates/dataplane/src/health_check.rs
@@ -9,13 +9,14 @@
 use nettlemux_policy::{LoadReport, MS, ServerId, Time};
 use tracing::{debug, warn};
 
+use crate::buffers::BufferPool;
 use crate::clock;
+use crate::connection::{Connection, ConnectionError};
+use crate::descriptors::{DescriptorBudget, DescriptorPermit};
 use crate::mailbox::{Mailbox, Sender};
 use crate::messages::{DispatcherMessage, Server};
-use crate::net::{Caller, ConnectionError};
-use crate::pool::{Buffers, Descriptors, Slot};
-use crate::shared::SharedSettings;
-use crate::wire;
+use crate::runtime_settings::SharedSettings;
+use crate::wire::{self, HealthCheckAnswer};
 
 /// A probe that has brought nothing by then has failed. Well inside the module's shortest probe interval, and
 /// far above what a server that still serves messages takes to answer.
@@ -29,8 +30,8 @@
 #[derive(Clone)]
 pub struct HealthCheckContext {
     pub dispatcher: Sender<DispatcherMessage>,
-    pub descriptors: Arc<Descriptors>,
-    pub buffers: Arc<Buffers>,
+    pub descriptors: Arc<DescriptorBudget>,
+    pub buffers: Arc<BufferPool>,
     pub settings: Arc<SharedSettings>,
 }
 
@@ -75,7 +76,7 @@
     /// the first would ever be asked, and against a stack for each of them: one is held only while there is a connection.
     pub fn go_on(&mut self) {
         while !self.queue.is_empty() {
-            let Some(slot) = self.means.descriptors.take(WATCH) else {
+            let Some(slot) = self.means.descriptors.try_acquire_leaving(WATCH) else {
                 return;
             };
             let Some((server_id, server)) = self.queue.pop_front() else {
@@ -104,18 +105,18 @@
 fn serve(
     server_id: ServerId,
     mut server: Arc<Server>,
-    slot: Slot,
+    slot: DescriptorPermit,
     asked: &Receiver<Arc<Server>>,
     means: &HealthCheckContext,
 ) {
     let mut slot = Some(slot);
-    let mut open: Option<(Arc<Server>, Caller)> = None;
+    let mut open: Option<(Arc<Server>, Connection)> = None;
     loop {
         let until = clock::now() + LONGEST;
         // A connection that was left open may have ended meanwhile: one more try over a new one.
         let kept = open
             .take()
-            .filter(|(to, caller)| Arc::ptr_eq(to, &server) && caller.quiet());
+            .filter(|(to, caller)| Arc::ptr_eq(to, &server) && caller.is_idle());
         let again = kept.is_some();
         let mut result = health_check(kept.map(|k| k.1), slot.take(), &server, means, until);
         if again
@@ -129,7 +130,7 @@
             Ok((caller, passed, report)) => {
                 // Guards against more servers than descriptors: the last few are used in turn.
                 open = caller
-                    .filter(|_| means.descriptors.room(IN_TURN))
+                    .filter(|_| means.descriptors.has_more_than(IN_TURN))
                     .map(|caller| (server.clone(), caller));
                 means.dispatcher.send(DispatcherMessage::HealthChecked {
                     server_id,
@@ -178,34 +179,38 @@
 
 /// One question: the connection, where nothing came after the answer, whether it passed, and the report.
 fn health_check(
-    kept: Option<Caller>,
-    slot: Option<Slot>,
+    kept: Option<Connection>,
+    slot: Option<DescriptorPermit>,
     server: &Server,
     means: &HealthCheckContext,
     until: Time,
-) -> Result<(Option<Caller>, bool, LoadReport), ProbeError> {
+) -> Result<(Option<Connection>, bool, LoadReport), ProbeError> {
     let caller = match kept {
         Some(caller) => caller,
         None => {
             let slot = slot
-                .or_else(|| means.descriptors.take(WATCH))
+                .or_else(|| means.descriptors.try_acquire_leaving(WATCH))
                 .ok_or(ProbeError::NoDescriptor)?;
-            Caller::dial(Mailbox::new(), server.address, slot, until)?
+            Connection::dial(Mailbox::new(), server.address, slot, until)?
         }
     };
-    let settings = means.settings.now();
+    let settings = means.settings.current();
     caller.write(
-        if settings.stats {
-            b"STATS\r\n"
+        if settings.load_reports_on_request {
+            wire::REQUEST_LOAD_REPORT
         } else {
-            b"PING\r\n"
+            wire::REQUEST_PING
         },
         until,
     )?;
     let mut bytes = means.buffers.take();
     let mut held = 0;
-    let (length, next) = caller.line(&mut bytes[..], &mut held, until)?;
-    let (passed, report) = wire::health_checked(&bytes[..length], &settings.reports);
-    debug!(server = server.name, answer = %String::from_utf8_lossy(&bytes[..length]), "probe");
-    Ok(((next == held).then_some(caller), passed, report))
+    let line = caller.read_line(&mut bytes[..], &mut held, until)?;
+    let answer = HealthCheckAnswer::parse(&bytes[..line.length], &settings.report_format);
+    debug!(server = server.name, answer = %String::from_utf8_lossy(&bytes[..line.length]), "probe");
+    Ok((
+        (line.next == held).then_some(caller),
+        answer.passed,
+        answer.report,
+    ))
 }
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -4,22 +4,27 @@
 //! here reads a configuration or a client's protocol.
 
 mod attempt;
+pub mod buffers;
+pub mod client_ids;
 pub mod clock;
+pub mod connection;
+pub mod dataplane;
+pub mod descriptors;
 pub mod discovery;
 pub mod dispatcher;
+mod errno;
 mod flow_guard;
 pub mod gossip;
 pub mod health_check;
 pub mod mailbox;
 pub mod messages;
-pub mod net;
 pub mod pipeline;
-pub mod pool;
 mod relay;
 pub mod retry;
 mod route;
-pub mod shared;
+pub mod runtime_settings;
 pub mod shutdown;
+pub mod socket;
 mod start_times;
 pub mod supervisor;
 pub mod wire;
--- a/crates/dataplane/src/pipeline.rs
+++ b/crates/dataplane/src/pipeline.rs
@@ -1,5 +1,5 @@
-//! The stages that one admitted flow passes: route, attempt, relay, under its guard. It owns the order of the stages
-//! and nothing else; it must never decide what becomes of a flow.
+//! The stages that one admitted flow passes: route, attempt, relay, under its guard. It owns the
+//! order of the stages and nothing else; it must never decide what becomes of a flow.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -8,12 +8,13 @@
 use nettlemux_policy::{AttemptEnd, Flow};
 
 use crate::attempt::{self, AttemptFailure, FlowOrigin, LineProgress};
+use crate::client_ids::ClientId;
+use crate::connection::Connection;
+use crate::dataplane::Dataplane;
 use crate::flow_guard::FlowGuard;
 use crate::messages::{AttemptOutcome, AttemptTarget, FlowCommand};
-use crate::net::Caller;
 use crate::relay::relay;
 use crate::route::{PlacementRequest, RouteDecision, wait_for_command};
-use crate::shared::{Dataplane, Id};
 
 /// A flow that a front has admitted, with all that the stages need of it.
 pub struct AdmittedFlow {
@@ -24,11 +25,11 @@
     /// The server that held the connection before the run, where it was open then.
     pub previous_server: Option<String>,
     /// The client's connection.
-    pub client: Caller,
+    pub client: Connection,
     /// The first line as it came, without its end.
     pub line: Vec<u8>,
     /// The client's own id.
-    pub client_id: Id,
+    pub client_id: ClientId,
 }
 
 /// Serves one flow, from its admission until its connection has ended.
@@ -63,7 +64,8 @@
     }
 }
 
-/// Waits for the dispatcher's command: where the next attempt goes, unless the flow has got its answer.
+/// Waits for the dispatcher's command: where the next attempt goes, unless the flow has got its
+/// answer.
 fn next_target(
     dataplane: &Dataplane,
     flow: &mut FlowGuard,
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -1,6 +1,6 @@
-//! The fifth stage: passes an open connection's lines on, both ways, until one side ends. It owns both sockets and
-//! gives them back when it returns. It must never change what passes, never cut a client off whose server still
-//! answers, and tell a client to move only between two lines.
+//! The fifth stage: passes an open connection's lines on, both ways, until one side ends. It owns
+//! both sockets and gives them back when it returns. It must never change what passes, never cut a
+//! client off whose server still answers, and tell a client to move only between two lines.
 
 mod direction;
 
@@ -11,21 +11,24 @@
 
 use crate::attempt::ServerConnection;
 use crate::clock;
+use crate::connection::LINGER_TIMEOUT;
+use crate::dataplane::Dataplane;
 use crate::flow_guard::FlowGuard;
 use crate::messages::{AttemptOutcome, AttemptTarget, DispatcherMessage, FlowCommand, FlowEvent};
-use crate::net::{LINGER, Socket};
-use crate::shared::Dataplane;
-use crate::wire::{self, Passing};
+use crate::socket::Socket;
+use crate::wire::{self, LineScanner};
 
 use direction::{BrokenSide, Direction};
 
-/// After a client's line that brought nothing back for so long the server counts as silent. Clients send every 2 s and
-/// sound servers answer at once, so two lines in a row have gone unanswered; it must be noticed within 7 s.
+/// After a client's line that brought nothing back for so long the server counts as silent. Clients
+/// send every 2 s and sound servers answer at once, so two lines in a row have gone unanswered; it
+/// must be noticed within 7 s.
 const RESPONSE_TIMEOUT: Time = 5 * SEC;
-/// A client that has sent nothing for so long counts as gone, as clients send every 2 s. It is told to move, in case it
-/// isn't, and its descriptors are free again.
+/// A client that has sent nothing for so long counts as gone, as clients send every 2 s. It is told
+/// to move, in case it isn't, and its descriptors are free again.
 const CLIENT_IDLE_TIMEOUT: Time = 30 * SEC;
-/// How long the other side may take to end once one has. A server's end must reach the client within 1 s.
+/// How long the other side may take to end once one has. A server's end must reach the client
+/// within 1 s.
 const CLOSE_TIMEOUT: Time = 800 * MS;
 /// What a peer hasn't taken by then it won't take.
 const WRITE_STALL_TIMEOUT: Time = 7 * SEC;
@@ -53,8 +56,8 @@
     Migrate { now: Time },
 }
 
-/// One open connection. Fields are dropped in their order: the server's socket is closed before the flow's end is
-/// reported.
+/// One open connection. Fields are dropped in their order: the server's socket is closed before the
+/// flow's end is reported.
 struct Relay<'a> {
     dataplane: &'a Dataplane,
     target: &'a AttemptTarget,
@@ -63,7 +66,7 @@
     /// From the client to the server.
     upstream: Direction,
     /// Follows the server's lines.
-    scanner: Passing,
+    scanner: LineScanner,
     server: Socket,
     flow: FlowGuard,
     /// When the client sent the first line that nothing has come back for.
@@ -88,7 +91,7 @@
             target,
             downstream: Direction::of_lines(server.received, server.received_length),
             upstream: Direction::default(),
-            scanner: Passing::new(dataplane.settings.now().reports),
+            scanner: LineScanner::new(dataplane.settings.current().report_format),
             server: server.socket,
             flow,
             unanswered_since: None,
@@ -111,8 +114,8 @@
 
     /// Passes on what there is and checks all timers. Returns when the next one expires.
     fn turn(&mut self) -> ControlFlow<Close, Time> {
-        self.flow.caller.socket.looked_at();
-        self.server.looked_at();
+        self.flow.client.socket.rearm_notification();
+        self.server.rearm_notification();
         let now = clock::now();
         let server_sent = self.pump_downstream(now)?;
         self.pump_upstream(now)?;
@@ -124,7 +127,7 @@
 
     /// Passes on what the server sends. Returns whether any of it has reached the client.
     fn pump_downstream(&mut self, now: Time) -> ControlFlow<Close, bool> {
-        let client = &self.flow.caller.socket;
+        let client = &self.flow.client.socket;
         let mut load = None;
         let mut server_sent = false;
         let buffers = &self.dataplane.buffers;
@@ -132,7 +135,7 @@
             .downstream
             .pump(&self.server, client, buffers, |bytes| {
                 server_sent = true;
-                load = self.scanner.pass(bytes).or(load);
+                load = self.scanner.scan(bytes).or(load);
             });
         if let Some(load) = load {
             let flow = self.flow.id;
@@ -148,7 +151,7 @@
                 BrokenSide::Receiver => AttemptEnd::Done,
             });
             // A reset is passed on as one.
-            self.flow.caller.socket.reset();
+            self.flow.client.socket.reset();
             self.server.reset();
             return ControlFlow::Break(Close::Now);
         }
@@ -157,7 +160,7 @@
 
     /// Passes on what the client sends.
     fn pump_upstream(&mut self, now: Time) -> ControlFlow<Close> {
-        let client = &self.flow.caller.socket;
+        let client = &self.flow.client.socket;
         let buffers = &self.dataplane.buffers;
         let pumped = self.upstream.pump(client, &self.server, buffers, |_| {
             self.unanswered_since.get_or_insert(now);
@@ -169,24 +172,25 @@
                 self.server.reset();
                 ControlFlow::Break(Close::Now)
             }
-            // Where the server has ended, its last lines have been passed on by now or are about to be read.
+            // Where the server has ended, its last lines have been passed on by now or are about to
+            // be read.
             Err(BrokenSide::Receiver) if !self.downstream.sender_ended => {
                 self.report_end(AttemptEnd::ConnectionLost);
-                self.flow.caller.socket.reset();
+                self.flow.client.socket.reset();
                 ControlFlow::Break(Close::Now)
             }
             _ => ControlFlow::Continue(()),
         }
     }
 
-    /// Reports the end of a side that has ended, and closes once both have or the other takes too long.
+    /// Reports the end of a side that has ended, and closes once both have or the other takes too
+    /// long.
     fn check_ends(&mut self, now: Time, server_sent: bool) -> ControlFlow<Close> {
         if self.downstream.sender_ended && self.downstream.end_forwarded {
-            let (end, report) = self
-                .scanner
-                .last
-                .unwrap_or((AttemptEnd::ConnectionLost, LoadReport::default()));
-            self.report_end_with(end, report);
+            match self.scanner.last_end() {
+                Some(last) => self.report_end_with(last.end, last.report),
+                None => self.report_end(AttemptEnd::ConnectionLost),
+            }
             self.close_by.get_or_insert(now + CLOSE_TIMEOUT);
         } else if self.upstream.sender_ended {
             self.report_end(AttemptEnd::Done);
@@ -217,7 +221,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Closes with a migration where one side is silent, or where the policy wants it and no line is cut by it.
+    /// Closes with a migration where one side is silent, or where the policy wants it and no line
+    /// is cut by it.
     fn check_migration(&mut self, now: Time) -> ControlFlow<Close> {
         let may_migrate = !self.upstream.sender_ended
             && !self.downstream.sender_ended
@@ -247,14 +252,14 @@
             || self.client_active_at + CLIENT_IDLE_TIMEOUT <= now
     }
 
-    /// Whether the policy wants the client migrated and its server is between two lines, or the wait for the rest of a
-    /// line is over.
+    /// Whether the policy wants the client migrated and its server is between two lines, or the
+    /// wait for the rest of a line is over.
     fn is_migration_due(&self, now: Time) -> bool {
         let Some(migrate_by) = self.flow.migrate_by else {
             return false;
         };
         let line_is_whole = !self.downstream.holds_partial_line() || migrate_by <= now;
-        self.scanner.between_lines() && line_is_whole
+        self.scanner.is_between_lines() && line_is_whole
     }
 
     /// Tells the client to move to another server and closes both sockets, the server's first.
@@ -266,18 +271,19 @@
             ..
         } = self;
         // Where part of an overlong line has been passed on the client can't be told, only ended.
-        if scanner.between_lines() {
-            let _ = flow.caller.write(wire::MOVE, now + LINGER);
+        if scanner.is_between_lines() {
+            let _ = flow.client.write(wire::REPLY_MIGRATE, now + LINGER_TIMEOUT);
         }
         server.end_sending();
         drop(server);
-        flow.caller.finish(now + LINGER);
+        flow.client.close_lingering(now + LINGER_TIMEOUT);
     }
 
     /// When the next timer expires, or the next turn is due.
     fn next_wakeup(&self, now: Time) -> Time {
         if self.downstream.has_more || self.upstream.has_more {
-            // Parked, not yielded: the worker looks at sockets only once no coroutine is ready to run.
+            // Parked, not yielded: the worker looks at sockets only once no coroutine is ready to
+            // run.
             return now + NEXT_TURN_DELAY;
         }
         let response_due = self.unanswered_since.map(|since| since + RESPONSE_TIMEOUT);
@@ -288,7 +294,8 @@
         let client_idle = self.client_active_at + CLIENT_IDLE_TIMEOUT;
         let timers = [self.close_by, response_due, stall_over, migration_due];
         let next = timers.into_iter().flatten().fold(client_idle, Time::min);
-        // Guards against a coroutine that keeps the processor busy while a timer has expired and can't be acted on.
+        // Guards against a coroutine that keeps the processor busy while a timer has expired and
+        // can't be acted on.
         if next <= now {
             now + OVERDUE_TIMER_INTERVAL
         } else {
@@ -299,7 +306,7 @@
     fn wait(&mut self, until: Time) {
         // Anything else was meant for the attempt, or only ends the wait.
         if let Some(FlowEvent::Command(FlowCommand::Migrate(by))) =
-            self.flow.caller.mailbox.next(until)
+            self.flow.client.mailbox.next(until)
         {
             self.flow.migrate_by = Some(by);
         }
--- a/crates/dataplane/src/relay/direction.rs
+++ b/crates/dataplane/src/relay/direction.rs
@@ -1,16 +1,16 @@
-//! One direction of an open connection: what has been read from one side and not yet been written to the other. It owns
-//! the buffer that holds this, and must never wait, nor change what passes.
+//! One direction of an open connection: what has been read from one side and not yet been written
+//! to the other. It owns the buffer that holds this, and must never wait, nor change what passes.
 
 use std::sync::Arc;
 
 use nettlemux_policy::Time;
 
+use crate::buffers::{BUFFER_BYTES, Buffer, BufferPool};
 use crate::clock;
-use crate::net::Socket;
-use crate::pool::{BUFFER, Buffer, Buffers};
+use crate::socket::Socket;
 
-/// Buffers that one side may pass on before others get their turn: guards against a flow that keeps the worker to
-/// itself while both its sides keep up.
+/// Buffers that one side may pass on before others get their turn: guards against a flow that keeps
+/// the worker to itself while both its sides keep up.
 pub const BUFFERS_PER_TURN_MAX: usize = 16;
 
 /// What is passed on at once.
@@ -19,8 +19,9 @@
     /// Bytes as they come.
     #[default]
     Bytes,
-    /// Lines once they are whole. Guards against a peer that stops inside a line: nothing could be sent between two
-    /// lines any more, and whoever reads them would have to be cut off without a word.
+    /// Lines once they are whole. Guards against a peer that stops inside a line: nothing could be
+    /// sent between two lines any more, and whoever reads them would have to be cut off without a
+    /// word.
     Lines,
 }
 
@@ -63,7 +64,8 @@
 }
 
 impl Direction {
-    /// Returns a direction that passes on whole lines, and begins with a buffer's first `length` bytes.
+    /// Returns a direction that passes on whole lines, and begins with a buffer's first `length`
+    /// bytes.
     pub fn of_lines(buffer: Buffer, length: usize) -> Self {
         let mut direction = Direction {
             buffer: Some(buffer),
@@ -83,7 +85,7 @@
         &mut self,
         sender: &Socket,
         receiver: &Socket,
-        buffers: &Arc<Buffers>,
+        buffers: &Arc<BufferPool>,
         mut inspect: impl FnMut(&[u8]),
     ) -> Result<(), BrokenSide> {
         let mut buffers_read = 0;
@@ -139,7 +141,7 @@
     }
 
     /// Reads what there is room for; blocked where the sender has sent nothing, not even its end.
-    fn read(&mut self, sender: &Socket, buffers: &Arc<Buffers>) -> Result<Progress, BrokenSide> {
+    fn read(&mut self, sender: &Socket, buffers: &Arc<BufferPool>) -> Result<Progress, BrokenSide> {
         let buffer = self.buffer.get_or_insert_with(|| buffers.take());
         // The part of a line that is held back begins the buffer.
         buffer.copy_within(self.written..self.filled, 0);
@@ -176,7 +178,7 @@
             .rposition(|byte| *byte == b'\n');
         self.writable = match (self.framing, last_end) {
             (Framing::Lines, Some(end)) => end + 1,
-            (Framing::Lines, None) if self.filled < BUFFER => 0,
+            (Framing::Lines, None) if self.filled < BUFFER_BYTES => 0,
             _ => self.filled,
         };
     }
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -1,5 +1,6 @@
-//! The third stage: asks the dispatcher where a flow goes and waits for its command. It owns nothing but the request.
-//! It must never choose a server itself, and never wait past the flow's deadline.
+//! The third stage: asks the dispatcher where a flow goes and waits for its command. It owns
+//! nothing but the request. It must never choose a server itself, and never wait past the flow's
+//! deadline.
 
 use std::time::Duration;
 
@@ -8,11 +9,12 @@
 use tracing::error;
 
 use crate::clock;
+use crate::dataplane::Dataplane;
 use crate::flow_guard::FlowGuard;
 use crate::messages::{DispatcherMessage, FlowCommand, FlowEvent};
-use crate::shared::Dataplane;
 
-/// How far past the deadline the dispatcher's command may come: later only where something is badly wrong.
+/// How far past the deadline the dispatcher's command may come: later only where something is badly
+/// wrong.
 const COMMAND_GRACE: Time = 20 * MS;
 /// Between two requests for a connection that was open before the run.
 const ADOPTION_RETRY_INTERVAL: Duration = Duration::from_millis(250);
@@ -38,7 +40,7 @@
 impl PlacementRequest {
     /// Asks the dispatcher, which answers at the flow's mailbox.
     pub fn send(&self, dataplane: &Dataplane, flow: &FlowGuard) {
-        let mailbox = flow.caller.mailbox.sender();
+        let mailbox = flow.client.mailbox.sender();
         let message = match &self.previous_server {
             Some(previous_server) => DispatcherMessage::AdoptConnection {
                 flow: self.flow.clone(),
@@ -67,12 +69,13 @@
 
 /// Waits for the dispatcher's command, until the flow's deadline.
 pub fn wait_for_command(flow: &mut FlowGuard) -> RouteDecision {
-    // Guards against a client whose end has come in one with its line, which notifies nobody, and who is waited for.
+    // Guards against a client whose end has come in one with its line, which notifies nobody, and
+    // who is waited for.
     if flow.client_has_left() {
         return RouteDecision::ClientLeft;
     }
     loop {
-        match flow.caller.mailbox.next(flow.deadline + COMMAND_GRACE) {
+        match flow.client.mailbox.next(flow.deadline + COMMAND_GRACE) {
             Some(FlowEvent::Command(FlowCommand::Migrate(by))) => flow.migrate_by = Some(by),
             // Of an attempt that has ended meanwhile.
             Some(
--- a/crates/dataplane/src/wire/tests.rs
+++ b/crates/dataplane/src/wire/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_line_goes_on_unchanged_but_for_the_wait() {
-    for (line, onward_line) in [
+    for (line, forwarded) in [
         (
             "OPEN a d=1 c=chat,d=2000,g=d=7",
             "OPEN a d=1 c=chat,d=150,g=d=7\r\n",
@@ -13,12 +13,20 @@
         ("OPEN a k d=9", "OPEN a k d=150\r\n"),
     ] {
         assert_eq!(
-            String::from_utf8(onward(line.as_bytes(), 150 * MS + 1)).unwrap(),
-            onward_line
+            String::from_utf8(forwarded_line(line.as_bytes(), 150 * MS + 1)).unwrap(),
+            forwarded
         );
     }
 }
 
+fn ended(end: AttemptEnd, known_unexecuted: bool, report: LoadReport) -> ServerAnswer {
+    ServerAnswer::Ended(AttemptOutcome {
+        end,
+        known_unexecuted,
+        report,
+    })
+}
+
 #[test]
 fn answers() {
     let none = LoadReport::default();
@@ -27,44 +35,41 @@
         utilization: Some(0.61),
     };
     for (line, expected) in [
-        ("UP 12ab", Answer::Up),
+        ("UP 12ab", ServerAnswer::Accepted),
         // Without a receipt it is no server's word; a figure that is no number is none.
-        ("UP", Answer::Ended(AttemptEnd::Error, false, none)),
-        ("UP ", Answer::Ended(AttemptEnd::Error, false, none)),
-        ("UP 1 2", Answer::Ended(AttemptEnd::Error, false, none)),
-        ("UP 1\u{1}", Answer::Ended(AttemptEnd::Error, false, none)),
-        (
-            "UP 1\u{fffd}",
-            Answer::Ended(AttemptEnd::Error, false, none),
-        ),
+        ("UP", ended(AttemptEnd::Error, false, none)),
+        ("UP ", ended(AttemptEnd::Error, false, none)),
+        ("UP 1 2", ended(AttemptEnd::Error, false, none)),
+        ("UP 1\u{1}", ended(AttemptEnd::Error, false, none)),
+        ("UP 1\u{fffd}", ended(AttemptEnd::Error, false, none)),
         (
             "BUSY util=nan,inflight=-3",
-            Answer::Ended(AttemptEnd::Overloaded, true, none),
+            ended(AttemptEnd::Overloaded, true, none),
         ),
         (
             "BUSY inflight=7,queue=inf,util=0.61",
-            Answer::Ended(AttemptEnd::Overloaded, true, busy),
+            ended(AttemptEnd::Overloaded, true, busy),
         ),
         (
             "BUSY inflight=7,queue=2,util=0.61",
-            Answer::Ended(AttemptEnd::Overloaded, true, busy),
+            ended(AttemptEnd::Overloaded, true, busy),
         ),
-        ("BYE", Answer::Ended(AttemptEnd::Done, false, none)),
-        ("ERR", Answer::Ended(AttemptEnd::Error, false, none)),
-        ("MOVE", Answer::Ended(AttemptEnd::Cancelled, false, none)),
-        ("SYNTAX", Answer::Ended(AttemptEnd::Error, false, none)),
+        ("BYE", ended(AttemptEnd::Done, false, none)),
+        ("ERR", ended(AttemptEnd::Error, false, none)),
+        ("MOVE", ended(AttemptEnd::Cancelled, false, none)),
+        ("SYNTAX", ended(AttemptEnd::Error, false, none)),
     ] {
         assert_eq!(
-            answer(
+            ServerAnswer::parse(
                 format!("{line}\r\n").as_bytes(),
                 &LoadReportFormat::default()
             ),
             expected,
             "{line}"
         );
-        let cut = Answer::Ended(AttemptEnd::Error, false, none);
+        let cut = ended(AttemptEnd::Error, false, none);
         assert_eq!(
-            answer(format!("{line}\n").as_bytes(), &LoadReportFormat::default()),
+            ServerAnswer::parse(format!("{line}\n").as_bytes(), &LoadReportFormat::default()),
             cut,
             "{line} without CR"
         );
@@ -75,34 +80,44 @@
 fn lines_are_followed_however_they_are_split() {
     let all = b"hello\r\nLOAD 812.5\r\nLOAD 9\r\nx";
     for cut in 0..all.len() {
-        let mut passing = Passing::new(LoadReportFormat::default());
-        let loads = [passing.pass(&all[..cut]), passing.pass(&all[cut..])];
+        let mut scanner = LineScanner::new(LoadReportFormat::default());
+        let loads = [scanner.scan(&all[..cut]), scanner.scan(&all[cut..])];
         assert_eq!(loads[1].or(loads[0]), Some(9.0), "cut at {cut}");
-        assert!(!passing.between_lines());
-        passing.pass(b"\r\nBYE inflight=7,queue=2,util=0.61\r\n");
+        assert!(!scanner.is_between_lines());
+        scanner.scan(b"\r\nBYE inflight=7,queue=2,util=0.61\r\n");
         let report = LoadReport {
             connections: Some(7.0),
             utilization: Some(0.61),
         };
         assert_eq!(
-            (passing.between_lines(), passing.last),
-            (true, Some((AttemptEnd::Done, report)))
+            (scanner.is_between_lines(), scanner.last_end()),
+            (
+                true,
+                Some(ConnectionEnd {
+                    end: AttemptEnd::Done,
+                    report,
+                })
+            )
         );
     }
     for bad in ["nan", "inf", "-1", "1e999", ""] {
         let line = format!("LOAD {bad}\r\n");
         assert_eq!(
-            Passing::new(LoadReportFormat::default()).pass(line.as_bytes()),
+            LineScanner::new(LoadReportFormat::default()).scan(line.as_bytes()),
             None,
             "{line}"
         );
     }
-    assert_eq!(line_end(b"PING\r\nx"), Some((4, 6)));
-    assert_eq!(line_end(b"\n"), Some((0, 1)));
-    assert_eq!(line_end(b"PING\r"), None);
+    assert_eq!(
+        first_line(b"PING\r\nx"),
+        Some(LineBounds { length: 4, next: 6 })
+    );
+    assert_eq!(first_line(b"\n"), Some(LineBounds { length: 0, next: 1 }));
+    assert_eq!(first_line(b"PING\r"), None);
 }
 
-/// A refusal proves that nothing ran, so it has to be one to the letter: what is left of another answer may begin like it.
+/// A refusal proves that nothing ran, so it has to be one to the letter: what is left of another
+/// answer may begin like it.
 #[test]
 fn a_spoilt_refusal_proves_nothing() {
     for spoilt in [
@@ -116,12 +131,19 @@
         "BUSY util=",
         "BUSY a=1,,b=2",
     ] {
-        let answer = answer(
+        let answer = ServerAnswer::parse(
             format!("{spoilt}\r\n").as_bytes(),
             &LoadReportFormat::default(),
         );
         assert!(
-            matches!(answer, Answer::Ended(AttemptEnd::Error, false, _)),
+            matches!(
+                answer,
+                ServerAnswer::Ended(AttemptOutcome {
+                    end: AttemptEnd::Error,
+                    known_unexecuted: false,
+                    ..
+                })
+            ),
             "{spoilt:?}: {answer:?}"
         );
     }
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -1,11 +1,14 @@
-//! The second stage: makes a flow of a client's first line. It owns nothing. It must never admit what it can't read in full, and never turn away on load, which is the
-//! module's to say; want of descriptors is ours.
+//! The second stage: makes a flow of a client's first line. It owns nothing. It must never admit
+//! what it can't read in full, and never turn away on load, which is the module's to say; want of
+//! descriptors is ours.
 
 use nettlemux_dataplane::clock;
-use nettlemux_dataplane::net::LINGER;
+use nettlemux_dataplane::connection::LINGER_TIMEOUT;
+use nettlemux_dataplane::dataplane::Dataplane;
 use nettlemux_dataplane::pipeline::AdmittedFlow;
-use nettlemux_dataplane::shared::Dataplane;
-use nettlemux_dataplane::wire::{FAILED, NO, PONG, rejected};
+use nettlemux_dataplane::wire::{
+    LineBounds, REPLY_FAILED, REPLY_NO_LOAD_REPORT, REPLY_PONG, rejection,
+};
 
 use nettlemux_policy::{Flow, MS, SEC, Time};
 use tracing::{debug, warn};
@@ -23,7 +26,7 @@
     mut taken: AcceptedConnection,
 ) -> Option<AdmittedFlow> {
     for _ in 0..QUESTIONS {
-        let (length, next) = taken.line;
+        let LineBounds { length, next } = taken.line;
         if next != length + 2 {
             return refuse(taken, "a line is not ended by CRLF");
         }
@@ -53,11 +56,11 @@
                 if taken.held > next {
                     return refuse(taken, "more before it is served");
                 }
-                let Some(id) = dataplane.ids.take(open.id) else {
+                let Some(id) = dataplane.client_ids.reserve(open.id) else {
                     return refuse(taken, "an id that was used");
                 };
                 let flow = Flow {
-                    id: dataplane.number(),
+                    id: dataplane.next_flow_id(),
                     class,
                     tenant,
                     group: open.group.filter(|_| known.groups).map(String::from),
@@ -66,15 +69,15 @@
                     deadline: taken.at + wait,
                     attempts: Vec::new(),
                 };
-                let Some(slot) = dataplane.budgets.flows.take(0) else {
+                let Some(slot) = dataplane.budgets.flows.try_acquire() else {
                     warn!(
-                        open = dataplane.budgets.flows.open(),
+                        open = dataplane.budgets.flows.in_use(),
                         "no descriptors left for flows"
                     );
-                    taken.refuse(rejected(None).as_bytes());
+                    taken.refuse(rejection(None).as_bytes());
                     return None;
                 };
-                taken.caller.socket.hold(slot);
+                taken.caller.socket.replace_permit(slot);
                 debug!(id = flow.id, line = %String::from_utf8_lossy(&taken.bytes[..length]), "taken");
                 let line = taken.bytes[..length].to_vec();
                 let who = known.who(&open, flow.class, flow.accepted_at);
@@ -88,12 +91,15 @@
                 });
             }
             // We are asked only once the listener stands, and then can serve.
-            Ok(First::Ping) => PONG,
-            Ok(First::Stats) => NO,
+            Ok(First::Ping) => REPLY_PONG,
+            Ok(First::Stats) => REPLY_NO_LOAD_REPORT,
             Err(why) => return refuse(taken, why),
         };
         debug!(answer = %String::from_utf8_lossy(answer).trim_end(), "asked");
-        taken.caller.write(answer, clock::now() + LINGER).ok()?;
+        taken
+            .caller
+            .write(answer, clock::now() + LINGER_TIMEOUT)
+            .ok()?;
         taken.bytes.copy_within(next..taken.held, 0);
         taken.held -= next;
         taken = taken.next_line(dataplane)?;
@@ -103,7 +109,7 @@
 
 /// Answers a line that can't be used, and ends.
 fn refuse(taken: AcceptedConnection, why: &str) -> Option<AdmittedFlow> {
-    warn!(why, line = %String::from_utf8_lossy(&taken.bytes[..taken.line.0.min(200)]), "malformed first line");
-    taken.refuse(FAILED);
+    warn!(why, line = %String::from_utf8_lossy(&taken.bytes[..taken.line.length.min(200)]), "malformed first line");
+    taken.refuse(REPLY_FAILED);
     None
 }
--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -1,5 +1,5 @@
-//! First lines, as clients send them. It owns their form and the names that the settings allow in them, and must never
-//! touch a socket, a clock or a flow. Names of the wire end here.
+//! First lines, as clients send them. It owns their form and the names that the settings allow in
+//! them, and must never touch a socket, a clock or a flow. Names of the wire end here.
 
 use arrayvec::ArrayVec;
 use nettlemux_flow_table::ClientIdentity;
@@ -37,8 +37,8 @@
 /// More values than any line has; guards against lines whose names are compared for long.
 const MOST_VALUES: usize = 32;
 
-/// Reads a first line, without its end. Whatever a real client would not send is refused: it must not be guessed what
-/// was meant, since servers guess differently.
+/// Reads a first line, without its end. Whatever a real client would not send is refused: it must
+/// not be guessed what was meant, since servers guess differently.
 pub fn first(line: &[u8]) -> Result<First<'_>, &'static str> {
     let line = std::str::from_utf8(line).map_err(|_| "no text")?;
     if line.contains(|c: char| c.is_control()) {
@@ -169,8 +169,8 @@
         )
     }
 
-    /// A tenant's place among the settings', told by name or number; none for one that is unknown. Where there
-    /// are no tenants all are alike.
+    /// A tenant's place among the settings', told by name or number; none for one that is unknown.
+    /// Where there are no tenants all are alike.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         let by_name = self.tenants.iter().position(|known| known == name);
         let by_number = || {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -551,12 +551,12 @@
         (
             code.flow_memory_kb.value,
             48.0,
-            "const FLOW: usize = 48 << 10;",
+            "const FLOW_BYTES_MAX: usize = 48 << 10;",
         ),
         (
             code.descriptors_standing.value,
             16.0,
-            "const STANDING: usize = 16;",
+            "const STANDING_DESCRIPTORS: usize = 16;",
         ),
         (
             code.peer_messages_heard_per_second.value,
