--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -30,7 +30,7 @@
 use nettlemux_dataplane::supervisor;
 use nettlemux_flow_table::FlowTable;
 use nettlemux_line_protocol::acceptor::{self, Acceptor};
-use nettlemux_line_protocol::first_line::FirstLineSettings;
+use nettlemux_line_protocol::settings::{ClientKeys, FirstLineSettings};
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
 use nettlemux_settings::operator::{self, Deprecated, Format, Operator};
 use signal_hook::iterator::Signals;
@@ -220,11 +220,11 @@
             config::admission(keys, seed, longest.unwrap_or(SEC).max(100 * MS)),
             seed,
         );
-        known.by = Some((keys.by, seed));
+        known.client_keys = Some(ClientKeys { by: keys.by, seed });
         flow_table = flow_table.with_admission(admission, longest.is_some());
         info!(by = ?keys.by, waiting = keys.waiting, "a door with fair queues");
     }
-    let admission_seed = known.by.map(|(_, seed)| seed);
+    let admission_seed = known.client_keys.map(|keys| keys.seed);
     let dataplane = Arc::new(Dataplane {
         dispatcher: dispatcher.clone(),
         buffers: buffers.clone(),
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -18,7 +18,7 @@
 use nettlemux_dataplane::retry;
 use nettlemux_dataplane::runtime_settings::SharedSettings;
 use nettlemux_line_protocol::acceptor::Acceptor;
-use nettlemux_line_protocol::first_line::FirstLineSettings;
+use nettlemux_line_protocol::settings::FirstLineSettings;
 use nettlemux_settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -135,7 +135,7 @@
                 merged.clone().with_gossip(self.peers.is_some()),
             )));
             self.runtime_settings.replace(new.runtime_settings());
-            self.front.change(known);
+            self.front.replace_settings(known);
             info!("other settings from now on");
             (self.in_file, self.config.settings) = (new.settings.clone(), merged);
         }
--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -1,251 +1,213 @@
-//! First lines, as clients send them. It owns their form and the names that the settings allow in
-//! them, and must never touch a socket, a clock or a flow. Names of the wire end here.
+//! First lines, as clients send them. It owns their form, and must never touch a socket, a clock or
+//! a flow. Names of the wire end here.
+
+use std::str::Split;
 
 use arrayvec::ArrayVec;
-use nettlemux_flow_table::ClientIdentity;
-use nettlemux_policy::{MS, Time};
-use nettlemux_settings::operator::By;
-use nettlemux_settings::{Read, Settings, figure};
+use nettlemux_settings::figure;
+use thiserror::Error;
+
+/// Words that begin a first line.
+mod command {
+    /// Asks for a connection.
+    pub const CONNECT: &str = "OPEN";
+    /// Asks whether the balancer is alive.
+    pub const PING: &str = "PING";
+    /// Asks for a load report.
+    pub const LOAD_REPORT: &str = "STATS";
+}
+
+/// Names of the values of a first line.
+mod key {
+    /// The traffic class.
+    pub const CLASS: &str = "c";
+    /// How long the client waits, in milliseconds.
+    pub const WAIT: &str = "d";
+    /// The client's group.
+    pub const GROUP: &str = "g";
+    /// The tenant, by name or number.
+    pub const TENANT: &str = "t";
+    /// The server that held the connection before.
+    pub const PREVIOUS_SERVER: &str = "at";
+    /// The client retries.
+    pub const RETRY: &str = "r";
+    /// The client's connection broke or was migrated.
+    pub const RECONNECTING: &str = "again";
+}
+
+/// The only value of a flag.
+const FLAG_SET: &str = "1";
+/// More values than any line has; guards against lines whose names are compared for long.
+const VALUES_MAX: usize = 32;
 
-/// A connection's first line.
+/// What a first line asks for.
 #[derive(Debug, PartialEq, Eq)]
-pub enum First<'a> {
-    Open(Open<'a>),
+pub enum Request<'a> {
+    /// A connection.
+    Connect(ConnectRequest<'a>),
+    /// Whether the balancer is alive.
     Ping,
-    Stats,
+    /// A load report.
+    LoadReport,
 }
 
-/// What a client asks for.
+/// The connection that a client asks for.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Open<'a> {
+pub struct ConnectRequest<'a> {
+    /// The client's own id of the connection.
     pub id: &'a str,
+    /// The flow's key.
+    pub key: &'a str,
+    /// The traffic class's name.
     pub class: &'a str,
     /// How long the client waits, in milliseconds.
-    pub wait: Option<u64>,
+    pub wait_ms: Option<u64>,
+    /// The client's group.
     pub group: Option<&'a str>,
+    /// The tenant's name or number.
     pub tenant: Option<&'a str>,
-    /// The flow's key.
-    pub key: &'a str,
-    /// The client says that it tries again.
+    /// The client says that it retries.
     pub retry: bool,
-    /// The server that held it before.
-    pub at: Option<&'a str>,
-    /// Its connection broke or was moved.
+    /// The server that held the connection before.
+    pub previous_server: Option<&'a str>,
+    /// The client's connection broke or was migrated.
     pub reconnecting: bool,
 }
 
-/// More values than any line has; guards against lines whose names are compared for long.
-const MOST_VALUES: usize = 32;
+/// Why a first line can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum MalformedLine {
+    /// It is not UTF-8.
+    #[error("no text")]
+    NotText,
+    /// It has control characters.
+    #[error("no line of text")]
+    ControlCharacter,
+    /// It begins with no known word.
+    #[error("neither OPEN, PING nor STATS")]
+    UnknownCommand,
+    /// The client's id is missing.
+    #[error("no id")]
+    NoId,
+    /// The flow's key is missing.
+    #[error("no key")]
+    NoKey,
+    /// The values are missing.
+    #[error("no values")]
+    NoValues,
+    /// Something comes after the values.
+    #[error("more than an id, a key and values")]
+    TooManyParts,
+    /// A value has no name.
+    #[error("a value has no name")]
+    UnnamedValue,
+    /// A name or its value is empty.
+    #[error("a name or a value is empty")]
+    EmptyValue,
+    /// Two values have the same name.
+    #[error("a name comes twice")]
+    DuplicateName,
+    /// There are more values than any line has.
+    #[error("too many values")]
+    TooManyValues,
+    /// The wait has more digits than a time.
+    #[error("d is too large")]
+    WaitTooLarge,
+    /// The wait has other characters than digits.
+    #[error("d is no whole number")]
+    WaitNotWhole,
+    /// A flag has another value than 1.
+    #[error("a mark is not 1")]
+    FlagNotSet,
+    /// A value that should be a number is none.
+    #[error("a figure is no number")]
+    NotANumber,
+    /// The traffic class is missing.
+    #[error("no class")]
+    NoClass,
+}
 
 /// Reads a first line, without its end. Whatever a real client would not send is refused: it must
 /// not be guessed what was meant, since servers guess differently.
-pub fn first(line: &[u8]) -> Result<First<'_>, &'static str> {
-    let line = std::str::from_utf8(line).map_err(|_| "no text")?;
+///
+/// # Errors
+/// Why the line can't be read.
+pub fn parse(line: &[u8]) -> Result<Request<'_>, MalformedLine> {
+    let line = std::str::from_utf8(line).map_err(|_| MalformedLine::NotText)?;
     if line.contains(|c: char| c.is_control()) {
-        return Err("no line of text");
+        return Err(MalformedLine::ControlCharacter);
+    }
+    match line {
+        command::PING => return Ok(Request::Ping),
+        command::LOAD_REPORT => return Ok(Request::LoadReport),
+        _ => {}
     }
-    let mut supervisor = line.split(' ');
-    match (supervisor.next(), line.len()) {
-        (Some("PING"), 4) => return Ok(First::Ping),
-        (Some("STATS"), 5) => return Ok(First::Stats),
-        (Some("OPEN"), _) => {}
-        _ => return Err("neither OPEN, PING nor STATS"),
+    let mut parts = line.split(' ');
+    if parts.next() != Some(command::CONNECT) {
+        return Err(MalformedLine::UnknownCommand);
     }
-    let mut next = |why| supervisor.next().filter(|part| !part.is_empty()).ok_or(why);
-    let mut open = Open {
-        id: next("no id")?,
-        ..Open::default()
+    parse_connect_request(parts).map(Request::Connect)
+}
+
+fn parse_connect_request(mut parts: Split<'_, char>) -> Result<ConnectRequest<'_>, MalformedLine> {
+    let mut next_part = |missing| parts.next().filter(|part| !part.is_empty()).ok_or(missing);
+    let mut request = ConnectRequest {
+        id: next_part(MalformedLine::NoId)?,
+        key: next_part(MalformedLine::NoKey)?,
+        ..ConnectRequest::default()
     };
-    open.key = next("no key")?;
-    let values = next("no values")?;
-    if supervisor.next().is_some() {
-        return Err("more than an id, a key and values");
+    let values = next_part(MalformedLine::NoValues)?;
+    if parts.next().is_some() {
+        return Err(MalformedLine::TooManyParts);
     }
-    let mut names = ArrayVec::<&str, MOST_VALUES>::new();
+    let mut names = ArrayVec::<&str, VALUES_MAX>::new();
     for pair in values.split(',') {
-        let (name, value) = pair.split_once('=').ok_or("a value has no name")?;
+        let (name, value) = pair.split_once('=').ok_or(MalformedLine::UnnamedValue)?;
         if name.is_empty() || value.is_empty() {
-            return Err("a name or a value is empty");
+            return Err(MalformedLine::EmptyValue);
         }
         if names.contains(&name) {
-            return Err("a name comes twice");
-        }
-        names.try_push(name).map_err(|_| "too many values")?;
-        match name {
-            "c" => open.class = value,
-            // No sign, and no more digits than a time can have.
-            "d" if value.bytes().all(|byte| byte.is_ascii_digit()) => {
-                open.wait = Some(value.parse().map_err(|_| "d is too large")?);
-            }
-            "d" => return Err("d is no whole number"),
-            "g" => open.group = Some(value),
-            "t" => open.tenant = Some(value),
-            "at" => open.at = Some(value),
-            "r" | "again" if value != "1" => return Err("a mark is not 1"),
-            "again" => open.reconnecting = true,
-            "r" => open.retry = true,
-            _ if figure(value).is_none() => return Err("a figure is no number"),
-            _ => {}
+            return Err(MalformedLine::DuplicateName);
         }
+        names
+            .try_push(name)
+            .map_err(|_| MalformedLine::TooManyValues)?;
+        request.set(name, value)?;
     }
-    if open.class.is_empty() {
-        Err("no class")
-    } else {
-        Ok(First::Open(open))
+    if request.class.is_empty() {
+        return Err(MalformedLine::NoClass);
     }
+    Ok(request)
 }
 
-/// A traffic class as first lines name it, and the longest that its clients wait.
-pub struct Class {
-    pub name: String,
-    pub longest: Time,
-    pub target: Time,
-}
-
-/// Where the settings have no limit: an hour is no client's.
-const LONGEST: Time = 60_000 * MS;
-
-/// Reads what the settings say of first lines.
-pub struct FirstLineSettings {
-    /// How the door tells clients apart, where there is one, and the seed of its keys.
-    pub by: Option<(By, u64)>,
-    pub classes: Vec<Class>,
-    pub tenants: Vec<String>,
-    pub groups: bool,
-}
-
-impl FirstLineSettings {
-    pub fn new(settings: &Settings) -> Read<Self> {
-        Ok(FirstLineSettings {
-            by: None,
-            classes: (settings
-                .names("service-types")
-                .into_iter()
-                .zip(settings.longest_waits()))
-            .zip(settings.traffic_classes()?)
-            .map(|((name, longest), known)| Class {
-                name,
-                longest: longest.unwrap_or(LONGEST),
-                target: known.latency_objective,
-            })
-            .collect(),
-            tenants: settings.names("accounts"),
-            groups: settings
-                .maybe("specifics/groups")
-                .and_then(|v| v.as_bool())
-                .unwrap_or(false),
-        })
-    }
-
-    /// Who asks, as the door tells clients apart; nobody in particular where there is none.
-    pub fn who(&self, open: &Open, class: usize, accepted_at: Time) -> ClientIdentity {
-        let Some((by, seed)) = self.by else {
-            return ClientIdentity::default();
-        };
-        // A client is its group where it tells one, else the flow's key.
-        let client = nettlemux_admission::key(seed, open.group.unwrap_or(open.key).as_bytes());
-        let key = match by {
-            By::Client => client,
-            By::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
-        };
-        let target = accepted_at + self.classes[class].target;
-        ClientIdentity {
-            key,
-            client,
-            retry: open.retry,
-            target,
+impl<'a> ConnectRequest<'a> {
+    /// Takes one value; values that the balancer doesn't know must be numbers.
+    fn set(&mut self, name: &str, value: &'a str) -> Result<(), MalformedLine> {
+        match name {
+            key::CLASS => self.class = value,
+            key::WAIT => self.wait_ms = Some(parse_wait(value)?),
+            key::GROUP => self.group = Some(value),
+            key::TENANT => self.tenant = Some(value),
+            key::PREVIOUS_SERVER => self.previous_server = Some(value),
+            key::RETRY | key::RECONNECTING if value != FLAG_SET => {
+                return Err(MalformedLine::FlagNotSet);
+            }
+            key::RETRY => self.retry = true,
+            key::RECONNECTING => self.reconnecting = true,
+            _ if figure(value).is_none() => return Err(MalformedLine::NotANumber),
+            _ => {}
         }
+        Ok(())
     }
+}
 
-    /// A tenant's key, the same for its name and its number.
-    fn key_of(&self, name: &str, seed: u64) -> u64 {
-        let number = self.tenant(name).unwrap_or(usize::MAX);
-        nettlemux_admission::key(
-            seed,
-            self.tenants
-                .get(number)
-                .map_or(name, String::as_str)
-                .as_bytes(),
-        )
-    }
-
-    /// A tenant's place among the settings', told by name or number; none for one that is unknown.
-    /// Where there are no tenants all are alike.
-    pub fn tenant(&self, name: &str) -> Option<usize> {
-        let by_name = self.tenants.iter().position(|known| known == name);
-        let by_number = || {
-            name.parse()
-                .ok()
-                .filter(|number| *number < self.tenants.len())
-        };
-        if self.tenants.is_empty() {
-            Some(0)
-        } else {
-            by_name.or_else(by_number)
-        }
+/// Reads a wait: no sign, and no more digits than a time can have.
+fn parse_wait(value: &str) -> Result<u64, MalformedLine> {
+    if !value.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(MalformedLine::WaitNotWhole);
     }
+    value.parse().map_err(|_| MalformedLine::WaitTooLarge)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn first_lines() {
-        let line = b"OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f,h=3,x";
-        assert_eq!(first(line), Err("a value has no name"));
-        let open = Open {
-            id: "9b1f",
-            key: "7f3a",
-            class: "chat",
-            wait: Some(2000),
-            group: Some("5c0f"),
-            ..Open::default()
-        };
-        assert_eq!(first(&line[..line.len() - 2]), Ok(First::Open(open)));
-        let at = Open {
-            id: "1",
-            key: "k",
-            class: "c",
-            at: Some("s-2"),
-            ..Open::default()
-        };
-        assert_eq!(first(b"OPEN 1 k c=c,at=s-2"), Ok(First::Open(at)));
-        assert_eq!(first(b"PING"), Ok(First::Ping));
-        for bad in [
-            &b""[..],
-            b"HELLO",
-            b"OPEN",
-            b"OPEN 1",
-            b"OPEN 1 k",
-            b"OPEN 1 k d=1",
-            b"OPEN 1 k c=a,d=x",
-            b"\xff",
-            // Guards against lines that are guessed at: whatever they ask for would be served.
-            b"PING x",
-            b"OPEN  k c=a,d=1",
-            b"OPEN 1  c=a,d=1",
-            b"OPEN 1 k  c=a,d=1",
-            b"OPEN 1 k c=a,d=1 x",
-            b"OPEN 1 k c=a,d=1,c=a",
-            b"OPEN 1 k c=a,d=+5",
-            b"OPEN 1 k c=a,d=-5",
-            b"OPEN 1 k c=a,d=5.0",
-            b"OPEN 1 k c=a,d=99999999999999999999",
-            b"OPEN 1 k c=a,d=",
-            b"OPEN 1 k c=a,d=1,g=",
-            b"OPEN 1 k c=a,d=1,r=2",
-            b"OPEN 1 k c=a,d=1,h=much",
-            b"OPEN 1 k c=a,d=1,h=nan",
-            b"OPEN 1 k c=a,d=1,h=inf",
-            b"OPEN 1 k c=a,d=1\tx",
-            format!(
-                "OPEN 1 k c=a{}",
-                (0..40).map(|n| format!(",x{n}=1")).collect::<String>()
-            )
-            .as_bytes(),
-        ] {
-            assert!(first(bad).is_err(), "{bad:?}");
-        }
-    }
-}
+mod tests;
