--- a/crates/dataplane/src/attempt/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -31,9 +31,9 @@
     })
 }
 
-/// Sends a flow on whose client has done that before; whether nothing was sent, and whether the
-/// server was dialled.
-fn sent_on(leave: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
+/// Makes an attempt for a flow whose client has done that before; whether nothing was sent, and
+/// whether the server was dialled.
+fn attempt_after(leave: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
     let (front, server) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         TcpListener::bind("127.0.0.1:0").unwrap(),
@@ -97,23 +97,27 @@
     (unsent, dialled)
 }
 
-/// Its end has rung for nobody yet, as where the worker has been busy since. Guards against an
+/// Its end has not been notified yet, as where the worker has been busy since. Guards against an
 /// attempt that begins long after the client has gone.
 #[test]
 fn a_server_is_not_dialled_for_a_client_that_has_left() {
-    assert_eq!(sent_on(|_| {}), (false, true), "one that stays");
+    assert_eq!(attempt_after(|_| {}), (false, true), "one that stays");
     assert_eq!(
-        sent_on(|client| client.shutdown(Shutdown::Both).unwrap()),
+        attempt_after(|client| client.shutdown(Shutdown::Both).unwrap()),
         (true, false),
         "closed"
     );
     assert_eq!(
-        sent_on(|client| client.shutdown(Shutdown::Write).unwrap()),
+        attempt_after(|client| client.shutdown(Shutdown::Write).unwrap()),
         (true, false),
         "half-closed"
     );
     let more = |client: &mut TcpStream| client.write_all(b"hello\r\n").unwrap();
-    assert_eq!(sent_on(more), (true, false), "goes on before it is served");
+    assert_eq!(
+        attempt_after(more),
+        (true, false),
+        "goes on before it is served"
+    );
     let reset = |client: &mut TcpStream| {
         SockRef::from(&*client)
             .set_linger(Some(Duration::ZERO))
@@ -121,5 +125,5 @@
         let other = TcpListener::bind("127.0.0.1:0").unwrap();
         *client = TcpStream::connect(other.local_addr().unwrap()).unwrap();
     };
-    assert_eq!(sent_on(reset), (true, false), "reset");
+    assert_eq!(attempt_after(reset), (true, false), "reset");
 }
--- a/crates/dataplane/src/connection.rs
+++ b/crates/dataplane/src/connection.rs
@@ -168,3 +168,6 @@
         while self.wait(deadline).is_ok() {}
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dataplane/src/descriptors.rs
+++ b/crates/dataplane/src/descriptors.rs
@@ -1,5 +1,5 @@
 //! Descriptor budgets: how many sockets the process may open, and for what. It owns the counts of
-//! open sockets, and must never wait: where nothing is left the caller is told at once.
+//! open sockets, and must never wait: where nothing is left it says so at once.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/dataplane/src/descriptors/tests.rs
+++ b/crates/dataplane/src/descriptors/tests.rs
@@ -12,7 +12,7 @@
     let _last = descriptors.try_acquire().expect("the spare one");
     assert!(descriptors.try_acquire().is_none());
     drop((first.clone(), second));
-    assert_eq!(descriptors.in_use(), 2, "copies are one right");
+    assert_eq!(descriptors.in_use(), 2, "copies are one permit");
     drop(first);
     assert_eq!(descriptors.in_use(), 1);
 }
--- a/crates/dataplane/src/flow_guard/tests.rs
+++ b/crates/dataplane/src/flow_guard/tests.rs
@@ -9,7 +9,7 @@
 use crate::descriptors::{DescriptorBudget, DescriptorBudgets};
 use crate::mailbox::Mailbox;
 
-/// Guards against a flow that is lost, and a desk that keeps it, when its coroutine panics.
+/// Guards against a flow that is lost, and a dispatcher that keeps it, when its coroutine panics.
 #[test]
 fn a_flow_that_panics_is_answered_and_given_back() {
     let messages = Mailbox::new();
@@ -53,11 +53,11 @@
     let mut answer = String::new();
     client.read_to_string(&mut answer).unwrap();
     assert_eq!(answer.as_bytes(), wire::REPLY_FAILED);
-    let told = may::go!(move || messages.next(clock::now() + 1000 * MS))
+    let message = may::go!(move || messages.next(clock::now() + 1000 * MS))
         .join()
         .unwrap();
     assert!(matches!(
-        told,
+        message,
         Some(DispatcherMessage::FlowClosed { flow: 5 })
     ));
     let until = clock::now() + 1000 * MS;
--- a/crates/dataplane/src/runtime_settings.rs
+++ b/crates/dataplane/src/runtime_settings.rs
@@ -11,7 +11,7 @@
 pub struct RuntimeSettings {
     /// How load reports are written.
     pub report_format: LoadReportFormat,
-    /// Servers tell their load when asked; where not, they are only asked whether they are alive.
+    /// Servers report their load on request; where not, they are only asked whether they are alive.
     pub load_reports_on_request: bool,
     /// A connection to a server that isn't up by then counts as failed.
     pub connect_timeout: Time,
--- a/crates/dataplane/src/socket.rs
+++ b/crates/dataplane/src/socket.rs
@@ -115,8 +115,8 @@
 }
 
 impl Socket {
-    /// Takes over a stream that doesn't block; `notifier` is told when something may have happened
-    /// on it.
+    /// Takes over a stream that doesn't block; the owner is notified by `notifier` when something
+    /// may have happened on it.
     pub fn new(stream: TcpStream, permit: DescriptorPermit, notifier: Sender<FlowEvent>) -> Self {
         // Small lines must not wait for one another.
         let _ = stream.set_nodelay(true);
--- a/crates/dataplane/src/wire/line_scanner.rs
+++ b/crates/dataplane/src/wire/line_scanner.rs
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Takes the bytes that pass and returns the connection's last load that a line in them told.
+    /// Takes the bytes that pass and returns the last load of the connection that a line in them
+    /// reports.
     pub fn scan(&mut self, bytes: &[u8]) -> Option<f64> {
         let mut load = None;
         for byte in bytes {
