--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -45,7 +45,41 @@
     server: ServerConnection,
 ) {
     flow.record_connected(target);
-    Relay::new(dataplane, flow, target, server).run();
+    let ServerConnection {
+        socket: server,
+        received,
+        received_length,
+    } = server;
+    let mut relay = Relay {
+        dataplane,
+        target,
+        flow: &mut flow,
+        server: &server,
+        downstream: Direction::of_lines(received, received_length),
+        upstream: Direction::default(),
+        scanner: LineScanner::new(dataplane.settings.current().report_format),
+        unanswered_since: None,
+        client_active_at: clock::now(),
+        slowest_response: 0,
+        close_by: None,
+        end_reported: false,
+    };
+    if let Close::Migrate { now, between_lines } = relay.run() {
+        migrate(&flow, server, now, between_lines);
+    }
+}
+
+/// Tells the client to move to another server, where it is between two lines, and closes both
+/// sockets, the server's first.
+fn migrate(flow: &FlowGuard, server: Socket, now: Time, between_lines: bool) {
+    let deadline = now + LINGER_TIMEOUT;
+    // Where part of an overlong line has been passed on the client can't be told, only ended.
+    if between_lines {
+        let _ = flow.client.write(wire::REPLY_MIGRATE, deadline);
+    }
+    server.end_sending();
+    drop(server);
+    flow.client.close_lingering(deadline);
 }
 
 /// How a connection is closed.
@@ -53,22 +87,26 @@
     /// Both sockets, as they are.
     Now,
     /// The client is told to move to another server.
-    Migrate { now: Time },
+    Migrate {
+        now: Time,
+        /// No line of the server has been passed on in part.
+        between_lines: bool,
+    },
 }
 
-/// One open connection. Fields are dropped in their order: the server's socket is closed before the
-/// flow's end is reported.
+/// One open connection. Built where it is used and never moved: guards against copies on the stack
+/// of each connection.
 struct Relay<'a> {
     dataplane: &'a Dataplane,
     target: &'a AttemptTarget,
+    flow: &'a mut FlowGuard,
+    server: &'a Socket,
     /// From the server to the client.
     downstream: Direction,
     /// From the client to the server.
     upstream: Direction,
     /// Follows the server's lines.
     scanner: LineScanner,
-    server: Socket,
-    flow: FlowGuard,
     /// When the client sent the first line that nothing has come back for.
     unanswered_since: Option<Time>,
     /// When the client last sent something.
@@ -79,35 +117,13 @@
     end_reported: bool,
 }
 
-impl<'a> Relay<'a> {
-    fn new(
-        dataplane: &'a Dataplane,
-        flow: FlowGuard,
-        target: &'a AttemptTarget,
-        server: ServerConnection,
-    ) -> Self {
-        Relay {
-            dataplane,
-            target,
-            downstream: Direction::of_lines(server.received, server.received_length),
-            upstream: Direction::default(),
-            scanner: LineScanner::new(dataplane.settings.current().report_format),
-            server: server.socket,
-            flow,
-            unanswered_since: None,
-            client_active_at: clock::now(),
-            slowest_response: 0,
-            close_by: None,
-            end_reported: false,
-        }
-    }
-
-    fn run(mut self) {
+impl Relay<'_> {
+    /// Passes lines on until the connection is to be closed.
+    fn run(&mut self) -> Close {
         loop {
             match self.turn() {
                 ControlFlow::Continue(wake_at) => self.wait(wake_at),
-                ControlFlow::Break(Close::Now) => return,
-                ControlFlow::Break(Close::Migrate { now }) => return self.migrate(now),
+                ControlFlow::Break(close) => return close,
             }
         }
     }
@@ -131,12 +147,10 @@
         let mut load = None;
         let mut server_sent = false;
         let buffers = &self.dataplane.buffers;
-        let pumped = self
-            .downstream
-            .pump(&self.server, client, buffers, |bytes| {
-                server_sent = true;
-                load = self.scanner.scan(bytes).or(load);
-            });
+        let pumped = self.downstream.pump(self.server, client, buffers, |bytes| {
+            server_sent = true;
+            load = self.scanner.scan(bytes).or(load);
+        });
         if let Some(load) = load {
             let flow = self.flow.id;
             self.flow
@@ -162,7 +176,7 @@
     fn pump_upstream(&mut self, now: Time) -> ControlFlow<Close> {
         let client = &self.flow.client.socket;
         let buffers = &self.dataplane.buffers;
-        let pumped = self.upstream.pump(client, &self.server, buffers, |_| {
+        let pumped = self.upstream.pump(client, self.server, buffers, |_| {
             self.unanswered_since.get_or_insert(now);
             self.client_active_at = now;
         });
@@ -242,7 +256,10 @@
         } else {
             AttemptEnd::Cancelled
         });
-        ControlFlow::Break(Close::Migrate { now })
+        ControlFlow::Break(Close::Migrate {
+            now,
+            between_lines: self.scanner.is_between_lines(),
+        })
     }
 
     /// Whether the server leaves a line unanswered, or the client sends nothing.
@@ -262,23 +279,6 @@
         self.scanner.is_between_lines() && line_is_whole
     }
 
-    /// Tells the client to move to another server and closes both sockets, the server's first.
-    fn migrate(self, now: Time) {
-        let Relay {
-            scanner,
-            server,
-            flow,
-            ..
-        } = self;
-        // Where part of an overlong line has been passed on the client can't be told, only ended.
-        if scanner.is_between_lines() {
-            let _ = flow.client.write(wire::REPLY_MIGRATE, now + LINGER_TIMEOUT);
-        }
-        server.end_sending();
-        drop(server);
-        flow.client.close_lingering(now + LINGER_TIMEOUT);
-    }
-
     /// When the next timer expires, or the next turn is due.
     fn next_wakeup(&self, now: Time) -> Time {
         if self.downstream.has_more || self.upstream.has_more {
--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -146,10 +146,10 @@
     if parts.next() != Some(command::CONNECT) {
         return Err(MalformedLine::UnknownCommand);
     }
-    parse_connect_request(parts).map(Request::Connect)
+    parse_connect_request(parts)
 }
 
-fn parse_connect_request(mut parts: Split<'_, char>) -> Result<ConnectRequest<'_>, MalformedLine> {
+fn parse_connect_request(mut parts: Split<'_, char>) -> Result<Request<'_>, MalformedLine> {
     let mut next_part = |missing| parts.next().filter(|part| !part.is_empty()).ok_or(missing);
     let mut request = ConnectRequest {
         id: next_part(MalformedLine::NoId)?,
@@ -177,7 +177,7 @@
     if request.class.is_empty() {
         return Err(MalformedLine::NoClass);
     }
-    Ok(request)
+    Ok(Request::Connect(request))
 }
 
 impl<'a> ConnectRequest<'a> {
