--- a/crates/dataplane/src/send/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -10,28 +10,30 @@
 use socket2::SockRef;
 
 use super::*;
+use crate::buffers::BufferPool;
+use crate::connection::Connection;
+use crate::descriptors::{DescriptorBudget, DescriptorBudgets};
 use crate::mailbox::Mailbox;
-use crate::messages::Server;
-use crate::net::Caller;
-use crate::pool::{Buffers, DescriptorBudgets, Descriptors};
-use crate::shared::{RuntimeSettings, SharedSettings};
+use crate::messages::{DispatcherMessage, Server};
+use crate::runtime_settings::{RuntimeSettings, SharedSettings};
 
 fn dataplane(messages: &Mailbox<DispatcherMessage>) -> Arc<Dataplane> {
     Arc::new(Dataplane {
         dispatcher: messages.sender(),
-        buffers: Buffers::new(),
+        buffers: BufferPool::new(),
         budgets: DescriptorBudgets::new(256, 32 << 20),
-        ids: Arc::default(),
+        client_ids: Arc::default(),
         settings: SharedSettings::new(RuntimeSettings {
-            dial_limit: SEC,
+            connect_timeout: SEC,
             ..RuntimeSettings::default()
         }),
-        numbers: AtomicU64::new(1),
+        next_flow: AtomicU64::new(1),
     })
 }
 
-/// Sends a flow on whose client has done that before; whether nothing was sent, and whether the server was dialled.
-fn sent_on(leave: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
+/// Makes an attempt for a flow whose client has done that before; whether nothing was sent, and
+/// whether the server was dialled.
+fn attempt_after(leave: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
     let (front, server) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         TcpListener::bind("127.0.0.1:0").unwrap(),
@@ -47,16 +49,21 @@
     let unsent = may::go!(move || {
         let messages = Mailbox::new();
         let dataplane = dataplane(&messages);
-        let (slot, id) = (
-            Descriptors::new(9).take(0).unwrap(),
-            dataplane.ids.take("9b1f").unwrap(),
+        let (permit, client_id) = (
+            DescriptorBudget::new(9).try_acquire().unwrap(),
+            dataplane.client_ids.reserve("9b1f").unwrap(),
         );
         let flow = Flow {
             id: 5,
             deadline: Time::MAX,
             ..Flow::default()
         };
-        let mut book = Book::open(&dataplane, &flow, Caller::new(stream, slot), id);
+        let mut flow = FlowGuard::new(
+            &dataplane,
+            &flow,
+            Connection::new(stream, permit),
+            client_id,
+        );
         let server = Arc::new(Server {
             name: "s-0".into(),
             address,
@@ -70,40 +77,47 @@
             until,
             by: until,
         };
-        let sent = send(
+        let result = run(
             &dataplane,
-            &mut book,
+            &mut flow,
             &target,
             b"OPEN 9b1f 7f3a c=chat,d=900",
-            false,
+            FlowOrigin::New,
         );
-        if book.owed() {
-            book.fail();
+        if flow.owes_answer() {
+            flow.fail();
         }
-        matches!(sent, Sent::Left { unsent: true })
+        matches!(
+            result,
+            Err(AttemptFailure::ClientLeft(LineProgress::Unsent))
+        )
     });
     let unsent = unsent.join().unwrap();
     let dialled = !matches!(server.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock);
     (unsent, dialled)
 }
 
-/// Its end has rung for nobody yet, as where the worker has been busy since. Guards against an attempt that begins long
-/// after the client has gone.
+/// Its end has not been notified yet, as where the worker has been busy since. Guards against an
+/// attempt that begins long after the client has gone.
 #[test]
 fn a_server_is_not_dialled_for_a_client_that_has_left() {
-    assert_eq!(sent_on(|_| {}), (false, true), "one that stays");
+    assert_eq!(attempt_after(|_| {}), (false, true), "one that stays");
     assert_eq!(
-        sent_on(|client| client.shutdown(Shutdown::Both).unwrap()),
+        attempt_after(|client| client.shutdown(Shutdown::Both).unwrap()),
         (true, false),
         "closed"
     );
     assert_eq!(
-        sent_on(|client| client.shutdown(Shutdown::Write).unwrap()),
+        attempt_after(|client| client.shutdown(Shutdown::Write).unwrap()),
         (true, false),
         "half-closed"
     );
     let more = |client: &mut TcpStream| client.write_all(b"hello\r\n").unwrap();
-    assert_eq!(sent_on(more), (true, false), "goes on before it is served");
+    assert_eq!(
+        attempt_after(more),
+        (true, false),
+        "goes on before it is served"
+    );
     let reset = |client: &mut TcpStream| {
         SockRef::from(&*client)
             .set_linger(Some(Duration::ZERO))
@@ -111,5 +125,5 @@
         let other = TcpListener::bind("127.0.0.1:0").unwrap();
         *client = TcpStream::connect(other.local_addr().unwrap()).unwrap();
     };
-    assert_eq!(sent_on(reset), (true, false), "reset");
+    assert_eq!(attempt_after(reset), (true, false), "reset");
 }
