--- a/crates/balancer/tests/known_failures.rs
+++ b/crates/balancer/tests/known_failures.rs
@@ -11,32 +11,36 @@
     test result: FAILED. 1 passed; 1 failed\n   Doc-tests b\n\ntest three - should panic ... ok\n\n\
     test result: ok. 1 passed; 0 failed\n";
 
-/// A file of this text, removed when dropped.
-struct Text(PathBuf);
+/// A temporary file, removed when dropped.
+struct TemporaryFile {
+    path: PathBuf,
+}
 
-impl Text {
+impl TemporaryFile {
     fn new(text: &str) -> Self {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("nettlemux-verdict-{}-{number}", std::process::id()));
         std::fs::write(&path, text).unwrap();
-        Text(path)
+        TemporaryFile { path }
     }
 
     fn path(&self) -> &Path {
-        &self.0
+        &self.path
     }
 }
 
-impl Drop for Text {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.0);
+        let _ = std::fs::remove_file(&self.path);
     }
 }
 
-fn judged(log: &str, status: i32, known: &str) -> Output {
-    let (log, known) = (Text::new(log), Text::new(known));
+/// Runs the script on this log, exit code and list of known failures.
+fn run_verdict(log: &str, status: i32, known: &str) -> Output {
+    let log = TemporaryFile::new(log);
+    let known = TemporaryFile::new(known);
     let mut script = Command::new("bash");
     script
         .arg(SCRIPT)
@@ -47,19 +51,23 @@
 }
 
 #[test]
-fn a_known_failure_is_printed_with_cause_and_issue_and_passed_over() {
-    let verdict = judged(ONE_FAILS, 101, "two | the cause | #47\n");
+fn a_known_failure_is_printed_with_all_its_fields_and_passed_over() {
+    let list = "two | cargo test two, seed 7 | 3 of 5 answered | #47\n";
+    let verdict = run_verdict(ONE_FAILS, 101, list);
     let printed = String::from_utf8(verdict.stdout).unwrap();
     assert!(verdict.status.success(), "{printed}");
-    assert_eq!(printed, "known failure: two: the cause (#47)\n");
+    assert_eq!(
+        printed,
+        "known failure: two: 3 of 5 answered (cargo test two, seed 7; #47)\n"
+    );
 }
 
 #[test]
-fn a_known_failure_that_did_not_fail_is_told() {
-    let verdict = judged(
+fn a_known_failure_that_did_not_fail_is_reported() {
+    let verdict = run_verdict(
         ONE_FAILS,
         101,
-        "two | the cause | #47\nthree | another | #47\n",
+        "two | command | seen | #47\nthree | command | seen | #47\n",
     );
     assert!(verdict.status.success());
     let printed = String::from_utf8(verdict.stdout).unwrap();
@@ -69,53 +77,88 @@
 #[test]
 fn whatever_is_no_known_failure_fails() {
     let all_pass = ONE_FAILS.replace("two ... FAILED", "two ... ok");
-    assert!(judged(&all_pass, 0, "").status.success());
+    assert!(run_verdict(&all_pass, 0, "").status.success());
     let twice = ONE_FAILS.replace("test one", "test two");
     let without_result = ONE_FAILS.replace("test result: ok. 1 passed; 0 failed\n", "");
     let four: String = ["one", "two", "three", "four"]
-        .map(|name| format!("{name} | c | #1\n"))
+        .map(|name| format!("{name} | command | seen | #1\n"))
         .concat();
     let cases = [
         (
             "a failure that isn't listed",
             ONE_FAILS,
             101,
-            "one | the cause | #47\n",
+            "one | command | seen | #47\n",
             "failed: two",
         ),
         (
             "a name that no test has",
             ONE_FAILS,
             101,
-            "two | c | #47\nnobody | c | #47\n",
+            "two | command | seen | #47\nnobody | command | seen | #47\n",
             "0 tests are named",
         ),
         (
             "a name that two tests have",
             &twice,
             101,
-            "two | c | #47\n",
+            "two | command | seen | #47\n",
             "2 tests are named",
         ),
         (
             "a line without an issue",
             ONE_FAILS,
             101,
-            "two | the cause\n",
+            "two | command | seen\n",
+            "can't be read",
+        ),
+        (
+            "a line of three fields",
+            ONE_FAILS,
+            101,
+            "two | command | #47\n",
+            "can't be read",
+        ),
+        (
+            "a line of five fields",
+            ONE_FAILS,
+            101,
+            "two | command | seen | more | #47\n",
+            "can't be read",
+        ),
+        (
+            "a line without a test",
+            ONE_FAILS,
+            101,
+            " | command | seen | #47\n",
+            "can't be read",
+        ),
+        (
+            "a line without a command",
+            ONE_FAILS,
+            101,
+            "two |  | seen | #47\n",
+            "can't be read",
+        ),
+        (
+            "a line without what was seen",
+            ONE_FAILS,
+            101,
+            "two | command |  | #47\n",
             "can't be read",
         ),
         (
             "a line that names no issue's number",
             ONE_FAILS,
             101,
-            "two | the cause | soon\n",
+            "two | command | seen | soon\n",
             "can't be read",
         ),
         (
             "an empty line",
             ONE_FAILS,
             101,
-            "two | the cause | #47\n\n",
+            "two | command | seen | #47\n\n",
             "can't be read",
         ),
         (
@@ -129,7 +172,7 @@
             "a program without a result",
             &without_result,
             101,
-            "two | c | #47\n",
+            "two | command | seen | #47\n",
             "1 came to a result",
         ),
         (
@@ -147,12 +190,12 @@
             "exit code 101",
         ),
     ];
-    for (what, log, status, known, why) in cases {
-        let verdict = judged(log, status, known);
-        let told = String::from_utf8(verdict.stderr).unwrap();
+    for (case, log, status, known, expected) in cases {
+        let verdict = run_verdict(log, status, known);
+        let printed = String::from_utf8(verdict.stderr).unwrap();
         assert!(
-            !verdict.status.success() && told.contains(why),
-            "{what}: {told}"
+            !verdict.status.success() && printed.contains(expected),
+            "{case}: {printed}"
         );
     }
 }
