--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -74,7 +74,7 @@
     /// Says in the log which keys nothing reads.
     pub fn warn_of_unknown(&self) {
         for Faulty { key, why } in &self.unknown {
-            warn!(key, why, "a key of the configuration that nothing reads");
+            warn!(key, why, "unknown key in the configuration");
         }
     }
 
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -220,7 +220,7 @@
         );
         known.by = Some((keys.by, seed));
         flow_table = flow_table.with_admission(admission, longest.is_some());
-        info!(by = ?keys.by, waiting = keys.waiting, "a door with fair queues");
+        info!(by = ?keys.by, waiting = keys.waiting, "admission control enabled");
     }
     let admission_seed = known.by.map(|(_, seed)| seed);
     let dataplane = Arc::new(Dataplane {
@@ -255,7 +255,7 @@
         Some(keys) => {
             let started = Peers::start(keys.listen, keys.addresses, dispatcher.clone());
             let (peers, gossip) =
-                started.map_err(|e| format!("can't listen for words at {}: {e}", keys.listen))?;
+                started.map_err(|e| format!("can't listen for gossip at {}: {e}", keys.listen))?;
             (Some((keys.listen, peers)), Some(gossip))
         }
         None => (None, None),
@@ -311,9 +311,9 @@
             &front, &listener
         ))
     );
-    let ended = running.join().unwrap_or(Err("the desk"));
-    ended.map(|()| info!("ended")).map_err(|part| {
-        error!(part, "a part has failed for good");
-        format!("{part} has failed, and nothing is served without it")
+    let ended = running.join().unwrap_or(Err("the dispatcher"));
+    ended.map(|()| info!("ended")).map_err(|service| {
+        error!(service, "a service has failed for good");
+        format!("{service} has failed, and nothing is served without it")
     })
 }
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -81,9 +81,9 @@
                     match reloaded {
                         Ok(Ok(())) => tries_left = 0,
                         Ok(Err(why)) if tries_left > 0 => {
-                            debug!(%why, tries_left, "not reloaded yet")
+                            debug!(%why, tries_left, "reload failed, will be retried")
                         }
-                        Ok(Err(why)) => error!(%why, "not reloaded: nothing changes"),
+                        Ok(Err(why)) => error!(%why, "reload failed, nothing changes"),
                         Err(_) => {
                             error!("a reload panicked");
                             tries_left = 0;
@@ -109,7 +109,7 @@
     if settings.may_gossip().unwrap_or(false) && !peers {
         warn!(
             key = "peers",
-            "the settings let balancers tell one another, and no address is known"
+            "gossip is allowed, but no peers are configured"
         );
     }
 }
@@ -136,7 +136,7 @@
             )));
             self.runtime_settings.change(new.runtime_settings());
             self.front.change(known);
-            info!("other settings from now on");
+            info!("settings applied");
             (self.in_file, self.config.settings) = (new.settings.clone(), merged);
         }
         match (&operator.peers, &self.peers) {
