--- a/crates/balancer/tests/audit.rs
+++ b/crates/balancer/tests/audit.rs
@@ -1,5 +1,5 @@
-//! The audit's table (docs/terms-audit.md) names tests and files that exist, gives each row one of four statuses, and gives no
-//! row as holding without a test unless it says that it was read only.
+//! The audit's table (docs/terms-audit.md) names tests and files that exist, gives each row one of
+//! four statuses, and gives no row as holding without a test unless it says that it was read only.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -89,14 +89,14 @@
         let missing = files.filter(|file| !known.files.contains(*file));
         faults.extend(missing.map(|file| format!("{id}: no such file: {file}")));
     }
-    let told: Vec<String> = counts
+    let totals: Vec<String> = counts
         .iter()
         .zip(STATUSES)
         .map(|(count, status)| format!("{count} rows {status}"))
         .collect();
-    let told = format!("{}.", told.join(", "));
-    if !page.trim_end().ends_with(&told) {
-        faults.push(format!("the last line is not: {told}"));
+    let totals = format!("{}.", totals.join(", "));
+    if !page.trim_end().ends_with(&totals) {
+        faults.push(format!("the last line is not: {totals}"));
     }
     faults
 }
@@ -114,13 +114,13 @@
         files: BTreeSet::from(["send.rs".to_string()]),
         tests: BTreeSet::from(["one_test".to_string()]),
     };
-    let page = |row: &str, told: &str| {
-        format!("| # | a | b | c | d | e | f | g |\n| --- |\n{row}\n\n{told}\n")
+    let page = |row: &str, totals: &str| {
+        format!("| # | a | b | c | d | e | f | g |\n| --- |\n{row}\n\n{totals}\n")
     };
     let good = "1 rows holds, 0 rows fixed, 0 rows open, 0 rows not reached.";
     let row = "| 1 | p | c | r | send.rs send | `one_test` | holds | - |";
     assert_eq!(faults(&page(row, good), &known), Vec::<String>::new());
-    for (bad, told) in [
+    for (bad, totals) in [
         (row.replace("one_test", "no_test"), good),
         (row.replace("send.rs", "sent.rs"), good),
         (row.replace("holds", "held"), good),
@@ -132,8 +132,8 @@
         ),
     ] {
         assert!(
-            !faults(&page(&bad, told), &known).is_empty(),
-            "{bad} {told}"
+            !faults(&page(&bad, totals), &known).is_empty(),
+            "{bad} {totals}"
         );
     }
 }
--- /dev/null
+++ b/crates/balancer/tests/common/client.rs
@@ -0,0 +1,69 @@
+//! A client of the platform's line protocol.
+
+use std::io::{self, BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+/// How long a line is waited for.
+const READ_TIMEOUT: Duration = Duration::from_secs(9);
+
+/// A client's connection.
+pub struct Client {
+    pub stream: TcpStream,
+    pub reader: BufReader<TcpStream>,
+}
+
+impl Client {
+    /// Connects and sends this text.
+    ///
+    /// # Panics
+    /// If nothing listens there.
+    pub fn new(address: SocketAddr, text: &[u8]) -> Self {
+        Client::try_new(address, text).expect("somebody listens")
+    }
+
+    /// Connects and sends this text; `None` if nothing listens there.
+    pub fn try_new(address: SocketAddr, text: &[u8]) -> Option<Self> {
+        let mut stream = TcpStream::connect(address).ok()?;
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+        stream.write_all(text).ok()?;
+        let reader = BufReader::new(stream.try_clone().unwrap());
+        Some(Client { stream, reader })
+    }
+
+    /// Connects and asks to be served with these values of a first line.
+    pub fn open(address: SocketAddr, values: &str) -> Self {
+        // An id is new with every connection.
+        static IDS: AtomicU64 = AtomicU64::new(0x9b1f);
+        let id = IDS.fetch_add(1, Ordering::Relaxed);
+        Client::new(address, format!("OPEN {id:x} 7f3a {values}\r\n").as_bytes())
+    }
+
+    /// Returns the next line; `end` at the end, `reset` after a reset, `nothing` if none comes.
+    pub fn read_line(&mut self) -> String {
+        let mut line = String::new();
+        match self.reader.read_line(&mut line) {
+            Ok(0) => "end".into(),
+            Ok(_) => line.trim_end().into(),
+            Err(e) if e.kind() == io::ErrorKind::ConnectionReset => "reset".into(),
+            Err(_) => "nothing".into(),
+        }
+    }
+
+    /// Returns whether this is the next line.
+    pub fn receives(&mut self, expected: &str) -> bool {
+        self.read_line() == expected
+    }
+
+    /// Sends this text.
+    pub fn send(&mut self, text: &str) {
+        self.stream.write_all(text.as_bytes()).unwrap();
+    }
+
+    /// Asserts that this line comes back from the server.
+    pub fn assert_echo(&mut self, line: &str) {
+        self.send(&format!("{line}\r\n"));
+        assert_eq!(self.read_line(), format!("ok {line}"));
+    }
+}
--- a/crates/balancer/tests/common/faults.rs
+++ b/crates/balancer/tests/common/faults.rs
@@ -1,5 +1,6 @@
-//! Faults of the system put into the program that a test starts: the library of `tests/preload/faults.rs` and the plan that
-//! it follows, which a test may change while the program runs.
+//! Faults of the system put into the program that a test starts: the library of
+//! `tests/preload/faults.rs` and the plan that it follows, which a test may change while the
+//! program runs.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -59,7 +60,8 @@
     }
 }
 
-/// The library, built where it isn't yet: `cargo test` builds it only where no single test is named.
+/// The library, built where it isn't yet: `cargo test` builds it only where no single test is
+/// named.
 fn library() -> &'static PathBuf {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
--- a/crates/balancer/tests/common/dials.rs
+++ b/crates/balancer/tests/common/pending_connects.rs
@@ -1,6 +1,7 @@
-//! Connections that this machine has begun and that aren't up yet, asked of the kernel by sock_diag(7). The whole table under
-//! `/proc/net/tcp` takes 40 ms to read once the tests have left 20,000 connections in TIME-WAIT, which is too slow to
-//! poll: a test's set-up took 3.5 s of the 1 s that it had.
+//! Connections that this machine has begun and that are not up yet, read from the kernel by
+//! sock_diag(7). The whole table under `/proc/net/tcp` takes 40 ms to read once the tests have left
+//! 20,000 connections in TIME-WAIT, which is too slow to poll: a test's set-up took 3.5 s of the 1
+//! s that it had.
 
 use std::net::SocketAddrV4;
 
@@ -30,12 +31,13 @@
     socket: [u8; 48],
 }
 
-/// Lengths of a message's head, and where the peer's port and address stand in `struct inet_diag_msg` after it.
+/// Lengths of a message's head, and where the peer's port and address balancer in `struct
+/// inet_diag_msg` after it.
 const HEAD: usize = 16;
 const PEER_PORT: usize = HEAD + 6;
 const PEER_ADDRESS: usize = HEAD + 24;
 
-/// Whether any connection to that address has begun and isn't up.
+/// Returns whether any connection to that address has begun and is not up.
 pub fn any_to(address: SocketAddrV4) -> bool {
     let request = Request {
         length: size_of::<Request>() as u32,
@@ -51,7 +53,8 @@
         socket: [0; 48],
     };
     let mut answer = vec![0_u8; 32 << 10];
-    // SAFETY: the kernel reads a whole request and writes within the buffer; the descriptor is closed here and nowhere else.
+    // SAFETY: the kernel reads a whole request and writes within the buffer; the descriptor is
+    // closed here and nowhere else.
     unsafe {
         let netlink = libc::socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
         assert!(
--- /dev/null
+++ b/crates/balancer/tests/common/recorder.rs
@@ -0,0 +1,76 @@
+//! A server that records all attempts.
+
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// An attempt on a server's record.
+#[derive(Clone, Debug)]
+pub struct Attempt {
+    /// When its connection was accepted.
+    pub at: Instant,
+    /// The first line and when it came, once it has.
+    pub line: Option<(Instant, String)>,
+}
+
+/// A server that records all attempts and answers each first line with `UP 1`.
+pub struct Recorder {
+    pub address: SocketAddr,
+    pub attempts: Arc<Mutex<Vec<Attempt>>>,
+}
+
+impl Recorder {
+    /// Starts one on a free port.
+    pub fn start() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let recorder = Recorder {
+            address: listener.local_addr().unwrap(),
+            attempts: Arc::default(),
+        };
+        let attempts = recorder.attempts.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let place = attempts.lock().unwrap().len();
+                attempts.lock().unwrap().push(Attempt {
+                    at: Instant::now(),
+                    line: None,
+                });
+                let attempts = attempts.clone();
+                thread::spawn(move || {
+                    let mut lines = BufReader::new(&stream).lines().map_while(Result::ok);
+                    if let Some(line) = lines.next() {
+                        attempts.lock().unwrap()[place].line = Some((Instant::now(), line));
+                        let _ = (&stream).write_all(b"UP 1\r\n");
+                    }
+                    lines.for_each(drop);
+                });
+            }
+        });
+        recorder
+    }
+
+    /// Returns how late the latest of the test's own lines was recorded, by when each was sent.
+    pub fn own_lateness(&self, sent: &[Instant]) -> Duration {
+        let attempts = self.attempts.lock().unwrap();
+        let own = attempts.iter().filter_map(|attempt| {
+            let (at, line) = attempt.line.as_ref()?;
+            let number: usize = line.strip_prefix("OWN ")?.parse().ok()?;
+            Some(at.saturating_duration_since(sent[number]))
+        });
+        own.max().expect("some of them have come")
+    }
+
+    /// Asserts that there was no attempt but for clients of this name, each of which has sent its
+    /// line.
+    pub fn assert_only_from(&self, staying: &str, what: &str) {
+        for attempt in self.attempts.lock().unwrap().iter() {
+            let line = attempt.line.as_ref().map(|(_, line)| line.as_str());
+            assert!(
+                line.is_some_and(|line| line.starts_with(&format!("OPEN {staying}"))),
+                "{what}: {attempt:?}"
+            );
+        }
+    }
+}
--- a/crates/balancer/tests/deploy.rs
+++ b/crates/balancer/tests/deploy.rs
@@ -2,8 +2,9 @@
 
 use std::fs;
 
-/// Guards against a start that the fleet's platform refuses: a shell that stays, further processes, fronts or words
-/// between balancers, and a program that is not linked dynamically against the C library.
+/// Guards against a start that the fleet's platform refuses: a shell that stays, further processes,
+/// fronts or gossip between balancers, and a program that is not linked dynamically against the C
+/// library.
 #[test]
 fn the_balancer_starts_as_one_dynamically_linked_process() {
     let text = fs::read_to_string(concat!(
@@ -26,7 +27,8 @@
             .rev()
             .fold(0, |n, b| n << 8 | *b as usize)
     };
-    // ELF with 64 bits: where the program headers are, how long each is and how many; the third kind names the loader.
+    // ELF with 64 bits: where the program headers are, how long each is and how many; the third
+    // kind names the loader.
     assert_eq!(program[..5], *b"\x7fELF\x02");
     let (headers, size, count) = (number(0x20, 8), number(0x36, 2), number(0x38, 2));
     assert!(
--- a/crates/balancer/tests/leave.rs
+++ b/crates/balancer/tests/leave.rs
@@ -1,97 +1,39 @@
-//! Clients that leave before they are served, at each stage from the event to the dial: no attempt, neither a connection
-//! nor a line, may begin at a server more than 0.1 s after its client has gone.
+//! Clients that leave before they are served, at each stage from the event to the dial: no attempt,
+//! neither a connection nor a line, may begin at a server more than 0.1 s after its client has
+//! gone.
 
 mod common;
 
-use std::io::{BufRead, BufReader, ErrorKind, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::io::{ErrorKind, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::toy::Mood;
-use common::{Client, Late, Stand, changed, soon};
+use common::recorder::Recorder;
+use common::toy::ServerBehavior;
+use common::{Client, LateServer, TestBalancer, wait_for, with_settings};
 use serde_json::json;
 use socket2::SockRef;
 
 /// An attempt that begins later than this after its client has gone is a break.
 const AFTER_LEAVE: Duration = Duration::from_millis(100);
+
 /// What the test's own threads may be late by on a machine that is busy with the other tests.
 const SLACK: Duration = Duration::from_millis(100);
-/// What would cause an attempt comes so long after the leave, so that none is in doubt for the test's own clock.
+
+/// What would cause an attempt comes so long after the leave, so that none is in doubt for the
+/// test's own clock.
 const TRIGGER: Duration = Duration::from_millis(300);
-/// A connection that isn't up by then won't be; long enough for a busy machine to see that it has begun.
+
+/// A connection that isn't up by then won't be; long enough for a busy machine to see that it has
+/// begun.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(1000);
+
 /// So long attempts are waited for.
 const WATCHED: Duration = Duration::from_millis(1000);
 
-/// An attempt as a server had it.
-#[derive(Clone, Debug)]
-struct Attempt {
-    at: Instant,
-    /// The first line, and when it came; none as long as it hasn't.
-    line: Option<(Instant, String)>,
-}
-
-/// A server that keeps all attempts and answers each first line with `UP 1`.
-struct Recorder {
-    address: SocketAddr,
-    attempts: Arc<Mutex<Vec<Attempt>>>,
-}
-
-impl Recorder {
-    fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let recorder = Recorder {
-            address: listener.local_addr().unwrap(),
-            attempts: Arc::default(),
-        };
-        let attempts = recorder.attempts.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let place = attempts.lock().unwrap().len();
-                attempts.lock().unwrap().push(Attempt {
-                    at: Instant::now(),
-                    line: None,
-                });
-                let attempts = attempts.clone();
-                thread::spawn(move || {
-                    let mut lines = BufReader::new(&stream).lines().map_while(Result::ok);
-                    if let Some(line) = lines.next() {
-                        attempts.lock().unwrap()[place].line = Some((Instant::now(), line));
-                        let _ = (&stream).write_all(b"UP 1\r\n");
-                    }
-                    lines.for_each(drop);
-                });
-            }
-        });
-        recorder
-    }
-
-    /// How late the latest of the test's own lines was on record, by when each was sent.
-    fn own_lateness(&self, sent: &[Instant]) -> Duration {
-        let attempts = self.attempts.lock().unwrap();
-        let own = attempts.iter().filter_map(|attempt| {
-            let (at, line) = attempt.line.as_ref()?;
-            let number: usize = line.strip_prefix("OWN ")?.parse().ok()?;
-            Some(at.saturating_duration_since(sent[number]))
-        });
-        own.max().expect("some of them have come")
-    }
-
-    /// Asserts that there was no attempt but for clients of this name, each of which has sent its line.
-    fn had_only(&self, staying: &str, what: &str) {
-        for attempt in self.attempts.lock().unwrap().iter() {
-            let line = attempt.line.as_ref().map(|(_, line)| line.as_str());
-            assert!(
-                line.is_some_and(|line| line.starts_with(&format!("OPEN {staying}"))),
-                "{what}: {attempt:?}"
-            );
-        }
-    }
-}
-
 /// How a client goes.
 #[derive(Clone, Copy, Debug)]
 enum Leave {
@@ -127,10 +69,11 @@
         .collect()
 }
 
-/// A balancer without probes, whose clients wait long, and a recorder that it doesn't know yet.
-fn stand(may_cancel: bool) -> (Stand, Recorder) {
-    let stand = Stand::with(1, |config| {
-        changed(
+/// A balancer without health checks, whose clients wait long, and a recorder that it doesn't know
+/// yet.
+fn balancer(may_cancel: bool) -> (TestBalancer, Recorder) {
+    let balancer = TestBalancer::with_config(1, |config| {
+        with_settings(
             &config,
             &[
                 ("limits/may-cancel", json!(may_cancel)),
@@ -143,18 +86,20 @@
             ],
         )
     });
-    (stand, Recorder::start())
+    (balancer, Recorder::start())
 }
 
 /// From now on nobody is placed.
-fn no_server(stand: &Stand) {
-    stand
+fn no_server(balancer: &TestBalancer) {
+    balancer
         .agent
-        .tell("s-0", stand.toys[0].address, "Terminating");
-    soon("no server", || stand.client("c=chat,d=60").line() != "UP 1");
+        .publish("s-0", balancer.servers[0].address, "Terminating");
+    wait_for("no server", || {
+        balancer.client("c=chat,d=60").read_line() != "UP 1"
+    });
 }
 
-fn clients(stand: &Stand, name: &str, count: usize) -> Vec<Client> {
+fn clients(balancer: &TestBalancer, name: &str, count: usize) -> Vec<Client> {
     // An id is new with every connection.
     static IDS: AtomicU64 = AtomicU64::new(0);
     let open = |i| {
@@ -162,7 +107,7 @@
         format!("OPEN {name}{id} k{i} c=chat,d=4500,g={name}{i}\r\n")
     };
     (0..count)
-        .map(|i| Client::new(stand.at, open(i).as_bytes()))
+        .map(|i| Client::new(balancer.address, open(i).as_bytes()))
         .collect()
 }
 
@@ -183,9 +128,9 @@
 }
 
 /// The balancer still places whoever stays, and on the recorder.
-fn still_serves(stand: &Stand, recorder: &Recorder) {
-    soon("the recorder", || {
-        clients(stand, "staying", 1).remove(0).says("UP 1")
+fn still_serves(balancer: &TestBalancer, recorder: &Recorder) {
+    wait_for("the recorder", || {
+        clients(balancer, "staying", 1).remove(0).receives("UP 1")
     });
     let seen = recorder.attempts.lock().unwrap();
     assert!(seen.iter().any(|attempt| {
@@ -196,55 +141,58 @@
     }));
 }
 
-/// Held since no server is ready, and at the queue before the module, until one is.
+/// They wait since no server is ready, some of them in the queue of admission control, until one
+/// is.
 #[test]
-fn held_and_queued_flows_are_not_placed_after_their_clients_leave() {
+fn waiting_and_queued_flows_are_not_placed_after_their_clients_leave() {
     thread::scope(|scope| {
-        for door in [None, Some("[door]\nby = \"client\"\nheld = 2\n")] {
+        for admission in [None, Some("[admission]\nby = \"client\"\nheld = 2\n")] {
             scope.spawn(move || {
-                let (mut stand, recorder) = stand(true);
-                let operator = stand.file.with_extension("toml");
-                if let Some(text) = door {
+                let (mut balancer, recorder) = balancer(true);
+                let operator = balancer.config_file.with_extension("toml");
+                if let Some(text) = admission {
                     std::fs::write(&operator, text).unwrap();
-                    stand.restarted_with(&["--operator", operator.to_str().unwrap()]);
-                    soon("a list", || stand.client("c=chat,d=1000").says("UP 1"));
+                    balancer.restart_with_arguments(&["--operator", operator.to_str().unwrap()]);
+                    wait_for("a list", || {
+                        balancer.client("c=chat,d=1000").receives("UP 1")
+                    });
                 }
-                no_server(&stand);
-                let held = clients(&stand, "leaving", 20);
+                no_server(&balancer);
+                let leaving = clients(&balancer, "leaving", 20);
                 thread::sleep(Duration::from_millis(150));
-                let _half = leave_all(waiting(held));
+                let _half = leave_all(waiting(leaving));
                 thread::sleep(TRIGGER);
-                stand.agent.tell("s-new", recorder.address, "Ready");
+                balancer.agent.publish("s-new", recorder.address, "Ready");
                 thread::sleep(WATCHED);
-                recorder.had_only("staying", "held");
-                still_serves(&stand, &recorder);
+                recorder.assert_only_from("staying", "waiting");
+                still_serves(&balancer, &recorder);
                 let _ = std::fs::remove_file(operator);
             });
         }
     });
 }
 
-/// All at one go: their ends, the server that they were held for, and lines of many open connections, which keep the worker
-/// busy. Some of the held flows stay.
+/// All at once: their ends, the server that they waited for, and lines of many open connections,
+/// which keep the worker busy. Some of the waiting flows stay.
 #[test]
 fn a_busy_worker_places_nobody_who_has_left_meanwhile() {
     thread::scope(|scope| {
         for ready_first in [false, true] {
             scope.spawn(move || {
-                let (stand, recorder) = stand(true);
+                let (balancer, recorder) = balancer(true);
                 let mut busy: Vec<Client> = (0..300)
-                    .map(|_| stand.client("c=chat,d=900"))
-                    .filter_map(|mut c| c.says("UP 1").then_some(c))
+                    .map(|_| balancer.client("c=chat,d=900"))
+                    .filter_map(|mut c| c.receives("UP 1").then_some(c))
                     .collect();
-                no_server(&stand);
+                no_server(&balancer);
                 let (leaving, staying) = (
-                    clients(&stand, "leaving", 10),
-                    clients(&stand, "staying", 10),
+                    clients(&balancer, "leaving", 10),
+                    clients(&balancer, "staying", 10),
                 );
                 thread::sleep(Duration::from_millis(300));
                 let (leaving, mut staying) = (waiting(leaving), waiting(staying));
-                let ready = || stand.agent.tell("s-new", recorder.address, "Ready");
-                let _half = stand.at_one_go(|| {
+                let ready = || balancer.agent.publish("s-new", recorder.address, "Ready");
+                let _half = balancer.while_stopped(|| {
                     busy.iter_mut()
                         .for_each(|client| client.send(&"a line of theirs\r\n".repeat(100)));
                     if ready_first {
@@ -258,9 +206,9 @@
                     }
                     half
                 });
-                let answers: Vec<String> = staying.iter_mut().map(Client::line).collect();
+                let answers: Vec<String> = staying.iter_mut().map(Client::read_line).collect();
                 thread::sleep(WATCHED);
-                recorder.had_only("staying", "busy");
+                recorder.assert_only_from("staying", "busy");
                 assert!(
                     busy.len() >= 50 && answers.iter().any(|answer| answer == "UP 1"),
                     "{} {answers:?}",
@@ -271,21 +219,22 @@
     });
 }
 
-/// Clients leave while the worker passes on the lines of many others, after the module has placed them and before their own
-/// coroutines have run. Without the look before the dial their servers are dialled as late as the worker is.
+/// Clients leave while the worker passes on the lines of many others, after the policy has placed
+/// them and before their own coroutines have run. Without the look before the dial their servers
+/// are dialled as late as the worker is.
 #[test]
 fn a_busy_worker_dials_for_nobody_who_has_left_meanwhile() {
-    let (stand, recorder) = stand(true);
+    let (balancer, recorder) = balancer(true);
     let mut busy: Vec<Client> = (0..300)
-        .map(|_| stand.client("c=chat,d=900"))
-        .filter_map(|mut client| client.says("UP 1").then_some(client))
+        .map(|_| balancer.client("c=chat,d=900"))
+        .filter_map(|mut client| client.receives("UP 1").then_some(client))
         .collect();
-    no_server(&stand);
-    let leaving = clients(&stand, "leaving", 10);
+    no_server(&balancer);
+    let leaving = clients(&balancer, "leaving", 10);
     thread::sleep(Duration::from_millis(300));
     let leaving = waiting(leaving);
-    stand.at_one_go(|| {
-        stand.agent.tell("s-new", recorder.address, "Ready");
+    balancer.while_stopped(|| {
+        balancer.agent.publish("s-new", recorder.address, "Ready");
         thread::sleep(Duration::from_millis(50));
         busy.iter_mut()
             .for_each(|client| client.send(&"a line of theirs\r\n".repeat(4000)));
@@ -303,7 +252,8 @@
     }
 }
 
-/// Its attempt fails after it has left: cut off, turned away, or never up. The next server gets none.
+/// Its attempt fails after it has left: connection lost, rejected, or never up. The next server
+/// gets none.
 #[test]
 fn a_flow_whose_attempt_fails_after_its_client_has_left_gets_no_other() {
     thread::scope(|scope| {
@@ -311,32 +261,32 @@
             for stopped in [false, true] {
                 for answer in ["BUSY\r\n", "ERR\r\n", ""] {
                     scope.spawn(move || {
-                        let (stand, recorder) = stand(may_cancel);
-                        stand.toys[0].set(Mood::Silent);
-                        let leaving = clients(&stand, "leaving", 8);
+                        let (balancer, recorder) = balancer(may_cancel);
+                        balancer.servers[0].set_behavior(ServerBehavior::Silent);
+                        let leaving = clients(&balancer, "leaving", 8);
                         let out = || {
-                            stand.toys[0]
-                                .seen()
+                            balancer.servers[0]
+                                .first_lines()
                                 .iter()
                                 .any(|line| line.contains("leaving"))
                         };
-                        soon("a line at the first server", out);
+                        wait_for("a line at the first server", out);
                         thread::sleep(Duration::from_millis(100));
-                        stand.agent.tell("s-new", recorder.address, "Ready");
-                        stand
+                        balancer.agent.publish("s-new", recorder.address, "Ready");
+                        balancer
                             .agent
-                            .tell("s-0", stand.toys[0].address, "Terminating");
+                            .publish("s-0", balancer.servers[0].address, "Terminating");
                         thread::sleep(TRIGGER);
-                        // Those that were held meanwhile may have come to it.
+                        // Flows that waited meanwhile may have come to it.
                         let before = recorder.attempts.lock().unwrap().len();
                         let goes = || {
                             let half = leave_all(leaving);
                             thread::sleep(TRIGGER);
-                            stand.toys[0].say(answer, true);
+                            balancer.servers[0].send_and_close(answer);
                             half
                         };
                         let _half = if stopped {
-                            stand.at_one_go(goes)
+                            balancer.while_stopped(goes)
                         } else {
                             goes()
                         };
@@ -347,8 +297,8 @@
                             before,
                             "{may_cancel} {stopped} {answer}: {after:?}"
                         );
-                        stand.toys[0].set(Mood::Up);
-                        still_serves(&stand, &recorder);
+                        balancer.servers[0].set_behavior(ServerBehavior::Serving);
+                        still_serves(&balancer, &recorder);
                     });
                 }
             }
@@ -356,52 +306,57 @@
     });
 }
 
-/// The connection never comes up in its time, and the client leaves meanwhile; also in one with that time's end.
+/// The connection never comes up in its time, and the client leaves meanwhile; also in one with
+/// that time's end.
 #[test]
 fn a_flow_whose_dial_runs_out_after_its_client_has_left_gets_no_other() {
     thread::scope(|scope| {
         for stopped in [false, true] {
             for how in LEAVES {
                 scope.spawn(move || {
-                    let late = Late::new();
-                    let (stand, recorder) = stand(false);
-                    stand.agent.tell("s-late", late.address, "Ready");
-                    stand.agent.tell("s-0", stand.toys[0].address, "Gone");
-                    soon("the new list", || {
-                        stand.client("c=chat,d=60").line() != "UP 1"
+                    let late = LateServer::new();
+                    let (balancer, recorder) = balancer(false);
+                    balancer.agent.publish("s-late", late.address, "Ready");
+                    balancer
+                        .agent
+                        .publish("s-0", balancer.servers[0].address, "Gone");
+                    wait_for("the new list", || {
+                        balancer.client("c=chat,d=60").read_line() != "UP 1"
                     });
-                    soon("nobody dialling", || !late.dialled());
-                    let leaving = clients(&stand, "leaving", 1).remove(0);
-                    soon("a connection begun", || late.dialled());
+                    wait_for("no pending connect", || !late.has_pending_connect());
+                    let leaving = clients(&balancer, "leaving", 1).remove(0);
+                    wait_for("a connection begun", || late.has_pending_connect());
                     let goes = || {
                         let half = leave(leaving, how);
-                        stand.agent.tell("s-new", recorder.address, "Ready");
+                        balancer.agent.publish("s-new", recorder.address, "Ready");
                         thread::sleep(DIAL_TIMEOUT + TRIGGER);
                         half
                     };
                     let _half = if stopped {
-                        stand.at_one_go(goes)
+                        balancer.while_stopped(goes)
                     } else {
                         goes()
                     };
                     thread::sleep(WATCHED);
-                    recorder.had_only("staying", &format!("{stopped} {how:?}"));
-                    assert_eq!(late.let_in(), "", "{stopped} {how:?}: a line");
+                    recorder.assert_only_from("staying", &format!("{stopped} {how:?}"));
+                    assert_eq!(late.accept_first_line(), "", "{stopped} {how:?}: a line");
                 });
             }
         }
     });
 }
 
-/// Clients leave at any moment while the balancer is kept busy by others that come and go: each attempt that a server has
-/// had began before its client's leave was 0.1 s old.
+/// Clients leave at any moment while the balancer is kept busy by others that come and go: each
+/// attempt that a server has had began before its client's leave was 0.1 s old.
 #[test]
-fn clients_that_leave_at_any_moment_are_not_sent_on_later() {
-    let (stand, recorder) = stand(true);
-    stand.agent.tell("s-new", recorder.address, "Ready");
-    stand.agent.tell("s-0", stand.toys[0].address, "Gone");
-    soon("the recorder", || {
-        clients(&stand, "first", 1).remove(0).line();
+fn clients_that_leave_at_any_moment_are_not_forwarded_later() {
+    let (balancer, recorder) = balancer(true);
+    balancer.agent.publish("s-new", recorder.address, "Ready");
+    balancer
+        .agent
+        .publish("s-0", balancer.servers[0].address, "Gone");
+    wait_for("the recorder", || {
+        clients(&balancer, "first", 1).remove(0).read_line();
         !recorder.attempts.lock().unwrap().is_empty()
     });
     let until = Instant::now() + Duration::from_secs(3);
@@ -411,18 +366,19 @@
     );
     thread::scope(|scope| {
         for number in 0..4 {
-            let (stand, left) = (&stand, &left);
+            let (balancer, left) = (&balancer, &left);
             scope.spawn(move || {
                 for round in (0..200).take_while(|_| Instant::now() < until) {
                     let name = format!("any{number}x{round}x");
-                    let open = clients(stand, &name, 2);
+                    let open = clients(balancer, &name, 2);
                     thread::sleep(Duration::from_micros(round * 1370 % 20_000));
                     let _half = leave_all(open);
                     left.lock().unwrap().insert(name, Instant::now());
                 }
             });
         }
-        // The test's own way to the recorder, from before a line to its record: so late it tells of others' lines as well.
+        // The test's own way to the recorder, from before a line to its record: other lines may be
+        // recorded as late.
         scope.spawn(|| {
             let mut open = Vec::new();
             while Instant::now() < until {
@@ -460,5 +416,5 @@
             "{line}: {late:?} after its client had gone, {allowed:?} allowed"
         );
     }
-    assert!(matched > 0, "some were sent on before they left");
+    assert!(matched > 0, "some were forwarded before they left");
 }
--- a/crates/balancer/tests/preload/faults.rs
+++ b/crates/balancer/tests/preload/faults.rs
@@ -1,6 +1,7 @@
-//! A library that tests load into the program by `LD_PRELOAD`: chosen system calls fail, are cut short or are held up, and the
-//! wall clock shows another time, as a plan says. The plan is a file that may change at any time, named by `NETTLEMUX_FAULTS`;
-//! each line of it is a call and what happens to it:
+//! A library that tests load into the program by `LD_PRELOAD`: chosen system calls fail, are cut
+//! short or are delayed, and the wall clock shows another time, as a plan says. The plan is a file
+//! that may change at any time, named by `NETTLEMUX_FAULTS`; each line of it is a call and what
+//! happens to it:
 //!
 //! ```text
 //! CALL fail ERRNO AFTER EVERY TIMES    the call is not made and returns this error
@@ -192,7 +193,7 @@
     result == 0 && domain == libc::AF_INET
 }
 
-/// Takes the place of a function that fails, or is held up, as the plan says.
+/// Replaces a function that fails, or is delayed, as the plan says.
 macro_rules! replace {
     ($name:ident, $symbol:literal, ($($argument:ident: $kind:ty),*) -> $result:ty) => {
         /// # Safety
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -1,4 +1,5 @@
-//! A small scale run with the balancer as it is run: it counts probes, bytes, list calls and attempts, never times.
+//! A small scale run with the balancer as it is run: it counts health checks, bytes, list calls and
+//! attempts, never times.
 
 use std::path::{Path, PathBuf};
 
@@ -54,14 +55,15 @@
     lines.iter().find_map(one).unwrap()
 }
 
-/// Bytes of one probe both ways: `STATS` and its answer with two figures.
-const PROBE_BYTES: std::ops::Range<f64> = 28.0..45.0;
-/// Bytes of a call for the list that tells nothing new, both ways, and those of each changed entry at most.
+/// Bytes of one health check both ways: `STATS` and its answer with two figures.
+const HEALTH_CHECK_BYTES: std::ops::Range<f64> = 28.0..45.0;
+/// Bytes of a call for the list that brings nothing new, both ways, and those of each changed entry
+/// at most.
 const CALL_BYTES: f64 = 250.0;
 const ENTRY_BYTES: f64 = 200.0;
 
 #[test]
-fn probes_bytes_and_list_calls_of_a_balancer_are_what_its_counts_say() {
+fn health_checks_bytes_and_list_calls_of_a_balancer_are_what_its_counts_say() {
     let scenario = ScaleScenario {
         module: None,
         storm: None,
@@ -72,13 +74,16 @@
     assert_eq!(by_servers.len(), 4);
     for (servers, figures) in &by_servers {
         // Each server once in 2 s.
-        let probes = figures.probes_per_second.unwrap();
+        let health_checks = figures.probes_per_second.unwrap();
         assert!(
-            (0.35 * servers..=0.65 * servers).contains(&probes),
+            (0.35 * servers..=0.65 * servers).contains(&health_checks),
             "{servers} servers: {figures:?}"
         );
-        let of_each = figures.probe_bytes_per_second.unwrap() / probes;
-        assert!(PROBE_BYTES.contains(&of_each), "{of_each} bytes a probe");
+        let of_each = figures.probe_bytes_per_second.unwrap() / health_checks;
+        assert!(
+            HEALTH_CHECK_BYTES.contains(&of_each),
+            "{of_each} bytes a health check"
+        );
         // A call is held for a second.
         let calls = figures.list_calls_per_second.unwrap();
         assert!((0.4..=1.6).contains(&calls), "{calls} calls a second");
@@ -99,14 +104,14 @@
             "20 by the real one, 2 by each hollow one"
         );
     }
-    let by_probes = slope(
+    let by_health_checks = slope(
         &lines,
         (Part::Sockets, Varied::Servers),
         "probes_per_second",
     );
     assert!(
-        (0.4..=0.6).contains(&by_probes),
-        "{by_probes} probes a second more with each server"
+        (0.4..=0.6).contains(&by_health_checks),
+        "{by_health_checks} health checks a second more with each server"
     );
 
     let by_changes = measured(&lines, (Part::Sockets, Varied::ChangesPerSecond));
@@ -118,7 +123,8 @@
             Some(0.0),
             "{changes} changes a second: {figures:?}"
         );
-        // Each change is told by itself, an old entry and a new one, and is followed by a call that is held.
+        // Each change is sent by itself, an old entry and a new one, and is followed by a call that
+        // is held.
         let calls = figures.list_calls_per_second.unwrap();
         assert!(
             calls <= changes + 2.0,
@@ -144,7 +150,8 @@
     let [(_, killed)] = &measured(&lines, (Part::Storm, Varied::Balancers))[..] else {
         panic!("{lines:?}")
     };
-    // 3 real balancers with 10 clients each and 7 hollow ones with 4 each; 2 and 5 of them are killed.
+    // 3 real balancers with 10 clients each and 7 hollow ones with 4 each; 2 and 5 of them are
+    // killed.
     assert_eq!(
         (killed.connections_up, killed.connections_lost),
         (Some(58.0), Some(40.0)),
@@ -157,7 +164,8 @@
         (Some(0.0), Some(0.0)),
         "{killed:?}"
     );
-    // 10 balancers for 4 s, a held call a second each, and the whole list once more for each that was killed.
+    // 10 balancers for 4 s, a held call a second each, and the whole list once more for each that
+    // was killed.
     let calls = killed.list_calls.unwrap();
     assert!((20.0..=70.0).contains(&calls), "{calls} list calls");
     assert!(
@@ -192,9 +200,9 @@
         storm: None,
         ..small()
     };
-    let told = run(&scenario, "/nowhere/nettlemux").map(drop).unwrap_err();
+    let error = run(&scenario, "/nowhere/nettlemux").map(drop).unwrap_err();
     assert!(
-        told.starts_with("sockets with servers = 20: /nowhere/nettlemux:"),
-        "{told}"
+        error.starts_with("sockets with servers = 20: /nowhere/nettlemux:"),
+        "{error}"
     );
 }
--- a/crates/balancer/tests/soak.rs
+++ b/crates/balancer/tests/soak.rs
@@ -1,7 +1,8 @@
-//! A soak of the end: seeded runs of the real program from SIGTERM to the earliest SIGKILL. Clients go on using their open
-//! connections until then and new ones come for 0.4 s; signals come in series, servers hang, system calls fail or are held up,
-//! and in some runs a crowd of silent clients fills the descriptors. `SOAK_SEEDS=50` plays so many seeds, one line each
-//! on standard output with `--nocapture`; without it a few are played.
+//! A soak of the end: seeded runs of the real program from SIGTERM to the earliest SIGKILL. Clients
+//! go on using their open connections until then and new ones come for 0.4 s; signals come in
+//! series, servers hang, system calls fail or are delayed, and in some runs a crowd of silent
+//! clients fills the descriptors. `SOAK_SEEDS=50` runs so many seeds, one line each on standard
+//! output with `--nocapture`; without it a few are run.
 
 mod common;
 
@@ -10,11 +11,10 @@
 use std::time::{Duration, Instant};
 
 use common::faults::{ENOBUFS, ENOMEM, Faults};
-use common::toy::Mood;
-use common::{Client, Stand, changed, soon};
-use serde_json::json;
+use common::toy::ServerBehavior;
+use common::{Client, TestBalancer, deadline_settings, wait_for, with_settings};
 
-/// Seeds that are played where none are asked for, and runs at a time.
+/// Seeds that are run where none are asked for, and runs at a time.
 const SEEDS: u64 = 12;
 const AT_ONCE: u64 = 3;
 /// From the longest deadline after SIGTERM to the earliest SIGKILL.
@@ -29,18 +29,20 @@
 const CROWD: usize = 150;
 /// Each open connection sends a line so often.
 const LINE_INTERVAL: Duration = Duration::from_millis(40);
-/// One write in so many is held up, for as long as a balancer may be.
+/// One write in so many is delayed, for as long as a balancer may be.
 const STALL: &str = "send stall 150 40 97 1";
 
 /// A small generator (xorshift64*): the same seed, the same run.
-struct Draws(u64);
+struct Draws {
+    state: u64,
+}
 
 impl Draws {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 ^= self.0 >> 12;
-        self.0 ^= self.0 << 25;
-        self.0 ^= self.0 >> 27;
-        (self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % bound
+        self.state ^= self.state >> 12;
+        self.state ^= self.state << 25;
+        self.state ^= self.state >> 27;
+        (self.state.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % bound
     }
 
     fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
@@ -62,7 +64,9 @@
 
 impl Plan {
     fn new(seed: u64) -> Self {
-        let mut draws = Draws(seed.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut draws = Draws {
+            state: seed.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        };
         let deadlines = [
             draws.one_of(&[200, 500, 1000, 3000]),
             draws.one_of(&[300, 800, 3000]),
@@ -101,24 +105,13 @@
     }
 }
 
-fn with_deadline(config: &str, ms: u64) -> String {
-    let limit = json!(ms * 1000);
-    changed(
-        config,
-        &[
-            ("service-types/0/hard-limit", limit.clone()),
-            ("service-types/1/hard-limit", limit),
-        ],
-    )
-}
-
 /// An open connection, used until its end: what it saw that it must not see.
 fn use_until_moved(mut client: Client) -> Option<String> {
     client.stream.set_read_timeout(Some(LINE_INTERVAL)).unwrap();
     let mut line = String::new();
     loop {
         let _ = std::io::Write::write_all(&mut client.stream, b"hello\r\n");
-        match std::io::BufRead::read_line(&mut client.lines, &mut line) {
+        match std::io::BufRead::read_line(&mut client.reader, &mut line) {
             Ok(0) => return Some(format!("ended without MOVE, after {line:?}")),
             Ok(_) if line == "MOVE\r\n" => return None,
             Ok(_) if line == "ok hello\r\n" => {
@@ -132,20 +125,21 @@
     }
 }
 
-/// A client that comes after SIGTERM; what it saw that it must not see. In a crowd it may be shut unread.
-fn ask_once(stand: &Stand, plan: &Plan, deadline: u64) -> Option<String> {
+/// A client that comes after SIGTERM; what it saw that it must not see. In a crowd it may be shut
+/// unread.
+fn ask_once(balancer: &TestBalancer, plan: &Plan, deadline: u64) -> Option<String> {
     let since = Instant::now();
     let number = since.elapsed().as_nanos();
-    let mut client = Client::try_new(stand.at, b"")?;
+    let mut client = Client::try_new(balancer.address, b"")?;
     let id = format!(
         "{:x}{:x}",
         client.stream.local_addr().unwrap().port(),
         number + u128::from(plan.seed)
     );
     client.send(&format!("OPEN {id} k c=order,d={deadline}\r\n"));
-    let answer = client.line();
+    let answer = client.read_line();
     let took = since.elapsed();
-    let next = client.line();
+    let next = client.read_line();
     let fine = match answer.as_str() {
         "UP 1" => next == "MOVE",
         answer if answer == "ERR" || answer.starts_with("BUSY") => next == "end",
@@ -155,8 +149,8 @@
     (!fine || late).then(|| format!("{answer:?} after {took:?} of {deadline} ms, then {next:?}"))
 }
 
-/// Plays one seed; what was broken.
-fn play(seed: u64) -> Vec<String> {
+/// Runs one seed; returns what was violated.
+fn run_seed(seed: u64) -> Vec<String> {
     let plan = &Plan::new(seed);
     let config = |config: String| {
         config.replace(
@@ -168,23 +162,32 @@
             },
         )
     };
-    let mut stand = Stand::start(3, config, Some(Faults::none()));
-    stand.serves();
-    let config = stand.config.clone();
-    stand.restarted_as(&with_deadline(&config, plan.deadlines[0]));
+    let mut balancer = TestBalancer::start(3, config, Some(Faults::none()));
+    balancer.wait_until_serving();
+    let config = balancer.config.clone();
+    balancer.restart_with_config(&with_settings(
+        &config,
+        &deadline_settings(plan.deadlines[0]),
+    ));
     let wait = plan.deadlines[0];
-    soon("a list", || {
-        stand.client(&format!("c=chat,d={wait}")).says("UP 1")
+    wait_for("a list", || {
+        balancer
+            .client(&format!("c=chat,d={wait}"))
+            .receives("UP 1")
     });
     let mut open = Vec::new();
     while open.len() < OPEN {
-        let mut client = stand.client(&format!("c=chat,d={wait}"));
-        if client.says("UP 1") {
+        let mut client = balancer.client(&format!("c=chat,d={wait}"));
+        if client.receives("UP 1") {
             open.push(client);
         }
     }
-    std::fs::write(&stand.file, with_deadline(&config, plan.deadlines[1])).unwrap();
-    stand.faults().set(&plan.faults);
+    std::fs::write(
+        &balancer.config_file,
+        with_settings(&config, &deadline_settings(plan.deadlines[1])),
+    )
+    .unwrap();
+    balancer.faults().set(&plan.faults);
     let mut broken = Vec::new();
     let kill = Duration::from_millis(plan.shortest_deadline()) + KILL_AFTER_DEADLINE;
     let terminated = thread::scope(|scope| {
@@ -195,27 +198,27 @@
         thread::sleep(2 * LINE_INTERVAL);
         let crowd = if plan.crowd { CROWD } else { 0 };
         let silent: Vec<_> = (0..crowd)
-            .filter_map(|_| TcpStream::connect(stand.at).ok())
+            .filter_map(|_| TcpStream::connect(balancer.address).ok())
             .collect();
-        stand
-            .toys
+        balancer
+            .servers
             .iter()
             .take(plan.hanging)
-            .for_each(|toy| toy.set(Mood::Silent));
+            .for_each(|server| server.set_behavior(ServerBehavior::Silent));
         let mut terminated = None;
         for (signal, pause) in &plan.signals {
             thread::sleep(Duration::from_millis(*pause));
             if *signal != "-HUP" {
                 terminated.get_or_insert_with(Instant::now);
             }
-            stand.signal_if_alive(signal);
+            balancer.signal_if_alive(signal);
         }
         let terminated = terminated.expect("each plan has one");
         let deadline = plan.shortest_deadline().min(400);
-        let stand = &stand;
+        let balancer = &balancer;
         let mut asking = Vec::new();
         while terminated.elapsed() < COMING {
-            asking.push(scope.spawn(move || ask_once(stand, plan, deadline)));
+            asking.push(scope.spawn(move || ask_once(balancer, plan, deadline)));
             thread::sleep(COMING / NEW as u32);
         }
         broken.extend(asking.into_iter().filter_map(|asked| asked.join().unwrap()));
@@ -223,7 +226,7 @@
         drop(silent);
         terminated
     });
-    let status = stand.child.wait().unwrap();
+    let status = balancer.process.wait().unwrap();
     let took = terminated.elapsed();
     if !status.success() || took >= kill {
         broken.push(format!(
@@ -248,7 +251,7 @@
             move || {
                 (first..seeds)
                     .step_by(AT_ONCE as usize)
-                    .flat_map(play)
+                    .flat_map(run_seed)
                     .collect::<Vec<_>>()
             }
         };
--- a/crates/balancer/tests/testbed.rs
+++ b/crates/balancer/tests/testbed.rs
@@ -1,4 +1,5 @@
-//! The balancer as it is run, between the laboratory's stand-ins: the rules are judged by what crosses them alone.
+//! The balancer as it is run, between the testbed's stand-ins: the rules are checked by what
+//! crosses them alone.
 
 use std::path::{Path, PathBuf};
 
@@ -23,7 +24,7 @@
     run(scenario, scenario.seed, &program, None, None)
 }
 
-/// Plays a day with the balancer. A machine too busy for a result is tried again, since what it shows is the machine.
+/// Runs a scenario with the balancer. A run that is void, as the machine was too busy, is repeated.
 fn sound(faults: &str) -> Outcome {
     let scenario = scenario(faults);
     for _ in 0..3 {
@@ -44,8 +45,8 @@
     panic!("void three times");
 }
 
-/// Guards against first lines that come in two pieces and a balancer that dies between them, and against servers that
-/// end connections as clients do.
+/// Guards against first lines that come in two pieces and a balancer that dies between them, and
+/// against servers that end connections as clients do.
 #[test]
 fn balancers_die_while_first_lines_are_half_sent() {
     let outcome = sound(
@@ -59,7 +60,8 @@
     );
 }
 
-/// Guards against work sent to servers that drain, and clients cut off by balancers that are asked to end.
+/// Guards against work sent to servers that drain, and clients cut off by balancers that are asked
+/// to end.
 #[test]
 fn servers_drain_and_balancers_are_restarted_in_turn() {
     let outcome = sound(
@@ -74,17 +76,18 @@
 }
 
 #[test]
-fn a_balancer_that_dies_is_told_with_its_log() {
+fn a_balancer_that_dies_is_reported_with_its_log() {
     let mut scenario = scenario("");
     scenario.seconds = 3.0;
-    // One that reads its configuration and ends: told by the log's last lines, before the run begins.
+    // A program that reads its configuration and ends: reported with the log's last lines, before
+    // the run begins.
     let program: PathBuf = env!("CARGO_BIN_EXE_nettlemux").into();
-    let told = play(&scenario, program, &["frobnicate"])
+    let reported = play(&scenario, program, &["frobnicate"])
         .map(|_| ())
         .unwrap_err();
     assert!(
-        told.contains("balancer 0 isn't ready") && told.contains("frobnicate"),
-        "{told}"
+        reported.contains("balancer 0 isn't ready") && reported.contains("frobnicate"),
+        "{reported}"
     );
     let nowhere = play(&scenario, "/nowhere/nettlemux".into(), &[])
         .map(|_| ())
@@ -94,7 +97,7 @@
 
 /// Guards against a death in the middle of a run that goes unseen, or is taken for a planned end.
 #[test]
-fn a_balancer_that_dies_in_the_middle_is_told_with_the_end_of_its_log() {
+fn a_balancer_that_dies_in_the_middle_is_reported_with_the_end_of_its_log() {
     let mut scenario = scenario("");
     scenario.seconds = 4.0;
     // `timeout` ends the balancer also where the shell is ended before it.
@@ -109,13 +112,13 @@
         outcome
             .died
             .iter()
-            .all(|told| told.contains("died") && told.contains("last words")),
+            .all(|reported| reported.contains("died") && reported.contains("last words")),
         "{:?}",
         outcome.died
     );
     assert!(
         outcome.verdict.kept(),
-        "what it held is not its to answer any more: {:?}",
+        "its clients are not its to answer any more: {:?}",
         outcome.verdict
     );
 }
--- a/crates/balancer/tests/wall_clock.rs
+++ b/crates/balancer/tests/wall_clock.rs
@@ -1,5 +1,6 @@
-//! A machine's wall clock may be stepped, forward or back, by seconds or by an hour, before the program starts or while it
-//! runs; the monotonic clock runs on. Servers in slow start, deadlines and waits go by the latter.
+//! A machine's wall clock may be stepped, forward or back, by seconds or by an hour, before the
+//! program starts or while it runs; the monotonic clock runs on. Servers in slow start, deadlines
+//! and waits go by the latter.
 
 mod common;
 
@@ -7,8 +8,8 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use common::faults::Faults;
-use common::toy::{Mood, Toy};
-use common::{Stand, changed, soon};
+use common::toy::{ServerBehavior, ToyServer};
+use common::{TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
 /// Servers that are warm from the start.
@@ -25,12 +26,13 @@
         .as_millis() as u64
 }
 
-/// A balancer on a machine whose wall clock is so far off, among servers that are warm after so long.
-fn stand(step: i64, start_capacity: f64, warm_up: Duration) -> Stand {
+/// A balancer on a machine whose wall clock is so far off, among servers that are warm after so
+/// long.
+fn balancer(step: i64, start_capacity: f64, warm_up: Duration) -> TestBalancer {
     let faults = Faults::none();
     faults.set(&format!("clock_gettime step {step}"));
     let config = |config: String| {
-        changed(
+        with_settings(
             &config,
             &[
                 ("contract/start-capacity", json!(start_capacity)),
@@ -41,14 +43,14 @@
             ],
         )
     };
-    let stand = Stand::start(WARM, config, Some(faults));
-    stand.serves();
-    stand
+    let balancer = TestBalancer::start(WARM, config, Some(faults));
+    balancer.wait_until_serving();
+    balancer
 }
 
 /// Clients come for so long, each served and gone; how many of them this server had.
-fn clients_for(stand: &Stand, time: Duration, counted: &Toy) -> usize {
-    let before = counted.seen().len();
+fn clients_for(balancer: &TestBalancer, time: Duration, counted: &ToyServer) -> usize {
+    let before = counted.first_lines().len();
     let since = Instant::now();
     for number in 0.. {
         let at = Duration::from_secs(1) * number / RATE;
@@ -56,26 +58,28 @@
             break;
         }
         thread::sleep(at.saturating_sub(since.elapsed()));
-        stand.client("c=chat,d=900").line();
+        balancer.client("c=chat,d=900").read_line();
     }
-    counted.seen().len() - before
+    counted.first_lines().len() - before
 }
 
-/// One that starts while we watch is cold, by all settings, whatever the wall clock makes of its start.
+/// A server that starts during the watch is in slow start, by all settings, whatever the wall clock
+/// makes of its start.
 #[test]
-fn a_server_that_starts_while_we_watch_is_in_slow_start() {
+fn a_server_that_starts_during_the_watch_is_in_slow_start() {
     thread::scope(|scope| {
         for step in STEPS {
             scope.spawn(move || {
                 let (start_capacity, window) = (0.05, Duration::from_secs(2));
-                let stand = stand(step, start_capacity, Duration::from_secs(60));
-                let fresh = Toy::start("127.0.0.1:0").unwrap();
-                clients_for(&stand, Duration::from_secs(3), &fresh);
-                stand
+                let balancer = balancer(step, start_capacity, Duration::from_secs(60));
+                let fresh = ToyServer::start("127.0.0.1:0").unwrap();
+                clients_for(&balancer, Duration::from_secs(3), &fresh);
+                balancer
                     .agent
-                    .tell_started("s-fresh", fresh.address, "Ready", unix_ms());
-                let sent = clients_for(&stand, window, &fresh);
-                // What the settings allow it, by what a warm one gets, and the chance that the operators put down to few.
+                    .publish_started("s-fresh", fresh.address, "Ready", unix_ms());
+                let sent = clients_for(&balancer, window, &fresh);
+                // What the settings allow it, by what a warm one gets, and the chance that the
+                // operators put down to few.
                 let allowed = start_capacity * f64::from(RATE) / WARM as f64 * window.as_secs_f64();
                 let most = allowed + 3.0 * allowed.sqrt() + 3.0;
                 assert!(
@@ -87,7 +91,8 @@
     });
 }
 
-/// And it is warm once its warm-up has passed, also where it was on the first list, with a start that lies in our future.
+/// And it is warm once its warm-up has passed, also where it was on the first list, with a start in
+/// the balancer's future.
 #[test]
 fn a_server_is_warm_after_its_warm_up() {
     thread::scope(|scope| {
@@ -97,18 +102,18 @@
         {
             scope.spawn(move || {
                 let warm_up = Duration::from_secs(2);
-                let mut stand = stand(step, 0.01, warm_up);
-                let fresh = Toy::start("127.0.0.1:0").unwrap();
-                stand
+                let mut balancer = balancer(step, 0.01, warm_up);
+                let fresh = ToyServer::start("127.0.0.1:0").unwrap();
+                balancer
                     .agent
-                    .tell_started("s-fresh", fresh.address, "Ready", unix_ms());
+                    .publish_started("s-fresh", fresh.address, "Ready", unix_ms());
                 if first_list {
-                    stand.restarted_with(&[]);
-                    stand.serves();
+                    balancer.restart_with_arguments(&[]);
+                    balancer.wait_until_serving();
                 }
-                clients_for(&stand, warm_up + Duration::from_millis(1500), &fresh);
+                clients_for(&balancer, warm_up + Duration::from_millis(1500), &fresh);
                 let span = Duration::from_secs(2);
-                let sent = clients_for(&stand, span, &fresh);
+                let sent = clients_for(&balancer, span, &fresh);
                 let share = f64::from(RATE) * span.as_secs_f64() / (WARM + 1) as f64;
                 assert!(
                     sent as f64 >= share / 2.0,
@@ -122,16 +127,20 @@
 /// Deadlines are spans of real time, whatever becomes of the wall clock meanwhile.
 #[test]
 fn a_flow_is_answered_by_its_deadline_while_the_clock_is_stepped() {
-    let stand = stand(0, 0.35, Duration::from_secs(8));
-    stand.toys.iter().for_each(|toy| toy.set(Mood::Silent));
+    let balancer = balancer(0, 0.35, Duration::from_secs(8));
+    balancer
+        .servers
+        .iter()
+        .for_each(|server| server.set_behavior(ServerBehavior::Silent));
     for step in STEPS {
         let since = Instant::now();
-        let mut client = stand.client("c=order,d=600");
+        let mut client = balancer.client("c=order,d=600");
         thread::sleep(Duration::from_millis(200));
-        stand.faults().set(&format!("clock_gettime step {step}"));
-        let answer = client.line();
+        balancer.faults().set(&format!("clock_gettime step {step}"));
+        let answer = client.read_line();
         let took = since.elapsed().as_millis();
-        // One that was sent on has all its time; one that waits, since the others were not answered, may be told before.
+        // A flow that was forwarded has all its time; one that waits, since the others were not
+        // answered, may be answered before.
         let in_time = if answer == "ERR" {
             (500..700).contains(&took)
         } else {
@@ -141,10 +150,13 @@
             in_time && (answer == "ERR" || answer.starts_with("BUSY")),
             "{step}: {answer} {took} ms"
         );
-        assert_eq!(client.line(), "end", "{step}");
+        assert_eq!(client.read_line(), "end", "{step}");
     }
-    stand.toys.iter().for_each(|toy| toy.set(Mood::Up));
-    soon("a client served", || {
-        stand.client("c=chat,d=900").says("UP 1")
+    balancer
+        .servers
+        .iter()
+        .for_each(|server| server.set_behavior(ServerBehavior::Serving));
+    wait_for("a client served", || {
+        balancer.client("c=chat,d=900").receives("UP 1")
     });
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,152 +1,204 @@
-//! A toy deployment to try nettlemux with: a few servers and a discovery agent, all in one process on loopback.
+//! A toy deployment to try nettlemux with: a few servers and a discovery agent, all in one process
+//! on loopback.
 //!
-//! `cargo run --example toy` starts three servers at 127.0.0.1:7101 to 7103 and discovery at 127.0.0.1:7100.
-//! Typed lines change it: `busy 7101`, `up 7101`, `silent 7101`, `drain 7101`, `gone 7101`, `load 7101 0.9`.
+//! `cargo run --example toy` starts three servers at 127.0.0.1:7101 to 7103 and discovery at
+//! 127.0.0.1:7100. Lines on standard input change it, each a command and a server's port:
+//!
+//! | command | effect |
+//! | --- | --- |
+//! | `up 7101` | the server serves |
+//! | `busy 7101`, `err 7101` | it answers `BUSY` or `ERR` to new clients |
+//! | `silent 7101` | it reads and answers nothing |
+//! | `cut 7101` | it closes connections without an answer |
+//! | `load 7101 0.9` | it reports this load |
+//! | `ready 7101`, `drain 7101`, `gone 7101` | discovery lists it as ready, as draining, or no longer |
+//!
+//! The tests of the program use the same servers and the same agent.
 
 use std::collections::BTreeMap;
-use std::io::{self, BufRead, BufReader, Write};
+use std::io::{self, BufRead, BufReader, Lines, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a server treats whoever connects.
+/// The load that a server reports until another is set.
+const INITIAL_LOAD: f64 = 0.01;
+/// How often a silent server looks whether it is still silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest that a call to the agent is held.
+const HOLD_MAX_MS: u64 = 60_000;
+/// How many calls the agent keeps on record.
+const RECORDED_CALLS_MAX: usize = 10_000;
+
+/// How a server treats its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    /// Serves, and answers each line with `ok` and the line.
-    Up,
+pub enum ServerBehavior {
+    /// Answers `UP 1`, then each line with `ok` and the line.
+    Serving,
+    /// Answers `BUSY`.
     Busy,
-    Err,
-    /// Takes lines and says nothing, not even on open connections.
+    /// Answers `ERR`.
+    Failing,
+    /// Reads lines and answers nothing, not even on open connections.
     Silent,
-    /// Ends without a word.
-    Cut,
+    /// Closes connections without an answer.
+    Closing,
 }
 
-/// One server.
-pub struct Toy {
+/// A server that speaks the platform's line protocol.
+pub struct ToyServer {
     pub address: SocketAddr,
-    mood: Mutex<Mood>,
+    behavior: Mutex<ServerBehavior>,
     load: Mutex<f64>,
-    /// First lines, in order.
-    seen: Mutex<Vec<String>>,
-    /// How often it was asked for its load.
-    asked: Mutex<usize>,
+    first_lines: Mutex<Vec<String>>,
+    health_checks: Mutex<usize>,
     open: Mutex<Vec<TcpStream>>,
-    /// Connections that their callers have ended.
-    ended: Mutex<usize>,
+    closed_connections: Mutex<usize>,
 }
 
-impl Toy {
+impl ToyServer {
+    /// Starts a server that listens at this address, with a thread for each connection.
+    ///
+    /// # Errors
+    /// If it can't listen there.
     pub fn start(address: &str) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind(address)?;
-        let toy = Arc::new(Toy {
+        let server = Arc::new(ToyServer {
             address: listener.local_addr()?,
-            mood: Mutex::new(Mood::Up),
-            load: Mutex::new(0.01),
-            seen: Mutex::default(),
-            asked: Mutex::default(),
+            behavior: Mutex::new(ServerBehavior::Serving),
+            load: Mutex::new(INITIAL_LOAD),
+            first_lines: Mutex::default(),
+            health_checks: Mutex::default(),
             open: Mutex::default(),
-            ended: Mutex::default(),
+            closed_connections: Mutex::default(),
         });
-        let serving = toy.clone();
+        let serving = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let toy = serving.clone();
-                thread::spawn(move || toy.talk(stream));
+                let server = serving.clone();
+                thread::spawn(move || server.serve_connection(stream));
             }
         });
-        Ok(toy)
+        Ok(server)
     }
 
-    pub fn set(&self, mood: Mood) {
-        *self.mood.lock().unwrap() = mood;
+    /// Changes how it treats its clients, also those of open connections.
+    pub fn set_behavior(&self, behavior: ServerBehavior) {
+        *self.behavior.lock().unwrap() = behavior;
     }
 
+    fn behavior(&self) -> ServerBehavior {
+        *self.behavior.lock().unwrap()
+    }
+
+    /// Sets the load that it reports.
     pub fn set_load(&self, load: f64) {
         *self.load.lock().unwrap() = load;
     }
 
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    /// Returns the first lines that it has received, in order.
+    pub fn first_lines(&self) -> Vec<String> {
+        self.first_lines.lock().unwrap().clone()
     }
 
-    pub fn asked(&self) -> usize {
-        *self.asked.lock().unwrap()
+    /// Returns how many health checks it has received.
+    pub fn health_checks(&self) -> usize {
+        *self.health_checks.lock().unwrap()
     }
 
-    pub fn ended(&self) -> usize {
-        *self.ended.lock().unwrap()
+    /// Returns how many connections the balancer has closed.
+    pub fn closed_connections(&self) -> usize {
+        *self.closed_connections.lock().unwrap()
     }
 
-    /// Says so on all open connections, and ends them unless told to stay.
-    pub fn say(&self, text: &str, end: bool) {
+    /// Sends this text on all open connections.
+    pub fn send_to_all(&self, text: &str) {
         for mut stream in self.open.lock().unwrap().iter() {
             let _ = stream.write_all(text.as_bytes());
-            if end {
-                let _ = stream.shutdown(Shutdown::Both);
-            }
         }
     }
 
-    fn talk(&self, stream: TcpStream) -> Option<()> {
+    /// Sends this text on all open connections and closes them.
+    pub fn send_and_close(&self, text: &str) {
+        for mut stream in self.open.lock().unwrap().iter() {
+            let _ = stream.write_all(text.as_bytes());
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Serves one connection; `None` if it was closed or broke before its client ended it.
+    fn serve_connection(&self, stream: TcpStream) -> Option<()> {
         let mut out = stream.try_clone().ok()?;
         let mut lines = BufReader::new(stream).lines();
         while let Some(Ok(line)) = lines.next() {
-            let mood = *self.mood.lock().unwrap();
             if line == "PING" || line == "STATS" {
-                *self.asked.lock().unwrap() += 1;
-                let load = *self.load.lock().unwrap();
-                let report = if line == "STATS" {
-                    format!(" x0={load},util={load}")
-                } else {
-                    String::new()
-                };
-                if mood != Mood::Silent {
-                    write!(out, "PONG{report}\r\n").ok()?;
-                }
-                continue;
-            }
-            let first = line.starts_with("OPEN ");
-            if first {
-                self.seen.lock().unwrap().push(line.clone());
-            }
-            if first && matches!(mood, Mood::Up | Mood::Silent) {
-                self.open.lock().unwrap().push(out.try_clone().ok()?);
-            }
-            match mood {
-                Mood::Silent => {}
-                Mood::Up if first => {
-                    out.write_all(b"UP 1\r\n").ok()?;
-                }
-                Mood::Up => write!(out, "ok {line}\r\n").ok()?,
-                Mood::Busy => out.write_all(b"BUSY\r\n").ok()?,
-                Mood::Err => out.write_all(b"ERR\r\n").ok()?,
-                Mood::Cut => return out.shutdown(Shutdown::Both).ok(),
+                self.answer_health_check(&line, &mut out)?;
+            } else {
+                self.answer_line(&line, &mut out)?;
             }
         }
-        *self.ended.lock().unwrap() += 1;
+        *self.closed_connections.lock().unwrap() += 1;
         // A silent one holds its side open, as a machine that has vanished does.
-        while *self.mood.lock().unwrap() == Mood::Silent {
-            thread::sleep(Duration::from_millis(100));
+        while self.behavior() == ServerBehavior::Silent {
+            thread::sleep(SILENCE_CHECK_INTERVAL);
         }
         Some(())
     }
+
+    fn answer_health_check(&self, question: &str, out: &mut TcpStream) -> Option<()> {
+        let behavior = self.behavior();
+        *self.health_checks.lock().unwrap() += 1;
+        let load = *self.load.lock().unwrap();
+        let report = if question == "STATS" {
+            format!(" x0={load},util={load}")
+        } else {
+            String::new()
+        };
+        if behavior == ServerBehavior::Silent {
+            return Some(());
+        }
+        write!(out, "PONG{report}\r\n").ok()
+    }
+
+    /// Answers a client's first line or a later one; `None` once the connection is closed.
+    fn answer_line(&self, line: &str, out: &mut TcpStream) -> Option<()> {
+        let behavior = self.behavior();
+        let first = line.starts_with("OPEN ");
+        if first {
+            self.first_lines.lock().unwrap().push(line.to_string());
+        }
+        if first && matches!(behavior, ServerBehavior::Serving | ServerBehavior::Silent) {
+            self.open.lock().unwrap().push(out.try_clone().ok()?);
+        }
+        match behavior {
+            ServerBehavior::Silent => Some(()),
+            ServerBehavior::Serving if first => out.write_all(b"UP 1\r\n").ok(),
+            ServerBehavior::Serving => write!(out, "ok {line}\r\n").ok(),
+            ServerBehavior::Busy => out.write_all(b"BUSY\r\n").ok(),
+            ServerBehavior::Failing => out.write_all(b"ERR\r\n").ok(),
+            ServerBehavior::Closing => {
+                let _ = out.shutdown(Shutdown::Both);
+                None
+            }
+        }
+    }
 }
 
-/// A server as discovery tells of it.
-struct Entry {
-    /// The version of the list that it changed in last.
+/// A server as the agent lists it.
+struct ListEntry {
+    /// The version of the list in which it changed last.
     version: u64,
     address: SocketAddr,
+    /// `Ready`, `Terminating` or `Gone`.
     lifecycle: String,
     /// When it started, Unix time in milliseconds; 0 for long ago.
     started_ms: u64,
 }
 
-impl Entry {
+impl ListEntry {
     fn to_json(&self, id: &str) -> String {
-        let Entry {
+        let ListEntry {
             address,
             lifecycle,
             started_ms,
@@ -158,192 +210,215 @@
     }
 }
 
-/// What discovery tells.
+/// The agent's endpoint list.
 #[derive(Default)]
-struct List {
+struct EndpointList {
     version: u64,
-    servers: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, ListEntry>,
 }
 
-/// How the agent treats whoever calls.
+impl EndpointList {
+    /// Returns the answer to a call: what has changed since a version, or the whole list.
+    fn to_json(&self, from_version: Option<u64>) -> String {
+        let is_included = |entry: &ListEntry| match from_version {
+            Some(from) => entry.version > from,
+            None => entry.lifecycle != "Gone",
+        };
+        let entries: Vec<String> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| is_included(entry))
+            .map(|(id, entry)| entry.to_json(id))
+            .collect();
+        format!(
+            r#"{{"generation":{},"reset":{},"instances":[{}]}}"#,
+            self.version,
+            from_version.is_none(),
+            entries.join(",")
+        )
+    }
+}
+
+/// How the agent treats its callers. The durations are waits in a queue before a call is looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Service {
-    /// Answers each call after it has waited in a queue for so long.
-    Up(Duration),
+pub enum AgentBehavior {
+    /// Answers each call.
+    Answering(Duration),
     /// Reads calls and answers none.
     Silent,
-    /// Turns each call away after so long, unless it is up by then.
-    TurnsAway(Duration),
-    /// Ends the connection after so long.
-    Cuts(Duration),
+    /// Answers each call with status 503, unless it answers again by then.
+    Rejecting(Duration),
+    /// Closes the connection.
+    Closing(Duration),
 }
 
-/// A call as the agent had it.
+/// A call on the agent's record.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
-    /// The version that it asked from; none where it asked for the whole list.
-    pub from: Option<u64>,
-    pub at: Instant,
+pub struct RecordedCall {
+    /// The version from which it asked; none if it asked for the whole list.
+    pub from_version: Option<u64>,
+    pub received_at: Instant,
     /// When it was answered with a list.
-    pub answered: Option<Instant>,
+    pub answered_at: Option<Instant>,
 }
 
-/// So many calls are kept.
-const CALLS_MAX: usize = 10_000;
-
-/// The discovery agent.
-pub struct Agent {
+/// A discovery agent that serves the endpoint list over HTTP/1.1.
+pub struct DiscoveryAgent {
     pub address: SocketAddr,
-    list: Mutex<List>,
+    list: Mutex<EndpointList>,
     changed: Condvar,
-    service: Mutex<Service>,
-    calls: Mutex<Vec<Call>>,
+    behavior: Mutex<AgentBehavior>,
+    calls: Mutex<Vec<RecordedCall>>,
 }
 
-impl Agent {
+/// What the request line of a call asks for.
+struct ListRequest {
+    from_version: Option<u64>,
+    /// How long the call is held while nothing changes.
+    hold: Duration,
+}
+
+impl ListRequest {
+    /// Reads a request and its headers; `None` at the end of the connection.
+    fn read(lines: &mut Lines<BufReader<TcpStream>>) -> Option<Self> {
+        let request_line = lines.next()?.ok()?;
+        while !lines.next()?.ok()?.is_empty() {}
+        let parameters: BTreeMap<&str, u64> = request_line
+            .split(['?', '&', ' '])
+            .filter_map(|pair| pair.split_once('='))
+            .filter_map(|(key, value)| Some((key, value.parse().ok()?)))
+            .collect();
+        let hold_ms = parameters.get("hold_ms").copied().unwrap_or(0);
+        Some(ListRequest {
+            from_version: parameters.get("from").copied(),
+            hold: Duration::from_millis(hold_ms.min(HOLD_MAX_MS)),
+        })
+    }
+}
+
+impl DiscoveryAgent {
+    /// Starts an agent with an empty list that listens at this address, with a thread for each
+    /// connection.
+    ///
+    /// # Errors
+    /// If it can't listen there.
     pub fn start(address: &str) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind(address)?;
-        let agent = Arc::new(Agent {
+        let agent = Arc::new(DiscoveryAgent {
             address: listener.local_addr()?,
             list: Mutex::default(),
             changed: Condvar::new(),
-            service: Mutex::new(Service::Up(Duration::ZERO)),
+            behavior: Mutex::new(AgentBehavior::Answering(Duration::ZERO)),
             calls: Mutex::default(),
         });
         let serving = agent.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let agent = serving.clone();
-                thread::spawn(move || agent.talk(stream));
+                thread::spawn(move || agent.serve_connection(stream));
             }
         });
         Ok(agent)
     }
 
-    /// Tells of a server; `Gone` takes it off the list.
-    pub fn tell(&self, id: &str, address: SocketAddr, lifecycle: &str) {
-        self.tell_started(id, address, lifecycle, 0);
+    /// Lists a server in this state, as one that started long ago; `Gone` removes it.
+    pub fn publish(&self, id: &str, address: SocketAddr, lifecycle: &str) {
+        self.publish_started(id, address, lifecycle, 0);
     }
 
-    /// Tells of a server that started then, in Unix time.
-    pub fn tell_started(&self, id: &str, address: SocketAddr, lifecycle: &str, started_ms: u64) {
+    /// Lists a server in this state that started at this Unix time, in milliseconds.
+    pub fn publish_started(&self, id: &str, address: SocketAddr, lifecycle: &str, started_ms: u64) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
-        let (version, lifecycle) = (list.version, lifecycle.into());
-        list.servers.insert(
-            id.into(),
-            Entry {
-                version,
-                address,
-                lifecycle,
-                started_ms,
-            },
-        );
+        let entry = ListEntry {
+            version: list.version,
+            address,
+            lifecycle: lifecycle.into(),
+            started_ms,
+        };
+        list.entries.insert(id.into(), entry);
         self.changed.notify_all();
     }
 
-    /// Begins to count its versions anew, as one that was started again does; whoever waits is answered.
-    pub fn count_anew(&self) {
+    /// Counts versions from one again, as an agent that was restarted does; held calls are
+    /// answered.
+    pub fn restart_versions(&self) {
         let mut list = self.list.lock().unwrap();
-        list.servers
+        list.entries
             .values_mut()
             .zip(1..)
-            .for_each(|(server, version)| server.version = version);
-        list.version = list.servers.len() as u64;
+            .for_each(|(entry, version)| entry.version = version);
+        list.version = list.entries.len() as u64;
         self.changed.notify_all();
     }
 
-    /// Answers nothing while it is silent.
-    pub fn hush(&self, silent: bool) {
-        self.set(if silent {
-            Service::Silent
-        } else {
-            Service::Up(Duration::ZERO)
-        });
+    /// Changes how it treats its callers.
+    pub fn set_behavior(&self, behavior: AgentBehavior) {
+        *self.behavior.lock().unwrap() = behavior;
     }
 
-    pub fn set(&self, service: Service) {
-        *self.service.lock().unwrap() = service;
+    /// Answers no further call until [`resume`](Self::resume).
+    pub fn silence(&self) {
+        self.set_behavior(AgentBehavior::Silent);
     }
 
-    fn service(&self) -> Service {
-        *self.service.lock().unwrap()
+    /// Answers each call at once from now on.
+    pub fn resume(&self) {
+        self.set_behavior(AgentBehavior::Answering(Duration::ZERO));
     }
 
-    /// The version that the list is at.
+    fn behavior(&self) -> AgentBehavior {
+        *self.behavior.lock().unwrap()
+    }
+
+    /// Returns the version of its list.
     pub fn version(&self) -> u64 {
         self.list.lock().unwrap().version
     }
 
-    /// All calls so far, in order.
-    pub fn calls(&self) -> Vec<Call> {
+    /// Returns the calls so far, in order.
+    pub fn calls(&self) -> Vec<RecordedCall> {
         self.calls.lock().unwrap().clone()
     }
 
-    /// Keeps a call; its place among the others.
-    fn called(&self, from: Option<u64>) -> usize {
+    /// Records a call and returns its index.
+    fn record_call(&self, from_version: Option<u64>) -> usize {
         let mut calls = self.calls.lock().unwrap();
-        if calls.len() < CALLS_MAX {
-            calls.push(Call {
-                from,
-                at: Instant::now(),
-                answered: None,
+        if calls.len() < RECORDED_CALLS_MAX {
+            calls.push(RecordedCall {
+                from_version,
+                received_at: Instant::now(),
+                answered_at: None,
             });
         }
         calls.len() - 1
     }
 
-    fn talk(&self, stream: TcpStream) -> Option<()> {
+    /// Serves one connection until it ends.
+    fn serve_connection(&self, stream: TcpStream) -> Option<()> {
         let mut out = stream.try_clone().ok()?;
         let mut lines = BufReader::new(stream).lines();
         loop {
-            let request = lines.next()?.ok()?;
-            while !lines.next()?.ok()?.is_empty() {}
-            let query = request
-                .split(['?', '&', ' '])
-                .filter_map(|pair| pair.split_once('='));
-            let query: BTreeMap<&str, u64> = query
-                .filter_map(|(k, v)| Some((k, v.parse().ok()?)))
-                .collect();
-            let from = query.get("from").copied();
-            let hold =
-                Duration::from_millis(query.get("hold_ms").copied().unwrap_or(0).min(60_000));
-            let call = self.called(from);
-            match self.service() {
-                Service::Up(queue) => thread::sleep(queue),
-                Service::Silent => continue,
-                Service::TurnsAway(queue) => {
+            let request = ListRequest::read(&mut lines)?;
+            let call = self.record_call(request.from_version);
+            match self.behavior() {
+                AgentBehavior::Answering(queue) => thread::sleep(queue),
+                AgentBehavior::Silent => continue,
+                AgentBehavior::Rejecting(queue) => {
                     thread::sleep(queue);
-                    if !matches!(self.service(), Service::Up(_)) {
+                    if !matches!(self.behavior(), AgentBehavior::Answering(_)) {
                         out.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                             .ok()?;
                         continue;
                     }
                 }
-                Service::Cuts(queue) => {
+                AgentBehavior::Closing(queue) => {
                     thread::sleep(queue);
                     return out.shutdown(Shutdown::Both).ok();
                 }
             }
-            let list = self.list.lock().unwrap();
-            let list = self
-                .changed
-                .wait_timeout_while(list, hold, |l| Some(l.version) == from)
-                .unwrap()
-                .0;
-            let told = |entry: &Entry| match from {
-                Some(from) => entry.version > from,
-                None => entry.lifecycle != "Gone",
-            };
-            let told = list.servers.iter().filter(|(_, entry)| told(entry));
-            let entries: Vec<String> = told.map(|(id, entry)| entry.to_json(id)).collect();
-            let (version, reset) = (list.version, from.is_none());
-            let body = format!(
-                r#"{{"generation":{version},"reset":{reset},"instances":[{}]}}"#,
-                entries.join(",")
-            );
-            drop(list);
-            self.calls.lock().unwrap()[call].answered = Some(Instant::now());
+            let body = self.held_answer(&request);
+            self.calls.lock().unwrap()[call].answered_at = Some(Instant::now());
             write!(
                 out,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -352,15 +427,46 @@
             .ok()?;
         }
     }
+
+    /// Waits until the list differs from the caller's or the hold is over, and returns the answer.
+    fn held_answer(&self, request: &ListRequest) -> String {
+        let list = self.list.lock().unwrap();
+        let (list, _) = self
+            .changed
+            .wait_timeout_while(list, request.hold, |list| {
+                Some(list.version) == request.from_version
+            })
+            .unwrap();
+        list.to_json(request.from_version)
+    }
+}
+
+/// Carries out one command from standard input.
+fn execute(words: &[&str], port: &str, server: &ToyServer, agent: &DiscoveryAgent) {
+    match words[0] {
+        "up" => server.set_behavior(ServerBehavior::Serving),
+        "busy" => server.set_behavior(ServerBehavior::Busy),
+        "err" => server.set_behavior(ServerBehavior::Failing),
+        "silent" => server.set_behavior(ServerBehavior::Silent),
+        "cut" => server.set_behavior(ServerBehavior::Closing),
+        "load" => {
+            let load = words.get(2).and_then(|load| load.parse().ok());
+            server.set_load(load.unwrap_or(INITIAL_LOAD));
+        }
+        "drain" => agent.publish(port, server.address, "Terminating"),
+        "gone" => agent.publish(port, server.address, "Gone"),
+        "ready" => agent.publish(port, server.address, "Ready"),
+        other => println!("unknown command '{other}'"),
+    }
 }
 
 fn main() -> io::Result<()> {
-    let agent = Agent::start("127.0.0.1:7100")?;
-    let mut toys = BTreeMap::new();
+    let agent = DiscoveryAgent::start("127.0.0.1:7100")?;
+    let mut servers = BTreeMap::new();
     for port in ["7101", "7102", "7103"] {
-        let toy = Toy::start(&format!("127.0.0.1:{port}"))?;
-        agent.tell(port, toy.address, "Ready");
-        toys.insert(port, toy);
+        let server = ToyServer::start(&format!("127.0.0.1:{port}"))?;
+        agent.publish(port, server.address, "Ready");
+        servers.insert(port, server);
     }
     println!(
         "discovery at {}, servers at ports 7101 to 7103",
@@ -369,26 +475,9 @@
     for line in io::stdin().lines() {
         let line = line?;
         let words: Vec<&str> = line.split_whitespace().collect();
-        let Some(toy) = words.get(1).and_then(|port| toys.get(port)) else {
-            println!("a word and a port, for example: busy 7101");
-            continue;
-        };
-        match words[0] {
-            "up" => toy.set(Mood::Up),
-            "busy" => toy.set(Mood::Busy),
-            "err" => toy.set(Mood::Err),
-            "silent" => toy.set(Mood::Silent),
-            "cut" => toy.set(Mood::Cut),
-            "load" => toy.set_load(
-                words
-                    .get(2)
-                    .and_then(|load| load.parse().ok())
-                    .unwrap_or(0.01),
-            ),
-            "drain" => agent.tell(words[1], toy.address, "Terminating"),
-            "gone" => agent.tell(words[1], toy.address, "Gone"),
-            "ready" => agent.tell(words[1], toy.address, "Ready"),
-            other => println!("unknown word '{other}'"),
+        match words.get(1).and_then(|port| servers.get_key_value(port)) {
+            Some((port, server)) => execute(&words, port, server, &agent),
+            None => println!("a command and a port, for example: busy 7101"),
         }
     }
     Ok(())
