--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use nettlemux_flow_table::{ClientIdentity, FlowTable, PolicyCommand};
+use nettlemux_flow_table::{AttemptOutcome, ClientIdentity, FlowTable, PolicyCommand};
 use nettlemux_policy::{Endpoint, Flow, FlowId, GroupPlacement, ServerId, Time};
 use nettlemux_settings::{LoadReportFormat, Settings};
 
@@ -133,14 +133,15 @@
             self.flow_table.mark_answered(flow);
         }
         self.commands(out, |flow_table, commands| {
-            flow_table.attempt_ended(
-                now,
-                (flow, number),
+            let outcome = AttemptOutcome {
+                flow,
+                number,
                 server_id,
-                (end, known_unexecuted),
+                end,
+                known_unexecuted,
                 report,
-                commands,
-            )
+            };
+            flow_table.attempt_ended(now, outcome, commands)
         });
         self.give_back(flow);
         Ok(())
--- a/crates/admission/benches/admission.rs
+++ b/crates/admission/benches/admission.rs
@@ -1,58 +1,60 @@
-//! What a flow costs at the door: one comes, one has its turn, one is over, with so many keys that have someone waiting.
+//! The cost of a flow in admission control: one is submitted, one admitted and one closed, by the
+//! number of keys with flows that wait.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use nettlemux_admission::{AdmissionConfig, AdmissionController, AdmissionRequest};
+use nettlemux_admission::{
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, hash_key,
+};
 use nettlemux_policy::SEC;
 
-fn ticket(flow: u64, key: u64) -> AdmissionRequest {
+fn request(flow: u64, key: u64) -> AdmissionRequest {
     AdmissionRequest {
         flow,
         key,
         client: key,
-        retry: false,
-        target: 3600 * SEC,
+        is_retry: false,
+        latency_deadline: 3600 * SEC,
     }
 }
 
 fn admission(keys: u64) -> AdmissionController {
     let mut admission = AdmissionController::new(
         AdmissionConfig {
-            waiting: 1 << 20,
+            queue_limit: 1 << 20,
             ..AdmissionConfig::default()
         },
         1,
     );
-    // A pace at which none of them is late.
+    // A service rate at which none of them is late.
     (0..2_000_000).for_each(|k| admission.flow_connected(k * SEC / 1_000_000));
-    let mut out = Vec::new();
+    let mut decisions = Vec::new();
     (0..keys).for_each(|key| {
-        admission.arrives(
+        admission.submit(
             2 * SEC,
-            ticket(key, nettlemux_admission::key(1, &key.to_le_bytes())),
-            &mut out,
+            request(key, hash_key(1, &key.to_le_bytes())),
+            &mut decisions,
         )
     });
     admission
 }
 
-fn decide(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a flow comes, one has its turn, one is over");
+fn admit(c: &mut Criterion) {
+    let mut group = c.benchmark_group("a flow is submitted, one admitted, one closed");
     for keys in [10u64, 1_000, 100_000] {
-        let mut one = admission(keys);
+        let mut admission = admission(keys);
         let mut flow = keys;
         group.bench_function(BenchmarkId::from_parameter(keys), |b| {
             b.iter_batched(
                 Vec::new,
-                |mut out| {
+                |mut decisions| {
                     flow += 1;
-                    let key = nettlemux_admission::key(1, &(flow % keys).to_le_bytes());
-                    one.arrives(2 * SEC, ticket(flow, key), &mut out);
-                    one.turns(2 * SEC, &mut out);
-                    if let Some(nettlemux_admission::AdmissionDecision::Admit(entered)) = out.last()
-                    {
-                        one.over(*entered);
+                    let key = hash_key(1, &(flow % keys).to_le_bytes());
+                    admission.submit(2 * SEC, request(flow, key), &mut decisions);
+                    admission.next_decisions(2 * SEC, &mut decisions);
+                    if let Some(AdmissionDecision::Admit(admitted)) = decisions.last() {
+                        admission.flow_closed(*admitted);
                     }
-                    out
+                    decisions
                 },
                 BatchSize::SmallInput,
             );
@@ -61,5 +63,5 @@
     group.finish();
 }
 
-criterion_group!(benches, decide);
+criterion_group!(benches, admit);
 criterion_main!(benches);
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -176,7 +176,7 @@
 /// The door as the operator's file has it, its tenants' names turned into keys of this run.
 pub fn admission(keys: &operator::AdmissionSettings, seed: u64, longest: Time) -> AdmissionConfig {
     keys.config(longest, |name| {
-        Some(nettlemux_admission::key(seed, name.as_bytes()))
+        Some(nettlemux_admission::hash_key(seed, name.as_bytes()))
     })
 }
 
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -26,7 +26,7 @@
 use nettlemux_dataplane::shared::{Dataplane, SharedSettings};
 use nettlemux_dataplane::shutdown::AnswerDeadline;
 use nettlemux_dataplane::supervisor;
-use nettlemux_flow_table::FlowTable;
+use nettlemux_flow_table::{FlowTable, RetryAfterHint};
 use nettlemux_line_protocol::acceptor::{self, Acceptor};
 use nettlemux_line_protocol::first_line::FirstLineSettings;
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
@@ -219,7 +219,11 @@
             seed,
         );
         known.by = Some((keys.by, seed));
-        flow_table = flow_table.with_admission(admission, longest.is_some());
+        let hint = match longest {
+            Some(_) => RetryAfterHint::Sent,
+            None => RetryAfterHint::Withheld,
+        };
+        flow_table = flow_table.with_admission(admission, hint);
         info!(by = ?keys.by, waiting = keys.waiting, "a door with fair queues");
     }
     let admission_seed = known.by.map(|(_, seed)| seed);
--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use nettlemux_flow_table::{FlowTable, PolicyCommand};
+use nettlemux_flow_table::{AttemptOutcome, FlowTable, PolicyCommand};
 use nettlemux_policy::{
     Endpoint, EndpointState, Flow, FlowId, GroupPlacement, MS, SEC, ServerId, Time,
 };
@@ -267,17 +267,17 @@
                 known_unexecuted,
                 report,
             } => {
-                let how = (end, known_unexecuted);
                 if self.clients.contains_key(&flow) {
                     self.commands(now, |flow_table, commands| {
-                        flow_table.attempt_ended(
-                            now,
-                            (flow, number),
+                        let outcome = AttemptOutcome {
+                            flow,
+                            number,
                             server_id,
-                            how,
+                            end,
+                            known_unexecuted,
                             report,
-                            commands,
-                        )
+                        };
+                        flow_table.attempt_ended(now, outcome, commands)
                     });
                 }
             }
@@ -330,7 +330,9 @@
                 }
             }
             DispatcherMessage::ApplySettings(settings) => self.change(*settings),
-            DispatcherMessage::ApplyAdmission(config) => self.flow_table.change_admission(config),
+            DispatcherMessage::ApplyAdmission(config) => {
+                self.flow_table.apply_admission_config(config)
+            }
             DispatcherMessage::ServiceFailed(_) => {}
             DispatcherMessage::Terminate => {
                 info!(flows = self.clients.len(), "asked to end");
--- /dev/null
+++ b/crates/flow-table/src/table/tests.rs
@@ -0,0 +1,310 @@
+//! Tests of the flow table under a scripted policy.
+
+use nettlemux_admission::{AdmissionConfig, AdmissionController};
+use nettlemux_policy::{Actions, Placement, PolicyEvent};
+
+use super::*;
+
+/// Answers with the placements of the test in turn, and records what it was asked.
+#[derive(Default)]
+struct ScriptedPolicy {
+    placements: Vec<Placement>,
+    awaits_answer: Vec<bool>,
+}
+
+impl LoadBalancingPolicy for ScriptedPolicy {
+    fn place(&mut self, _: Time, _: &Flow) -> Placement {
+        self.placements.remove(0)
+    }
+    fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
+        let mut actions = Actions::default();
+        match event {
+            PolicyEvent::AttemptEnded { unanswered, .. } => {
+                self.awaits_answer.push(unanswered.is_some());
+                actions.placement = unanswered.map(|flow| self.place(now, flow));
+            }
+            PolicyEvent::ClientLeft { flow } => actions.cancel.push(flow),
+            PolicyEvent::HealthChecked { server_id, .. } => {
+                (actions.health_checks, actions.migrate) = (vec![server_id], vec![9])
+            }
+            _ => {}
+        }
+        actions
+    }
+    fn time_to_next_timer(&self, _: Time) -> Option<Time> {
+        None
+    }
+    fn update_endpoints(&mut self, _: Time, _: &[Endpoint], _: bool) {}
+    fn endpoint_poll_failed(&mut self, _: Time) {}
+    fn adopt_connection(&mut self, _: &Flow, _: ServerId) {}
+    fn update_connection_load(&mut self, _: FlowId, _: f64) {}
+}
+
+fn flow_table(placements: &[Placement]) -> FlowTable<ScriptedPolicy> {
+    FlowTable::new(ScriptedPolicy {
+        placements: placements.to_vec(),
+        ..ScriptedPolicy::default()
+    })
+}
+
+#[test]
+fn a_flow_is_connected_again_and_answered_once() {
+    let mut flow_table = flow_table(&[
+        Placement::Forward {
+            server_id: 4,
+            timeout: 70,
+            send_within: 70,
+        },
+        Placement::Forward {
+            server_id: 5,
+            timeout: 60,
+            send_within: 30,
+        },
+        Placement::Reject {
+            retry_after: Some(8),
+        },
+    ]);
+    let mut commands = Vec::new();
+    flow_table.accept(
+        1,
+        Flow {
+            id: 7,
+            ..Flow::default()
+        },
+        ClientIdentity::default(),
+        &mut commands,
+    );
+    let report = LoadReport {
+        utilization: Some(0.4),
+        connections: None,
+    };
+    flow_table.attempt_ended(
+        2,
+        AttemptOutcome {
+            flow: 7,
+            number: 0,
+            server_id: 4,
+            end: AttemptEnd::Overloaded,
+            known_unexecuted: true,
+            report,
+        },
+        &mut commands,
+    );
+    assert!(
+        flow_table.has_attempt_in_flight(7)
+            && flow_table
+                .flow(7)
+                .is_some_and(|f| f.attempts[0].known_unexecuted)
+    );
+    flow_table.attempt_ended(
+        3,
+        AttemptOutcome {
+            flow: 7,
+            number: 1,
+            server_id: 5,
+            end: AttemptEnd::ConnectionLost,
+            known_unexecuted: false,
+            report: LoadReport::default(),
+        },
+        &mut commands,
+    );
+    assert_eq!(
+        commands,
+        [
+            PolicyCommand::StartAttempt {
+                flow: 7,
+                server_id: 4,
+                number: 0,
+                timeout: 70,
+                send_within: 70
+            },
+            PolicyCommand::CheckHealth { server_id: 4 },
+            PolicyCommand::Migrate { flow: 9 },
+            PolicyCommand::StartAttempt {
+                flow: 7,
+                server_id: 5,
+                number: 1,
+                timeout: 60,
+                send_within: 30
+            },
+            PolicyCommand::Reject {
+                flow: 7,
+                retry_after: Some(8)
+            },
+        ]
+    );
+    // Guards against a second answer for a flow that has had its own.
+    flow_table.attempt_ended(
+        4,
+        AttemptOutcome {
+            flow: 7,
+            number: 1,
+            server_id: 5,
+            end: AttemptEnd::ConnectionLost,
+            known_unexecuted: false,
+            report: LoadReport::default(),
+        },
+        &mut commands,
+    );
+    assert_eq!(
+        (commands.len(), flow_table.policy.awaits_answer.as_slice()),
+        (5, &[true, true, false][..])
+    );
+    flow_table.remove(5, 7, &mut commands);
+    assert!(
+        flow_table.flows.is_empty() && flow_table.policy.awaits_answer.len() == 3,
+        "no attempt is in flight, so the policy is told nothing"
+    );
+}
+
+/// Guards against an attempt that is started just as its client leaves and counts as in flight
+/// ever after.
+#[test]
+fn an_attempt_that_was_never_made_is_reported_when_its_flow_is_removed() {
+    let mut flow_table = flow_table(&[Placement::Forward {
+        server_id: 4,
+        timeout: 9,
+        send_within: 9,
+    }]);
+    let mut commands = Vec::new();
+    flow_table.accept(
+        1,
+        Flow {
+            id: 1,
+            ..Flow::default()
+        },
+        ClientIdentity::default(),
+        &mut commands,
+    );
+    // The client leaves while the command to start the attempt is on its way.
+    flow_table.client_left(2, 1, &mut commands);
+    flow_table.remove(3, 1, &mut commands);
+    assert_eq!(
+        flow_table.policy.awaits_answer,
+        [false],
+        "the policy is told once that it is not in flight"
+    );
+    flow_table.remove(4, 1, &mut commands);
+    assert_eq!(flow_table.policy.awaits_answer, [false]);
+}
+
+#[test]
+fn queued_flows_are_placed_again_unless_their_clients_have_left() {
+    let mut flow_table = flow_table(&[
+        Placement::Wait,
+        Placement::Wait,
+        Placement::Forward {
+            server_id: 4,
+            timeout: 9,
+            send_within: 9,
+        },
+    ]);
+    let mut commands = Vec::new();
+    flow_table.accept(
+        1,
+        Flow {
+            id: 1,
+            ..Flow::default()
+        },
+        ClientIdentity::default(),
+        &mut commands,
+    );
+    flow_table.accept(
+        1,
+        Flow {
+            id: 2,
+            ..Flow::default()
+        },
+        ClientIdentity::default(),
+        &mut commands,
+    );
+    flow_table.client_left(2, 1, &mut commands);
+    flow_table.timer_expired(3, &mut commands);
+    assert_eq!(
+        commands,
+        [
+            PolicyCommand::CancelAttempt { flow: 1, number: 0 },
+            PolicyCommand::StartAttempt {
+                flow: 2,
+                server_id: 4,
+                number: 0,
+                timeout: 9,
+                send_within: 9
+            }
+        ]
+    );
+    assert_eq!(flow_table.shorten_deadlines(5, &mut commands), [2]);
+    assert_eq!(flow_table.flow(2).map(|f| f.deadline), Some(0));
+}
+
+/// Guards against admission control that keeps a flow after its client has left or past the
+/// balancer's end, and against one that admits more flows than the policy can place.
+#[test]
+fn admission_admits_while_the_policy_places_and_answers_all_at_the_end() {
+    let placements = [
+        Placement::Wait,
+        Placement::Wait,
+        Placement::Forward {
+            server_id: 4,
+            timeout: 9,
+            send_within: 9,
+        },
+        Placement::Wait,
+        Placement::Reject {
+            retry_after: Some(3),
+        },
+        Placement::Wait,
+    ];
+    let config = AdmissionConfig {
+        policy_queue_limit: 2,
+        ..AdmissionConfig::default()
+    };
+    let mut flow_table = flow_table(&placements)
+        .with_admission(AdmissionController::new(config, 1), RetryAfterHint::Sent);
+    let mut commands = Vec::new();
+    for id in 1..=5 {
+        let identity = ClientIdentity {
+            key: id,
+            client: id,
+            is_retry: false,
+            latency_deadline: 1_000_000_000,
+        };
+        flow_table.accept(
+            0,
+            Flow {
+                id,
+                ..Flow::default()
+            },
+            identity,
+            &mut commands,
+        );
+    }
+    assert_eq!(
+        (
+            commands.as_slice(),
+            flow_table.admission().unwrap().queue_length()
+        ),
+        (&[][..], 3),
+        "the policy has queued two"
+    );
+    flow_table.client_left(1, 5, &mut commands);
+    assert_eq!(flow_table.admission().unwrap().queue_length(), 2);
+    // One is placed and one queued again; so one more is admitted, and rejected by the policy with
+    // the Retry-After of admission control.
+    flow_table.timer_expired(2, &mut commands);
+    assert!(
+        matches!(
+            commands[..],
+            [PolicyCommand::StartAttempt { flow: 1, .. }, PolicyCommand::Reject { flow: 3, retry_after: Some(retry_after) }] if retry_after > 3
+        ),
+        "{commands:?}"
+    );
+    commands.clear();
+    let awaits_answer = flow_table.shorten_deadlines(4, &mut commands);
+    assert!(
+        awaits_answer.contains(&1) && awaits_answer.contains(&2) && !awaits_answer.contains(&5),
+        "{awaits_answer:?}"
+    );
+    (1..=5).for_each(|id| flow_table.remove(5, id, &mut commands));
+    assert_eq!(flow_table.admission().unwrap().queue_length(), 0);
+}
--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -143,24 +143,24 @@
             return ClientIdentity::default();
         };
         // A client is its group where it tells one, else the flow's key.
-        let client = nettlemux_admission::key(seed, open.group.unwrap_or(open.key).as_bytes());
+        let client = nettlemux_admission::hash_key(seed, open.group.unwrap_or(open.key).as_bytes());
         let key = match by {
             By::Client => client,
             By::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
         };
-        let target = accepted_at + self.classes[class].target;
+        let latency_deadline = accepted_at + self.classes[class].target;
         ClientIdentity {
             key,
             client,
-            retry: open.retry,
-            target,
+            is_retry: open.retry,
+            latency_deadline,
         }
     }
 
     /// A tenant's key, the same for its name and its number.
     fn key_of(&self, name: &str, seed: u64) -> u64 {
         let number = self.tenant(name).unwrap_or(usize::MAX);
-        nettlemux_admission::key(
+        nettlemux_admission::hash_key(
             seed,
             self.tenants
                 .get(number)
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -158,16 +158,16 @@
             .iter()
             .filter_map(|(name, weight)| Some((key(name)?, *weight)));
         AdmissionConfig {
-            waiting: self.waiting,
-            waiting_each: self.waiting_each,
-            held: self.held,
+            queue_limit: self.waiting,
+            queue_limit_per_key: self.waiting_each,
+            policy_queue_limit: self.held,
             rate: self.rate,
             burst: self.burst,
-            open: self.open,
-            retries: self.retries,
-            saved: self.saved,
-            table: self.table,
-            longest,
+            flow_limit_per_key: self.open,
+            retry_budget_ratio: self.retries,
+            retry_budget_max: self.saved,
+            table_size: self.table,
+            max_retry_after: longest,
             weights: weights.collect(),
         }
     }
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -3,6 +3,7 @@
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Final, Seen};
 use nettlemux_fleet_model::server::Offer;
+use nettlemux_flow_table::AttemptOutcome;
 use nettlemux_policy::{AttemptEnd, FlowId, LoadReport, Time};
 
 use super::event::{Ending, Event, ServerResponse};
@@ -224,15 +225,15 @@
             known_unexecuted,
         } = ending;
         self.ask(balancer, |flow_table, now, actions| {
-            let report = LoadReport::default();
-            flow_table.attempt_ended(
-                now,
-                (flow, number),
-                server as u64,
-                (end, known_unexecuted),
-                report,
-                actions,
-            );
+            let outcome = AttemptOutcome {
+                flow,
+                number,
+                server_id: server as u64,
+                end,
+                known_unexecuted,
+                report: LoadReport::default(),
+            };
+            flow_table.attempt_ended(now, outcome, actions);
         });
     }
 }
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -79,8 +79,8 @@
         let requester = Requester {
             key,
             client,
-            retry: known.tries > 0,
-            target,
+            is_retry: known.tries > 0,
+            latency_deadline: target,
         };
         self.ask(balancer, |flow_table, now, actions| {
             flow_table.accept(now, flow, requester, actions)
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -3,7 +3,7 @@
 use nettlemux_admission::AdmissionController;
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::{Seen, VERSION};
-use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy};
+use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy, RetryAfterHint};
 use nettlemux_policy::Time;
 use nettlemux_settings::Settings;
 
@@ -80,7 +80,11 @@
                 let retry_after_max = seconds(self.model.scenario.limits.retry_after);
                 let admission =
                     AdmissionController::new(file::admission(keys, retry_after_max), seed);
-                flow_table.with_admission(admission, retry_after_max > 0)
+                let hint = match retry_after_max {
+                    0 => RetryAfterHint::Withheld,
+                    _ => RetryAfterHint::Sent,
+                };
+                flow_table.with_admission(admission, hint)
             }
         }
     }
