--- /dev/null
+++ b/crates/adapter/src/balancer.rs
@@ -0,0 +1,205 @@
+//! One simulated balancer: its flow table and its timer.
+
+use std::collections::BTreeMap;
+
+use nettlemux_flow_table::{AttemptOutcome, ClientIdentity, FlowTable, PolicyCommand};
+use nettlemux_policy::{Endpoint, Flow, FlowId, MS, SEC, Time};
+use nettlemux_settings::{DrainMigration, LoadReportFormat, Settings};
+
+use crate::wire::{self, EndpointUpdate, SimulatorEvent, WireError, WireProblem};
+
+/// How many batches before its client gives up a flow is answered.
+const ANSWER_MARGIN_BATCHES: Time = 2;
+/// The shortest timer: it never expires in the batch in which it is set.
+const TIMER_MIN: Time = MS;
+/// The longest timer that the wire takes.
+const TIMER_MAX: Time = 3600 * SEC;
+
+/// A balancer that the simulator runs. All times are nanoseconds of the simulator's clock.
+pub struct SimulatedBalancer {
+    flow_table: FlowTable,
+    load_reports: LoadReportFormat,
+    /// The number of the timer that was set last.
+    timer_number: u64,
+    /// When that timer expires, until it has.
+    timer_expires_at: Option<Time>,
+}
+
+impl SimulatedBalancer {
+    /// Returns a balancer without flows.
+    ///
+    /// # Errors
+    /// Where a setting is missing or can't be read.
+    pub fn new(seed: u64, settings: &Settings) -> Result<Self, WireError> {
+        let margin = ANSWER_MARGIN_BATCHES * settings.batch_interval()?;
+        let policy = settings.policy(seed, margin, DrainMigration::Disabled)?;
+        Ok(SimulatedBalancer {
+            flow_table: FlowTable::new(policy),
+            load_reports: settings.load_report_format(),
+            timer_number: 0,
+            timer_expires_at: None,
+        })
+    }
+
+    /// Returns how the load reports of its servers are read.
+    pub fn load_report_format(&self) -> LoadReportFormat {
+        self.load_reports
+    }
+
+    /// Handles an event and appends the commands that follow from it to `out`.
+    ///
+    /// # Errors
+    /// Where the event refers to an endpoint table that isn't in `endpoint_tables`.
+    pub fn handle(
+        &mut self,
+        now: Time,
+        event: SimulatorEvent,
+        endpoint_tables: &BTreeMap<u64, Vec<Endpoint>>,
+        out: &mut String,
+    ) -> Result<(), WireError> {
+        let table = &mut self.flow_table;
+        match event {
+            // The host removes balancers.
+            SimulatorEvent::Removed => {}
+            SimulatorEvent::EndpointsUpdated(update) => {
+                self.update_endpoints(now, update, endpoint_tables)?;
+            }
+            SimulatorEvent::FlowArrived(flow) => self.accept(now, flow, out),
+            SimulatorEvent::ConnectionAdopted { flow, server_id } => {
+                table.adopt_connection(flow, server_id);
+            }
+            SimulatorEvent::Connected { flow, took } => {
+                let mut commands = Vec::new();
+                table.connected(now, flow, took, &mut commands);
+                self.write_commands(commands, out);
+            }
+            SimulatorEvent::ConnectionLoad { flow, load } => {
+                table.update_connection_load(flow, load);
+            }
+            SimulatorEvent::UnknownSignal => {}
+            SimulatorEvent::AttemptEnded {
+                outcome,
+                is_answered,
+            } => self.attempt_ended(now, outcome, is_answered, out),
+            SimulatorEvent::ClientLeft { flow } => self.client_left(now, flow, out),
+            SimulatorEvent::TimerExpired { number } => self.timer_expired(now, number, out),
+            SimulatorEvent::HealthChecked {
+                server_id,
+                passed,
+                report,
+            } => {
+                let mut commands = Vec::new();
+                table.health_checked(now, server_id, passed, report, &mut commands);
+                self.write_commands(commands, out);
+            }
+            // A message of another version is ignored.
+            SimulatorEvent::GossipReceived { placement } => {
+                if let Some(placement) = placement {
+                    table.receive_gossip(now, placement);
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn update_endpoints(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        endpoint_tables: &BTreeMap<u64, Vec<Endpoint>>,
+    ) -> Result<(), WireError> {
+        let (number, is_complete) = match update {
+            EndpointUpdate::Delta { table } => (table, false),
+            EndpointUpdate::Snapshot { table } => (table, true),
+            EndpointUpdate::PollFailed => {
+                self.flow_table.endpoint_poll_failed(now);
+                return Ok(());
+            }
+        };
+        let endpoints = endpoint_tables
+            .get(&number)
+            .ok_or_else(|| WireError::new("table", WireProblem::UnknownTable(number)))?;
+        self.flow_table
+            .update_endpoints(now, endpoints, is_complete);
+        Ok(())
+    }
+
+    fn accept(&mut self, now: Time, flow: Flow, out: &mut String) {
+        let mut commands = Vec::new();
+        let identity = ClientIdentity::default();
+        self.flow_table.accept(now, flow, identity, &mut commands);
+        self.write_commands(commands, out);
+    }
+
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        outcome: AttemptOutcome,
+        is_answered: bool,
+        out: &mut String,
+    ) {
+        let flow = outcome.flow;
+        if is_answered {
+            self.flow_table.mark_answered(flow);
+        }
+        let mut commands = Vec::new();
+        self.flow_table.attempt_ended(now, outcome, &mut commands);
+        self.write_commands(commands, out);
+        self.remove_if_over(flow);
+    }
+
+    fn client_left(&mut self, now: Time, flow: FlowId, out: &mut String) {
+        let mut commands = Vec::new();
+        self.flow_table.client_left(now, flow, &mut commands);
+        self.write_commands(commands, out);
+        self.remove_if_over(flow);
+    }
+
+    fn timer_expired(&mut self, now: Time, number: u64, out: &mut String) {
+        if number == self.timer_number {
+            self.timer_expires_at = None;
+        }
+        let mut commands = Vec::new();
+        self.flow_table.timer_expired(now, &mut commands);
+        self.write_commands(commands, out);
+    }
+
+    /// Sets a timer where the flow table wants one sooner than the one that is set.
+    pub fn schedule_timer(&mut self, now: Time, out: &mut String) {
+        let Some(wait) = self.flow_table.time_to_next_timer(now) else {
+            return;
+        };
+        let wait = wait.clamp(TIMER_MIN, TIMER_MAX);
+        let expires_at = now + wait;
+        if self.timer_expires_at.is_none_or(|at| expires_at < at) {
+            self.timer_number += 1;
+            self.timer_expires_at = Some(expires_at);
+            wire::write_timer(out, self.timer_number, wait);
+        }
+    }
+
+    fn write_commands(&mut self, commands: Vec<PolicyCommand>, out: &mut String) {
+        for command in commands {
+            match command {
+                PolicyCommand::Reject { flow, .. } | PolicyCommand::Fail { flow } => {
+                    self.remove_if_over(flow);
+                }
+                PolicyCommand::CancelAttempt { flow, .. }
+                    if !self.flow_table.has_attempt_in_flight(flow) =>
+                {
+                    continue;
+                }
+                _ => {}
+            }
+            wire::write_command(out, command);
+        }
+    }
+
+    /// Removes a flow that awaits no answer and has no attempt in flight.
+    fn remove_if_over(&mut self, flow: FlowId) {
+        if !self.flow_table.awaits_answer(flow) && !self.flow_table.has_attempt_in_flight(flow) {
+            // No attempt is in flight, so there are no commands, whatever the time.
+            self.flow_table.remove(0, flow, &mut Vec::new());
+        }
+    }
+}
--- /dev/null
+++ b/crates/adapter/src/wire/event_fields.rs
@@ -0,0 +1,184 @@
+//! The fields of each event.
+
+use nettlemux_flow_table::AttemptOutcome;
+use nettlemux_policy::{AttemptEnd, Flow, GroupPlacement, LoadReport, ServerId, Time};
+use nettlemux_settings::LoadReportFormat;
+
+use super::error::{WireError, WireProblem};
+use super::event::{EndpointUpdate, SimulatorEvent};
+use super::fields::{ABSENT, Fields};
+
+/// The topic of a connection's load, the one signal that is known.
+const LOAD_TOPIC: u64 = 1;
+
+pub(super) fn parse_endpoint_update(fields: &mut Fields) -> Result<EndpointUpdate, WireError> {
+    let kind = fields.word("kind")?;
+    let _revision: Option<u64> = fields.optional("rev")?;
+    let table: Option<u64> = fields.optional("table")?;
+    let table = table.ok_or_else(|| WireError::new("table", WireProblem::Absent));
+    match kind {
+        "patch" => Ok(EndpointUpdate::Delta { table: table? }),
+        "whole" | "stale_copy" => Ok(EndpointUpdate::Snapshot { table: table? }),
+        "broken" => Ok(EndpointUpdate::PollFailed),
+        other => {
+            let problem = WireProblem::UnknownEndpointUpdate(other.to_string());
+            Err(WireError::new("kind", problem))
+        }
+    }
+}
+
+pub(super) fn parse_new_flow(now: Time, fields: &mut Fields) -> Result<Flow, WireError> {
+    let id = fields.required("ref")?;
+    let class = fields.required("category")?;
+    let tenant = fields.optional("client-group")?.unwrap_or(0);
+    let _item: Option<String> = fields.optional("item")?;
+    let deadline = now + fields.time("ttl")?;
+    let _effort: Option<f64> = fields.optional("effort")?;
+    let group = fields.optional("team-id")?;
+    let _is_resent = fields.flag("resent")?;
+    let _is_rerouted = fields.flag("rerouted")?;
+    let reconnecting = fields.flag("came-back")?;
+    Ok(Flow {
+        id,
+        class,
+        tenant,
+        group,
+        reconnecting,
+        accepted_at: now,
+        deadline,
+        attempts: Vec::new(),
+    })
+}
+
+pub(super) fn parse_adopted_connection(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+    let id = fields.required("ref")?;
+    let group = fields.optional("team-id")?;
+    let _came_back = fields.flag("came-back")?;
+    let _item: Option<String> = fields.optional("item")?;
+    let _is_rerouted = fields.flag("rerouted")?;
+    let _time_left = fields.time("ttl")?;
+    let _is_resent = fields.flag("resent")?;
+    let tenant = fields.optional("client-group")?.unwrap_or(0);
+    let class = fields.optional("category")?.unwrap_or(0);
+    let _effort: Option<f64> = fields.optional("effort")?;
+    let server_id = fields.required("server")?;
+    let flow = Flow {
+        id,
+        class,
+        tenant,
+        group,
+        ..Flow::default()
+    };
+    Ok(SimulatorEvent::ConnectionAdopted { flow, server_id })
+}
+
+pub(super) fn parse_connected(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+    let flow = fields.required("ref")?;
+    let _number: u32 = fields.required("send-no")?;
+    let _server_id: ServerId = fields.required("server")?;
+    let took = fields.time("time-taken")?;
+    Ok(SimulatorEvent::Connected { flow, took })
+}
+
+pub(super) fn parse_signal(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+    let flow = fields.required("ref")?;
+    let _server_id: ServerId = fields.required("server")?;
+    let topic: u64 = fields.required("topic")?;
+    let _number: Option<u32> = fields.optional("send-no")?;
+    let load = fields.required("x")?;
+    Ok(match topic {
+        LOAD_TOPIC => SimulatorEvent::ConnectionLoad { flow, load },
+        _ => SimulatorEvent::UnknownSignal,
+    })
+}
+
+pub(super) fn parse_attempt_end(
+    fields: &mut Fields,
+    load_reports: &LoadReportFormat,
+) -> Result<SimulatorEvent, WireError> {
+    let flow = fields.required("ref")?;
+    let number = fields.required("send-no")?;
+    let server_id = fields.required("server")?;
+    let end = parse_end(fields.word("reason")?)?;
+    let _took = fields.time("time-taken")?;
+    let is_answered = fields.flag("closed")?;
+    let report = parse_load_report(fields.word("report")?, load_reports)?;
+    let outcome = AttemptOutcome {
+        flow,
+        number,
+        server_id,
+        end,
+        known_unexecuted: proves_unexecuted(end),
+        report,
+    };
+    Ok(SimulatorEvent::AttemptEnded {
+        outcome,
+        is_answered,
+    })
+}
+
+pub(super) fn parse_health_check(
+    fields: &mut Fields,
+    load_reports: &LoadReportFormat,
+) -> Result<SimulatorEvent, WireError> {
+    let _took = fields.time("time-taken")?;
+    let server_id = fields.required("server")?;
+    let passed = parse_end(fields.word("reason")?)? == AttemptEnd::Done;
+    let report = parse_load_report(fields.word("report")?, load_reports)?;
+    Ok(SimulatorEvent::HealthChecked {
+        server_id,
+        passed,
+        report,
+    })
+}
+
+pub(super) fn parse_gossip(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+    let _sender: u64 = fields.required("from")?;
+    let bytes = parse_hex(fields.word("content")?)?;
+    let placement = GroupPlacement::from_bytes(&bytes);
+    Ok(SimulatorEvent::GossipReceived { placement })
+}
+
+fn parse_end(word: &str) -> Result<AttemptEnd, WireError> {
+    match word {
+        "pass" => Ok(AttemptEnd::Done),
+        "fault" => Ok(AttemptEnd::Error),
+        "no_room" => Ok(AttemptEnd::Overloaded),
+        "too_slow" => Ok(AttemptEnd::TimedOut),
+        "no_route" => Ok(AttemptEnd::Unreachable),
+        "cut" => Ok(AttemptEnd::ConnectionLost),
+        "undone" => Ok(AttemptEnd::Cancelled),
+        "stale_send" => Ok(AttemptEnd::NotSent),
+        other => {
+            let problem = WireProblem::UnknownOutcome(other.to_string());
+            Err(WireError::new("reason", problem))
+        }
+    }
+}
+
+/// Whether an attempt with this end is known not to have run.
+fn proves_unexecuted(end: AttemptEnd) -> bool {
+    matches!(
+        end,
+        AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::NotSent
+    )
+}
+
+/// Reads a load report, which is empty where it is absent.
+fn parse_load_report(word: &str, format: &LoadReportFormat) -> Result<LoadReport, WireError> {
+    match word {
+        ABSENT => Ok(LoadReport::default()),
+        _ => Ok(format.parse(word, ':')?),
+    }
+}
+
+/// Reads bytes that are written as hex digits; there are none where they are absent.
+fn parse_hex(text: &str) -> Result<Vec<u8>, WireError> {
+    if text == ABSENT {
+        return Ok(Vec::new());
+    }
+    let bytes = text.is_ascii() && text.len().is_multiple_of(2);
+    let pairs = (0..text.len() / 2).map(|i| u8::from_str_radix(&text[2 * i..2 * i + 2], 16).ok());
+    let bytes = bytes.then(|| pairs.collect::<Option<Vec<u8>>>()).flatten();
+    bytes.ok_or_else(|| WireError::new("content", WireProblem::NotHex(text.to_string())))
+}
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -13,8 +13,8 @@
 use nettlemux_dataplane::retry;
 use nettlemux_dataplane::shared::RuntimeSettings;
 use nettlemux_policy::Time;
-use nettlemux_settings::Settings;
-use nettlemux_settings::operator::{self, Deprecated, Operator};
+use nettlemux_settings::operator::{self, DeprecatedName, OperatorFile};
+use nettlemux_settings::{DrainMigration, Settings, SettingsError};
 use serde_json::Value;
 use tracing::warn;
 
@@ -60,9 +60,9 @@
 impl Config {
     /// What the settings say beside the module's part.
     pub fn runtime_settings(&self) -> RuntimeSettings {
-        let how = self.settings.maybe("report/how").and_then(Value::as_str);
-        let stats = how != Some("silent");
-        let (reports, dial_limit, asked) = (self.settings.reports(), self.dial_limit, self.asked);
+        let stats = self.settings.has_load_reports();
+        let reports = self.settings.load_report_format();
+        let (dial_limit, asked) = (self.dial_limit, self.asked);
         RuntimeSettings {
             reports,
             stats,
@@ -144,12 +144,12 @@
 }
 
 /// Reads the operator's file; without one, the defaults.
-pub fn operator(file: Option<&Path>) -> Result<Operator, String> {
+pub fn operator(file: Option<&Path>) -> Result<OperatorFile, String> {
     operator_by(file, |file| fs::read_to_string(file))
 }
 
 /// The same at the start, where one that can't be read at this moment is read a moment later.
-pub fn operator_at_start(file: Option<&Path>) -> Result<Operator, String> {
+pub fn operator_at_start(file: Option<&Path>) -> Result<OperatorFile, String> {
     operator_by(file, |file| {
         retry::until_it_passes(|| fs::read_to_string(file))
     })
@@ -158,17 +158,17 @@
 fn operator_by(
     file: Option<&Path>,
     read: impl Fn(&Path) -> io::Result<String>,
-) -> Result<Operator, String> {
+) -> Result<OperatorFile, String> {
     let Some(file) = file else {
-        return Ok(Operator::default());
+        return Ok(OperatorFile::default());
     };
     let text = read(file).map_err(|e| format!("operator's file {}: {e}", file.display()))?;
     operator::parse(&text).map_err(|e| e.to_string())
 }
 
 /// Warns of each key of the operator's file that has the name of an earlier version.
-pub fn warn_of_deprecated(operator: &Operator) {
-    for Deprecated { old, new } in &operator.deprecated {
+pub fn warn_of_deprecated(operator: &OperatorFile) {
+    for DeprecatedName { old, new } in &operator.deprecated {
         warn!(old, new, "deprecated name in the operator's file");
     }
 }
@@ -197,9 +197,9 @@
             .into_iter()
             .flatten()
             .map(|(name, _)| name.as_str());
-        let unknown = nettlemux_settings::unknown(names, known);
+        let unknown = nettlemux_settings::unknown_names(names, known);
         unknown
-            .map(|(key, why)| Faulty::new(&format!("{path}{key}"), why))
+            .map(|unknown| Faulty::new(&format!("{path}{}", unknown.name), unknown.hint))
             .collect()
     };
     let mut unknown = check(Some(&value), &KEYS, "");
@@ -252,17 +252,19 @@
             .map(|other| format!("; '{}': {}", other.key, other.why));
         Faulty::new("settings", format!("missing{}", others.collect::<String>()))
     })?;
-    let faulty = |e: nettlemux_settings::Malformed| {
+    let faulty = |e: SettingsError| {
         let key = if e.field == "settings" {
             e.field
         } else {
             format!("settings.{}", e.field.replace('/', "."))
         };
-        Faulty { key, why: e.why }
+        Faulty::new(&key, e.problem)
     };
     let settings = Settings::within(settings).map_err(faulty)?;
     // Read now, so that a faulty setting is told before the balancer starts.
-    settings.policy(seed, 0, true).map_err(faulty)?;
+    settings
+        .policy(seed, 0, DrainMigration::Enabled)
+        .map_err(faulty)?;
     Ok(Config {
         name: told("name", "LB_NAME")?.unwrap_or_else(|| "nettlemux".into()),
         listen: address("listen", "LB_LISTEN")?,
@@ -271,8 +273,8 @@
         sockets,
         memory,
         known,
-        dial_limit: settings.dial_limit().map_err(faulty)?,
-        asked: settings.asked().map_err(faulty)?,
+        dial_limit: settings.dial_timeout().map_err(faulty)?,
+        asked: settings.endpoint_poll_interval_max().map_err(faulty)?,
         settings,
         unknown,
     })
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -30,7 +30,8 @@
 use nettlemux_line_protocol::acceptor::{self, Acceptor};
 use nettlemux_line_protocol::first_line::FirstLineSettings;
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
-use nettlemux_settings::operator::{self, Deprecated, Format, Operator};
+use nettlemux_settings::operator::{self, DeprecatedName, Format, OperatorFile};
+use nettlemux_settings::{DrainMigration, SettingsError};
 use signal_hook::iterator::Signals;
 use tracing::{Level, error, info};
 
@@ -137,7 +138,7 @@
                 for unknown in &config.unknown {
                     println!("{unknown}");
                 }
-                for Deprecated { old, new } in &operator.deprecated {
+                for DeprecatedName { old, new } in &operator.deprecated {
                     println!("operator's file: '{old}' is called '{new}' now");
                 }
                 println!(
@@ -178,7 +179,7 @@
 fn serve(
     mut config: Config,
     file: Option<PathBuf>,
-    operator: Operator,
+    operator: OperatorFile,
     operator_file: Option<PathBuf>,
     signals: Signals,
 ) -> Result<(), String> {
@@ -191,12 +192,14 @@
         .set_worker_pin(false);
     // Guards against a client that is accepted and lost since its coroutine's stack can't be mapped at that moment.
     runtime.set_pool_capacity(budgets.coroutines());
-    let settings = &config
-        .settings
-        .clone()
-        .with_gossip(operator.peers.is_some());
-    let faulty = |e: nettlemux_settings::Malformed| format!("settings: {e}");
-    let policy = settings.policy(config.seed, MARGIN, true).map_err(faulty)?;
+    let settings = &match operator.peers {
+        Some(_) => config.settings.clone(),
+        None => config.settings.clone().without_gossip(),
+    };
+    let faulty = |e: SettingsError| format!("settings: {e}");
+    let policy = settings
+        .policy(config.seed, MARGIN, DrainMigration::Enabled)
+        .map_err(faulty)?;
     let descriptors = budgets.others.clone();
     let buffers = Buffers::new();
     let messages = Mailbox::new();
@@ -213,7 +216,7 @@
     if let Some(keys) = &operator.admission {
         // New with each start: nobody can aim at another's place.
         let seed = config.seed ^ RandomState::new().hash_one(config.seed);
-        let longest = settings.retry_after().map_err(faulty)?;
+        let longest = settings.max_retry_after().map_err(faulty)?;
         let admission = AdmissionController::new(
             config::admission(keys, seed, longest.unwrap_or(SEC).max(100 * MS)),
             seed,
@@ -253,8 +256,8 @@
         dataplane.budgets.waiting.limit(),
     );
     info!(name = config.name, listen = %config.listen, sockets = config.sockets, flows, waiting, "serving");
-    let (zones, machines) = (settings.names("areas"), settings.names("models"));
-    let answer_deadline = AnswerDeadline::new(settings.longest_wait());
+    let (zones, machines) = (settings.zone_names(), settings.machine_model_names());
+    let answer_deadline = AnswerDeadline::new(settings.flow_timeout_max());
     let (peers, gossip) = match operator.peers {
         Some(keys) => {
             let started = Peers::start(keys.listen, keys.addresses, dispatcher.clone());
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -106,7 +106,7 @@
 
 /// Says so where settings expect words that have no way to go: groups are then held in more places.
 pub fn untold(settings: &Settings, peers: bool) {
-    if settings.may_gossip().unwrap_or(false) && !peers {
+    if settings.gossip_allowed().unwrap_or(false) && !peers {
         warn!(
             key = "peers",
             "the settings let balancers tell one another, and no address is known"
@@ -124,16 +124,18 @@
         let new = config::load(self.file.as_deref()).map_err(|e| e.to_string())?;
         let operator = config::operator(self.operator.as_deref())?;
         // The last that may fail: from here on all is taken over.
-        let merged = new.settings.following(&self.config.settings);
+        let merged = new.settings.merged_with_previous(&self.config.settings);
         let known = merged.and_then(|merged| Ok((FirstLineSettings::new(&merged)?, merged)));
         let (known, merged) = known.map_err(|why| why.to_string())?;
         new.warn_of_unknown();
         config::warn_of_deprecated(&operator);
         if new.settings != self.in_file {
             // Before the front names what is new: the desk reads its mail in order.
-            dispatcher.send(DispatcherMessage::ApplySettings(Box::new(
-                merged.clone().with_gossip(self.peers.is_some()),
-            )));
+            let policy_settings = match self.peers {
+                Some(_) => merged.clone(),
+                None => merged.clone().without_gossip(),
+            };
+            dispatcher.send(DispatcherMessage::ApplySettings(Box::new(policy_settings)));
             self.runtime_settings.change(new.runtime_settings());
             self.front.change(known);
             info!("other settings from now on");
--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -12,7 +12,7 @@
 use nettlemux_policy::{
     Endpoint, EndpointState, Flow, FlowId, GroupPlacement, MS, SEC, ServerId, Time,
 };
-use nettlemux_settings::Settings;
+use nettlemux_settings::{DrainMigration, Settings};
 use tracing::{error, info, warn};
 
 use crate::clock;
@@ -349,12 +349,12 @@
             Some(name) => settings.with_zone(self.zones.number(&name)),
             None => settings,
         };
-        match settings.policy(self.given.seed, self.given.margin, true) {
+        match settings.policy(self.given.seed, self.given.margin, DrainMigration::Enabled) {
             Ok(policy) => {
                 self.flow_table.apply_settings(policy);
                 self.given
                     .answer_deadline
-                    .reload(clock::now(), settings.longest_wait());
+                    .reload(clock::now(), settings.flow_timeout_max());
             }
             Err(why) => error!(%why, "settings that can't be used; the old ones hold"),
         }
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -2,7 +2,7 @@
 //! form and must never touch a socket, a clock or a flow. Names of the wire end here.
 
 use nettlemux_policy::{AttemptEnd, LoadReport, Time};
-use nettlemux_settings::{LoadReportFormat, figure};
+use nettlemux_settings::{LoadReportFormat, parse_number};
 
 const MS: Time = nettlemux_policy::MS;
 
@@ -47,7 +47,7 @@
     };
     let line = String::from_utf8_lossy(line);
     let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
-    let report = reports.read(rest, '=').unwrap_or_default();
+    let report = reports.parse(rest, '=').unwrap_or_default();
     match word {
         "UP" if !rest.is_empty() && rest.bytes().all(|byte| byte.is_ascii_graphic()) => Answer::Up,
         "BUSY" if line == "BUSY" || is_report(rest) => {
@@ -73,7 +73,7 @@
 pub fn health_checked(line: &[u8], reports: &LoadReportFormat) -> (bool, LoadReport) {
     let line = String::from_utf8_lossy(line);
     let (word, rest) = line.split_once(' ').unwrap_or((&line, ""));
-    (word == "PONG", reports.read(rest, '=').unwrap_or_default())
+    (word == "PONG", reports.parse(rest, '=').unwrap_or_default())
 }
 
 pub const FAILED: &[u8] = b"ERR\r\n";
@@ -149,9 +149,9 @@
             "ERR" => Some(AttemptEnd::Error),
             _ => None,
         };
-        self.last = end.map(|end| (end, self.reports.read(rest, '=').unwrap_or_default()));
+        self.last = end.map(|end| (end, self.reports.parse(rest, '=').unwrap_or_default()));
         if word == "LOAD" {
-            figure(rest).filter(|load| *load >= 0.0)
+            parse_number(rest).filter(|load| *load >= 0.0)
         } else {
             None
         }
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -3,7 +3,7 @@
 use nettlemux_fleet_model::fault::{Fault, What};
 use nettlemux_fleet_model::scenario::{IdempotencySetting, Limits, Scenario, Type};
 use nettlemux_fleet_model::seen::{DeduplicationScope, Final, Idempotency, Seen};
-use nettlemux_settings::operator::By;
+use nettlemux_settings::operator::AdmissionKey;
 use serde_json::json;
 
 #[test]
@@ -108,7 +108,7 @@
         assert_eq!(scenario.clients.tenants, [0.5, 0.5], "{tenants}");
         assert_eq!(scenario.faults[0].what, What::TenantSurge, "{tenants}");
         let admission = scenario.admission.as_ref().unwrap();
-        assert_eq!(admission.by, By::Tenant, "{tenants}");
+        assert_eq!(admission.by, AdmissionKey::Tenant, "{tenants}");
     }
 }
 
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -16,10 +16,12 @@
 mod command;
 mod identity;
 mod policy;
+mod retry_after_hint;
 mod table;
 
 pub use crate::attempt::AttemptOutcome;
 pub use crate::command::PolicyCommand;
 pub use crate::identity::ClientIdentity;
 pub use crate::policy::LoadBalancingPolicy;
-pub use crate::table::{FlowTable, RetryAfterHint};
+pub use crate::retry_after_hint::RetryAfterHint;
+pub use crate::table::FlowTable;
--- a/crates/flow-table/src/table.rs
+++ b/crates/flow-table/src/table.rs
@@ -13,8 +13,11 @@
     PolicyEvent, ServerId, Time,
 };
 
-pub use self::admission::RetryAfterHint;
-use crate::{AttemptOutcome, ClientIdentity, LoadBalancingPolicy, PolicyCommand};
+use crate::attempt::AttemptOutcome;
+use crate::command::PolicyCommand;
+use crate::identity::ClientIdentity;
+use crate::policy::LoadBalancingPolicy;
+use crate::retry_after_hint::RetryAfterHint;
 
 struct FlowEntry {
     flow: Flow,
--- a/crates/flow-table/src/table/admission.rs
+++ b/crates/flow-table/src/table/admission.rs
@@ -6,16 +6,10 @@
 use nettlemux_policy::{FlowId, Time};
 
 use super::FlowTable;
-use crate::{ClientIdentity, LoadBalancingPolicy, PolicyCommand};
-
-/// Whether the clients that admission control rejects are told a Retry-After.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryAfterHint {
-    /// The client is told how long to wait before it tries again.
-    Sent,
-    /// The client is told nothing.
-    Withheld,
-}
+use crate::command::PolicyCommand;
+use crate::identity::ClientIdentity;
+use crate::policy::LoadBalancingPolicy;
+use crate::retry_after_hint::RetryAfterHint;
 
 impl<P: LoadBalancingPolicy> FlowTable<P> {
     /// Returns the table with admission control before the policy.
--- a/crates/flow-table/src/table/commands.rs
+++ b/crates/flow-table/src/table/commands.rs
@@ -3,7 +3,8 @@
 use nettlemux_policy::{Actions, Attempt, Flow, FlowId, Placement, Time};
 
 use super::FlowTable;
-use crate::{LoadBalancingPolicy, PolicyCommand};
+use crate::command::PolicyCommand;
+use crate::policy::LoadBalancingPolicy;
 
 impl<P: LoadBalancingPolicy> FlowTable<P> {
     /// Asks the policy about a flow, unless it awaits no answer any more.
--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -4,8 +4,8 @@
 use arrayvec::ArrayVec;
 use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{MS, Time};
-use nettlemux_settings::operator::By;
-use nettlemux_settings::{Read, Settings, figure};
+use nettlemux_settings::operator::AdmissionKey;
+use nettlemux_settings::{Settings, SettingsError, parse_number};
 
 /// A connection's first line.
 #[derive(Debug, PartialEq, Eq)]
@@ -84,7 +84,7 @@
             "r" | "again" if value != "1" => return Err("a mark is not 1"),
             "again" => open.reconnecting = true,
             "r" => open.retry = true,
-            _ if figure(value).is_none() => return Err("a figure is no number"),
+            _ if parse_number(value).is_none() => return Err("a figure is no number"),
             _ => {}
         }
     }
@@ -108,20 +108,20 @@
 /// Reads what the settings say of first lines.
 pub struct FirstLineSettings {
     /// How the door tells clients apart, where there is one, and the seed of its keys.
-    pub by: Option<(By, u64)>,
+    pub by: Option<(AdmissionKey, u64)>,
     pub classes: Vec<Class>,
     pub tenants: Vec<String>,
     pub groups: bool,
 }
 
 impl FirstLineSettings {
-    pub fn new(settings: &Settings) -> Read<Self> {
+    pub fn new(settings: &Settings) -> Result<Self, SettingsError> {
         Ok(FirstLineSettings {
             by: None,
             classes: (settings
-                .names("service-types")
+                .traffic_class_names()
                 .into_iter()
-                .zip(settings.longest_waits()))
+                .zip(settings.flow_timeouts()))
             .zip(settings.traffic_classes()?)
             .map(|((name, longest), known)| Class {
                 name,
@@ -129,11 +129,8 @@
                 target: known.latency_objective,
             })
             .collect(),
-            tenants: settings.names("accounts"),
-            groups: settings
-                .maybe("specifics/groups")
-                .and_then(|v| v.as_bool())
-                .unwrap_or(false),
+            tenants: settings.tenant_names(),
+            groups: settings.has_groups(),
         })
     }
 
@@ -145,8 +142,8 @@
         // A client is its group where it tells one, else the flow's key.
         let client = nettlemux_admission::hash_key(seed, open.group.unwrap_or(open.key).as_bytes());
         let key = match by {
-            By::Client => client,
-            By::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
+            AdmissionKey::Client => client,
+            AdmissionKey::Tenant => self.key_of(open.tenant.unwrap_or_default(), seed),
         };
         let latency_deadline = accepted_at + self.classes[class].target;
         ClientIdentity {
--- /dev/null
+++ b/crates/settings/src/platform.rs
@@ -0,0 +1,171 @@
+//! The platform's settings: one object, the same on every wire.
+
+mod keys;
+mod policy;
+mod reload;
+mod traffic_class;
+mod values;
+
+use nettlemux_policy::{SEC, Time};
+use serde_json::Value;
+
+pub use self::policy::DrainMigration;
+pub use self::values::Settings;
+use crate::error::{SettingsError, SettingsProblem};
+use crate::load_report::LoadReportFormat;
+
+/// The endpoint poll interval where the settings have none: the platform's own example.
+const ENDPOINT_POLL_INTERVAL_MAX: Time = 10 * SEC;
+/// The longest Retry-After where the settings have none.
+const MAX_RETRY_AFTER: Time = SEC;
+
+impl Settings {
+    /// Reads settings that stand alone, as JSON.
+    ///
+    /// # Errors
+    /// Where the text is no JSON object.
+    pub fn parse(text: &str) -> Result<Self, SettingsError> {
+        let value: Value = serde_json::from_str(text)
+            .map_err(|e| SettingsError::new(keys::STANDALONE, SettingsProblem::NotJson(e)))?;
+        Self::from_object(value, keys::STANDALONE)
+    }
+
+    /// Reads settings that stand inside another object.
+    ///
+    /// # Errors
+    /// Where the value is no object.
+    pub fn within(value: &Value) -> Result<Self, SettingsError> {
+        Self::from_object(value.clone(), keys::EMBEDDED)
+    }
+
+    fn from_object(value: Value, field: &str) -> Result<Self, SettingsError> {
+        if value.is_object() {
+            Ok(Settings { value })
+        } else {
+            Err(SettingsError::new(field, SettingsProblem::NotAnObject))
+        }
+    }
+
+    /// Returns how many attempts may be in flight at once for one flow.
+    ///
+    /// # Errors
+    /// Where the setting can't be read.
+    pub fn attempts_in_flight_max(&self) -> Result<usize, SettingsError> {
+        Ok(self.number_or(keys::ATTEMPTS_MAX, 1.0)?.max(0.0) as usize)
+    }
+
+    /// Returns the longest Retry-After that clients are told, in nanoseconds; `None` where they may
+    /// not be told any.
+    ///
+    /// # Errors
+    /// Where a setting can't be read.
+    pub fn max_retry_after(&self) -> Result<Option<Time>, SettingsError> {
+        let max = self.time_or(keys::MAX_RETRY_AFTER, MAX_RETRY_AFTER)?;
+        Ok(self.is_allowed(keys::RETRY_AFTER_ALLOWED)?.then_some(max))
+    }
+
+    /// Returns the longest pause between two polls of the endpoint list, in nanoseconds: a balancer
+    /// that has not polled for so long counts as notified. `None` where changes are pushed to it.
+    ///
+    /// # Errors
+    /// Where a setting can't be read.
+    pub fn endpoint_poll_interval_max(&self) -> Result<Option<Time>, SettingsError> {
+        let discovery = self.text_or(keys::DISCOVERY, keys::DISCOVERY_BY_PUSH)?;
+        let is_polled = discovery == keys::DISCOVERY_BY_POLL;
+        let interval =
+            self.time_or(keys::ENDPOINT_POLL_INTERVAL_MAX, ENDPOINT_POLL_INTERVAL_MAX)?;
+        Ok(is_polled.then_some(interval))
+    }
+
+    /// Returns the time within which a connection to a server is made or counts as failed, in
+    /// nanoseconds. Without a limit in the settings it is as long as a time can be.
+    ///
+    /// # Errors
+    /// Where the setting can't be read.
+    pub fn dial_timeout(&self) -> Result<Time, SettingsError> {
+        self.time_or(keys::DIAL_TIMEOUT, values::TIME_MAX)
+    }
+
+    /// Returns the interval between two batches of the simulator's wire, in nanoseconds.
+    ///
+    /// # Errors
+    /// Where the setting is missing or can't be read.
+    pub fn batch_interval(&self) -> Result<Time, SettingsError> {
+        self.time(keys::BATCH_INTERVAL)
+    }
+
+    /// Returns whether balancers may gossip; not where the settings don't say so.
+    ///
+    /// # Errors
+    /// Where the setting can't be read.
+    pub fn gossip_allowed(&self) -> Result<bool, SettingsError> {
+        self.is_allowed(keys::GOSSIP_ALLOWED)
+    }
+
+    /// Returns the settings of a balancer without a transport for gossip. Guards against a policy
+    /// that waits for gossip in place of going by what it knows itself.
+    pub fn without_gossip(mut self) -> Settings {
+        if self.optional(keys::GOSSIP_ALLOWED).is_some() {
+            self.set(keys::GOSSIP_ALLOWED, false.into());
+        }
+        self
+    }
+
+    /// Returns whether servers send load reports; they do where the settings don't say otherwise.
+    pub fn has_load_reports(&self) -> bool {
+        let how = self.optional(keys::LOAD_REPORTS).and_then(Value::as_str);
+        how != Some(keys::LOAD_REPORTS_NONE)
+    }
+
+    /// Returns how the load reports of this deployment are read.
+    pub fn load_report_format(&self) -> LoadReportFormat {
+        let x0_meaning = self.optional(keys::X0_MEANING).and_then(Value::as_str);
+        LoadReportFormat {
+            x0_is_utilization: x0_meaning
+                .is_some_and(|meaning| meaning.contains(keys::X0_IS_UTILIZATION)),
+        }
+    }
+
+    /// Returns whether flows may have groups; not where the settings don't say so.
+    pub fn has_groups(&self) -> bool {
+        let has_groups = self.optional(keys::GROUPS).and_then(Value::as_bool);
+        has_groups.unwrap_or(false)
+    }
+
+    /// Returns the names of the zones, in the order in which zones are numbered.
+    pub fn zone_names(&self) -> Vec<String> {
+        self.names(keys::ZONES)
+    }
+
+    /// Returns the names of the machine models, in the order in which models are numbered.
+    pub fn machine_model_names(&self) -> Vec<String> {
+        self.names(keys::MACHINE_MODELS)
+    }
+
+    /// Returns the names of the tenants, in the order in which tenants are numbered.
+    pub fn tenant_names(&self) -> Vec<String> {
+        self.names(keys::TENANTS)
+    }
+
+    /// Returns the names of the traffic classes, in the order in which classes are numbered.
+    pub fn traffic_class_names(&self) -> Vec<String> {
+        self.names(keys::TRAFFIC_CLASSES)
+    }
+
+    /// Returns the name of the balancer's own zone, where zones have names.
+    pub fn zone_name(&self) -> Option<String> {
+        let zone = self.zone().ok()? as usize;
+        self.zone_names().into_iter().nth(zone)
+    }
+
+    /// Returns the settings with the balancer's own zone under another number.
+    pub fn with_zone(mut self, number: u64) -> Settings {
+        self.set(keys::ZONE, number.into());
+        self
+    }
+
+    /// The number of the balancer's own zone. Without zones all is one zone.
+    fn zone(&self) -> Result<u64, SettingsError> {
+        Ok(self.number_or(keys::ZONE, 0.0)?.max(0.0) as u64)
+    }
+}
--- /dev/null
+++ b/crates/settings/src/platform/traffic_class.rs
@@ -0,0 +1,100 @@
+//! Traffic classes and the quotas of tenants.
+
+use nettlemux_policy::{DeduplicationScope, Idempotency, Time, TrafficClass};
+use serde_json::Value;
+
+use super::keys;
+use super::values::{self, Settings};
+use crate::error::{SettingsError, SettingsProblem};
+
+impl Settings {
+    /// Returns the traffic classes, in the order in which they are numbered.
+    ///
+    /// # Errors
+    /// Where the list is missing, or a setting in it can't be read.
+    pub fn traffic_classes(&self) -> Result<Vec<TrafficClass>, SettingsError> {
+        let classes = self.required(keys::TRAFFIC_CLASSES, |value| value.as_array().cloned())?;
+        let classes = classes.into_iter().map(|value| Settings { value });
+        classes.map(|class| class.traffic_class()).collect()
+    }
+
+    /// Returns how long clients of each traffic class wait for an answer, in nanoseconds; `None`
+    /// where the settings have no limit.
+    pub fn flow_timeouts(&self) -> Vec<Option<Time>> {
+        let classes = self.list(keys::TRAFFIC_CLASSES).iter();
+        classes
+            .map(|class| {
+                let micros = class.get(keys::FLOW_TIMEOUT).and_then(Value::as_f64);
+                micros.map(values::time_from_micros)
+            })
+            .collect()
+    }
+
+    /// Returns the longest of the traffic classes' timeouts, in nanoseconds; without a limit in the
+    /// settings it is as long as a time can be.
+    pub fn flow_timeout_max(&self) -> Time {
+        let timeouts = self.flow_timeouts().into_iter();
+        let timeouts = timeouts.map(|timeout| timeout.unwrap_or(Time::MAX));
+        timeouts.max().unwrap_or(Time::MAX)
+    }
+
+    /// Returns the quota of each tenant as a share of the capacity; none where there are no
+    /// tenants.
+    ///
+    /// # Errors
+    /// Where a setting can't be read.
+    pub fn tenant_quotas(&self) -> Result<Vec<f64>, SettingsError> {
+        let Some(tenants) = self.optional(keys::TENANTS) else {
+            return Ok(Vec::new());
+        };
+        let tenants = tenants
+            .as_array()
+            .ok_or_else(|| SettingsError::new(keys::TENANTS, SettingsProblem::NotAList))?;
+        let tenants = tenants.iter().cloned().map(|value| Settings { value });
+        tenants
+            .map(|tenant| tenant.number_or(keys::QUOTA, 1.0))
+            .collect()
+    }
+
+    /// These settings, which are one entry of the list, as a traffic class.
+    fn traffic_class(&self) -> Result<TrafficClass, SettingsError> {
+        let idempotency = self.idempotency()?;
+        // Without an objective any answer in time will do.
+        let timeout = self.time_or(keys::FLOW_TIMEOUT, values::TIME_MAX)?;
+        Ok(TrafficClass {
+            latency_objective: self.time_or(keys::LATENCY_OBJECTIVE, timeout)?,
+            priority_weight: self.number_or(keys::PRIORITY_WEIGHT, 1.0)?,
+            idempotency,
+        })
+    }
+
+    /// What isn't said to be idempotent is not; without a window, no retry is within it.
+    fn idempotency(&self) -> Result<Idempotency, SettingsError> {
+        let kind = self.text_or(keys::IDEMPOTENCY, keys::NON_IDEMPOTENT)?;
+        match kind.as_str() {
+            keys::IDEMPOTENT => Ok(Idempotency::Idempotent),
+            keys::NON_IDEMPOTENT => Ok(Idempotency::NonIdempotent),
+            keys::DEDUPLICATED => Ok(Idempotency::Deduplicated {
+                scope: self.deduplication_scope()?,
+                window: self.time_or(keys::DEDUPLICATION_WINDOW, 0)?,
+            }),
+            _ => {
+                let problem = SettingsProblem::UnknownIdempotency(kind);
+                Err(SettingsError::new(keys::IDEMPOTENCY, problem))
+            }
+        }
+    }
+
+    fn deduplication_scope(&self) -> Result<DeduplicationScope, SettingsError> {
+        let scope = self.text_or(keys::DEDUPLICATION_SCOPE, keys::SCOPE_CELL)?;
+        match scope.as_str() {
+            keys::SCOPE_ALL => Ok(DeduplicationScope::All),
+            keys::SCOPE_ZONE => Ok(DeduplicationScope::Zone),
+            keys::SCOPE_CELL => Ok(DeduplicationScope::Cell),
+            _ => {
+                let problem = SettingsProblem::UnknownScope(scope);
+                Err(SettingsError::new(keys::DEDUPLICATION_SCOPE, problem))
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/settings/src/platform/values.rs
@@ -0,0 +1,107 @@
+//! The settings object, and typed access to single settings by their paths.
+
+use nettlemux_policy::{SEC, Time};
+use serde_json::Value;
+
+use super::keys;
+use crate::error::{SettingsError, SettingsProblem};
+
+/// The unit of times in the settings, in nanoseconds.
+const MICROSECOND: Time = 1_000;
+/// The longest time that a setting stands for. Guards against sums of times that overflow.
+pub(super) const TIME_MAX: Time = 365 * 24 * 3600 * SEC;
+
+/// Returns so many microseconds as a time in nanoseconds, from 0 to [`TIME_MAX`].
+pub(super) fn time_from_micros(micros: f64) -> Time {
+    ((micros.max(0.0) * MICROSECOND as f64) as Time).min(TIME_MAX)
+}
+
+/// The platform's settings. A value is checked when it is asked for.
+#[derive(Clone, PartialEq)]
+pub struct Settings {
+    pub(super) value: Value,
+}
+
+impl Settings {
+    /// The value of a setting, `None` where it is missing or `null`.
+    pub(super) fn optional(&self, path: &str) -> Option<&Value> {
+        path.split('/')
+            .try_fold(&self.value, |value, key| value.get(key))
+            .filter(|value| !value.is_null())
+    }
+
+    /// Replaces the value of a setting whose parent objects exist.
+    pub(super) fn set(&mut self, path: &str, new: Value) {
+        let place = path
+            .split('/')
+            .fold(&mut self.value, |value, key| &mut value[key]);
+        *place = new;
+    }
+
+    pub(super) fn required<T>(
+        &self,
+        path: &str,
+        read: impl Fn(&Value) -> Option<T>,
+    ) -> Result<T, SettingsError> {
+        let value = self
+            .optional(path)
+            .ok_or_else(|| SettingsError::new(path, SettingsProblem::Missing))?;
+        read(value)
+            .ok_or_else(|| SettingsError::new(path, SettingsProblem::Unusable(value.clone())))
+    }
+
+    /// A default stands in for a missing value, not for one that can't be read.
+    fn required_or<T>(
+        &self,
+        path: &str,
+        default: T,
+        read: impl Fn(&Value) -> Option<T>,
+    ) -> Result<T, SettingsError> {
+        match self.optional(path) {
+            Some(_) => self.required(path, read),
+            None => Ok(default),
+        }
+    }
+
+    pub(super) fn number(&self, path: &str) -> Result<f64, SettingsError> {
+        self.required(path, Value::as_f64)
+    }
+
+    pub(super) fn number_or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
+        self.required_or(path, default, Value::as_f64)
+    }
+
+    pub(super) fn time(&self, path: &str) -> Result<Time, SettingsError> {
+        Ok(time_from_micros(self.number(path)?))
+    }
+
+    pub(super) fn time_or(&self, path: &str, default: Time) -> Result<Time, SettingsError> {
+        self.required_or(path, default, |value| value.as_f64().map(time_from_micros))
+    }
+
+    pub(super) fn text_or(&self, path: &str, default: &str) -> Result<String, SettingsError> {
+        self.required_or(path, default.to_string(), |value| {
+            value.as_str().map(String::from)
+        })
+    }
+
+    /// Whether the settings allow something; not where they don't say so.
+    pub(super) fn is_allowed(&self, path: &str) -> Result<bool, SettingsError> {
+        self.required_or(path, false, Value::as_bool)
+    }
+
+    /// The entries of a list, none where it is missing.
+    pub(super) fn list(&self, path: &str) -> &[Value] {
+        let list = self.optional(path).and_then(Value::as_array);
+        list.map_or(&[], Vec::as_slice)
+    }
+
+    /// The names in a list whose entries are names or objects with a name.
+    pub(super) fn names(&self, path: &str) -> Vec<String> {
+        let name = |entry: &Value| {
+            let name = entry.as_str().or_else(|| entry.get(keys::NAME)?.as_str());
+            name.unwrap_or_default().to_string()
+        };
+        self.list(path).iter().map(name).collect()
+    }
+}
--- a/crates/testbed/src/brains.rs
+++ b/crates/testbed/src/brains.rs
@@ -11,7 +11,7 @@
     Actions, DeduplicationScope, Endpoint, EndpointState, Flow, FlowId, Idempotency, MS, Placement,
     Policy, PolicyEvent, ServerId, Time, TrafficClass,
 };
-use nettlemux_settings::Settings;
+use nettlemux_settings::{DrainMigration, Settings};
 
 /// How long before an attempt timeout a balancer answers in virtual time, as one on sockets does.
 pub const MARGIN: Time = 15 * MS;
@@ -69,7 +69,7 @@
 /// The decision module as a balancer on sockets has it.
 pub fn module(settings: &Settings, seed: u64) -> Policy {
     settings
-        .policy(seed, MARGIN, true)
+        .policy(seed, MARGIN, DrainMigration::Enabled)
         .expect("settings made by the lab")
 }
 
@@ -93,7 +93,7 @@
             types: settings
                 .traffic_classes()
                 .expect("settings made by the lab"),
-            attempts: settings.number("limits/max-connects").unwrap_or(1.0) as usize,
+            attempts: settings.attempts_in_flight_max().unwrap_or(1),
             servers: BTreeMap::new(),
             own: BTreeMap::new(),
             flows: BTreeMap::new(),
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -7,7 +7,7 @@
 use nettlemux_admission::AdmissionConfig;
 use nettlemux_fleet_model::scenario::{IdempotencySetting, Scenario, Weights};
 use nettlemux_policy::Time;
-use nettlemux_settings::{nearest, operator};
+use nettlemux_settings::{nearest_name, operator};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -66,8 +66,8 @@
     for (name, expect) in &scenario.expect {
         let names = crate::figures::NAMES.map(|(name, _)| name);
         if !names.contains(&name.as_str()) {
-            let near =
-                nearest(name, names).map_or(names.join(", "), |near| format!("is '{near}' meant?"));
+            let near = nearest_name(name, names)
+                .map_or(names.join(", "), |near| format!("is '{near}' meant?"));
             return Err(faulty(
                 format!("expect.{name}"),
                 format!("no figure; {near}"),
@@ -89,7 +89,7 @@
     match (message.starts_with("unknown field"), names.next()) {
         (true, Some(name)) => {
             let known: Vec<&str> = names.collect();
-            let near = nearest(name, known.iter().copied());
+            let near = nearest_name(name, known.iter().copied());
             let near = near.map_or(format!("there are {}", known.join(", ")), |n| {
                 format!("is '{n}' meant?")
             });
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -14,7 +14,7 @@
     Actions, Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Placement,
     Policy, PolicyEvent, SEC, ServerId, Time,
 };
-use nettlemux_settings::Settings;
+use nettlemux_settings::{DrainMigration, Settings};
 
 use super::allocation::held_bytes;
 use super::looked_at::{Note, servers_per_placement};
@@ -200,7 +200,7 @@
         };
         let settings = Settings::within(&settings(of)).map_err(|e| e.to_string())?;
         let policy = settings
-            .policy(seed, MARGIN, true)
+            .policy(seed, MARGIN, DrainMigration::Enabled)
             .map_err(|e| e.to_string())?;
         let calls = Rc::new(RefCell::new(Calls::new()));
         Ok(Driver {
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -5,7 +5,7 @@
 use nettlemux_fleet_model::seen::{Ender, Seen};
 use nettlemux_flow_table::ClientIdentity as Requester;
 use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
-use nettlemux_settings::operator::By;
+use nettlemux_settings::operator::AdmissionKey;
 
 use super::connections::Closure;
 use super::event::{Ending, Event};
@@ -113,7 +113,7 @@
             .as_ref()
             .map(|admission| admission.by)
         {
-            Some(By::Tenant) => client.tenant as u64,
+            Some(AdmissionKey::Tenant) => client.tenant as u64,
             _ => id,
         }
     }
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -11,7 +11,7 @@
 use nettlemux_fleet_model::scenario::seconds;
 use nettlemux_fleet_model::seen::Seen;
 use nettlemux_policy::{MS, SEC, Time};
-use nettlemux_settings::operator::Operator;
+use nettlemux_settings::operator::OperatorFile;
 use rustix::process::{Pid, Resource, Rlimit, Signal};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -147,9 +147,9 @@
         let mut command = Command::new(&self.program.path);
         command.args(&self.program.args);
         if let Some(admission) = &scenario.admission {
-            let operator = Operator {
+            let operator = OperatorFile {
                 admission: Some(admission.clone()),
-                ..Operator::default()
+                ..OperatorFile::default()
             };
             let text = toml::to_string(&operator).map_err(|e| e.to_string())?;
             let path = at(format!("b{b}.toml"));
