--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -139,7 +139,7 @@
 }
 
 fn read_report(text: &str, format: &LoadReportFormat) -> LoadReport {
-    format.read(text, REPORT_SIGN).unwrap_or_default()
+    format.parse(text, REPORT_SIGN).unwrap_or_default()
 }
 
 /// What a server answers to a health check.
--- a/crates/dataplane/src/wire/line_scanner.rs
+++ b/crates/dataplane/src/wire/line_scanner.rs
@@ -2,7 +2,7 @@
 //! it needs to read it, and must never change or hold back what passes.
 
 use nettlemux_policy::{AttemptEnd, LoadReport};
-use nettlemux_settings::{LoadReportFormat, figure};
+use nettlemux_settings::{LoadReportFormat, parse_number};
 
 use super::{read_report, split_word, word};
 
@@ -67,7 +67,7 @@
             report: read_report(rest, &self.report_format),
         });
         if word == word::CONNECTION_LOAD {
-            figure(rest).filter(|load| *load >= 0.0)
+            parse_number(rest).filter(|load| *load >= 0.0)
         } else {
             None
         }
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -6,7 +6,7 @@
     DeduplicationScope, FinalAnswer, Idempotency, Observation,
 };
 use nettlemux_fleet_model::scenario::{Fleet, IdempotencySetting, Limits, Scenario, Type};
-use nettlemux_settings::operator::By;
+use nettlemux_settings::operator::AdmissionKey;
 use serde_json::json;
 
 #[test]
@@ -117,7 +117,7 @@
         assert_eq!(scenario.clients.tenants, [0.5, 0.5], "{tenants}");
         assert_eq!(scenario.faults[0].what, FaultKind::TenantSurge, "{tenants}");
         let admission = scenario.admission.as_ref().unwrap();
-        assert_eq!(admission.by, By::Tenant, "{tenants}");
+        assert_eq!(admission.by, AdmissionKey::Tenant, "{tenants}");
     }
 }
 
--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -4,7 +4,7 @@
 use std::str::Split;
 
 use arrayvec::ArrayVec;
-use nettlemux_settings::figure;
+use nettlemux_settings::parse_number;
 use thiserror::Error;
 
 /// Words that begin a first line.
@@ -120,7 +120,7 @@
     #[error("a mark is not 1")]
     FlagNotSet,
     /// A value that should be a number is none.
-    #[error("a figure is no number")]
+    #[error("a parse_number is no number")]
     NotANumber,
     /// The traffic class is missing.
     #[error("no class")]
@@ -194,7 +194,7 @@
             }
             key::RETRY => self.retry = true,
             key::RECONNECTING => self.reconnecting = true,
-            _ if figure(value).is_none() => return Err(MalformedLine::NotANumber),
+            _ if parse_number(value).is_none() => return Err(MalformedLine::NotANumber),
             _ => {}
         }
         Ok(())
--- a/crates/line-protocol/src/settings.rs
+++ b/crates/line-protocol/src/settings.rs
@@ -4,17 +4,11 @@
 
 use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{MS, Time};
-use nettlemux_settings::operator::By;
-use nettlemux_settings::{Read, Settings};
+use nettlemux_settings::operator::AdmissionKey;
+use nettlemux_settings::{Settings, SettingsError};
 
 use crate::first_line::ConnectRequest;
 
-/// The settings' list of traffic classes.
-const TRAFFIC_CLASSES: &str = "service-types";
-/// The settings' list of tenants.
-const TENANTS: &str = "accounts";
-/// The settings' flag that clients have groups.
-const GROUPS: &str = "specifics/groups";
 /// The longest that clients of a class may wait, where the settings have no limit.
 const DEFAULT_WAIT_MAX: Time = 60_000 * MS;
 
@@ -32,7 +26,7 @@
 #[derive(Clone, Copy)]
 pub struct ClientKeys {
     /// What a client's key is made of.
-    pub by: By,
+    pub by: AdmissionKey,
     /// The seed of all keys.
     pub seed: u64,
 }
@@ -51,9 +45,9 @@
     ///
     /// # Errors
     /// The setting that can't be read.
-    pub fn new(settings: &Settings) -> Read<Self> {
-        let names = settings.names(TRAFFIC_CLASSES).into_iter();
-        let waits = settings.longest_waits();
+    pub fn new(settings: &Settings) -> Result<Self, SettingsError> {
+        let names = settings.traffic_class_names().into_iter();
+        let waits = settings.flow_timeouts();
         let classes =
             names
                 .zip(waits)
@@ -63,12 +57,11 @@
                     wait_max: wait_max.unwrap_or(DEFAULT_WAIT_MAX),
                     latency_objective: class.latency_objective,
                 });
-        let uses_groups = settings.maybe(GROUPS).and_then(|value| value.as_bool());
         Ok(FirstLineSettings {
             client_keys: None,
             classes: classes.collect(),
-            tenants: settings.names(TENANTS),
-            uses_groups: uses_groups.unwrap_or(false),
+            tenants: settings.tenant_names(),
+            uses_groups: settings.has_groups(),
         })
     }
 
@@ -123,16 +116,16 @@
         };
         // A client is its group where it names one, else the flow's key.
         let name = request.group.unwrap_or(request.key);
-        let client = nettlemux_admission::key(seed, name.as_bytes());
+        let client = nettlemux_admission::hash_key(seed, name.as_bytes());
         let key = match by {
-            By::Client => client,
-            By::Tenant => self.tenant_key(request.tenant.unwrap_or_default(), seed),
+            AdmissionKey::Client => client,
+            AdmissionKey::Tenant => self.tenant_key(request.tenant.unwrap_or_default(), seed),
         };
         ClientIdentity {
             key,
             client,
-            retry: request.retry,
-            target: accepted_at + class.latency_objective,
+            is_retry: request.retry,
+            latency_deadline: accepted_at + class.latency_objective,
         }
     }
 
@@ -140,6 +133,6 @@
     fn tenant_key(&self, name: &str, seed: u64) -> u64 {
         let tenant = self.tenant(name).and_then(|index| self.tenants.get(index));
         let name = tenant.map_or(name, String::as_str);
-        nettlemux_admission::key(seed, name.as_bytes())
+        nettlemux_admission::hash_key(seed, name.as_bytes())
     }
 }
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -5,7 +5,7 @@
 use nettlemux_fleet_model::time::seconds;
 use nettlemux_flow_table::ClientIdentity as Requester;
 use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
-use nettlemux_settings::operator::By;
+use nettlemux_settings::operator::AdmissionKey;
 
 use super::connections::Closure;
 use super::event::{Ending, Event};
@@ -79,8 +79,8 @@
         let requester = Requester {
             key,
             client,
-            retry: known.tries > 0,
-            target,
+            is_retry: known.tries > 0,
+            latency_deadline: target,
         };
         self.ask(balancer, |flow_table, now, actions| {
             flow_table.accept(now, flow, requester, actions)
@@ -113,7 +113,7 @@
             .as_ref()
             .map(|admission| admission.by)
         {
-            Some(By::Tenant) => client.tenant as u64,
+            Some(AdmissionKey::Tenant) => client.tenant as u64,
             _ => id,
         }
     }
