--- a/crates/candidates/examples/ring.rs
+++ b/crates/candidates/examples/ring.rs
@@ -38,7 +38,7 @@
         let all = began.elapsed().as_nanos() as f64 / KEYS as f64;
         let began = Instant::now();
         let found: usize = (0..KEYS)
-            .map(|key| candidates.near(key, key % ZONES, COUNT).len())
+            .map(|key| candidates.candidates_in_zone(key, key % ZONES, COUNT).len())
             .sum();
         let near = began.elapsed().as_nanos() as f64 / KEYS as f64;
         assert!(found > 0);
--- a/crates/candidates/src/lib.rs
+++ b/crates/candidates/src/lib.rs
@@ -1,9 +1,11 @@
-//! Bounded candidate servers for a key, without I/O and without a clock of its own.
+//! Bounded candidate servers for a key.
 //!
-//! [`Candidates`] answers which few servers of a long list a key may go to. Balancers with the same list get
-//! the same answer, balancers whose lists differ by a few entries nearly the same. A [`Budget`] bounds how
-//! often something is done, a [`ProbeQueue`] which servers are probed within one; a [`LongList`] holds what a
-//! balancer keeps of such a list. The design and its alternatives: `docs/design/candidates.md`.
+//! The package owns which few servers of a long list are looked at and checked: [`Candidates`]
+//! answers which servers a key may go to. Balancers with the same list get the same answer,
+//! balancers whose lists differ by a few entries nearly the same. A [`TokenBucket`] limits how often
+//! something is done, a [`HealthCheckQueue`] which servers are checked within such a limit; a
+//! [`CandidateSet`] holds what a balancer keeps of a long list. It must never do I/O, read a clock or
+//! choose a server for a flow. The design and its alternatives: `docs/design/candidates.md`.
 //!
 //! ```
 //! use nettlemux_candidates::Candidates;
@@ -18,15 +20,17 @@
 //! assert_eq!(found.iter().filter(|id| **id % 4 == 2).count(), 12);
 //! ```
 
-mod budget;
+#![warn(missing_docs)]
+
+mod candidate_set;
 mod hash;
-mod long_list;
-mod probes;
+mod health_checks;
 mod ring;
+mod token_bucket;
 mod zones;
 
-pub use budget::Budget;
+pub use candidate_set::{CANDIDATES_MAX, CandidateSet, WHOLE_LIST_MAX, ZoneReach};
 pub use hash::{hash, hash_name, usable_weight};
-pub use long_list::{LongList, MOST_CANDIDATES, WHOLE_LIST};
-pub use probes::{PROBES_A_SECOND, ProbeQueue};
+pub use health_checks::{HEALTH_CHECKS_PER_SECOND, HealthCheckQueue};
+pub use token_bucket::TokenBucket;
 pub use zones::{Candidates, ServerId, ZoneId};
--- a/crates/candidates/src/ring.rs
+++ b/crates/candidates/src/ring.rs
@@ -5,12 +5,12 @@
 use crate::hash::{hash, usable_weight};
 use crate::zones::ServerId;
 
-/// Points of a server of weight 1: how often servers are candidates varies by a tenth; three times the points
-/// made placements no evener. They cost memory: 16 of them 270 to 560 bytes a server.
-const POINTS: f64 = 16.0;
-/// At most, so that a list whose weights are all large stays in memory. Heavier servers are told apart by
-/// the caller's weighted rotation only.
-const MOST_POINTS: f64 = 64.0;
+/// Points of a server of weight 1. With so many, how often servers are candidates varies by a tenth;
+/// they cost 270 to 560 bytes a server.
+const POINTS_PER_WEIGHT: f64 = 16.0;
+/// Points of a server at most, so that a list whose weights are all large stays in memory. Heavier
+/// servers are told apart by the caller's weighted rotation only.
+const POINTS_MAX: f64 = 64.0;
 
 /// Where servers stand on the circle of 64-bit hashes.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
 }
 
 impl Ring {
-    /// How many points came.
+    /// Puts a server in and returns how many points came.
     pub(crate) fn insert(&mut self, server: ServerId, weight: f64) -> usize {
         self.servers.insert(server);
         points_of(server, weight)
@@ -29,7 +29,7 @@
             .count()
     }
 
-    /// How many points went.
+    /// Takes a server out and returns how many points went.
     pub(crate) fn remove(&mut self, server: ServerId, weight: f64) -> usize {
         self.servers.remove(&server);
         points_of(server, weight)
@@ -37,7 +37,8 @@
             .count()
     }
 
-    /// The sum of weights, in points: an integer, so that it doesn't depend on the order of changes.
+    /// The sum of weights, in points: an integer, so that it doesn't depend on the order of
+    /// changes.
     pub(crate) fn weight(&self) -> usize {
         self.points.len()
     }
@@ -64,10 +65,11 @@
     }
 }
 
+/// The points of a server with this weight.
 fn points_of(server: ServerId, weight: f64) -> impl Iterator<Item = (u64, ServerId)> {
-    let count = (POINTS * usable_weight(weight))
+    let count = (POINTS_PER_WEIGHT * usable_weight(weight))
         .round()
-        .clamp(1.0, MOST_POINTS) as u64;
+        .clamp(1.0, POINTS_MAX) as u64;
     let base = hash(server);
     (0..count).map(move |point| (hash(base.wrapping_add(point)), server))
 }
--- a/crates/candidates/src/zones.rs
+++ b/crates/candidates/src/zones.rs
@@ -5,15 +5,15 @@
 use crate::hash::hash;
 use crate::ring::Ring;
 
-/// A server, by the id that the list gives it.
+/// A server, by the number that the endpoint list gives it.
 pub type ServerId = u64;
 /// A zone, by number.
 pub type ZoneId = u64;
 
 /// One candidate in so many is in another zone, for when the own zone has no room.
-const ONE_FAR_IN: usize = 4;
+const CANDIDATES_PER_REMOTE_ONE: usize = 4;
 
-/// The servers that may be candidates: one ring for each zone.
+/// The servers that may be candidates: one consistent-hash ring for each zone.
 #[derive(Clone, Debug, Default)]
 pub struct Candidates {
     zones: BTreeMap<ZoneId, Ring>,
@@ -22,8 +22,8 @@
 }
 
 impl Candidates {
-    /// Puts a server in. One that is known moves to this zone and weight; the last word holds. Tells how many
-    /// points of rings changed, which is what an update costs.
+    /// Puts a server in. One that is known moves to this zone and weight. Returns how many points of
+    /// rings changed, which is what an update costs.
     pub fn insert(&mut self, server: ServerId, zone: ZoneId, weight: f64) -> usize {
         let known = self.members.get(&server);
         if known.is_some_and(|(at, of)| *at == zone && of.to_bits() == weight.to_bits()) {
@@ -34,7 +34,7 @@
         removed + self.zones.entry(zone).or_default().insert(server, weight)
     }
 
-    /// Takes a server out, if it is known, and tells how many points of rings changed.
+    /// Takes a server out, if it is known, and returns how many points of rings changed.
     pub fn remove(&mut self, server: ServerId) -> usize {
         let Some((zone, weight)) = self.members.remove(&server) else {
             return 0;
@@ -49,42 +49,43 @@
         removed
     }
 
-    /// How many servers there are.
+    /// Returns how many servers there are.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are none.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Up to `count` distinct servers for this key, the own zone's first. A larger count only adds servers,
-    /// so that balancers that ask for different counts agree on those that the smallest count gives.
+    /// Returns up to `count` distinct servers for this key, the own zone's first. A larger count only
+    /// adds servers, so that balancers that ask for different counts agree on those that the
+    /// smallest count gives.
     pub fn candidates(&self, key: u64, zone: ZoneId, count: usize) -> Vec<ServerId> {
-        let mut found = self.near(key, zone, count);
+        let mut found = self.candidates_in_zone(key, zone, count);
         if found.len() < count {
-            self.add_far(&mut found, key, zone, count);
+            self.add_remote(&mut found, key, zone, count);
         }
         found
     }
 
-    /// The first of [`Self::candidates`]: those in the own zone.
-    pub fn near(&self, key: u64, zone: ZoneId, count: usize) -> Vec<ServerId> {
-        let near = if self.zones.len() > 1 {
-            count - count / ONE_FAR_IN
+    /// Returns the first of [`Self::candidates`]: those in the own zone.
+    pub fn candidates_in_zone(&self, key: u64, zone: ZoneId, count: usize) -> Vec<ServerId> {
+        let in_zone = if self.zones.len() > 1 {
+            count - count / CANDIDATES_PER_REMOTE_ONE
         } else {
             count
         };
         self.zones
             .get(&zone)
-            .map(|ring| ring.clockwise(key).take(near).collect())
+            .map(|ring| ring.clockwise(key).take(in_zone).collect())
             .unwrap_or_default()
     }
 
-    /// Adds servers of other zones, up to `count` in all: one of each zone in the key's order of zones, then
-    /// the second of each, and so on.
-    fn add_far(&self, found: &mut Vec<ServerId>, key: u64, own: ZoneId, count: usize) {
+    /// Adds servers of other zones, up to `count` in all: one of each zone in the key's order of
+    /// zones, then the second of each, and so on.
+    fn add_remote(&self, found: &mut Vec<ServerId>, key: u64, own: ZoneId, count: usize) {
         let others = self.zones.iter().filter(|(zone, _)| **zone != own);
         let mut ranked: Vec<(f64, &Ring)> = others
             .map(|(zone, ring)| (distance(key, *zone, ring.weight()), ring))
@@ -112,7 +113,8 @@
     }
 }
 
-/// Weighted rendezvous: the zone with the least distance comes first, as often as its weight asks.
+/// The zone's distance in weighted rendezvous hashing: the zone with the least comes first, as often
+/// as its weight asks.
 fn distance(key: u64, zone: ZoneId, weight: usize) -> f64 {
     // From above 0 to 1, as the logarithm of 0 is none.
     let uniform = (hash(key ^ hash(zone)) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
--- a/crates/candidates/tests/long_list.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -2,33 +2,40 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use nettlemux_candidates::{LongList, ProbeQueue, ServerId, WHOLE_LIST};
+use nettlemux_candidates::{CandidateSet, HealthCheckQueue, ServerId, WHOLE_LIST_MAX, ZoneReach};
 
 const SEC: u64 = 1_000_000_000;
 const TICK: u64 = SEC / 4;
 const ZONES: u64 = 31;
 
-fn long_list(servers: u64) -> LongList {
-    let mut list = LongList::default();
+fn candidate_set(servers: u64) -> CandidateSet {
+    let mut list = CandidateSet::default();
     (0..servers).for_each(|id| list.update(id, id % ZONES, 1.0, true));
     list
 }
 
 #[test]
 fn the_servers_looked_at_for_a_flow_are_few_however_long_the_list() {
-    for servers in [WHOLE_LIST as u64 + 1, 600, 3_000, 12_000, 50_000] {
-        let list = long_list(servers);
+    for servers in [WHOLE_LIST_MAX as u64 + 1, 600, 3_000, 12_000, 50_000] {
+        let list = candidate_set(servers);
         for key in 0..200 {
             let zone = key % ZONES;
-            assert!(list.scope(key, zone, false, [].into_iter()).len() <= 12);
+            assert!(
+                list.scope(key, zone, ZoneReach::OwnZone, [].into_iter())
+                    .len()
+                    <= 12
+            );
             assert_eq!(
-                list.scope(key, zone, true, [].into_iter()).len(),
+                list.scope(key, zone, ZoneReach::AllZones, [].into_iter())
+                    .len(),
                 16,
                 "{servers} servers"
             );
             // A group held on every server, with ten connections on each.
             let held: BTreeMap<ServerId, usize> = (0..servers).map(|id| (id, 10)).collect();
-            let looked_at = list.scope(key, zone, true, held.iter()).len();
+            let looked_at = list
+                .scope(key, zone, ZoneReach::AllZones, held.iter())
+                .len();
             assert!(looked_at <= 96, "{servers} servers: {looked_at}");
             if key == 3 {
                 break;
@@ -39,10 +46,10 @@
 
 #[test]
 fn more_own_connections_of_a_key_bring_more_candidates_and_holders_are_among_them() {
-    let list = long_list(6_000);
+    let list = candidate_set(6_000);
     let sizes = [0, 1, 40, 279, 100_000].map(|own| {
         let held = BTreeMap::from([(5_999, own)]);
-        let scope = list.scope(1, 3, true, held.iter());
+        let scope = list.scope(1, 3, ZoneReach::AllZones, held.iter());
         assert!(scope.contains(&5_999) && scope.is_sorted());
         scope.len()
     });
@@ -54,33 +61,37 @@
 
 #[test]
 fn a_server_that_is_not_ready_is_no_candidate() {
-    let mut list = long_list(600);
-    let first = list.scope(1, 3, false, [].into_iter())[0];
+    let mut list = candidate_set(600);
+    let first = list.scope(1, 3, ZoneReach::OwnZone, [].into_iter())[0];
     list.update(first, first % ZONES, 1.0, false);
-    assert!(!list.scope(1, 3, true, [].into_iter()).contains(&first));
+    assert!(
+        !list
+            .scope(1, 3, ZoneReach::AllZones, [].into_iter())
+            .contains(&first)
+    );
 }
 
 #[test]
 fn the_whole_list_is_walked_seldom() {
-    let mut list = long_list(600);
+    let mut list = candidate_set(600);
     let walks = (0..10_000)
-        .filter(|ms| list.may_walk(ms * SEC / 1_000))
+        .filter(|ms| list.may_walk_list(ms * SEC / 1_000))
         .count();
     assert!((20..=22).contains(&walks), "{walks} in 10 s");
     let sweeps = (0..60_000)
-        .filter(|ms| list.may_sweep(ms * SEC / 1_000))
+        .filter(|ms| list.may_expire_gossip(ms * SEC / 1_000))
         .count();
     assert!((6..=7).contains(&sweeps), "{sweeps} in a minute");
 }
 
 #[test]
 fn lists_of_200_are_looked_at_whole() {
-    assert_eq!(WHOLE_LIST, 200);
+    assert_eq!(WHOLE_LIST_MAX, 200);
 }
 
 /// Plays so many seconds of a queue over servers with so many own connections; tells when each was probed.
 fn play(
-    queue: &mut ProbeQueue,
+    queue: &mut HealthCheckQueue,
     own: &BTreeMap<ServerId, usize>,
     seconds: u64,
 ) -> BTreeMap<ServerId, Vec<u64>> {
@@ -95,7 +106,7 @@
                     .unwrap_or(0),
             )
         };
-        for server in queue.next(now, own, |held| *held, last) {
+        for server in queue.take_due(now, own, |held| *held, last) {
             probed.entry(server).or_default().push(now);
         }
     }
@@ -104,7 +115,7 @@
 
 #[test]
 fn largest_own_load_is_probed_most_and_nobody_is_left_out() {
-    let mut queue = ProbeQueue::default();
+    let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..100)
         .map(|id| (id, if id == 42 { 100 } else { 5 }))
         .collect();
@@ -124,10 +135,10 @@
 
 #[test]
 fn hot_servers_come_first_and_again_no_sooner_than_in_two_seconds() {
-    let mut queue = ProbeQueue::default();
+    let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..6_000).map(|id| (id, 7)).collect();
-    queue.watch(100 * SEC, 5_000);
-    queue.watch(100 * SEC, 5_001);
+    queue.recheck_soon(100 * SEC, 5_000);
+    queue.recheck_soon(100 * SEC, 5_001);
     let probed = play(&mut queue, &own, 3);
     let first = 102 * SEC;
     // The budget allows one or two a tick: nobody else comes between them.
@@ -141,16 +152,16 @@
 
 #[test]
 fn a_server_that_may_not_be_probed_costs_nothing() {
-    let mut queue = ProbeQueue::default();
-    queue.watch(0, 1);
+    let mut queue = HealthCheckQueue::default();
+    queue.recheck_soon(0, 1);
     let own = BTreeMap::from([(1, 5), (2, 5)]);
     assert_eq!(
-        queue.next(100 * SEC, &own, |held| *held, |id| (id == 2).then_some(0)),
+        queue.take_due(100 * SEC, &own, |held| *held, |id| (id == 2).then_some(0)),
         [2]
     );
     assert!(
         queue
-            .next(
+            .take_due(
                 200 * SEC,
                 &BTreeMap::<ServerId, usize>::new(),
                 |held| *held,
@@ -162,13 +173,13 @@
 
 #[test]
 fn flows_and_own_servers_have_half_of_the_budget_each() {
-    let mut queue = ProbeQueue::default();
+    let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..600).map(|id| (id, 7)).collect();
     let (mut paid, mut sent) = (0, BTreeSet::new());
     for tick in 0..80 {
         let now = 100 * SEC + tick * TICK;
-        paid += (0..20).filter(|_| queue.pay(now, 1)).count();
-        sent.extend(queue.next(
+        paid += (0..20).filter(|_| queue.reserve(now, 1)).count();
+        sent.extend(queue.take_due(
             now,
             &own,
             |held| *held,
--- a/crates/policy/examples/long_lists.rs
+++ b/crates/policy/examples/long_lists.rs
@@ -1,6 +1,7 @@
-//! Trials of the decision module alone on long lists, without sockets: synthetic, in its own time.
+//! Trials of the policy alone on long lists, without sockets: synthetic, in its own time.
 //!
-//! `place`: what a placement costs in processor time, and how many probes go out, by number of servers.
+//! `place`: what a placement costs in processor time, and how many health checks go out, by number
+//! of servers.
 //! `spread`: how evenly many balancers together spread connections over servers.
 //! `state SERVERS whole|candidates`: memory of one balancer, alone in its process.
 //! The first two print the whole list and the candidates side by side.
@@ -18,11 +19,30 @@
 const SERVERS_IN_ZONE: u64 = 194;
 /// A connection lives for 18 minutes.
 const FLOWS_A_SECOND: u64 = 40;
-/// What a probe costs, in flows.
-const PROBE_PRICE: f64 = 0.01;
+/// What a health check costs, in flows.
+const HEALTH_CHECK_COST: f64 = 0.01;
 const SECONDS: Time = 15;
 const T0: Time = 1_000 * SEC;
 
+/// How much of the list a placement looks at.
+#[derive(Clone, Copy, PartialEq)]
+enum ListView {
+    Whole,
+    Candidates,
+}
+
+impl ListView {
+    const BOTH: [ListView; 2] = [ListView::Whole, ListView::Candidates];
+
+    /// The name, as wide as the longest.
+    fn name(self) -> &'static str {
+        match self {
+            ListView::Whole => "whole     ",
+            ListView::Candidates => "candidates",
+        }
+    }
+}
+
 fn main() {
     match std::env::args().nth(1).as_deref() {
         Some("place") => places(),
@@ -52,18 +72,37 @@
     }
 }
 
-fn balancer(seed: u64, zone: u64, balancers: f64, whole: bool) -> Policy {
-    let policy = Policy::new(seed, zone, vec![class()])
-        .attempts(3, 4 * MS, false, true)
-        .retry_after(Some(2 * SEC))
-        .probing(true, PROBE_PRICE)
-        .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
-        .among(balancers, false);
-    if whole {
-        policy.whole_list(usize::MAX)
-    } else {
-        policy
+fn balancer(seed: u64, zone: u64, balancers: f64, view: ListView) -> Policy {
+    let mut endpoints = EndpointConfig::default();
+    if view == ListView::Whole {
+        endpoints.whole_list_max = usize::MAX;
     }
+    let config = PolicyConfig {
+        balancers,
+        endpoints,
+        retry: RetryConfig {
+            attempts_max: 3,
+            deadline_margin: 4 * MS,
+            allow_hedging: false,
+            allow_cancellation: true,
+        },
+        shedding: SheddingConfig {
+            retry_after_max: Some(2 * SEC),
+            ..SheddingConfig::default()
+        },
+        health_checks: HealthCheckConfig {
+            enabled: true,
+            cost: HEALTH_CHECK_COST,
+        },
+        slow_start: SlowStartConfig {
+            initial_capacity_fraction: 0.2,
+            warm_up: 20 * SEC,
+            overload_multiple: 2.5,
+            overload_window: 3 * SEC,
+        },
+        ..PolicyConfig::default()
+    };
+    Policy::new(seed, zone, vec![class()], config)
 }
 
 /// One balancer in its own time: what comes next, and what came of it.
@@ -85,9 +124,9 @@
 }
 
 impl Driver {
-    fn new(servers: u64, whole: bool) -> Self {
+    fn new(servers: u64, view: ListView) -> Self {
         let zones = servers.div_ceil(SERVERS_IN_ZONE);
-        let mut policy = balancer(7, 0, BALANCERS, whole);
+        let mut policy = balancer(7, 0, BALANCERS, view);
         let list: Vec<Endpoint> = (0..servers)
             .map(|server_id| listed(server_id, zones))
             .collect();
@@ -221,9 +260,12 @@
         .first()
         .and_then(|servers| servers.parse().ok())
         .unwrap_or(6_000);
-    let whole = arguments.get(1).is_some_and(|way| way == "whole");
+    let view = match arguments.get(1) {
+        Some(name) if name == "whole" => ListView::Whole,
+        _ => ListView::Candidates,
+    };
     let before = resident();
-    let mut policy = balancer(7, 0, BALANCERS, whole);
+    let mut policy = balancer(7, 0, BALANCERS, view);
     let zones = servers.div_ceil(SERVERS_IN_ZONE);
     let list: Vec<Endpoint> = (0..servers)
         .map(|server_id| listed(server_id, zones))
@@ -258,8 +300,8 @@
         "servers  list        place us  all looks of a flow us  probes/s  after us  placed  refused"
     );
     for servers in [60, 200, 600, 3_000, 6_000, 12_000] {
-        for whole in [true, false] {
-            let mut driver = Driver::new(servers, whole);
+        for view in ListView::BOTH {
+            let mut driver = Driver::new(servers, view);
             let gap = SEC / FLOWS_A_SECOND;
             for step in 0..SECONDS * FLOWS_A_SECOND {
                 driver.until(T0 + step * gap);
@@ -268,7 +310,7 @@
             }
             println!(
                 "{servers:>7}  {}  {:>8.1}  {:>22.1}  {:>8.1}  {:>8.1}  {:>6}  {:>7}",
-                if whole { "whole     " } else { "candidates" },
+                view.name(),
                 median(&mut driver.per_look),
                 median(&mut driver.per_flow),
                 driver.probes as f64 / SECONDS as f64,
@@ -289,13 +331,13 @@
     println!("{servers} servers, {balancers} balancers, {zones} zones, {connections} connections");
     println!("groups  list        max/mean  deviation/mean  servers a group  not placed");
     for grouped in [true, false] {
-        for whole in [true, false] {
+        for view in ListView::BOTH {
             let mut rng = WyRand::new_seed(5);
             let list: Vec<Endpoint> = (0..servers)
                 .map(|server_id| listed(server_id, zones))
                 .collect();
             let mut fleet: Vec<Policy> = (0..balancers)
-                .map(|seed| balancer(seed, seed % zones, balancers as f64, whole))
+                .map(|seed| balancer(seed, seed % zones, balancers as f64, view))
                 .collect();
             fleet
                 .iter_mut()
@@ -322,7 +364,7 @@
                     answer(policy, at, &held, each);
                     match policy.place(at, &flow) {
                         Placement::Forward { server_id, .. } => break Some(server_id),
-                        Placement::Wait => at += 60 * MS,
+                        Placement::Wait => at += QUEUE_RECHECK_INTERVAL,
                         _ => break None,
                     }
                 };
@@ -341,7 +383,7 @@
             println!(
                 "{:<6}  {}  {:>8.2}  {:>14.3}  {:>15.1}  {lost:>10}",
                 if grouped { "yes" } else { "none" },
-                if whole { "whole     " } else { "candidates" },
+                view.name(),
                 most / mean,
                 deviation.sqrt() / mean,
                 of_group
--- /dev/null
+++ b/crates/policy/src/connections.rs
@@ -0,0 +1,164 @@
+//! Own connections and attempts in flight: an index, which decides nothing.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::types::{Flow, FlowId, ServerId, Time};
+
+/// One own connection, or one attempt in flight.
+pub(crate) struct OwnConnection {
+    pub(crate) server_id: ServerId,
+    pub(crate) class: usize,
+    pub(crate) tenant: usize,
+    pub(crate) group: Option<String>,
+    /// Whether the server has accepted it; until then it is an attempt in flight.
+    pub(crate) is_connected: bool,
+    /// Whether its client has been told to move.
+    pub(crate) is_migrating: bool,
+    /// The load that its client or server last reported for it.
+    pub(crate) load: Option<f64>,
+    /// The server's utilization over its connections, at the first report after it was placed.
+    pub(crate) estimated_load: Option<f64>,
+}
+
+/// An attempt that the server has not answered yet.
+pub(crate) struct InFlightAttempt {
+    pub(crate) server_id: ServerId,
+    pub(crate) since: Time,
+}
+
+/// How many connections reported a load, and the sum of these loads.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct LoadTotal {
+    pub(crate) count: f64,
+    pub(crate) sum: f64,
+}
+
+/// Own connections and attempts in flight, indexed by what placement asks of them.
+#[derive(Default)]
+pub(crate) struct ConnectionTable {
+    pub(crate) own: BTreeMap<FlowId, OwnConnection>,
+    pub(crate) by_server: BTreeMap<ServerId, BTreeSet<FlowId>>,
+    pub(crate) by_group: BTreeMap<String, BTreeMap<ServerId, usize>>,
+    pub(crate) by_tenant: BTreeMap<usize, usize>,
+    /// Reported loads by traffic class.
+    pub(crate) loads: BTreeMap<usize, LoadTotal>,
+    pub(crate) in_flight: BTreeMap<FlowId, InFlightAttempt>,
+}
+
+impl ConnectionTable {
+    /// Records an attempt that goes out now.
+    pub(crate) fn record_attempt(&mut self, now: Time, flow: &Flow, server_id: ServerId) {
+        self.insert(flow, server_id);
+        let attempt = InFlightAttempt {
+            server_id,
+            since: now,
+        };
+        self.in_flight.insert(flow.id, attempt);
+    }
+
+    /// Records a connection that is established already.
+    pub(crate) fn record_connection(&mut self, flow: &Flow, server_id: ServerId) {
+        self.insert(flow, server_id);
+        self.mark_connected(flow.id);
+    }
+
+    /// Puts in an entry that is not connected, in place of any earlier one of the flow.
+    fn insert(&mut self, flow: &Flow, server_id: ServerId) {
+        self.remove(flow.id);
+        *self.by_tenant.entry(flow.tenant).or_default() += 1;
+        self.by_server.entry(server_id).or_default().insert(flow.id);
+        if let Some(group) = &flow.group {
+            let holders = self.by_group.entry(group.clone()).or_default();
+            *holders.entry(server_id).or_default() += 1;
+        }
+        let own = OwnConnection {
+            server_id,
+            class: flow.class,
+            tenant: flow.tenant,
+            group: flow.group.clone(),
+            is_connected: false,
+            is_migrating: false,
+            load: None,
+            estimated_load: None,
+        };
+        self.own.insert(flow.id, own);
+    }
+
+    /// Notes the load that is reported for a connection.
+    pub(crate) fn update_load(&mut self, flow: FlowId, load: f64) {
+        let Some(own) = self.own.get_mut(&flow) else {
+            return;
+        };
+        let total = self.loads.entry(own.class).or_default();
+        total.count += if own.load.is_none() { 1.0 } else { 0.0 };
+        total.sum += load - own.load.replace(load).unwrap_or(0.0);
+    }
+
+    /// Gives the connections of a server that have no estimate this one.
+    pub(crate) fn estimate_loads(&mut self, server_id: ServerId, estimate: Option<f64>) {
+        for flow in self.by_server.get(&server_id).into_iter().flatten() {
+            let own = self.own.get_mut(flow).expect("by_server lists own flows");
+            own.estimated_load = own.estimated_load.or(estimate);
+        }
+    }
+
+    /// Marks an attempt as connected and returns its server, if it was in flight.
+    pub(crate) fn mark_connected(&mut self, flow: FlowId) -> Option<ServerId> {
+        let own = self.own.get_mut(&flow).filter(|own| !own.is_connected)?;
+        own.is_connected = true;
+        self.in_flight.remove(&flow);
+        Some(own.server_id)
+    }
+
+    /// Marks a connection as one whose client has been told to move.
+    pub(crate) fn mark_migrating(&mut self, flow: FlowId) {
+        let own = self.own.get_mut(&flow);
+        own.expect("only own connections migrate").is_migrating = true;
+    }
+
+    /// Removes a connection or attempt and returns it.
+    pub(crate) fn remove(&mut self, flow: FlowId) -> Option<OwnConnection> {
+        let own = self.own.remove(&flow)?;
+        self.in_flight.remove(&flow);
+        if let Some(flows) = self.by_server.get_mut(&own.server_id)
+            && flows.remove(&flow)
+            && flows.is_empty()
+        {
+            self.by_server.remove(&own.server_id);
+        }
+        decrement(&mut self.by_tenant, &own.tenant);
+        if let (Some(load), Some(total)) = (own.load, self.loads.get_mut(&own.class)) {
+            total.count -= 1.0;
+            total.sum -= load;
+        }
+        if let Some(group) = &own.group
+            && let Some(holders) = self.by_group.get_mut(group)
+        {
+            decrement(holders, &own.server_id);
+            if holders.is_empty() {
+                self.by_group.remove(group);
+            }
+        }
+        Some(own)
+    }
+
+    /// Own connections and attempts at this server.
+    pub(crate) fn count_at(&self, server_id: ServerId) -> f64 {
+        self.by_server.get(&server_id).map_or(0, BTreeSet::len) as f64
+    }
+
+    /// Own connections and attempts at each server that holds some of this flow's group.
+    pub(crate) fn group_holders(&self, flow: &Flow) -> Option<&BTreeMap<ServerId, usize>> {
+        self.by_group.get(flow.group.as_ref()?)
+    }
+}
+
+/// Counts one less, and drops the entry when none is left.
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, usize>, key: &K) {
+    if let Some(count) = counts.get_mut(key) {
+        *count -= 1;
+        if *count == 0 {
+            counts.remove(key);
+        }
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,13 +1,26 @@
-//! Decisions of a balancer for long-lived connections, without I/O and without a clock.
+//! Decisions of a balancer for long-lived connections: where a flow goes, what follows from each
+//! event, and how long to wait for the next.
 //!
-//! [`Policy`] decides; the plain types that go in and come out stand in [`types`].
+//! The package owns all that is decided about flows and servers: one module for each decision, each
+//! with its state, its constants and its configuration, held by [`Policy`]. It must never do I/O,
+//! read a clock, start a thread or depend on the order of a hash map: the same calls under the same
+//! seed give the same decisions. The design is `docs/design.md`.
 //!
 //! ```
 //! use nettlemux_policy::*;
 //!
-//! let patrol = TrafficClass { latency_objective: 300 * MS, priority_weight: 1.0, idempotency: Idempotency::Idempotent };
-//! let mut policy = Policy::new(1, 0, vec![patrol]).attempts(3, 4 * MS, false, true);
-//! let server = Endpoint { server_id: 51, zone: 0, machine: 0, cell: 0, state: EndpointState::Ready, weight: 1.0, started: 0 };
+//! let class = TrafficClass {
+//!     latency_objective: 300 * MS,
+//!     priority_weight: 1.0,
+//!     idempotency: Idempotency::Idempotent,
+//! };
+//! let config = PolicyConfig {
+//!     retry: RetryConfig { attempts_max: 3, deadline_margin: 4 * MS, ..RetryConfig::default() },
+//!     ..PolicyConfig::default()
+//! };
+//! let mut policy = Policy::new(1, 0, vec![class], config);
+//! let state = EndpointState::Ready;
+//! let server = Endpoint { server_id: 51, state, weight: 1.0, ..Endpoint::default() };
 //! policy.update_endpoints(0, &[server], true);
 //!
 //! let flow = Flow { id: 7, deadline: 2 * SEC, ..Flow::default() };
@@ -19,11 +32,36 @@
 //! assert_eq!(actions, Actions::default());
 //! ```
 
-mod book;
-mod holders;
-pub mod policy;
-mod rng;
-pub mod types;
+#![warn(missing_docs)]
+
+mod concurrency;
+mod connections;
+mod endpoints;
+mod gossip;
+mod health_checks;
+mod load_reports;
+mod migration;
+mod outlier;
+mod placement;
+mod policy;
+mod queue;
+mod recent_connects;
+mod retry;
+mod rotation;
+mod shedding;
+mod slow_start;
+mod traffic_classes;
+mod types;
 
-pub use policy::Policy;
+pub use endpoints::EndpointConfig;
+pub use gossip::GossipConfig;
+pub use health_checks::{CHECK_INTERVAL_MAX, CHECK_INTERVAL_MIN, HealthCheckConfig};
+pub use load_reports::{EXCLUDING_REPORT_AGE_MAX, OVERLOAD_UTILIZATION, PLACEMENT_REPORT_AGE_MAX};
+pub use migration::MigrationConfig;
+pub use placement::{NEW_GROUP_UTILIZATION_MAX, PLACEMENT_UTILIZATION_MAX};
+pub use policy::{Policy, PolicyConfig};
+pub use queue::QUEUE_RECHECK_INTERVAL;
+pub use retry::RetryConfig;
+pub use shedding::SheddingConfig;
+pub use slow_start::SlowStartConfig;
 pub use types::*;
--- /dev/null
+++ b/crates/policy/src/retry.rs
@@ -0,0 +1,126 @@
+//! Whether a further attempt can do harm: idempotency, deduplication windows and deadlines.
+
+use crate::endpoints::Endpoints;
+use crate::types::{
+    Attempt, DeduplicationScope, Endpoint, EndpointState, Flow, Idempotency, MS, Time,
+};
+
+/// Time that may pass between a decision and what follows from it. What servers remember only for
+/// a time has to be sent so much earlier.
+const SCHEDULING_DELAY_MAX: Time = 150 * MS;
+
+/// How many attempts a flow may have, and of what kind.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RetryConfig {
+    /// Attempts of one flow at most; at least one is allowed.
+    pub attempts_max: usize,
+    /// Time in nanoseconds before its deadline at which a flow is answered.
+    pub deadline_margin: Time,
+    /// Whether an attempt may be made while an earlier one is in flight.
+    pub allow_hedging: bool,
+    /// Whether an attempt in flight is cancelled when its client leaves.
+    pub allow_cancellation: bool,
+}
+
+impl Default for RetryConfig {
+    fn default() -> Self {
+        RetryConfig {
+            attempts_max: 1,
+            deadline_margin: 10 * MS,
+            allow_hedging: false,
+            allow_cancellation: false,
+        }
+    }
+}
+
+/// Judges whether a flow may have a further attempt, and where.
+pub(crate) struct RetryPolicy {
+    config: RetryConfig,
+}
+
+impl RetryPolicy {
+    pub(crate) fn new(config: RetryConfig) -> Self {
+        RetryPolicy { config }
+    }
+
+    /// Whether an attempt is cancelled when its client leaves.
+    pub(crate) fn allows_cancellation(&self) -> bool {
+        self.config.allow_cancellation
+    }
+
+    /// Whether the flow has had all the attempts that it may have now.
+    pub(crate) fn is_exhausted(&self, flow: &Flow) -> bool {
+        let is_in_flight = flow.attempts.iter().any(|attempt| attempt.in_flight);
+        let attempts_max = self.config.attempts_max.max(1);
+        flow.attempts.len() >= attempts_max || is_in_flight && !self.config.allow_hedging
+    }
+
+    /// Time that is left for an attempt until the flow has to be answered.
+    pub(crate) fn time_left(&self, now: Time, flow: &Flow) -> Time {
+        flow.deadline
+            .saturating_sub(now + self.config.deadline_margin)
+    }
+
+    /// Whether the flow can't be looked at again after this time.
+    pub(crate) fn is_due_within(&self, now: Time, flow: &Flow, wait: Time) -> bool {
+        flow.deadline <= now + self.config.deadline_margin + wait
+    }
+
+    /// Whether an attempt may go to this server: only to a ready one, and only where a repeat can
+    /// do no harm (rules 2 and 3).
+    pub(crate) fn may_attempt(
+        &self,
+        now: Time,
+        flow: &Flow,
+        idempotency: Idempotency,
+        endpoint: &Endpoint,
+        endpoints: &Endpoints,
+    ) -> bool {
+        if endpoint.state != EndpointState::Ready {
+            return false;
+        }
+        match idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => !flow.may_have_executed(),
+            Idempotency::Deduplicated { scope, .. } => {
+                let is_deduplicated = |attempt: &Attempt| {
+                    let earlier = endpoints.servers.get(&attempt.server_id);
+                    scope == DeduplicationScope::All
+                        || earlier.is_some_and(|earlier| scope.same(&earlier.endpoint, endpoint))
+                };
+                self.resend_time_left(now, flow, idempotency) > 0
+                    && possibly_executed(flow).all(is_deduplicated)
+            }
+        }
+    }
+
+    /// Time until which an attempt may still be sent, less the way to the server. Guards against a
+    /// repeat that is placed in time and whose connection comes up late.
+    pub(crate) fn resend_time_left(
+        &self,
+        now: Time,
+        flow: &Flow,
+        idempotency: Idempotency,
+    ) -> Time {
+        let delay = self.config.deadline_margin + SCHEDULING_DELAY_MAX;
+        latest_send_time(flow, idempotency).saturating_sub(now + delay)
+    }
+}
+
+/// Until when an attempt may be sent: a deduplicated flow's while servers remember all attempts
+/// that may have executed.
+fn latest_send_time(flow: &Flow, idempotency: Idempotency) -> Time {
+    let Idempotency::Deduplicated { window, .. } = idempotency else {
+        return Time::MAX;
+    };
+    possibly_executed(flow)
+        .map(|attempt| attempt.at.saturating_add(window))
+        .min()
+        .unwrap_or(Time::MAX)
+}
+
+fn possibly_executed(flow: &Flow) -> impl Iterator<Item = &Attempt> {
+    flow.attempts
+        .iter()
+        .filter(|attempt| !attempt.known_unexecuted)
+}
--- /dev/null
+++ b/crates/policy/src/shedding.rs
@@ -0,0 +1,136 @@
+//! Load shedding: which flows may use the last of the capacity, and how the others are answered.
+
+use nanorand::{Rng, WyRand};
+
+use crate::concurrency::ConcurrencyLimit;
+use crate::connections::{ConnectionTable, LoadTotal};
+use crate::traffic_classes::TrafficClasses;
+use crate::types::{DeduplicationScope, Flow, Idempotency, Placement, SEC, Time};
+
+/// Utilization that only flows with priority may use.
+const PRIORITY_UTILIZATION: f64 = 0.16;
+/// A tenant is over its quota from this many times it.
+const QUOTA_TOLERANCE: f64 = 1.25;
+/// The longest Retry-After while attempts are not limited below their start.
+const UNCONGESTED_RETRY_AFTER_MAX: Time = SEC;
+/// The shortest Retry-After is this part of the longest.
+const RETRY_AFTER_MIN_DIVISOR: Time = 8;
+
+/// Tenants' quotas, and what a rejected client is told.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SheddingConfig {
+    /// Each tenant's quota as a fraction of all connections, by the tenant's index.
+    pub tenant_quotas: Vec<f64>,
+    /// Part of its priority weight that a flow of a tenant over its quota keeps.
+    pub surplus_weight: f64,
+    /// The longest Retry-After in nanoseconds, where clients may be told any.
+    pub retry_after_max: Option<Time>,
+}
+
+impl Default for SheddingConfig {
+    fn default() -> Self {
+        SheddingConfig {
+            tenant_quotas: Vec::new(),
+            surplus_weight: 1.0,
+            retry_after_max: None,
+        }
+    }
+}
+
+/// Judges priority, and answers flows that are given up.
+pub(crate) struct LoadShedding {
+    config: SheddingConfig,
+}
+
+impl LoadShedding {
+    pub(crate) fn new(config: SheddingConfig) -> Self {
+        LoadShedding { config }
+    }
+
+    /// Utilization that this flow may use beyond the limits for all.
+    pub(crate) fn priority_utilization(
+        &self,
+        flow: &Flow,
+        classes: &TrafficClasses,
+        connections: &ConnectionTable,
+    ) -> f64 {
+        if self.has_priority(flow, classes, connections) {
+            PRIORITY_UTILIZATION
+        } else {
+            0.0
+        }
+    }
+
+    /// Whether the flow brings at least as much priority weight for its load as own connections
+    /// do on the whole; where no loads are reported all do.
+    fn has_priority(
+        &self,
+        flow: &Flow,
+        classes: &TrafficClasses,
+        connections: &ConnectionTable,
+    ) -> bool {
+        let (mut load, mut weight) = (0.0, 0.0);
+        for (class, total) in &connections.loads {
+            load += total.sum;
+            weight += classes.get(*class).priority_weight * total.count;
+        }
+        let own_class = connections.loads.get(&flow.class).copied();
+        let LoadTotal { count, sum } = own_class.unwrap_or_default();
+        let kept = if self.is_over_quota(flow, connections) {
+            self.config.surplus_weight
+        } else {
+            1.0
+        };
+        let own_weight = classes.of(flow).priority_weight * kept;
+        // Compared crosswise: no load told makes all alike.
+        own_weight * count * load >= weight * sum
+    }
+
+    /// Whether the flow's tenant is well over its quota of own connections.
+    fn is_over_quota(&self, flow: &Flow, connections: &ConnectionTable) -> bool {
+        let held = connections
+            .by_tenant
+            .get(&flow.tenant)
+            .copied()
+            .unwrap_or(0) as f64;
+        let quotas = &self.config.tenant_quotas;
+        let quota = quotas.get(flow.tenant).copied().unwrap_or(1.0);
+        held > QUOTA_TOLERANCE * quota * connections.own.len() as f64
+    }
+
+    /// Answers a flow that is given up: rejected where the client may safely retry within
+    /// `resend_time_left`, else failed. Guards against a client that is sent back when servers have
+    /// forgotten what it asked for.
+    pub(crate) fn reject_or_fail(
+        &self,
+        flow: &Flow,
+        idempotency: Idempotency,
+        resend_time_left: Time,
+        concurrency: &ConcurrencyLimit,
+        rng: &mut WyRand,
+    ) -> Placement {
+        let may_have_executed = flow.may_have_executed();
+        match idempotency {
+            Idempotency::NonIdempotent if may_have_executed => return Placement::Fail,
+            Idempotency::Deduplicated { scope, .. }
+                if may_have_executed && scope != DeduplicationScope::All =>
+            {
+                return Placement::Fail;
+            }
+            Idempotency::Deduplicated { .. } if resend_time_left == 0 => return Placement::Fail,
+            _ => {}
+        }
+        // Spread, lest clients rejected together retry together; under congestion as late as
+        // settings allow.
+        let retry_after = self.config.retry_after_max.map(|longest| {
+            let longest = if concurrency.is_congested() {
+                longest
+            } else {
+                longest.min(UNCONGESTED_RETRY_AFTER_MAX)
+            };
+            let longest = longest.min(resend_time_left);
+            rng.generate_range(longest / RETRY_AFTER_MIN_DIVISOR..=longest)
+        });
+        Placement::Reject { retry_after }
+    }
+}
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/cold_ramp.rs
@@ -12,7 +12,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use common::{probe, ready, repeat};
+use common::{ready, report_utilization, traffic_class};
 use nettlemux_policy::*;
 
 const START_CAPACITY: f64 = 0.35;
@@ -93,12 +93,22 @@
 
 impl Balancer {
     fn new(fleet: &Fleet, index: u64) -> Self {
-        let mut policy = Policy::new(index, 0, vec![repeat(Idempotency::Idempotent)])
-            .attempts(3, 4 * MS, false, true)
-            .retry_after(Some(2 * SEC))
-            .probing(true, 0.0)
-            .among(fleet.balancers as f64, false)
-            .cold(START_CAPACITY, WARM_UP, MULTIPLE, FALL);
+        let config = PolicyConfig {
+            balancers: fleet.balancers as f64,
+            slow_start: SlowStartConfig {
+                initial_capacity_fraction: START_CAPACITY,
+                warm_up: WARM_UP,
+                overload_multiple: MULTIPLE,
+                overload_window: FALL,
+            },
+            ..common::config()
+        };
+        let mut policy = Policy::new(
+            index,
+            0,
+            vec![traffic_class(Idempotency::Idempotent)],
+            config,
+        );
         policy.update_endpoints(
             BEGIN,
             &(0..fleet.servers).map(ready).collect::<Vec<_>>(),
@@ -137,7 +147,7 @@
             // Reports that never change would be taken for stuck.
             let noise = (self.probes % 7) as f64 * 1e-4;
             (0..servers).for_each(|server_id| {
-                drop(probe(
+                drop(report_utilization(
                     &mut self.policy,
                     now,
                     server_id,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! Helpers of the tables of cases; not each file of them uses all.
-#![allow(dead_code)]
+//! Helpers of the tables of cases.
+#![allow(dead_code, reason = "not each test file uses all helpers")]
 
 use nettlemux_policy::*;
 
-pub fn repeat(idempotency: Idempotency) -> TrafficClass {
+/// A traffic class with a latency objective of 100 ms.
+pub fn traffic_class(idempotency: Idempotency) -> TrafficClass {
     TrafficClass {
         latency_objective: 100 * MS,
         priority_weight: 1.0,
@@ -11,15 +12,63 @@
     }
 }
 
+/// Up to three attempts of a flow, one at a time.
+pub fn three_attempts() -> RetryConfig {
+    RetryConfig {
+        attempts_max: 3,
+        deadline_margin: 4 * MS,
+        allow_hedging: false,
+        allow_cancellation: true,
+    }
+}
+
+/// Health checks that are allowed at this cost.
+pub fn health_checks(cost: f64) -> HealthCheckConfig {
+    HealthCheckConfig {
+        enabled: true,
+        cost,
+    }
+}
+
+/// The settings of most cases.
+pub fn config() -> PolicyConfig {
+    PolicyConfig {
+        retry: three_attempts(),
+        shedding: SheddingConfig {
+            retry_after_max: Some(2 * SEC),
+            ..SheddingConfig::default()
+        },
+        health_checks: health_checks(0.0),
+        slow_start: SlowStartConfig {
+            initial_capacity_fraction: 0.2,
+            warm_up: 20 * SEC,
+            overload_multiple: 2.5,
+            overload_window: 3 * SEC,
+        },
+        ..PolicyConfig::default()
+    }
+}
+
+/// The settings of most cases, of one of so many balancers that exchange messages.
+pub fn gossiping(balancers: f64) -> PolicyConfig {
+    PolicyConfig {
+        balancers,
+        gossip: GossipConfig { enabled: true },
+        ..config()
+    }
+}
+
 /// A balancer of zone 0 with one traffic class.
 pub fn balancer(kind: Idempotency) -> Policy {
-    Policy::new(7, 0, vec![repeat(kind)])
-        .attempts(3, 4 * MS, false, true)
-        .retry_after(Some(2 * SEC))
-        .probing(true, 0.0)
-        .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
+    balancer_with(kind, config())
+}
+
+/// The same under other settings.
+pub fn balancer_with(kind: Idempotency, config: PolicyConfig) -> Policy {
+    Policy::new(7, 0, vec![traffic_class(kind)], config)
 }
 
+/// A server that is ready.
 pub fn ready(server_id: ServerId) -> Endpoint {
     Endpoint {
         server_id,
@@ -32,6 +81,7 @@
     }
 }
 
+/// A flow that was accepted now and may wait for 2 s.
 pub fn flow(now: Time, id: FlowId) -> Flow {
     Flow {
         id,
@@ -41,6 +91,7 @@
     }
 }
 
+/// An attempt at time 0 that has ended.
 pub fn attempt(server_id: ServerId, known_unexecuted: bool) -> Attempt {
     Attempt {
         server_id,
@@ -50,30 +101,36 @@
     }
 }
 
-pub fn utilization(utilization: f64) -> LoadReport {
+/// A report of this utilization.
+pub fn load_report(utilization: f64) -> LoadReport {
     LoadReport {
         utilization: Some(utilization),
         connections: None,
     }
 }
 
-/// Places a flow and tells where.
-pub fn take(policy: &mut Policy, now: Time, id: FlowId) -> ServerId {
+/// Places a flow and returns the server.
+pub fn place_one(policy: &mut Policy, now: Time, id: FlowId) -> ServerId {
     match policy.place(now, &flow(now, id)) {
         Placement::Forward { server_id, .. } => server_id,
         other => panic!("flow {id}: {other:?}"),
     }
 }
 
-/// A report, and the moves that follow from it.
-pub fn probe(policy: &mut Policy, now: Time, server_id: ServerId, b: f64) -> Vec<FlowId> {
+/// Takes in a health check that passed with this utilization, and returns the connections to migrate.
+pub fn report_utilization(
+    policy: &mut Policy,
+    now: Time,
+    server_id: ServerId,
+    utilization: f64,
+) -> Vec<FlowId> {
     policy
         .on_event(
             now,
             PolicyEvent::HealthChecked {
                 server_id,
                 passed: true,
-                report: utilization(b),
+                report: load_report(utilization),
             },
         )
         .migrate
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{attempt, balancer, flow, probe, ready, repeat, take, utilization};
+use common::*;
 use nettlemux_policy::*;
 
 const T0: Time = 1000 * SEC;
@@ -31,7 +31,7 @@
         policy.update_endpoints(T0, &list, true);
         let mut got = vec![0; weights.len()];
         for id in 0..turns {
-            got[take(&mut policy, T0, id) as usize] += 1;
+            got[place_one(&mut policy, T0, id) as usize] += 1;
             policy.on_event(
                 T0,
                 PolicyEvent::AttemptEnded {
@@ -52,10 +52,21 @@
 fn rotation_starts_anywhere() {
     let firsts: std::collections::BTreeSet<ServerId> = (0..40)
         .map(|seed| {
-            let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
-                .attempts(3, MS, false, true);
+            let config = PolicyConfig {
+                retry: RetryConfig {
+                    deadline_margin: MS,
+                    ..three_attempts()
+                },
+                ..PolicyConfig::default()
+            };
+            let mut policy = Policy::new(
+                seed,
+                0,
+                vec![traffic_class(Idempotency::Idempotent)],
+                config,
+            );
             policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
-            take(&mut policy, T0, 0)
+            place_one(&mut policy, T0, 0)
         })
         .collect();
     assert_eq!(firsts.len(), 3);
@@ -76,13 +87,13 @@
         let mut policy = balancer(Idempotency::Idempotent);
         policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         for server_id in 1..9 {
-            probe(&mut policy, T0, server_id, 0.2);
+            report_utilization(&mut policy, T0, server_id, 0.2);
         }
         for (id, load) in loads.iter().enumerate() {
             policy.adopt_connection(&flow(T0, id as FlowId), 0);
             policy.update_connection_load(id as FlowId, *load);
         }
-        let moved = probe(&mut policy, T0, 0, beta_now);
+        let moved = report_utilization(&mut policy, T0, 0, beta_now);
         assert!(
             (least..=most).contains(&moved.len()),
             "β {beta_now}: {moved:?}"
@@ -98,13 +109,13 @@
     // Guards against each of several balancers rounding up: a fifth of the load is one move in five figures.
     let mut policy = balancer(Idempotency::Idempotent);
     policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
-    (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.1)));
+    (1..3).for_each(|server_id| drop(report_utilization(&mut policy, T0, server_id, 0.1)));
     policy.adopt_connection(&flow(T0, 1), 0);
     policy.update_connection_load(1, 10.0);
     let moved = (0..200u64).filter(|i| {
         let now = T0 + i * 3 * SEC;
-        (1..3).for_each(|server_id| drop(probe(&mut policy, now, server_id, 0.1)));
-        !probe(&mut policy, now, 0, 1.0 + (i % 2) as f64 * 0.01).is_empty()
+        (1..3).for_each(|server_id| drop(report_utilization(&mut policy, now, server_id, 0.1)));
+        !report_utilization(&mut policy, now, 0, 1.0 + (i % 2) as f64 * 0.01).is_empty()
     });
     let moved = moved.count();
     assert!((20..65).contains(&moved), "{moved} of 200");
@@ -117,14 +128,21 @@
     for id in 0..100 {
         policy.adopt_connection(&flow(T0, id), 0);
     }
-    (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.1)));
-    assert!(!probe(&mut policy, T0, 0, 1.5).is_empty());
+    (1..3).for_each(|server_id| drop(report_utilization(&mut policy, T0, server_id, 0.1)));
+    assert!(!report_utilization(&mut policy, T0, 0, 1.5).is_empty());
     // Guards against a second shedding on a report that can't show the first.
-    assert!(probe(&mut policy, T0 + SEC, 0, 1.5).is_empty());
-    assert!(!probe(&mut policy, T0 + 3 * SEC, 0, 1.5).is_empty());
+    assert!(report_utilization(&mut policy, T0 + SEC, 0, 1.5).is_empty());
+    assert!(!report_utilization(&mut policy, T0 + 3 * SEC, 0, 1.5).is_empty());
     // All hot: what is over still goes, and nobody is let in (incident i2f9edf).
-    (1..3).for_each(|server_id| drop(probe(&mut policy, T0 + 6 * SEC, server_id, 1.5)));
-    assert!(!probe(&mut policy, T0 + 6 * SEC, 0, 1.5).is_empty());
+    (1..3).for_each(|server_id| {
+        drop(report_utilization(
+            &mut policy,
+            T0 + 6 * SEC,
+            server_id,
+            1.5,
+        ))
+    });
+    assert!(!report_utilization(&mut policy, T0 + 6 * SEC, 0, 1.5).is_empty());
     let late = Flow {
         accepted_at: T0,
         ..flow(T0 + 6 * SEC, 999)
@@ -141,7 +159,7 @@
 fn without_told_loads_estimates_and_counts_decide() {
     let mut policy = balancer(Idempotency::Idempotent);
     policy.update_endpoints(T0, &[ready(0), ready(1), ready(2)], true);
-    (1..3).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.0)));
+    (1..3).for_each(|server_id| drop(report_utilization(&mut policy, T0, server_id, 0.0)));
     let report = |b, count| LoadReport {
         utilization: Some(b),
         connections: count,
@@ -165,10 +183,10 @@
         let mut policy = balancer(Idempotency::Idempotent);
         policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         (100..120).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 2));
-        probe(&mut policy, T0, 0, b);
-        probe(&mut policy, T0, 1, 0.1);
+        report_utilization(&mut policy, T0, 0, b);
+        report_utilization(&mut policy, T0, 1, 0.1);
         for id in 0..4 {
-            assert_eq!(take(&mut policy, T0, id), 1, "{what}");
+            assert_eq!(place_one(&mut policy, T0, id), 1, "{what}");
         }
     }
     let mut policy = balancer(Idempotency::Idempotent);
@@ -183,7 +201,7 @@
             },
         );
     }
-    (0..4).for_each(|id| assert_eq!(take(&mut policy, T0, id), 1));
+    (0..4).for_each(|id| assert_eq!(place_one(&mut policy, T0, id), 1));
 }
 
 #[test]
@@ -191,7 +209,7 @@
     // Guards against a group's common work on every server (incident i51578f).
     let mut policy = balancer(Idempotency::Idempotent);
     policy.update_endpoints(T0, &(0..6).map(ready).collect::<Vec<_>>(), true);
-    (0..6).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.66)));
+    (0..6).for_each(|server_id| drop(report_utilization(&mut policy, T0, server_id, 0.66)));
     (100..160).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 6));
     policy.adopt_connection(
         &Flow {
@@ -283,8 +301,7 @@
         let mut policy = balancer(Idempotency::Deduplicated {
             scope: DeduplicationScope::All,
             window,
-        })
-        .retry_after(Some(2 * SEC));
+        });
         let earlier = Attempt {
             at: T0 - age,
             ..attempt(0, false)
@@ -327,7 +344,16 @@
         (Idempotency::Idempotent, vec![(false, 980)], 1990),
         (Idempotency::NonIdempotent, vec![(true, 980)], 1990),
     ] {
-        let mut policy = balancer(kind).attempts(5, 10 * MS, false, true);
+        let five_attempts = RetryConfig {
+            attempts_max: 5,
+            deadline_margin: 10 * MS,
+            ..three_attempts()
+        };
+        let config = PolicyConfig {
+            retry: five_attempts,
+            ..config()
+        };
+        let mut policy = balancer_with(kind, config);
         policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         let made = |(known_unexecuted, age)| Attempt {
             at: T0 - age * MS,
@@ -481,9 +507,12 @@
         (vec![], true, vec![]),
         (vec![ready(1)], false, vec![]),
     ] {
-        let mut policy = balancer(Idempotency::Idempotent)
-            .probing(false, 0.0)
-            .told(false, true);
+        let config = PolicyConfig {
+            health_checks: HealthCheckConfig::default(),
+            migration: MigrationConfig { off_draining: true },
+            ..config()
+        };
+        let mut policy = balancer_with(Idempotency::Idempotent, config);
         policy.update_endpoints(0, &[ready(1), ready(2)], true);
         policy.adopt_connection(&flow(0, 1), 1);
         policy.adopt_connection(&flow(0, 2), 1);
@@ -520,7 +549,11 @@
         );
     }
     // Guards against moving clients twice where servers that drain send them away themselves.
-    let mut policy = balancer(Idempotency::Idempotent).told(false, true);
+    let config = PolicyConfig {
+        migration: MigrationConfig { off_draining: true },
+        ..config()
+    };
+    let mut policy = balancer_with(Idempotency::Idempotent, config);
     policy.update_endpoints(0, &[ready(1), ready(2)], true);
     (1..4).for_each(|id| policy.adopt_connection(&flow(0, id), 1));
     policy.update_endpoints(SEC, &[drains(1)], false);
@@ -544,14 +577,29 @@
 /// Balancers of one fleet, each with a connection at two of forty warm servers of that load.
 fn fleet(balancers: u64, utilization: f64) -> impl Iterator<Item = Policy> {
     (0..balancers).map(move |seed| {
-        let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
-            .attempts(3, 4 * MS, false, true)
-            .among(balancers as f64, false)
-            .cold(0.35, 8 * SEC, 3.0, 3 * SEC)
-            .told(false, true);
+        let config = PolicyConfig {
+            balancers: balancers as f64,
+            retry: three_attempts(),
+            slow_start: SlowStartConfig {
+                initial_capacity_fraction: 0.35,
+                warm_up: 8 * SEC,
+                overload_multiple: 3.0,
+                overload_window: 3 * SEC,
+            },
+            migration: MigrationConfig { off_draining: true },
+            ..PolicyConfig::default()
+        };
+        let mut policy = Policy::new(
+            seed,
+            0,
+            vec![traffic_class(Idempotency::Idempotent)],
+            config,
+        );
         policy.update_endpoints(T0, &(0..40).map(ready).collect::<Vec<_>>(), true);
         (0..2).for_each(|id| policy.adopt_connection(&flow(T0, id), (2 * seed + id) % 40));
-        (0..40).for_each(|server_id| drop(probe(&mut policy, T0, server_id, utilization)));
+        (0..40).for_each(|server_id| {
+            drop(report_utilization(&mut policy, T0, server_id, utilization))
+        });
         policy
     })
 }
@@ -608,9 +656,14 @@
         for tick in 0..16 {
             let now = T0 + (tick * 500 + n as u64 * 8) * MS;
             (0..40).for_each(|server_id| {
-                drop(probe(&mut policy, now, server_id, 0.7 + tick as f64 * 1e-3))
+                drop(report_utilization(
+                    &mut policy,
+                    now,
+                    server_id,
+                    0.7 + tick as f64 * 1e-3,
+                ))
             });
-            probe(&mut policy, now, 40, 0.0);
+            report_utilization(&mut policy, now, 40, 0.0);
             // Only the cold one has room.
             let Placement::Forward { server_id, .. } = policy.place(now, &flow(now, 10 + tick))
             else {
@@ -647,10 +700,10 @@
         let mut policy = balancer(Idempotency::Idempotent);
         policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         policy.update_endpoints(T0, &[Endpoint { state, ..ready(0) }], false);
-        (0..4).for_each(|id| assert_eq!(take(&mut policy, T0, id), 1));
+        (0..4).for_each(|id| assert_eq!(place_one(&mut policy, T0, id), 1));
         // What isn't in a whole list is gone.
         policy.update_endpoints(T0, &[ready(2)], true);
-        (4..8).for_each(|id| assert_eq!(take(&mut policy, T0, id), 2));
+        (4..8).for_each(|id| assert_eq!(place_one(&mut policy, T0, id), 2));
         policy.update_endpoints(T0, &[], true);
         let late = Flow {
             accepted_at: T0 - SEC,
@@ -675,7 +728,7 @@
         let mut id = 0;
         let mut go = |policy: &mut Policy, now, establish: bool| {
             id += 1;
-            let server_id = take(policy, now, id);
+            let server_id = place_one(policy, now, id);
             if establish {
                 policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
             }
@@ -729,8 +782,8 @@
             false,
         );
         let now = T0 + 6 * SEC;
-        (0..40).for_each(|server_id| drop(probe(&mut policy, now, server_id, 0.79)));
-        probe(&mut policy, now, 40, 0.0);
+        (0..40).for_each(|server_id| drop(report_utilization(&mut policy, now, server_id, 0.79)));
+        report_utilization(&mut policy, now, 40, 0.0);
         for (id, later) in (10..).zip((0..SEC).step_by((100 * MS) as usize)) {
             sent += i32::from(matches!(
                 policy.place(now + later, &flow(now + later, id)),
@@ -794,7 +847,11 @@
     // Guards against 300 balancers that each start with eight attempts in flight and, in the jam that they find
     // out one by one, send their clients away for a second at most (roll+mass seeds 11 and 15, slow store).
     for (balancers, first) in [(1.0, 8), (75.0, 8), (300.0, 2), (1000.0, 1)] {
-        let mut policy = balancer(Idempotency::Idempotent).among(balancers, false);
+        let config = PolicyConfig {
+            balancers,
+            ..config()
+        };
+        let mut policy = balancer_with(Idempotency::Idempotent, config);
         policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let latest = |policy: &mut Policy| {
             let late = |id| Flow {
@@ -852,10 +909,10 @@
     // Guards against a silent server on which all attempts that may be in flight wait for their end.
     let mut policy = balancer(Idempotency::Idempotent);
     policy.update_endpoints(T0, &[ready(0), ready(1)], true);
-    let silent = take(&mut policy, T0, 0);
+    let silent = place_one(&mut policy, T0, 0);
     for id in 1..20 {
         let now = T0 + id * 500 * MS;
-        assert_ne!(take(&mut policy, now, id), silent);
+        assert_ne!(place_one(&mut policy, now, id), silent);
         policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
     }
 }
@@ -870,7 +927,7 @@
     for round in 0..10 {
         now += 2 * SEC;
         let moved: usize = (0..2)
-            .map(|server_id| probe(&mut policy, now, server_id, 0.97).len())
+            .map(|server_id| report_utilization(&mut policy, now, server_id, 0.97).len())
             .sum();
         let late = Flow {
             accepted_at: now - SEC,
@@ -938,12 +995,19 @@
     for (class, tenant, want) in [(0, 1, false), (1, 1, true), (1, 0, false)] {
         let types = [1.0, 5.0].map(|priority_weight| TrafficClass {
             priority_weight,
-            ..repeat(Idempotency::Idempotent)
+            ..traffic_class(Idempotency::Idempotent)
         });
-        let mut policy = Policy::new(7, 0, types.to_vec())
-            .attempts(3, 4 * MS, false, true)
-            .tenants(vec![0.5, 0.5], 0.1)
-            .probing(true, 0.0);
+        let config = PolicyConfig {
+            retry: three_attempts(),
+            shedding: SheddingConfig {
+                tenant_quotas: vec![0.5, 0.5],
+                surplus_weight: 0.1,
+                retry_after_max: None,
+            },
+            health_checks: health_checks(0.0),
+            ..PolicyConfig::default()
+        };
+        let mut policy = Policy::new(7, 0, types.to_vec(), config);
         policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         for id in 0..40 {
             let held = Flow {
@@ -954,7 +1018,7 @@
             policy.adopt_connection(&held, id % 2);
             policy.update_connection_load(1000 + id, 10.0);
         }
-        (0..2).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.57)));
+        (0..2).for_each(|server_id| drop(report_utilization(&mut policy, T0, server_id, 0.57)));
         let one = Flow {
             class,
             tenant,
@@ -982,8 +1046,8 @@
         true,
     );
     for b in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
-        probe(&mut policy, T0, 0, b);
-        probe(&mut policy, T0, 42, b);
+        report_utilization(&mut policy, T0, 0, b);
+        report_utilization(&mut policy, T0, 42, b);
         policy.update_connection_load(42, b);
         policy.adopt_connection(&flow(T0, 7), 0);
         policy.update_connection_load(7, b);
@@ -1041,7 +1105,17 @@
 
 #[test]
 fn probes_and_lists_are_asked_for_when_due() {
-    let mut policy = balancer(Idempotency::Idempotent).told(true, false);
+    let polled = EndpointConfig {
+        is_polled: true,
+        ..EndpointConfig::default()
+    };
+    let mut policy = balancer_with(
+        Idempotency::Idempotent,
+        PolicyConfig {
+            endpoints: polled,
+            ..config()
+        },
+    );
     assert!(
         policy
             .on_event(T0, PolicyEvent::TimerExpired)
@@ -1073,13 +1147,17 @@
     }
     assert_eq!(probed.len(), 50);
     // Where probes aren't allowed none are asked for, and the rotation goes on.
-    let mut blind = balancer(Idempotency::Idempotent).probing(false, 0.0);
+    let config = PolicyConfig {
+        health_checks: HealthCheckConfig::default(),
+        ..config()
+    };
+    let mut blind = balancer_with(Idempotency::Idempotent, config);
     blind.update_endpoints(T0, &[ready(0)], true);
     assert_eq!(
-        (blind.time_to_next_timer(T0), take(&mut blind, T0, 1)),
+        (blind.time_to_next_timer(T0), place_one(&mut blind, T0, 1)),
         (None, 0)
     );
-    assert_eq!(utilization(0.5).connections, None);
+    assert_eq!(load_report(0.5).connections, None);
 }
 
 #[test]
@@ -1090,10 +1168,21 @@
         ..flow(T0, id)
     };
     let placed = |seed, group: &str, holder: Option<ServerId>| {
-        let mut policy = Policy::new(seed, 0, vec![repeat(Idempotency::Idempotent)])
-            .attempts(3, MS, false, true)
-            .among(100.0, false)
-            .probing(true, 0.0);
+        let config = PolicyConfig {
+            balancers: 100.0,
+            retry: RetryConfig {
+                deadline_margin: MS,
+                ..three_attempts()
+            },
+            health_checks: health_checks(0.0),
+            ..PolicyConfig::default()
+        };
+        let mut policy = Policy::new(
+            seed,
+            0,
+            vec![traffic_class(Idempotency::Idempotent)],
+            config,
+        );
         policy.update_endpoints(T0, &(0..20).map(ready).collect::<Vec<_>>(), true);
         if let Some(server_id) = holder {
             policy.adopt_connection(&of(group, 1), server_id);
@@ -1131,7 +1220,11 @@
         (0.002, 5000, 28, 32),
         (0.02, 50, 6, 8),
     ] {
-        let mut policy = balancer(Idempotency::Idempotent).probing(true, price);
+        let config = PolicyConfig {
+            health_checks: health_checks(price),
+            ..config()
+        };
+        let mut policy = balancer_with(Idempotency::Idempotent, config);
         policy.update_endpoints(T0, &(0..50).map(ready).collect::<Vec<_>>(), true);
         (0..own).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 50));
         let (mut now, mut count) = (T0, 0);
@@ -1145,7 +1238,7 @@
                 .health_checks
             {
                 count += usize::from(server_id == 7);
-                probe(&mut policy, now, server_id, 0.6 + (now % 97) as f64 / 1e4);
+                report_utilization(&mut policy, now, server_id, 0.6 + (now % 97) as f64 / 1e4);
             }
         }
         assert!(
@@ -1160,10 +1253,14 @@
     // Guards against turning away the clients of the next balancer that restarts, or putting all of them on the first
     // server that shows room. Inherited connections, whether the clients return, whether all get in.
     for (own, reconnecting, all) in [(0, true, true), (0, false, false), (20, true, false)] {
-        let mut policy = balancer(Idempotency::Idempotent).among(2.0, false);
+        let config = PolicyConfig {
+            balancers: 2.0,
+            ..config()
+        };
+        let mut policy = balancer_with(Idempotency::Idempotent, config);
         policy.update_endpoints(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
         (100..100 + own).for_each(|id| policy.adopt_connection(&flow(T0, id), id % 5));
-        (0..5).for_each(|server_id| drop(probe(&mut policy, T0, server_id, 0.45)));
+        (0..5).for_each(|server_id| drop(report_utilization(&mut policy, T0, server_id, 0.45)));
         let mut on = [0; 5];
         for id in 0..30 {
             let now = T0 + SEC / 2 + id * 25 * MS;
@@ -1190,7 +1287,11 @@
 #[test]
 fn first_figures_after_a_restart_do_not_stand_for_ten_seconds() {
     // Guards against probes by a traffic that has not come yet: the figure stood while the servers filled.
-    let mut policy = balancer(Idempotency::Idempotent).probing(true, 0.002);
+    let config = PolicyConfig {
+        health_checks: health_checks(0.002),
+        ..config()
+    };
+    let mut policy = balancer_with(Idempotency::Idempotent, config);
     policy.update_endpoints(T0, &(0..5).map(ready).collect::<Vec<_>>(), true);
     let (mut now, mut count) = (T0, 0);
     while now < T0 + 8 * SEC {
@@ -1203,7 +1304,7 @@
             .health_checks
         {
             count += usize::from(server_id == 3);
-            probe(&mut policy, now, server_id, 0.5);
+            report_utilization(&mut policy, now, server_id, 0.5);
         }
     }
     assert!(count >= 3, "{count} probes in 8 s");
@@ -1214,9 +1315,12 @@
     // Guards against 100 balancers that each probed 12 servers every 2.9 s for eight flows and got one. Balancers,
     // probes of one of them in its first 10 s at least and at most.
     for (balancers, least, most) in [(4.0, 36, 72), (12.0, 36, 72), (100.0, 0, 0), (300.0, 0, 0)] {
-        let mut policy = balancer(Idempotency::Idempotent)
-            .probing(true, 0.0019)
-            .among(balancers, false);
+        let config = PolicyConfig {
+            balancers,
+            health_checks: health_checks(0.0019),
+            ..config()
+        };
+        let mut policy = balancer_with(Idempotency::Idempotent, config);
         policy.update_endpoints(T0, &(0..12).map(ready).collect::<Vec<_>>(), true);
         let (mut now, mut count) = (T0, 0);
         while now < T0 + 10 * SEC {
@@ -1229,7 +1333,7 @@
                 .health_checks
             {
                 count += 1;
-                probe(&mut policy, now, server_id, 0.5 + (now % 97) as f64 / 1e4);
+                report_utilization(&mut policy, now, server_id, 0.5 + (now % 97) as f64 / 1e4);
             }
         }
         assert!(
@@ -1244,9 +1348,11 @@
     // Guards against 47 probes a flow for figures of 15 s (four balancers to a server). What the probe brings,
     // whether the flow then goes to that server.
     for (load, goes) in [(Some(0.1), true), (None, true), (Some(0.9), false)] {
-        let mut policy = balancer(Idempotency::Idempotent)
-            .probing(true, 1.0)
-            .among(1.0, true);
+        let config = PolicyConfig {
+            health_checks: health_checks(1.0),
+            ..gossiping(1.0)
+        };
+        let mut policy = balancer_with(Idempotency::Idempotent, config);
         policy.update_endpoints(T0, &(0..9).map(ready).collect::<Vec<_>>(), true);
         let mut now = T0 + 3 * SEC;
         assert_eq!(
@@ -1304,7 +1410,13 @@
         (true, 41, false),
         (false, 1, false),
     ] {
-        let mut policy = balancer(Idempotency::Idempotent).among(1.0, may_gossip);
+        let config = PolicyConfig {
+            gossip: GossipConfig {
+                enabled: may_gossip,
+            },
+            ..config()
+        };
+        let mut policy = balancer_with(Idempotency::Idempotent, config);
         let list = |server_id| Endpoint {
             zone: u64::from(server_id > 3),
             ..ready(server_id)
@@ -1312,7 +1424,7 @@
         policy.update_endpoints(T0, &(0..9).map(list).collect::<Vec<_>>(), true);
         let group = Some("a".to_string());
         // Whoever places one says so, once.
-        let mut teller = balancer(Idempotency::Idempotent).among(1.0, true);
+        let mut teller = balancer_with(Idempotency::Idempotent, gossiping(1.0));
         teller.update_endpoints(T0, &[list(7)], true);
         let mut messages = Vec::new();
         for id in 0..5 {
@@ -1373,7 +1485,7 @@
     // Guards against a storm in which each of hundreds tells of each client (4 million messages in 16 s). Balancers,
     // messages in 10 s at most.
     for (balancers, most) in [(1.0, 100), (30.0, 12), (600.0, 2)] {
-        let mut policy = balancer(Idempotency::Idempotent).among(balancers, true);
+        let mut policy = balancer_with(Idempotency::Idempotent, gossiping(balancers));
         policy.update_endpoints(T0, &[ready(0)], true);
         let mut messages = 0;
         for id in 0..100 {
@@ -1409,7 +1521,15 @@
 #[test]
 fn other_settings_keep_what_is_known_and_in_hand() {
     // Guards against a switch that forgets connections, drains or failures, and one that can't be taken back.
-    let made = |may_gossip| balancer(Idempotency::Idempotent).among(1.0, may_gossip);
+    let made = |may_gossip| {
+        let config = PolicyConfig {
+            gossip: GossipConfig {
+                enabled: may_gossip,
+            },
+            ..config()
+        };
+        balancer_with(Idempotency::Idempotent, config)
+    };
     let mut policy = made(false);
     policy.update_endpoints(
         T0,
@@ -1479,7 +1599,7 @@
     }
     let moved = (0..40).any(|second| {
         let now = T0 + second * 3 * SEC;
-        !probe(&mut policy, now, 1, 2.0 + second as f64 / 100.0).is_empty()
+        !report_utilization(&mut policy, now, 1, 2.0 + second as f64 / 100.0).is_empty()
     });
     assert!(moved, "connections from before are still ours to move");
 }
@@ -1489,7 +1609,7 @@
     // Guards against a last figure that shuts a server for good when its probe path breaks at a high load.
     let mut policy = balancer(Idempotency::Idempotent);
     policy.update_endpoints(T0, &[ready(0)], true);
-    probe(&mut policy, T0, 0, 0.9);
+    report_utilization(&mut policy, T0, 0, 0.9);
     let mut open = Vec::new();
     for second in 1..=12 {
         let now = T0 + second * SEC;
@@ -1517,9 +1637,12 @@
 #[test]
 fn large_lists_that_turn_over_within_one_moment_and_reports_absurd_on_a_part_do_no_harm() {
     // Guards against panics, and against sends to servers that came and went, at twice the largest size seen.
-    let mut policy = balancer(Idempotency::Idempotent)
-        .among(1000.0, false)
-        .probing(true, 0.002);
+    let config = PolicyConfig {
+        balancers: 1000.0,
+        health_checks: health_checks(0.002),
+        ..config()
+    };
+    let mut policy = balancer_with(Idempotency::Idempotent, config);
     let list = |from: ServerId, state| -> Vec<Endpoint> {
         let one = |server_id| Endpoint {
             state,
@@ -1541,7 +1664,7 @@
         policy.update_endpoints(now, &list(round * 250, EndpointState::Removed), false);
         for server_id in (0..6000).step_by(3) {
             let absurd = [f64::NAN, -1.0, f64::INFINITY, 1e300, 0.3];
-            probe(
+            report_utilization(
                 &mut policy,
                 now,
                 server_id,
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -4,7 +4,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{flow, ready, repeat, utilization};
+use common::*;
+use nettlemux_candidates::ZoneReach;
 use nettlemux_policy::*;
 
 const T0: Time = 1000 * SEC;
@@ -14,13 +15,26 @@
 /// The most servers that any flow may turn among: candidates and own holders of its group.
 const MOST: usize = 96;
 
+/// The settings of one of so many balancers whose health checks have a cost.
+fn config(balancers: f64) -> PolicyConfig {
+    PolicyConfig {
+        balancers,
+        health_checks: health_checks(0.01),
+        ..common::config()
+    }
+}
+
 fn balancer(seed: u64, zone: u64) -> Policy {
-    Policy::new(seed, zone, vec![repeat(Idempotency::Idempotent)])
-        .attempts(3, 4 * MS, false, true)
-        .retry_after(Some(2 * SEC))
-        .probing(true, 0.01)
-        .cold(0.2, 20 * SEC, 2.5, 3 * SEC)
-        .among(1_400.0, false)
+    balancer_with(seed, zone, config(1_400.0))
+}
+
+fn balancer_with(seed: u64, zone: u64, config: PolicyConfig) -> Policy {
+    Policy::new(
+        seed,
+        zone,
+        vec![traffic_class(Idempotency::Idempotent)],
+        config,
+    )
 }
 
 fn servers(count: u64) -> Vec<Endpoint> {
@@ -61,7 +75,7 @@
                 PolicyEvent::HealthChecked {
                     server_id: *server_id,
                     passed: true,
-                    report: utilization(figure(*server_id)),
+                    report: load_report(figure(*server_id)),
                 },
             );
         }
@@ -154,15 +168,15 @@
 #[test]
 fn candidates_that_are_all_full_let_the_whole_list_be_looked_at_but_seldom() {
     let list = servers(600);
-    let mut long = nettlemux_candidates::LongList::default();
+    let mut long = nettlemux_candidates::CandidateSet::default();
     list.iter()
         .for_each(|server| long.update(server.server_id, server.zone, server.weight, true));
     // Few other balancers, as each of ours is taken for one of each of them.
-    let mut policy = balancer(1, 3).among(4.0, false);
+    let mut policy = balancer_with(1, 3, config(4.0));
     policy.update_endpoints(T0, &list, true);
     let roomy = |server_id: &ServerId| (500..510).contains(server_id);
     for server_id in 0..600 {
-        let figure = utilization(if roomy(&server_id) { 0.1 } else { 0.79 });
+        let figure = load_report(if roomy(&server_id) { 0.1 } else { 0.79 });
         policy.on_event(
             T0,
             PolicyEvent::HealthChecked {
@@ -176,7 +190,7 @@
     let key = |name: &String| nettlemux_candidates::hash_name(name);
     let away = |name: &String| {
         !long
-            .scope(key(name), 3, true, [].into_iter())
+            .scope(key(name), 3, ZoneReach::AllZones, [].into_iter())
             .iter()
             .any(roomy)
     };
@@ -219,7 +233,7 @@
                     PolicyEvent::HealthChecked {
                         server_id,
                         passed: true,
-                        report: utilization(0.9),
+                        report: load_report(0.9),
                     },
                 );
                 unasked += 1;
@@ -269,7 +283,7 @@
         PolicyEvent::HealthChecked {
             server_id: 77,
             passed: true,
-            report: utilization(1.2),
+            report: load_report(1.2),
         },
     );
     for tick in 1..80 {
@@ -285,7 +299,7 @@
                     PolicyEvent::HealthChecked {
                         server_id,
                         passed: true,
-                        report: utilization(hot(server_id)),
+                        report: load_report(hot(server_id)),
                     },
                 )
                 .migrate
@@ -344,7 +358,15 @@
 #[test]
 fn a_list_of_200_is_treated_whole_and_a_switch_makes_no_difference_there() {
     let list = servers(WHOLE);
-    let (mut one, mut other) = (balancer(1, 3), balancer(1, 3).whole_list(usize::MAX));
+    let whole_list = EndpointConfig {
+        whole_list_max: usize::MAX,
+        ..EndpointConfig::default()
+    };
+    let looks_at_all = PolicyConfig {
+        endpoints: whole_list,
+        ..config(1_400.0)
+    };
+    let (mut one, mut other) = (balancer(1, 3), balancer_with(1, 3, looks_at_all));
     for policy in [&mut one, &mut other] {
         policy.update_endpoints(T0, &list, true);
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,7 +7,9 @@
 use std::fmt;
 
 use nettlemux_policy::{
-    DeduplicationScope, Idempotency, LoadReport, MS, Policy, SEC, Time, TrafficClass,
+    DeduplicationScope, EndpointConfig, GossipConfig, HealthCheckConfig, Idempotency, LoadReport,
+    MS, MigrationConfig, Policy, PolicyConfig, RetryConfig, SEC, SheddingConfig, SlowStartConfig,
+    Time, TrafficClass,
 };
 use serde_json::Value;
 
@@ -80,33 +82,52 @@
     /// whether clients are moved off a server that drains, as the operators want on sockets; the simulator counts
     /// a move as a cost and a break as nothing.
     pub fn policy(&self, seed: u64, margin: Time, warn: bool) -> Read<Policy> {
-        // What nothing is said of is not allowed, and what is not limited may take as long as it does.
-        // Without a multiple at which cold servers fall there is no rule on them: all count as warm.
-        let (start, warm_up, multiple, window) = match self.maybe("contract/fall-multiple") {
-            Some(_) => (
-                self.number_or("contract/start-capacity", COLDEST)?,
-                self.time_or("contract/warm-up", LONGEST_WARM_UP)?,
-                self.number("contract/fall-multiple")?,
-                self.time_or("contract/fall", SHORTEST_FALL)?,
-            ),
-            None => (1.0, 0, 1.0, SHORTEST_FALL),
+        // What nothing is said of is not allowed, and what is not limited may take as long as it
+        // does. Without a multiple at which warming servers fall there is no rule on them: all
+        // count as warm.
+        let slow_start = match self.maybe("contract/fall-multiple") {
+            Some(_) => SlowStartConfig {
+                initial_capacity_fraction: self.number_or("contract/start-capacity", COLDEST)?,
+                warm_up: self.time_or("contract/warm-up", LONGEST_WARM_UP)?,
+                overload_multiple: self.number("contract/fall-multiple")?,
+                overload_window: self.time_or("contract/fall", SHORTEST_FALL)?,
+            },
+            None => SlowStartConfig {
+                initial_capacity_fraction: 1.0,
+                warm_up: 0,
+                overload_multiple: 1.0,
+                overload_window: SHORTEST_FALL,
+            },
         };
-        Ok(Policy::new(seed, self.zone()?, self.traffic_classes()?)
-            .attempts(
-                self.number_or("limits/max-connects", 1.0)?.max(0.0) as usize,
-                margin,
-                self.allowed("limits/second-copies")?,
-                self.allowed("limits/may-cancel")?,
-            )
-            .among(self.number_or("replicas-of-me", 1.0)?, self.may_gossip()?)
-            .tenants(self.shares()?, self.number_or("surplus-value", 1.0)?)
-            .retry_after(self.retry_after()?)
-            .probing(
-                self.allowed("limits/probes")?,
-                self.number_or("costs/probe", 0.0)?,
-            )
-            .told(self.asked()?.is_some(), warn)
-            .cold(start, warm_up, multiple, window))
+        let (zone, classes) = (self.zone()?, self.traffic_classes()?);
+        let config = PolicyConfig {
+            retry: RetryConfig {
+                attempts_max: self.number_or("limits/max-connects", 1.0)?.max(0.0) as usize,
+                deadline_margin: margin,
+                allow_hedging: self.allowed("limits/second-copies")?,
+                allow_cancellation: self.allowed("limits/may-cancel")?,
+            },
+            balancers: self.number_or("replicas-of-me", 1.0)?,
+            gossip: GossipConfig {
+                enabled: self.may_gossip()?,
+            },
+            shedding: SheddingConfig {
+                tenant_quotas: self.shares()?,
+                surplus_weight: self.number_or("surplus-value", 1.0)?,
+                retry_after_max: self.retry_after()?,
+            },
+            health_checks: HealthCheckConfig {
+                enabled: self.allowed("limits/probes")?,
+                cost: self.number_or("costs/probe", 0.0)?,
+            },
+            endpoints: EndpointConfig {
+                is_polled: self.asked()?.is_some(),
+                ..EndpointConfig::default()
+            },
+            migration: MigrationConfig { off_draining: warn },
+            slow_start,
+        };
+        Ok(Policy::new(seed, zone, classes, config))
     }
 
     /// Whether the settings allow that; not where nothing is said of it.
--- a/crates/testbed/src/scale/looked_at.rs
+++ b/crates/testbed/src/scale/looked_at.rs
@@ -1,11 +1,11 @@
 //! How many servers the decision module looks at for one placement. The module has no counter, so this is worked out
 //! afterwards: news of the list and own connections are noted while the module is measured, then played to a
-//! [`LongList`] of the same crate as the module's, which gives the servers that each flow could go to. It owns the
+//! [`CandidateSet`] of the same crate as the module's, which gives the servers that each flow could go to. It owns the
 //! notes and the rule of `Policy::place` on which servers are looked at next.
 
 use std::collections::BTreeMap;
 
-use nettlemux_candidates::{LongList, WHOLE_LIST, hash_name};
+use nettlemux_candidates::{CandidateSet, WHOLE_LIST_MAX, ZoneReach, hash_name};
 use nettlemux_policy::{Endpoint, EndpointState, ServerId};
 
 /// The zone of the measured balancer, as [`super::settings`] has it.
@@ -49,7 +49,7 @@
     tells: bool,
     servers: BTreeMap<ServerId, Endpoint>,
     /// None while the list is looked at whole.
-    long: Option<LongList>,
+    long: Option<CandidateSet>,
     /// Own connections of each group, and of each server.
     holders: BTreeMap<String, BTreeMap<ServerId, usize>>,
     held: BTreeMap<ServerId, usize>,
@@ -60,7 +60,7 @@
     fn list(&mut self, entries: &[Endpoint]) {
         self.servers
             .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
-        if self.servers.len() > WHOLE_LIST {
+        if self.servers.len() > WHOLE_LIST_MAX {
             let known = self.long.is_some();
             let long = self.long.get_or_insert_default();
             let all = || self.servers.values().copied().collect();
@@ -99,9 +99,14 @@
             return self.servers.len();
         };
         let mut looked_at = 0;
-        for far in [self.tells, true] {
+        let first = if self.tells {
+            ZoneReach::AllZones
+        } else {
+            ZoneReach::OwnZone
+        };
+        for reach in [first, ZoneReach::AllZones] {
             let holders = self.holders.get(group).into_iter().flatten();
-            let scope = long.scope(hash_name(group), OWN_ZONE, far, holders);
+            let scope = long.scope(hash_name(group), OWN_ZONE, reach, holders);
             looked_at += scope.len();
             if scope.contains(&went_to) {
                 return looked_at;
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-use nettlemux_candidates::{MOST_CANDIDATES, PROBES_A_SECOND, WHOLE_LIST};
+use nettlemux_candidates::{CANDIDATES_MAX, HEALTH_CHECKS_PER_SECOND, WHOLE_LIST_MAX};
 use nettlemux_testbed::scale::allocation::CountingAllocator;
 use nettlemux_testbed::scale::fit::{LinearFit, least_squares};
 use nettlemux_testbed::scale::limits::{self, Exceeded, Limits, Need, Resources};
@@ -112,7 +112,7 @@
 
 #[test]
 fn up_to_the_whole_list_probes_grow_with_it_and_one_placement_looks_at_it_all() {
-    for servers in [20, 60, 120, WHOLE_LIST as u64] {
+    for servers in [20, 60, 120, WHOLE_LIST_MAX as u64] {
         let figures = measure(servers, 0.0);
         assert_all_are_probed(servers, &figures);
         assert_eq!(figures.servers_per_placement, Some(servers as f64));
@@ -153,7 +153,7 @@
 fn assert_probes_use_their_budget(servers: u64, figures: &Figures) {
     let (seconds, budget) = (
         LONG_LIST_PLACEMENTS as f64 / LONG_LIST_PLACEMENTS_PER_SECOND,
-        PROBES_A_SECOND as f64,
+        HEALTH_CHECKS_PER_SECOND as f64,
     );
     let probes = figures.probes_per_second.unwrap();
     assert!(
@@ -168,11 +168,11 @@
 
 #[test]
 fn past_the_whole_list_probes_keep_to_their_budget_and_placements_to_their_candidates() {
-    for servers in [WHOLE_LIST as u64 + 1, 240, 600, 3_000, 12_000] {
+    for servers in [WHOLE_LIST_MAX as u64 + 1, 240, 600, 3_000, 12_000] {
         let figures = measure_long_list(servers, 0.0);
         assert_probes_use_their_budget(servers, &figures);
         // Candidates and own holders; a walk over the list, or a key that isn't the module's, would pass that.
-        let most = 2 * MOST_CANDIDATES.min(servers as usize / 2);
+        let most = 2 * CANDIDATES_MAX.min(servers as usize / 2);
         let looked_at = figures.servers_per_placement.unwrap();
         assert!(
             (1.0..=most as f64).contains(&looked_at),
@@ -197,7 +197,7 @@
 }
 
 /// Lists on both sides of the limit up to which all servers are looked at.
-const SPARSE_SERVERS: [u64; 2] = [WHOLE_LIST as u64, 240];
+const SPARSE_SERVERS: [u64; 2] = [WHOLE_LIST_MAX as u64, 240];
 
 /// Guards against a driver that takes "not yet" for leaving: past the sparse limit hardly any flow was placed.
 #[test]
