--- /dev/null
+++ b/crates/policy/src/group_affinity.rs
@@ -0,0 +1,77 @@
+//! Where a flow's group is held, and where it is at home while nobody holds it.
+
+use std::collections::BTreeMap;
+
+use nettlemux_candidates::{hash, hash_name};
+
+use crate::fleet_view::FleetView;
+use crate::gossip::{Gossip, group_number};
+use crate::types::{Flow, ServerId, Time};
+
+/// What is known of the flow's group. Guards against servers that drop what they hold since more
+/// and more is placed on them, and, as holders of the group take more, against common work that is
+/// paid for on every server.
+pub(crate) struct GroupAffinity<'a> {
+    now: Time,
+    hash: u64,
+    gossip: &'a Gossip,
+    own_holders: Option<&'a BTreeMap<ServerId, usize>>,
+    /// Whether the flow has a group that nobody holds, as far as is known.
+    is_unplaced: bool,
+    /// Whether other balancers have told of the group.
+    is_told: bool,
+    home: Option<ServerId>,
+}
+
+impl<'a> GroupAffinity<'a> {
+    pub(crate) fn new(view: &FleetView<'a>, flow: &Flow, gossip: &'a Gossip) -> Self {
+        let group = flow.group.as_ref();
+        let hash = group.map_or(0, |group| hash_name(group));
+        let own_holders = view.connections.group_holders(flow);
+        let is_told = gossip.is_enabled() && group.is_some() && gossip.knows(group_number(hash));
+        GroupAffinity {
+            now: view.now,
+            hash,
+            gossip,
+            own_holders,
+            is_unplaced: group.is_some() && own_holders.is_none() && !is_told,
+            is_told,
+            home: None,
+        }
+    }
+
+    /// Gives a group that nobody holds its home: the first of these servers in the group's order.
+    /// Guards against many balancers that each hold few of a group and spread it: they agree on
+    /// the order.
+    pub(crate) fn choose_home(&mut self, servers: impl Iterator<Item = ServerId>) {
+        if self.is_unplaced {
+            self.home = servers.min_by_key(|server_id| self.rank(*server_id));
+        }
+    }
+
+    /// Whether the server is the group's home.
+    pub(crate) fn is_home(&self, server_id: ServerId) -> bool {
+        self.home == Some(server_id)
+    }
+
+    /// Whether other balancers have told of the group.
+    pub(crate) fn is_told(&self) -> bool {
+        self.is_told
+    }
+
+    /// Whether the server holds the group: as told where balancers gossip, else by own connections.
+    pub(crate) fn holds(&self, server_id: ServerId) -> bool {
+        if self.gossip.is_enabled() {
+            let group = group_number(self.hash);
+            self.is_told && self.gossip.holds(self.now, group, server_id)
+        } else {
+            self.own_holders
+                .is_some_and(|holders| holders.contains_key(&server_id))
+        }
+    }
+
+    /// The server's place in the group's order of servers, the same at all balancers.
+    pub(crate) fn rank(&self, server_id: ServerId) -> u64 {
+        hash(self.hash ^ server_id)
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -35,9 +35,12 @@
 #![warn(missing_docs)]
 
 mod concurrency;
+mod config;
 mod connections;
 mod endpoints;
+mod fleet_view;
 mod gossip;
+mod group_affinity;
 mod health_checks;
 mod load_reports;
 mod migration;
@@ -53,13 +56,14 @@
 mod traffic_classes;
 mod types;
 
+pub use config::PolicyConfig;
 pub use endpoints::EndpointConfig;
 pub use gossip::GossipConfig;
 pub use health_checks::{CHECK_INTERVAL_MAX, CHECK_INTERVAL_MIN, HealthCheckConfig};
 pub use load_reports::{EXCLUDING_REPORT_AGE_MAX, OVERLOAD_UTILIZATION, PLACEMENT_REPORT_AGE_MAX};
 pub use migration::MigrationConfig;
 pub use placement::{NEW_GROUP_UTILIZATION_MAX, PLACEMENT_UTILIZATION_MAX};
-pub use policy::{Policy, PolicyConfig};
+pub use policy::Policy;
 pub use queue::QUEUE_RECHECK_INTERVAL;
 pub use retry::RetryConfig;
 pub use shedding::SheddingConfig;
--- a/crates/policy/src/migration.rs
+++ b/crates/policy/src/migration.rs
@@ -7,7 +7,8 @@
 use nanorand::{Rng, WyRand};
 
 use crate::connections::{ConnectionTable, OwnConnection};
-use crate::endpoints::{Endpoints, Server};
+use crate::endpoints::Server;
+use crate::fleet_view::FleetView;
 use crate::load_reports::OVERLOAD_UTILIZATION;
 use crate::placement::NEW_GROUP_UTILIZATION_MAX;
 use crate::types::{FlowId, MS, SEC, ServerId, Time};
@@ -29,7 +30,7 @@
 }
 
 /// A connection to migrate off a draining server.
-struct DrainStep {
+pub(crate) struct DrainStep {
     flow: FlowId,
     /// The probability with which it goes now.
     probability: f64,
@@ -69,33 +70,25 @@
         self.off_draining = false;
     }
 
-    /// Takes in that the endpoint list has changed.
-    pub(crate) fn follow_list(
-        &mut self,
-        now: Time,
-        report_lifetime: Time,
-        endpoints: &Endpoints,
-        connections: &ConnectionTable,
-    ) {
-        let steps = self.drain_steps(now, report_lifetime, endpoints, connections);
+    /// Schedules the first of these steps, after the endpoint list has changed.
+    pub(crate) fn schedule(&mut self, now: Time, steps: &[DrainStep]) {
         if !steps.is_empty() {
             self.next_drain_step_at.get_or_insert(now + DRAIN_DELAY);
         }
     }
 
-    /// Returns the connections that leave draining servers now.
-    pub(crate) fn migrate_off_draining(
+    /// Whether the next step is due.
+    pub(crate) fn is_drain_step_due(&self, now: Time) -> bool {
+        self.next_drain_step_at.is_some_and(|at| at <= now)
+    }
+
+    /// Returns the connections of these steps that leave draining servers now.
+    pub(crate) fn take_drain_step(
         &mut self,
         now: Time,
-        report_lifetime: Time,
-        endpoints: &Endpoints,
-        connections: &ConnectionTable,
+        mut steps: Vec<DrainStep>,
         rng: &mut WyRand,
     ) -> Vec<FlowId> {
-        if self.next_drain_step_at.is_none_or(|at| at > now) {
-            return Vec::new();
-        }
-        let mut steps = self.drain_steps(now, report_lifetime, endpoints, connections);
         self.next_drain_step_at = (!steps.is_empty()).then_some(now + DRAIN_STEP_INTERVAL);
         steps.retain(|step| rng.generate::<f64>() < step.probability);
         steps.into_iter().map(|step| step.flow).collect()
@@ -104,37 +97,27 @@
     /// The next connection to migrate off each draining server. Guards against clients whose
     /// server goes without notice, and against hundreds of balancers that migrate theirs at once.
     /// A server that is removed keeps its connections: it was listed wrongly.
-    fn drain_steps(
-        &self,
-        now: Time,
-        report_lifetime: Time,
-        endpoints: &Endpoints,
-        connections: &ConnectionTable,
-    ) -> Vec<DrainStep> {
+    pub(crate) fn drain_steps(&self, view: &FleetView) -> Vec<DrainStep> {
+        let endpoints = view.endpoints;
         if !self.off_draining || endpoints.draining.is_empty() {
             return Vec::new();
         }
         let has_room = endpoints.first_servers().any(|server| {
-            let utilization = server.load.utilization(now, report_lifetime);
+            let utilization = view.utilization(server);
             server.is_ready()
                 && utilization.is_none_or(|utilization| utilization < NEW_GROUP_UTILIZATION_MAX)
         });
         let draining = endpoints.draining.iter();
         draining
             .filter_map(|server_id| endpoints.servers.get(server_id))
-            .filter_map(|server| self.drain_step(now, server, has_room, connections))
+            .filter_map(|server| self.drain_step(view, server, has_room))
             .collect()
     }
 
     /// The next connection to migrate off this server, evenly spread over what is left of the
     /// drain.
-    fn drain_step(
-        &self,
-        now: Time,
-        server: &Server,
-        has_room: bool,
-        connections: &ConnectionTable,
-    ) -> Option<DrainStep> {
+    fn drain_step(&self, view: &FleetView, server: &Server, has_room: bool) -> Option<DrainStep> {
+        let (now, connections) = (view.now, view.connections);
         let flows = connections.by_server.get(&server.endpoint.server_id)?;
         let stays = |flow: &&FlowId| {
             let own = &connections.own[flow];
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,19 +1,18 @@
 //! Placement: which servers a flow may go to, as a chain of filters over candidates, and which of
 //! these take turns.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
-use nettlemux_candidates::{hash, hash_name};
-
-use crate::connections::ConnectionTable;
-use crate::endpoints::{Endpoints, Server};
-use crate::gossip::{Gossip, group_number};
+use crate::endpoints::Server;
+use crate::fleet_view::FleetView;
+use crate::gossip::Gossip;
+use crate::group_affinity::GroupAffinity;
 use crate::health_checks::HealthChecks;
 use crate::load_reports::{
     EXCLUDING_REPORT_AGE_MAX, ExpectedUtilization, OVERLOAD_UTILIZATION, PLACEMENT_REPORT_AGE_MAX,
     REPORT_DELAY, SERVER_CONNECTIONS_MIN,
 };
-use crate::recent_connects::{RATE_WINDOW, RecentConnects};
+use crate::recent_connects::RATE_WINDOW;
 use crate::retry::RetryPolicy;
 use crate::rotation;
 use crate::slow_start::SlowStart;
@@ -30,7 +29,11 @@
 const NEW_CONNECTION_COST: f64 = 2.0;
 /// Servers among which a group without one chooses, where balancers gossip: with one choice only,
 /// servers fill that hold others' groups.
-const GROUP_CHOICES: usize = 4;
+const GROUP_CHOICES_WITH_GOSSIP: usize = 4;
+/// The same among the candidates of a long list, where a home may hold many groups.
+const GROUP_CHOICES_AMONG_CANDIDATES: usize = 2;
+/// The same on a list that is looked at whole.
+const GROUP_CHOICES: usize = 1;
 /// Servers that hold more than this many times the mean of own connections are passed over.
 const FAIR_SHARE_FACTOR: f64 = 1.5;
 
@@ -64,28 +67,15 @@
     expected: ExpectedUtilization,
 }
 
-/// Where the flow's group is held, and where it would be at home.
-struct GroupAffinity<'a> {
-    hash: u64,
-    own_holders: Option<&'a BTreeMap<ServerId, usize>>,
-    /// Whether other balancers have told of the group.
-    is_told: bool,
-    /// The first server in the group's order, where nobody holds the group.
-    home: Option<ServerId>,
-}
-
 /// One look for where a flow may go.
 pub(crate) struct PlacementQuery<'a> {
-    pub(crate) now: Time,
+    pub(crate) view: FleetView<'a>,
     pub(crate) flow: &'a Flow,
     pub(crate) class: TrafficClass,
     pub(crate) zone: u64,
     pub(crate) balancers: f64,
     /// Utilization that the flow may use beyond the limits for all.
     pub(crate) priority_utilization: f64,
-    pub(crate) endpoints: &'a Endpoints,
-    pub(crate) connections: &'a ConnectionTable,
-    pub(crate) recent_connects: &'a RecentConnects,
     pub(crate) health_checks: &'a HealthChecks,
     pub(crate) slow_start: &'a SlowStart,
     pub(crate) retry: &'a RetryPolicy,
@@ -96,7 +86,8 @@
     /// Looks at the servers of this scope, or at all, for where the flow may go.
     pub(crate) fn select(&self, scope: Option<&[ServerId]>) -> Selection {
         let listed = self.listed(scope);
-        let looked_at_fraction = listed.len() as f64 / self.endpoints.servers.len().max(1) as f64;
+        let looked_at_fraction =
+            listed.len() as f64 / self.view.endpoints.servers.len().max(1) as f64;
         let permitted = self.permitted(listed);
         let responsive = self.prefer_responsive(permitted);
         let load = self.candidate_load(&responsive, looked_at_fraction, scope.is_some());
@@ -115,7 +106,7 @@
 
     /// The servers of the scope, or all.
     fn listed(&self, scope: Option<&[ServerId]>) -> Vec<&'a Server> {
-        let servers = &self.endpoints.servers;
+        let servers = &self.view.endpoints.servers;
         match scope {
             None => servers.values().collect(),
             Some(scope) => scope.iter().filter_map(|id| servers.get(id)).collect(),
@@ -126,24 +117,23 @@
     /// warming ones only within their budget (rule 4). Their utilization is worked out once for a
     /// flow, as this is most of what a placement costs.
     fn permitted(&self, listed: Vec<&'a Server>) -> Vec<Candidate<'a>> {
-        let report_lifetime = self.health_checks.report_lifetime();
         let may_attempt = |server: &&Server| {
             let idempotency = self.class.idempotency;
             self.retry.may_attempt(
-                self.now,
+                self.view.now,
                 self.flow,
                 idempotency,
                 &server.endpoint,
-                self.endpoints,
+                self.view.endpoints,
             )
         };
         let permitted = listed
             .into_iter()
             .filter(may_attempt)
-            .filter(|server| self.slow_start.admits(self.now, server));
+            .filter(|server| self.slow_start.admits(self.view.now, server));
         let candidate = |server: &'a Server| Candidate {
             server,
-            utilization: server.load.utilization(self.now, report_lifetime),
+            utilization: self.view.utilization(server),
         };
         permitted.map(candidate).collect()
     }
@@ -153,10 +143,11 @@
     fn prefer_responsive(&self, permitted: Vec<Candidate<'a>>) -> Vec<Candidate<'a>> {
         let objective = self.class.latency_objective;
         let overdue: BTreeSet<ServerId> = self
+            .view
             .connections
             .in_flight
             .values()
-            .filter(|attempt| attempt.since + objective < self.now)
+            .filter(|attempt| attempt.since + objective < self.view.now)
             .map(|attempt| attempt.server_id)
             .collect();
         let was_tried = |server_id: ServerId| {
@@ -165,7 +156,7 @@
         };
         prefer(permitted, |server| {
             let server_id = server.endpoint.server_id;
-            server.outlier.is_healthy(self.now)
+            server.outlier.is_healthy(self.view.now)
                 && !was_tried(server_id)
                 && !overdue.contains(&server_id)
         })
@@ -184,10 +175,10 @@
         let own_connections = if is_scoped {
             let counts = candidates
                 .iter()
-                .map(|candidate| self.connections.count_at(candidate.id()));
+                .map(|candidate| self.view.own_connections(candidate.server));
             counts.sum()
         } else {
-            self.connections.own.len() as f64
+            self.view.connections.own.len() as f64
         };
         let mean_own_connections = own_connections / number;
         let (mut sum, mut reports, mut recent_attempts, mut open) = (0.0, 0.0, 0, 0.0);
@@ -231,7 +222,7 @@
         open_servers: f64,
     ) -> f64 {
         let report_age = (REPORT_DELAY + PLACEMENT_REPORT_AGE_MAX) as f64 / RATE_WINDOW as f64;
-        let usual = report_age * looked_at_fraction * self.recent_connects.len() as f64
+        let usual = report_age * looked_at_fraction * self.view.recent_connects.len() as f64
             / f64::max(open_servers, 1.0);
         if self.gossip.is_enabled() || self.health_checks.is_on_demand() {
             (self.balancers - 1.0) * usual
@@ -246,55 +237,19 @@
     /// balancer that rejects such clients, or puts all on the first server that shows room: they
     /// bring no new load, the reports have it.
     fn is_returning_after_restart(&self) -> bool {
-        self.flow.reconnecting
-            && self
-                .recent_connects
-                .has_started_empty(self.now, self.connections)
+        self.flow.reconnecting && self.view.has_started_empty()
     }
 
-    /// Where the flow's group is held. Guards against servers that drop what they hold since more
-    /// and more is placed on them, and, as holders of the group take more, against common work
-    /// that is paid for on every server. Where nobody holds it, balancers agree on an order of
-    /// servers for it, whose first is its home: guards against many balancers that each hold few
-    /// of a group and spread it.
+    /// Where the flow's group is held, or is at home in the own zone.
     fn group_affinity(&self, candidates: &[Candidate]) -> GroupAffinity<'a> {
-        let group = self.flow.group.as_ref();
-        let hash = group.map_or(0, |group| hash_name(group));
-        let own_holders = self.connections.group_holders(self.flow);
-        let is_told =
-            self.gossip.is_enabled() && group.is_some() && self.gossip.knows(group_number(hash));
-        let mut affinity = GroupAffinity {
-            hash,
-            own_holders,
-            is_told,
-            home: None,
-        };
-        if group.is_some() && own_holders.is_none() && !is_told {
-            affinity.home = candidates
-                .iter()
-                .filter(|candidate| self.is_local(candidate.server))
-                .min_by_key(|candidate| affinity.rank(candidate.server))
-                .map(Candidate::id);
-        }
+        let mut affinity = GroupAffinity::new(&self.view, self.flow, self.gossip);
+        let local = candidates
+            .iter()
+            .filter(|candidate| self.is_local(candidate.server));
+        affinity.choose_home(local.map(Candidate::id));
         affinity
     }
 
-    /// Whether the server holds the flow's group: as told where balancers gossip, else by own
-    /// connections.
-    fn holds_group(&self, affinity: &GroupAffinity, server: &Server) -> bool {
-        let server_id = server.endpoint.server_id;
-        let is_own = || {
-            let holders = affinity.own_holders;
-            !self.gossip.is_enabled()
-                && holders.is_some_and(|holders| holders.contains_key(&server_id))
-        };
-        let is_told = || {
-            let group = group_number(affinity.hash);
-            affinity.is_told && self.gossip.holds(self.now, group, server_id)
-        };
-        is_own() || is_told()
-    }
-
     /// Keeps the servers that are expected below their limit, and returns the least utilization
     /// expected of any.
     fn below_limit(
@@ -331,13 +286,13 @@
             expected
                 .mean
                 .clamp(NEW_GROUP_UTILIZATION_MAX, PLACEMENT_UTILIZATION_MAX)
-        } else if self.holds_group(affinity, server) {
+        } else if affinity.holds(server.endpoint.server_id) {
             PLACEMENT_UTILIZATION_MAX
-        } else if affinity.home == Some(server.endpoint.server_id) {
+        } else if affinity.is_home(server.endpoint.server_id) {
             let reserved = HOME_RESERVED_CONNECTIONS * expected.per_connection;
             (OVERLOAD_UTILIZATION - reserved)
                 .clamp(NEW_GROUP_UTILIZATION_MAX, PLACEMENT_UTILIZATION_MAX)
-        } else if affinity.is_told && self.connections.loads.is_empty() {
+        } else if affinity.is_told() && self.view.connections.loads.is_empty() {
             // Where no loads are reported no flow brings more for its load than the rest.
             return NEW_GROUP_UTILIZATION_MAX;
         } else {
@@ -367,7 +322,7 @@
             FAIR_SHARE_FACTOR
         };
         prefer(candidates, |server| {
-            let held = self.connections.count_at(server.endpoint.server_id);
+            let held = self.view.own_connections(server);
             held <= factor * load.mean_own_connections + slack
         })
     }
@@ -380,7 +335,7 @@
         mut candidates: Vec<Candidate<'a>>,
         affinity: &GroupAffinity,
     ) -> Vec<Candidate<'a>> {
-        let holds = |server: &Server| self.holds_group(affinity, server);
+        let holds = |server: &Server| affinity.holds(server.endpoint.server_id);
         if self.gossip.is_enabled() {
             candidates = prefer(candidates, holds);
         }
@@ -398,7 +353,7 @@
         affinity: &GroupAffinity,
         is_scoped: bool,
     ) -> (Vec<Candidate<'a>>, Vec<Candidate<'a>>) {
-        let holds = |candidate: &Candidate| self.holds_group(affinity, candidate.server);
+        let holds = |candidate: &Candidate| affinity.holds(candidate.id());
         if self.flow.group.is_none() || candidates.iter().any(holds) {
             let credit = |candidate: &Candidate| rotation::next_credit(candidate.server);
             let next = candidates
@@ -408,13 +363,13 @@
             return (next.into_iter().collect(), candidates);
         }
         let choices = if self.gossip.is_enabled() {
-            GROUP_CHOICES
+            GROUP_CHOICES_WITH_GOSSIP
         } else if is_scoped {
-            2
+            GROUP_CHOICES_AMONG_CANDIDATES
         } else {
-            1
+            GROUP_CHOICES
         };
-        candidates.sort_by_key(|candidate| affinity.rank(candidate.server));
+        candidates.sort_by_key(|candidate| affinity.rank(candidate.id()));
         candidates.truncate(choices);
         let expected = |candidate: &Candidate| {
             load.expected
@@ -443,7 +398,7 @@
 
     /// Whether checks are made on demand and the last report is older than this.
     fn is_outdated(&self, server: &Server, age_max: Time) -> bool {
-        self.health_checks.is_on_demand() && server.load.is_outdated(self.now, age_max)
+        self.health_checks.is_on_demand() && server.load.is_outdated(self.view.now, age_max)
     }
 
     fn is_local(&self, server: &Server) -> bool {
@@ -451,13 +406,6 @@
     }
 }
 
-impl GroupAffinity<'_> {
-    /// The server's place in the group's order of servers, the same at all balancers.
-    fn rank(&self, server: &Server) -> u64 {
-        hash(self.hash ^ server.endpoint.server_id)
-    }
-}
-
 /// Those that pass, or all of them where none does.
 fn prefer<'a>(
     mut candidates: Vec<Candidate<'a>>,
--- /dev/null
+++ b/crates/policy/src/policy/events.rs
@@ -0,0 +1,141 @@
+//! What each event changes, and what follows from it.
+
+use super::Policy;
+use crate::load_reports::{OVERLOAD_UTILIZATION, is_plausible};
+use crate::migration;
+use crate::types::{Actions, AttemptEnd, FlowId, LoadReport, ServerId, Time};
+
+impl Policy {
+    /// Adds what is due whatever the event was.
+    pub(super) fn add_due_actions(&mut self, now: Time, actions: &mut Actions) {
+        actions.health_checks = self.health_checks.take_due(
+            now,
+            &mut self.endpoints,
+            &self.connections,
+            &self.recent_connects,
+        );
+        if self.migration.is_drain_step_due(now) {
+            let steps = self.migration.drain_steps(&self.view(now));
+            let leaving = self.migration.take_drain_step(now, steps, &mut self.rng);
+            actions.migrate.extend(leaving);
+        }
+        for flow in &actions.migrate {
+            self.connections.mark_migrating(*flow);
+        }
+        actions.poll_endpoints = self.endpoints.take_due_poll(now);
+    }
+
+    /// A server has accepted an attempt: all that depends on its success counts it.
+    pub(super) fn on_connected(&mut self, now: Time, flow: FlowId) -> Actions {
+        let Some(server_id) = self.connections.mark_connected(flow) else {
+            return Actions::default();
+        };
+        let gossip =
+            self.gossip
+                .announce(now, flow, server_id, &self.connections, &mut self.endpoints);
+        self.concurrency.increase();
+        if let Some(server) = self.endpoints.servers.get_mut(&server_id) {
+            server.outlier.record_connected(now);
+            if self.slow_start.is_warm(now, server) {
+                self.recent_connects.record(now, server_id);
+            }
+        }
+        self.recent_connects.expire(now);
+        Actions {
+            gossip,
+            ..Actions::default()
+        }
+    }
+
+    /// An attempt or connection has ended: failures count against its server, or all.
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Time,
+        flow: FlowId,
+        server_id: ServerId,
+        end: AttemptEnd,
+    ) {
+        let own = self.connections.remove(flow);
+        let was_in_flight = own.as_ref().is_some_and(|own| !own.is_connected);
+        let left_unasked = own.is_some_and(|own| own.is_connected && !own.is_migrating);
+        if end == AttemptEnd::Cancelled && left_unasked {
+            self.migration.stop_migrating_off_draining();
+        }
+        let Some(server) = self.endpoints.servers.get_mut(&server_id) else {
+            return;
+        };
+        // Healthy servers that fail or are late are the sign of a fault that they share.
+        let is_shared_fault = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Error);
+        if is_shared_fault && server.outlier.is_healthy(now) {
+            self.concurrency.decrease(now);
+        }
+        if !was_in_flight {
+            return;
+        }
+        server.load.withdraw_attempt();
+        if end == AttemptEnd::Overloaded {
+            server.overloaded_at = Some(now);
+        }
+        if end.is_server_failure() {
+            server.outlier.record_failed_attempt(now);
+        }
+    }
+
+    /// A client has left: its attempt in flight is cancelled where that is allowed.
+    pub(super) fn on_client_left(&self, flow: FlowId) -> Actions {
+        let own = self.connections.own.get(&flow);
+        let is_in_flight = own.is_some_and(|own| !own.is_connected);
+        let is_cancelled = self.retry.allows_cancellation() && is_in_flight;
+        Actions {
+            cancel: is_cancelled.then_some(flow).into_iter().collect(),
+            ..Actions::default()
+        }
+    }
+
+    /// Takes in a health check's result, and returns the connections to migrate off the server.
+    pub(super) fn on_health_checked(
+        &mut self,
+        now: Time,
+        server_id: ServerId,
+        passed: bool,
+        report: LoadReport,
+    ) -> Vec<FlowId> {
+        let is_on_demand = self.health_checks.is_on_demand();
+        self.queue
+            .report_came(now, is_on_demand, self.endpoints.looked_at_max());
+        let Some(server) = self.endpoints.servers.get_mut(&server_id) else {
+            return Vec::new();
+        };
+        server.load.record_check(now);
+        if passed {
+            server.outlier.record_passed_check();
+        } else {
+            server.outlier.record_failed_check(now);
+            self.health_checks
+                .retry_failed(now, &mut server.health_check);
+        }
+        let is_overloaded = report
+            .utilization
+            .is_some_and(|utilization| utilization > OVERLOAD_UTILIZATION);
+        if let Some(candidates) = &mut self.endpoints.candidates
+            && (is_overloaded || !passed)
+        {
+            candidates.health_checks.recheck_soon(now, server_id);
+        }
+        let plausible = report.utilization.filter(|value| is_plausible(*value));
+        let Some(utilization) = plausible.filter(|_| passed) else {
+            return Vec::new();
+        };
+        server.load.record_report(now, utilization);
+        let connections = report.connections.filter(|count| *count >= 1.0);
+        let per_connection = connections.map(|count| utilization / count);
+        self.connections.estimate_loads(server_id, per_connection);
+        migration::migrate_off_overloaded(
+            now,
+            self.health_checks.report_lifetime(),
+            server,
+            &self.connections,
+            &mut self.rng,
+        )
+    }
+}
--- /dev/null
+++ b/crates/policy/src/policy/placing.rs
@@ -0,0 +1,160 @@
+//! The steps of placing a flow, in their order.
+
+use nettlemux_candidates::ZoneReach;
+
+use super::Policy;
+use crate::placement::{PlacementQuery, Selection};
+use crate::queue::QUEUE_RECHECK_INTERVAL;
+use crate::slow_start;
+use crate::types::{Flow, Placement, ServerId, Time};
+
+impl Policy {
+    /// Looks for servers: among the flow's candidates, then among further ones, then, within a
+    /// budget, in the whole list. Guards against a flow whose candidates are all away or full.
+    pub(super) fn select(
+        &mut self,
+        now: Time,
+        flow: &Flow,
+        priority_utilization: f64,
+    ) -> Selection {
+        if let Some(ramp_rates) = self.slow_start.due_ramp_rates(&self.view(now)) {
+            self.slow_start.set_ramp_rates(now, ramp_rates);
+        }
+        let query = self.query(now, flow, priority_utilization);
+        let zones = if self.gossip.is_enabled() {
+            ZoneReach::AllZones
+        } else {
+            ZoneReach::OwnZone
+        };
+        let mut selection = query.select(self.candidates(flow, zones).as_deref());
+        if selection.eligible.is_empty() && self.endpoints.is_long() {
+            let further = self.candidates(flow, ZoneReach::AllZones);
+            selection = query.select(further.as_deref());
+        }
+        let is_whole = selection.eligible.is_empty() && self.endpoints.may_walk_list(now);
+        if is_whole {
+            selection = self.query(now, flow, priority_utilization).select(None);
+        }
+        let is_returning = flow.reconnecting && self.view(now).has_started_empty();
+        let is_first = flow.attempts.is_empty() && !is_returning;
+        if is_first && (is_whole || !self.endpoints.is_long()) {
+            self.queue
+                .record_least_utilization(now, selection.least_utilization);
+        }
+        selection
+    }
+
+    /// One look for where this flow may go.
+    fn query<'a>(
+        &'a self,
+        now: Time,
+        flow: &'a Flow,
+        priority_utilization: f64,
+    ) -> PlacementQuery<'a> {
+        PlacementQuery {
+            view: self.view(now),
+            flow,
+            class: self.classes.of(flow),
+            zone: self.zone,
+            balancers: self.balancers,
+            priority_utilization,
+            health_checks: &self.health_checks,
+            slow_start: &self.slow_start,
+            retry: &self.retry,
+            gossip: &self.gossip,
+        }
+    }
+
+    /// On a long list the servers that this flow may go to: candidates of its group and own
+    /// holders of it, or its own candidates. None where the list is looked at whole.
+    fn candidates(&self, flow: &Flow, zones: ZoneReach) -> Option<Vec<ServerId>> {
+        let candidates = self.endpoints.candidates.as_ref()?;
+        let holders = self.connections.group_holders(flow).into_iter().flatten();
+        let key = self.endpoints.candidate_key(flow);
+        Some(candidates.scope(key, self.zone, zones, holders))
+    }
+
+    /// Queues the flow until the servers that it may go to have reported, where their reports are
+    /// too old and there is time. When many flows wait the reports that there are must do.
+    pub(super) fn request_reports(
+        &mut self,
+        now: Time,
+        flow: &Flow,
+        time_left: Time,
+        selection: &Selection,
+    ) -> bool {
+        let servers = &selection.needs_report;
+        let has_time = now < flow.accepted_at + self.classes.of(flow).latency_objective
+            && time_left > 2 * QUEUE_RECHECK_INTERVAL;
+        if servers.is_empty() || self.queue.is_full(&self.concurrency) || !has_time {
+            return false;
+        }
+        if let Some(candidates) = &mut self.endpoints.candidates
+            && !candidates.health_checks.reserve(now, servers.len())
+        {
+            return false;
+        }
+        if self
+            .health_checks
+            .request(now, servers, &mut self.endpoints)
+        {
+            self.queue.await_reports(now);
+        }
+        self.queue.add();
+        true
+    }
+
+    /// Sends the flow to this server. It may take all the time that is left: an attempt that is
+    /// given up has cost the store its call all the same.
+    pub(super) fn forward(
+        &mut self,
+        now: Time,
+        flow: &Flow,
+        server_id: ServerId,
+        time_left: Time,
+    ) -> Placement {
+        let server = self.endpoints.servers.get_mut(&server_id);
+        let server = server.expect("only listed servers are selected");
+        slow_start::record_attempt(&mut server.slow_start, now);
+        server.load.record_attempt(now);
+        self.connections.record_attempt(now, flow, server_id);
+        Placement::Forward {
+            server_id,
+            timeout: time_left,
+            send_within: time_left.min(self.resend_time_left(now, flow)),
+        }
+    }
+
+    /// Queues the flow while its latency objective may still be met and few wait, else gives it up.
+    pub(super) fn queue_or_give_up(&mut self, now: Time, flow: &Flow) -> Placement {
+        let waited = now.saturating_sub(flow.accepted_at);
+        // Guards against a flow that is placed again only when its time has run out.
+        let recheck_interval = self.queue.recheck_interval(self.endpoints.looked_at_max());
+        if self.retry.is_due_within(now, flow, recheck_interval)
+            || waited >= self.classes.of(flow).latency_objective
+            || self.queue.is_full(&self.concurrency)
+        {
+            return self.reject_or_fail(now, flow);
+        }
+        self.queue.add();
+        Placement::Wait
+    }
+
+    /// Gives the flow up.
+    pub(super) fn reject_or_fail(&mut self, now: Time, flow: &Flow) -> Placement {
+        let resend_time_left = self.resend_time_left(now, flow);
+        self.shedding.reject_or_fail(
+            flow,
+            self.classes.of(flow).idempotency,
+            resend_time_left,
+            &self.concurrency,
+            &mut self.rng,
+        )
+    }
+
+    /// Time until which an attempt of this flow may still be sent.
+    fn resend_time_left(&self, now: Time, flow: &Flow) -> Time {
+        let idempotency = self.classes.of(flow).idempotency;
+        self.retry.resend_time_left(now, flow, idempotency)
+    }
+}
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -9,9 +9,8 @@
 use nanorand::{Rng, WyRand};
 use nettlemux_candidates::hash;
 
-use crate::connections::ConnectionTable;
-use crate::endpoints::{Endpoints, Server, SlowStartSlots};
-use crate::recent_connects::RecentConnects;
+use crate::endpoints::{Server, SlowStartSlots};
+use crate::fleet_view::FleetView;
 use crate::types::{SEC, Time};
 
 /// Span for which a budget is drawn: longer ones add up in a window, shorter ones meet few flows.
@@ -22,11 +21,15 @@
 const FILLS_PER_WARM_UP: f64 = 4.0;
 /// Ramp rates of a long list are worked out once in this interval.
 const RAMP_RATE_INTERVAL: Time = SEC;
-/// Mean utilization by which held connections are scaled to what fills a server.
-const FILLED_UTILIZATION_RANGE: (f64, f64) = (0.25, 1.0);
+/// Bounds of the mean utilization by which held connections are scaled to what fills a server.
+const FILLED_UTILIZATION_MIN: f64 = 0.25;
+const FILLED_UTILIZATION_MAX: f64 = 1.0;
 /// Part of the rate at which warm servers connected that a warming one may get.
 const CONNECT_RATE_FRACTION: f64 = 0.5;
 
+/// For each kind of machine what a warm server takes, in attempts for each nanosecond.
+pub(crate) type RampRates = BTreeMap<u64, f64>;
+
 /// How a server warms up, and what it can't stand meanwhile.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStartConfig {
@@ -69,8 +72,7 @@
     budget_multiple: f64,
     /// When the last of the servers is warm.
     all_warm_at: Time,
-    /// For each kind of machine what a warm server takes, in attempts for each nanosecond.
-    ramp_rates: BTreeMap<u64, f64>,
+    ramp_rates: RampRates,
     ramp_rates_at: Time,
 }
 
@@ -81,7 +83,7 @@
             budget_multiple: config.overload_multiple * window as f64 / (window + SLOT) as f64,
             config,
             all_warm_at: 0,
-            ramp_rates: BTreeMap::new(),
+            ramp_rates: RampRates::new(),
             ramp_rates_at: 0,
         }
     }
@@ -137,77 +139,79 @@
         ((mean + draw) as u64).saturating_sub(attempts_in(slots, slot))
     }
 
-    /// Works out the ramp rates anew, on a long list only once in an interval, as that walks it.
-    pub(crate) fn update_ramp_rates(
-        &mut self,
-        now: Time,
-        report_lifetime: Time,
-        endpoints: &Endpoints,
-        connections: &ConnectionTable,
-        recent_connects: &RecentConnects,
-    ) {
-        if endpoints.is_long() && now < self.ramp_rates_at + RAMP_RATE_INTERVAL {
-            return;
+    /// Returns the ramp rates of this moment, where they are due: on a long list only once in an
+    /// interval, as they take a walk over all servers.
+    pub(crate) fn due_ramp_rates(&self, view: &FleetView) -> Option<RampRates> {
+        if view.endpoints.is_long() && view.now < self.ramp_rates_at + RAMP_RATE_INTERVAL {
+            None
+        } else if view.now < self.all_warm_at {
+            Some(self.ramp_rates(view))
+        } else {
+            Some(RampRates::new())
         }
+    }
+
+    /// Budgets by these ramp rates from now on.
+    pub(crate) fn set_ramp_rates(&mut self, now: Time, ramp_rates: RampRates) {
         self.ramp_rates_at = now;
-        self.ramp_rates = if now < self.all_warm_at {
-            self.ramp_rates(
-                now,
-                report_lifetime,
-                endpoints,
-                connections,
-                recent_connects,
-            )
-        } else {
-            BTreeMap::new()
+        self.ramp_rates = ramp_rates;
+    }
+
+    /// For each kind of machine what a warm server takes: half of what connected lately, or what
+    /// fills a server over its warm-up, as each of hundreds of balancers connects too few. What is
+    /// sent doesn't count: it would rise in a storm. Where one refuses, the lower of both counts:
+    /// guards against a jam in which the few warm servers take and drop the same clients again and
+    /// again, and all turn to the warming ones.
+    fn ramp_rates(&self, view: &FleetView) -> RampRates {
+        let (mut machines, utilization) = self.warm_servers(view);
+        self.add_connect_rates(&mut machines, view);
+        let in_flight = view.connections.in_flight.len() as f64;
+        let rate = |(machine, warm): (u64, WarmServers)| {
+            (machine, self.ramp_rate(&warm, in_flight, utilization))
         };
+        machines.into_iter().map(rate).collect()
     }
 
-    /// For each kind of machine what a warm server takes, in attempts for each nanosecond: half of
-    /// what connected lately, or what fills a server over its warm-up, as each of hundreds of
-    /// balancers connects too few. What is sent doesn't count: it would rise in a storm. Where one
-    /// refuses, the lower of both counts: guards against a jam in which the few warm servers take
-    /// and drop the same clients again and again, and all turn to the warming ones.
-    fn ramp_rates(
-        &self,
-        now: Time,
-        report_lifetime: Time,
-        endpoints: &Endpoints,
-        connections: &ConnectionTable,
-        recent_connects: &RecentConnects,
-    ) -> BTreeMap<u64, f64> {
-        let span = recent_connects.counted_span(now);
-        let is_warm = |server: &Server| server.is_ready() && self.is_warm(now, server);
+    /// The warm servers of each kind of machine, and the mean utilization of them all.
+    fn warm_servers(&self, view: &FleetView) -> (BTreeMap<u64, WarmServers>, f64) {
+        let span = view.recent_connects.counted_span(view.now);
         let mut machines: BTreeMap<u64, WarmServers> = BTreeMap::new();
-        let (mut utilization_sum, mut reports) = (0.0, 0.0);
-        for server in endpoints.servers.values().filter(|server| is_warm(server)) {
+        let (mut sum, mut reports) = (0.0, 0.0);
+        for server in view.endpoints.servers.values() {
+            if !self.is_ready_and_warm(view.now, server) {
+                continue;
+            }
             let warm = machines.entry(server.endpoint.machine).or_default();
             warm.count += 1.0;
-            warm.own_connections += connections.count_at(server.endpoint.server_id);
-            warm.is_refusing |= server.overloaded_at.is_some_and(|at| now < at + span);
-            if let Some(utilization) = server.load.utilization(now, report_lifetime) {
-                utilization_sum += utilization;
+            warm.own_connections += view.own_connections(server);
+            warm.is_refusing |= server.overloaded_at.is_some_and(|at| view.now < at + span);
+            if let Some(utilization) = view.utilization(server) {
+                sum += utilization;
                 reports += 1.0;
             }
         }
-        for server_id in recent_connects.servers_within(now, span) {
-            let server = endpoints.servers.get(&server_id);
-            if let Some(server) = server.filter(|server| is_warm(server)) {
+        let utilization = if reports > 0.0 {
+            (sum / reports).clamp(FILLED_UTILIZATION_MIN, FILLED_UTILIZATION_MAX)
+        } else {
+            FILLED_UTILIZATION_MAX
+        };
+        (machines, utilization)
+    }
+
+    /// Adds the rate at which attempts connected lately to these servers.
+    fn add_connect_rates(&self, machines: &mut BTreeMap<u64, WarmServers>, view: &FleetView) {
+        let span = view.recent_connects.counted_span(view.now);
+        for server_id in view.recent_connects.servers_within(view.now, span) {
+            let server = view.endpoints.servers.get(&server_id);
+            if let Some(server) = server.filter(|server| self.is_ready_and_warm(view.now, server)) {
                 let warm = machines.entry(server.endpoint.machine).or_default();
                 warm.connect_rate += CONNECT_RATE_FRACTION / span as f64;
             }
         }
-        let (utilization_min, utilization_max) = FILLED_UTILIZATION_RANGE;
-        let utilization = if reports > 0.0 {
-            (utilization_sum / reports).clamp(utilization_min, utilization_max)
-        } else {
-            1.0
-        };
-        let in_flight = connections.in_flight.len() as f64;
-        let rate = |(machine, warm): (u64, WarmServers)| {
-            (machine, self.ramp_rate(&warm, in_flight, utilization))
-        };
-        machines.into_iter().map(rate).collect()
+    }
+
+    fn is_ready_and_warm(&self, now: Time, server: &Server) -> bool {
+        server.is_ready() && self.is_warm(now, server)
     }
 
     /// What one of these warm servers takes, in attempts for each nanosecond.
