--- a/crates/candidates/tests/candidate_set.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn largest_own_load_is_probed_most_and_nobody_is_left_out() {
+fn largest_own_load_is_checked_most_and_nobody_is_left_out() {
     let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..100)
         .map(|id| (id, if id == 42 { 100 } else { 5 }))
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn hot_servers_come_first_and_again_no_sooner_than_in_two_seconds() {
+fn overloaded_servers_come_first_and_again_no_sooner_than_in_two_seconds() {
     let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..6_000).map(|id| (id, 7)).collect();
     queue.recheck_soon(100 * SEC, 5_000);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_server_that_may_not_be_probed_costs_nothing() {
+fn a_server_that_may_not_be_checked_costs_nothing() {
     let mut queue = HealthCheckQueue::default();
     queue.recheck_soon(0, 1);
     let own = BTreeMap::from([(1, 5), (2, 5)]);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,6 +3,9 @@
 
 use nettlemux_policy::*;
 
+/// When most cases begin: 0 would be "long ago".
+pub const T0: Time = 1000 * SEC;
+
 /// A traffic class with a latency objective of 100 ms.
 pub fn traffic_class(idempotency: Idempotency) -> TrafficClass {
     TrafficClass {
@@ -135,3 +138,33 @@
         )
         .migrate
 }
+
+/// Balancers of one fleet, each with a connection at two of forty warm servers of that load.
+pub fn fleet(balancers: u64, utilization: f64) -> impl Iterator<Item = Policy> {
+    (0..balancers).map(move |seed| {
+        let config = PolicyConfig {
+            balancers: balancers as f64,
+            retry: three_attempts(),
+            slow_start: SlowStartConfig {
+                initial_capacity_fraction: 0.35,
+                warm_up: 8 * SEC,
+                overload_multiple: 3.0,
+                overload_window: 3 * SEC,
+            },
+            migration: MigrationConfig { off_draining: true },
+            ..PolicyConfig::default()
+        };
+        let mut policy = Policy::new(
+            seed,
+            0,
+            vec![traffic_class(Idempotency::Idempotent)],
+            config,
+        );
+        policy.update_endpoints(T0, &(0..40).map(ready).collect::<Vec<_>>(), true);
+        (0..2).for_each(|id| policy.adopt_connection(&flow(T0, id), (2 * seed + id) % 40));
+        (0..40).for_each(|server_id| {
+            drop(report_utilization(&mut policy, T0, server_id, utilization))
+        });
+        policy
+    })
+}
--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/fleet_slow_start.rs
@@ -337,7 +337,7 @@
 /// Few balancers and few requests: judged by the same budget, which is narrower under 30 requests than the operators'
 /// (N + 3 x root of N + 3 there).
 #[test]
-fn one_and_two_balancers_keep_a_cold_server_up_that_may_get_few() {
+fn one_and_two_balancers_keep_a_warming_server_up_that_may_get_few() {
     let fleets = [(1, 3, 0.3), (2, 4, 1.0)];
     check(
         &fleets
@@ -347,21 +347,21 @@
 }
 
 #[test]
-fn four_balancers_keep_a_cold_server_up() {
+fn four_balancers_keep_a_warming_server_up() {
     check(&[rows(4, 4, 1.0), rows(4, 4, 10.0)].concat());
 }
 
 #[test]
-fn thirty_balancers_keep_a_cold_server_up() {
+fn thirty_balancers_keep_a_warming_server_up() {
     check(&[rows(30, 12, 1.0), rows(30, 12, 10.0)].concat());
 }
 
 #[test]
-fn three_hundred_balancers_keep_a_cold_server_up() {
+fn three_hundred_balancers_keep_a_warming_server_up() {
     check(&rows(300, 12, 10.0));
 }
 
 #[test]
-fn fourteen_hundred_balancers_keep_a_cold_server_up() {
+fn fourteen_hundred_balancers_keep_a_warming_server_up() {
     check(&rows(1400, 12, 10.0));
 }
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -8,7 +8,6 @@
 use nettlemux_candidates::ZoneReach;
 use nettlemux_policy::*;
 
-const T0: Time = 1000 * SEC;
 /// The longest list that is looked at whole, and the most candidates of a flow without connections of its group.
 const WHOLE: u64 = 200;
 const FEW: usize = 16;
@@ -213,7 +212,7 @@
 }
 
 #[test]
-fn probes_keep_within_their_budget_however_many_servers_and_flows_there_are() {
+fn health_checks_keep_within_their_budget_however_many_servers_and_flows_there_are() {
     for count in [600, 6_000] {
         let mut policy = balancer(1, 3);
         policy.update_endpoints(T0, &servers(count), true);
@@ -270,7 +269,7 @@
 }
 
 #[test]
-fn a_hot_server_is_asked_again_before_others_and_sheds() {
+fn an_overloaded_server_is_checked_again_before_others_and_migrates() {
     let mut policy = balancer(1, 3);
     policy.update_endpoints(T0, &servers(600), true);
     for id in 0..6_000 {
--- /dev/null
+++ b/crates/policy/tests/policy.rs
@@ -0,0 +1,232 @@
+//! The policy as a whole: absurd news, other settings, lists that change.
+
+mod common;
+
+use common::*;
+use nettlemux_policy::*;
+
+#[test]
+fn absurd_news_and_late_outcomes_do_no_harm() {
+    let mut policy = balancer(Idempotency::NonIdempotent);
+    policy.update_endpoints(
+        T0,
+        &[
+            ready(0),
+            Endpoint {
+                zone: u64::MAX,
+                machine: 77,
+                ..ready(ServerId::MAX)
+            },
+        ],
+        true,
+    );
+    for b in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
+        report_utilization(&mut policy, T0, 0, b);
+        report_utilization(&mut policy, T0, 42, b);
+        policy.update_connection_load(42, b);
+        policy.adopt_connection(&flow(T0, 7), 0);
+        policy.update_connection_load(7, b);
+    }
+    for end in [
+        AttemptEnd::Done,
+        AttemptEnd::Error,
+        AttemptEnd::Overloaded,
+        AttemptEnd::TimedOut,
+        AttemptEnd::ConnectionLost,
+        AttemptEnd::Cancelled,
+        AttemptEnd::NotSent,
+    ] {
+        policy.on_event(
+            T0,
+            PolicyEvent::AttemptEnded {
+                flow: 999,
+                server_id: 42,
+                end,
+                unanswered: None,
+            },
+        );
+        policy.on_event(
+            T0,
+            PolicyEvent::AttemptEnded {
+                flow: 7,
+                server_id: 0,
+                end,
+                unanswered: None,
+            },
+        );
+    }
+    policy.on_event(T0, PolicyEvent::Connected { flow: 999, took: 0 });
+    assert!(
+        policy
+            .on_event(T0, PolicyEvent::ClientLeft { flow: 999 })
+            .cancel
+            .is_empty()
+    );
+    let unknown = Flow {
+        class: 99,
+        ..flow(T0, 5)
+    };
+    assert!(matches!(
+        policy.place(T0, &unknown),
+        Placement::Forward { .. }
+    ));
+    assert_eq!(
+        policy
+            .on_event(T0, PolicyEvent::ClientLeft { flow: 5 })
+            .cancel,
+        [5]
+    );
+}
+
+#[test]
+fn other_settings_keep_what_is_known_and_in_hand() {
+    // Guards against a switch that forgets connections, drains or failures, and one that can't be taken back.
+    let made = |may_gossip| {
+        let config = PolicyConfig {
+            gossip: GossipConfig {
+                enabled: may_gossip,
+            },
+            ..config()
+        };
+        balancer_with(Idempotency::Idempotent, config)
+    };
+    let mut policy = made(false);
+    policy.update_endpoints(
+        T0,
+        &[
+            ready(0),
+            ready(1),
+            Endpoint {
+                state: EndpointState::Draining,
+                ..ready(2)
+            },
+        ],
+        true,
+    );
+    (0..4).for_each(|id| {
+        policy.adopt_connection(
+            &Flow {
+                group: Some("a".into()),
+                ..flow(T0, id)
+            },
+            1,
+        )
+    });
+    policy.on_event(
+        T0,
+        PolicyEvent::AttemptEnded {
+            flow: 9,
+            server_id: 2,
+            end: AttemptEnd::Error,
+            unanswered: None,
+        },
+    );
+    for may_gossip in [true, false, true, false] {
+        policy.apply_settings(made(may_gossip));
+        policy.receive_gossip(
+            T0,
+            GroupPlacement {
+                group: 1,
+                server_id: 0,
+            },
+        );
+        for id in 10..20 {
+            let one = Flow {
+                group: (!may_gossip).then(|| "a".into()),
+                ..flow(T0, id)
+            };
+            let placed = policy.place(T0, &one);
+            assert!(
+                matches!(
+                    placed,
+                    Placement::Forward {
+                        server_id: 0 | 1,
+                        ..
+                    }
+                ) && (may_gossip || matches!(placed, Placement::Forward { server_id: 1, .. })),
+                "{placed:?}"
+            );
+            policy.on_event(
+                T0,
+                PolicyEvent::AttemptEnded {
+                    flow: id,
+                    server_id: 1,
+                    end: AttemptEnd::Done,
+                    unanswered: None,
+                },
+            );
+        }
+    }
+    let moved = (0..40).any(|second| {
+        let now = T0 + second * 3 * SEC;
+        !report_utilization(&mut policy, now, 1, 2.0 + second as f64 / 100.0).is_empty()
+    });
+    assert!(moved, "connections from before are still ours to move");
+}
+
+#[test]
+fn large_lists_that_turn_over_within_one_moment_and_reports_absurd_on_a_part_do_no_harm() {
+    // Guards against panics, and against sends to servers that came and went, at twice the largest size seen.
+    let config = PolicyConfig {
+        balancers: 1000.0,
+        health_checks: health_checks(0.002),
+        ..config()
+    };
+    let mut policy = balancer_with(Idempotency::Idempotent, config);
+    let list = |from: ServerId, state| -> Vec<Endpoint> {
+        let one = |server_id| Endpoint {
+            state,
+            started: if server_id % 7 == 0 { T0 } else { 0 },
+            zone: server_id % 3,
+            ..ready(server_id)
+        };
+        (from..from + 500).map(one).collect()
+    };
+    let mut placed = 0;
+    for round in 0..20u64 {
+        let now = T0 + round * SEC;
+        policy.update_endpoints(now, &list(round * 250, EndpointState::Ready), false);
+        policy.update_endpoints(
+            now,
+            &list(round * 250 + 250, EndpointState::Ready),
+            round % 5 == 4,
+        );
+        policy.update_endpoints(now, &list(round * 250, EndpointState::Removed), false);
+        for server_id in (0..6000).step_by(3) {
+            let absurd = [f64::NAN, -1.0, f64::INFINITY, 1e300, 0.3];
+            report_utilization(
+                &mut policy,
+                now,
+                server_id,
+                absurd[(server_id % 5) as usize],
+            );
+        }
+        policy.on_event(now, PolicyEvent::TimerExpired);
+        for id in 0..20 {
+            let group = Some(format!("group {}", id % 4));
+            let one = Flow {
+                group,
+                ..flow(now, round * 100 + id)
+            };
+            if let Placement::Forward {
+                server_id, timeout, ..
+            } = policy.place(now, &one)
+            {
+                let listed = round * 250 + 500..round * 250 + 750;
+                assert!(
+                    listed.contains(&server_id) && timeout < 2 * SEC,
+                    "round {round}: {server_id}"
+                );
+                policy.on_event(
+                    now,
+                    PolicyEvent::Connected {
+                        flow: one.id,
+                        took: MS,
+                    },
+                );
+                placed += 1;
+            }
+        }
+    }
+    assert!(placed > 100, "{placed} of 400 placed");
+}
