--- a/crates/policy/tests/cold_ramp.rs
+++ b/crates/policy/tests/fleet_slow_start.rs
@@ -12,7 +12,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use common::{probe, ready, repeat};
+use common::{ready, report_utilization, traffic_class};
 use nettlemux_policy::*;
 
 const START_CAPACITY: f64 = 0.35;
@@ -93,12 +93,22 @@
 
 impl Balancer {
     fn new(fleet: &Fleet, index: u64) -> Self {
-        let mut policy = Policy::new(index, 0, vec![repeat(Idempotency::Idempotent)])
-            .attempts(3, 4 * MS, false, true)
-            .retry_after(Some(2 * SEC))
-            .probing(true, 0.0)
-            .among(fleet.balancers as f64, false)
-            .cold(START_CAPACITY, WARM_UP, MULTIPLE, FALL);
+        let config = PolicyConfig {
+            balancers: fleet.balancers as f64,
+            slow_start: SlowStartConfig {
+                initial_capacity_fraction: START_CAPACITY,
+                warm_up: WARM_UP,
+                overload_multiple: MULTIPLE,
+                overload_window: FALL,
+            },
+            ..common::config()
+        };
+        let mut policy = Policy::new(
+            index,
+            0,
+            vec![traffic_class(Idempotency::Idempotent)],
+            config,
+        );
         policy.update_endpoints(
             BEGIN,
             &(0..fleet.servers).map(ready).collect::<Vec<_>>(),
@@ -137,7 +147,7 @@
             // Reports that never change would be taken for stuck.
             let noise = (self.probes % 7) as f64 * 1e-4;
             (0..servers).for_each(|server_id| {
-                drop(probe(
+                drop(report_utilization(
                     &mut self.policy,
                     now,
                     server_id,
@@ -327,7 +337,7 @@
 /// Few balancers and few requests: judged by the same budget, which is narrower under 30 requests than the operators'
 /// (N + 3 x root of N + 3 there).
 #[test]
-fn one_and_two_balancers_keep_a_cold_server_up_that_may_get_few() {
+fn one_and_two_balancers_keep_a_warming_server_up_that_may_get_few() {
     let fleets = [(1, 3, 0.3), (2, 4, 1.0)];
     check(
         &fleets
@@ -337,21 +347,21 @@
 }
 
 #[test]
-fn four_balancers_keep_a_cold_server_up() {
+fn four_balancers_keep_a_warming_server_up() {
     check(&[rows(4, 4, 1.0), rows(4, 4, 10.0)].concat());
 }
 
 #[test]
-fn thirty_balancers_keep_a_cold_server_up() {
+fn thirty_balancers_keep_a_warming_server_up() {
     check(&[rows(30, 12, 1.0), rows(30, 12, 10.0)].concat());
 }
 
 #[test]
-fn three_hundred_balancers_keep_a_cold_server_up() {
+fn three_hundred_balancers_keep_a_warming_server_up() {
     check(&rows(300, 12, 10.0));
 }
 
 #[test]
-fn fourteen_hundred_balancers_keep_a_cold_server_up() {
+fn fourteen_hundred_balancers_keep_a_warming_server_up() {
     check(&rows(1400, 12, 10.0));
 }
--- a/crates/settings/src/platform/policy.rs
+++ b/crates/settings/src/platform/policy.rs
@@ -1,6 +1,9 @@
 //! The load balancing policy of a deployment.
 
-use nettlemux_policy::{MS, Policy, SEC, Time};
+use nettlemux_policy::{
+    EndpointConfig, GossipConfig, HealthCheckConfig, MS, MigrationConfig, Policy, PolicyConfig,
+    RetryConfig, SEC, SheddingConfig, SlowStartConfig, Time,
+};
 
 use super::keys;
 use super::values::Settings;
@@ -34,42 +37,58 @@
         margin: Time,
         drain_migration: DrainMigration,
     ) -> Result<Policy, SettingsError> {
-        // Without a multiple at which starting servers fail there is no limit on them: all count as
-        // warm.
-        let (start, warm_up, multiple, window) =
-            match self.optional(keys::SLOW_START_FAILURE_MULTIPLE) {
-                Some(_) => (
-                    self.number_or(keys::SLOW_START_CAPACITY, SLOW_START_CAPACITY)?,
-                    self.time_or(keys::WARM_UP, WARM_UP_TIME)?,
-                    self.number(keys::SLOW_START_FAILURE_MULTIPLE)?,
-                    self.time_or(keys::SLOW_START_FAILURE_WINDOW, SLOW_START_FAILURE_WINDOW)?,
-                ),
-                None => (1.0, 0, 1.0, SLOW_START_FAILURE_WINDOW),
-            };
-        Ok(Policy::new(seed, self.zone()?, self.traffic_classes()?)
-            .attempts(
-                self.attempts_in_flight_max()?,
-                margin,
-                self.is_allowed(keys::HEDGING_ALLOWED)?,
-                self.is_allowed(keys::CANCELLATION_ALLOWED)?,
-            )
-            .among(
-                self.number_or(keys::BALANCERS, 1.0)?,
-                self.gossip_allowed()?,
-            )
-            .tenants(
-                self.tenant_quotas()?,
-                self.number_or(keys::SURPLUS_WEIGHT, 1.0)?,
-            )
-            .retry_after(self.max_retry_after()?)
-            .probing(
-                self.is_allowed(keys::HEALTH_CHECKS_ALLOWED)?,
-                self.number_or(keys::HEALTH_CHECK_COST, 0.0)?,
-            )
-            .told(
-                self.endpoint_poll_interval_max()?.is_some(),
-                drain_migration == DrainMigration::Enabled,
-            )
-            .cold(start, warm_up, multiple, window))
+        let slow_start = self.slow_start()?;
+        let (zone, classes) = (self.zone()?, self.traffic_classes()?);
+        let config = PolicyConfig {
+            retry: RetryConfig {
+                attempts_max: self.attempts_in_flight_max()?,
+                deadline_margin: margin,
+                allow_hedging: self.is_allowed(keys::HEDGING_ALLOWED)?,
+                allow_cancellation: self.is_allowed(keys::CANCELLATION_ALLOWED)?,
+            },
+            balancers: self.number_or(keys::BALANCERS, 1.0)?,
+            gossip: GossipConfig {
+                enabled: self.gossip_allowed()?,
+            },
+            shedding: SheddingConfig {
+                tenant_quotas: self.tenant_quotas()?,
+                surplus_weight: self.number_or(keys::SURPLUS_WEIGHT, 1.0)?,
+                retry_after_max: self.max_retry_after()?,
+            },
+            health_checks: HealthCheckConfig {
+                enabled: self.is_allowed(keys::HEALTH_CHECKS_ALLOWED)?,
+                cost: self.number_or(keys::HEALTH_CHECK_COST, 0.0)?,
+            },
+            endpoints: EndpointConfig {
+                is_polled: self.endpoint_poll_interval_max()?.is_some(),
+                ..EndpointConfig::default()
+            },
+            migration: MigrationConfig {
+                off_draining: drain_migration == DrainMigration::Enabled,
+            },
+            slow_start,
+        };
+        Ok(Policy::new(seed, zone, classes, config))
+    }
+
+    /// Without a multiple at which starting servers fail there is no limit on them: all count as
+    /// warm.
+    fn slow_start(&self) -> Result<SlowStartConfig, SettingsError> {
+        if self.optional(keys::SLOW_START_FAILURE_MULTIPLE).is_none() {
+            return Ok(SlowStartConfig {
+                initial_capacity_fraction: 1.0,
+                warm_up: 0,
+                overload_multiple: 1.0,
+                overload_window: SLOW_START_FAILURE_WINDOW,
+            });
+        }
+        Ok(SlowStartConfig {
+            initial_capacity_fraction: self
+                .number_or(keys::SLOW_START_CAPACITY, SLOW_START_CAPACITY)?,
+            warm_up: self.time_or(keys::WARM_UP, WARM_UP_TIME)?,
+            overload_multiple: self.number(keys::SLOW_START_FAILURE_MULTIPLE)?,
+            overload_window: self
+                .time_or(keys::SLOW_START_FAILURE_WINDOW, SLOW_START_FAILURE_WINDOW)?,
+        })
     }
 }
