--- a/crates/adapter/src/balancer.rs
+++ b/crates/adapter/src/balancer.rs
@@ -1,12 +1,10 @@
 //! One simulated balancer: its flow table and its timer.
 
-use std::collections::BTreeMap;
-
 use nettlemux_flow_table::{AttemptOutcome, ClientIdentity, FlowTable, PolicyCommand};
-use nettlemux_policy::{Endpoint, Flow, FlowId, MS, SEC, Time};
+use nettlemux_policy::{Flow, FlowId, MS, SEC, Time};
 use nettlemux_settings::{DrainMigration, LoadReportFormat, Settings};
 
-use crate::wire::{self, EndpointUpdate, SimulatorEvent, WireError, WireProblem};
+use crate::wire::{self, EndpointUpdate, SimulatorEvent, WireError};
 
 /// How many batches before its client gives up a flow is answered.
 const ANSWER_MARGIN_BATCHES: Time = 2;
@@ -47,23 +45,12 @@
     }
 
     /// Handles an event and appends the commands that follow from it to `out`.
-    ///
-    /// # Errors
-    /// Where the event refers to an endpoint table that isn't in `endpoint_tables`.
-    pub fn handle(
-        &mut self,
-        now: Time,
-        event: SimulatorEvent,
-        endpoint_tables: &BTreeMap<u64, Vec<Endpoint>>,
-        out: &mut String,
-    ) -> Result<(), WireError> {
+    pub fn handle(&mut self, now: Time, event: SimulatorEvent, out: &mut String) {
         let table = &mut self.flow_table;
         match event {
             // The host removes balancers.
             SimulatorEvent::Removed => {}
-            SimulatorEvent::EndpointsUpdated(update) => {
-                self.update_endpoints(now, update, endpoint_tables)?;
-            }
+            SimulatorEvent::EndpointsUpdated(update) => self.update_endpoints(now, update),
             SimulatorEvent::FlowArrived(flow) => self.accept(now, flow, out),
             SimulatorEvent::ConnectionAdopted { flow, server_id } => {
                 table.adopt_connection(flow, server_id);
@@ -99,29 +86,15 @@
                 }
             }
         }
-        Ok(())
     }
 
-    fn update_endpoints(
-        &mut self,
-        now: Time,
-        update: EndpointUpdate,
-        endpoint_tables: &BTreeMap<u64, Vec<Endpoint>>,
-    ) -> Result<(), WireError> {
-        let (number, is_complete) = match update {
-            EndpointUpdate::Delta { table } => (table, false),
-            EndpointUpdate::Snapshot { table } => (table, true),
-            EndpointUpdate::PollFailed => {
-                self.flow_table.endpoint_poll_failed(now);
-                return Ok(());
-            }
-        };
-        let endpoints = endpoint_tables
-            .get(&number)
-            .ok_or_else(|| WireError::new("table", WireProblem::UnknownTable(number)))?;
-        self.flow_table
-            .update_endpoints(now, endpoints, is_complete);
-        Ok(())
+    fn update_endpoints(&mut self, now: Time, update: EndpointUpdate) {
+        let table = &mut self.flow_table;
+        match update {
+            EndpointUpdate::Delta(endpoints) => table.update_endpoints(now, endpoints, false),
+            EndpointUpdate::Snapshot(endpoints) => table.update_endpoints(now, endpoints, true),
+            EndpointUpdate::PollFailed => table.endpoint_poll_failed(now),
+        }
     }
 
     fn accept(&mut self, now: Time, flow: Flow, out: &mut String) {
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -3,11 +3,12 @@
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
-use nettlemux_policy::{Endpoint, Time};
+use nettlemux_policy::Time;
 
 use crate::balancer::SimulatedBalancer;
 use crate::wire::{
-    self, BatchLine, EventContext, EventLine, Lines, SimulatorEvent, WireError, WireProblem,
+    self, BatchLine, EndpointTables, EventContext, EventLine, Lines, SimulatorEvent, WireError,
+    WireProblem,
 };
 
 /// The balancers of one simulator, by their names.
@@ -15,7 +16,7 @@
 pub struct SimulatorHost {
     balancers: BTreeMap<String, SimulatedBalancer>,
     /// The endpoint tables that events refer to, by their numbers.
-    endpoint_tables: BTreeMap<u64, Vec<Endpoint>>,
+    endpoint_tables: EndpointTables,
 }
 
 /// The events of one balancer within a batch.
@@ -85,12 +86,14 @@
         let event = event.parse(EventContext {
             now,
             load_reports: balancer.load_report_format(),
+            endpoint_tables: &self.endpoint_tables,
         })?;
         if matches!(event, SimulatorEvent::Removed) {
             self.balancers.remove(name);
             return Ok(());
         }
-        balancer.handle(now, event, &self.endpoint_tables, &mut selection.commands)
+        balancer.handle(now, event, &mut selection.commands);
+        Ok(())
     }
 
     /// Ends a balancer's part of the reply.
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! Hosts balancers on the simulator's wire: batches of events on standard input, replies with
 //! commands on standard output.
 //!
-//! The program owns the simulated balancers and the wire's words, which stand in the module `wire`
-//! and nowhere else. It must never decide anything: that is up to the load balancing policy.
+//! The program owns the simulated balancers and the wire's names, which stand in `wire` and
+//! nowhere else. It must never decide anything: that is up to the load balancing policy.
 
 #![warn(missing_docs)]
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,5 +1,5 @@
 //! The simulator's wire: its lines are read into events and written from commands here, and its
-//! words stand nowhere else.
+//! names stand nowhere else.
 
 mod batch;
 mod command;
@@ -14,5 +14,5 @@
 pub use self::command::{write_balancer_commands, write_batch_end, write_command, write_timer};
 pub use self::endpoint::read_endpoints;
 pub use self::error::{WireError, WireProblem};
-pub use self::event::{EndpointUpdate, EventContext, SimulatorEvent};
+pub use self::event::{EndpointTables, EndpointUpdate, EventContext, SimulatorEvent};
 pub use self::lines::Lines;
--- a/crates/adapter/src/wire/batch.rs
+++ b/crates/adapter/src/wire/batch.rs
@@ -95,15 +95,20 @@
     /// Reads any other event.
     ///
     /// # Errors
-    /// Where the event is unknown, or a field is malformed.
-    pub fn parse(self, context: EventContext) -> Result<SimulatorEvent, WireError> {
+    /// Where the event is unknown, a field is malformed, or an endpoint table is missing.
+    pub fn parse<'a>(self, context: EventContext<'a>) -> Result<SimulatorEvent<'a>, WireError> {
         let EventLine { name, mut fields } = self;
-        let EventContext { now, load_reports } = context;
+        let EventContext {
+            now,
+            load_reports,
+            endpoint_tables,
+        } = context;
         let event = match name {
             "TEARDOWN" => SimulatorEvent::Removed,
-            "VIEW" => {
-                SimulatorEvent::EndpointsUpdated(event_fields::parse_endpoint_update(&mut fields)?)
-            }
+            "VIEW" => SimulatorEvent::EndpointsUpdated(event_fields::parse_endpoint_update(
+                &mut fields,
+                endpoint_tables,
+            )?),
             "KNOCK" => SimulatorEvent::FlowArrived(event_fields::parse_new_flow(now, &mut fields)?),
             "TAKEN_OVER" => event_fields::parse_adopted_connection(&mut fields)?,
             "FLOWING" => event_fields::parse_connected(&mut fields)?,
--- a/crates/adapter/src/wire/event.rs
+++ b/crates/adapter/src/wire/event.rs
@@ -1,18 +1,25 @@
 //! The events of the simulator, in the terms of the other packages.
 
+use std::collections::BTreeMap;
+
 use nettlemux_flow_table::AttemptOutcome;
-use nettlemux_policy::{Flow, FlowId, GroupPlacement, LoadReport, ServerId, Time};
+use nettlemux_policy::{Endpoint, Flow, FlowId, GroupPlacement, LoadReport, ServerId, Time};
 use nettlemux_settings::{LoadReportFormat, Settings};
 
 /// What an event is read with.
 #[derive(Clone, Copy)]
-pub struct EventContext {
+pub struct EventContext<'a> {
     /// The time of the batch, in nanoseconds.
     pub now: Time,
     /// How the load reports of the balancer's servers are read.
     pub load_reports: LoadReportFormat,
+    /// The endpoint tables that the event may refer to.
+    pub endpoint_tables: &'a EndpointTables,
 }
 
+/// Endpoint tables, by their numbers.
+pub type EndpointTables = BTreeMap<u64, Vec<Endpoint>>;
+
 /// The event that creates a balancer.
 pub struct BalancerCreation {
     /// The seed of the balancer's random draws.
@@ -22,11 +29,11 @@
 }
 
 /// An event for one balancer.
-pub enum SimulatorEvent {
+pub enum SimulatorEvent<'a> {
     /// The balancer is removed.
     Removed,
     /// The endpoint list has changed, or could not be polled.
-    EndpointsUpdated(EndpointUpdate),
+    EndpointsUpdated(EndpointUpdate<'a>),
     /// A client has sent a flow.
     FlowArrived(Flow),
     /// The flow had a connection before the balancer was created.
@@ -86,18 +93,12 @@
 }
 
 /// A change of the endpoint list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointUpdate {
-    /// The table has the entries that have changed.
-    Delta {
-        /// The table's number.
-        table: u64,
-    },
-    /// The table has all entries.
-    Snapshot {
-        /// The table's number.
-        table: u64,
-    },
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum EndpointUpdate<'a> {
+    /// The entries that have changed.
+    Delta(&'a [Endpoint]),
+    /// All entries.
+    Snapshot(&'a [Endpoint]),
     /// The poll has failed.
     PollFailed,
 }
--- a/crates/adapter/src/wire/event_fields.rs
+++ b/crates/adapter/src/wire/event_fields.rs
@@ -5,20 +5,27 @@
 use nettlemux_settings::LoadReportFormat;
 
 use super::error::{WireError, WireProblem};
-use super::event::{EndpointUpdate, SimulatorEvent};
+use super::event::{EndpointTables, EndpointUpdate, SimulatorEvent};
 use super::fields::{ABSENT, Fields};
 
 /// The topic of a connection's load, the one signal that is known.
 const LOAD_TOPIC: u64 = 1;
 
-pub(super) fn parse_endpoint_update(fields: &mut Fields) -> Result<EndpointUpdate, WireError> {
+pub(super) fn parse_endpoint_update<'a>(
+    fields: &mut Fields,
+    endpoint_tables: &'a EndpointTables,
+) -> Result<EndpointUpdate<'a>, WireError> {
     let kind = fields.word("kind")?;
     let _revision: Option<u64> = fields.optional("rev")?;
-    let table: Option<u64> = fields.optional("table")?;
-    let table = table.ok_or_else(|| WireError::new("table", WireProblem::Absent));
+    let number: Option<u64> = fields.optional("table")?;
+    let endpoints = || {
+        let number = number.ok_or_else(|| WireError::new("table", WireProblem::Absent))?;
+        let endpoints = endpoint_tables.get(&number);
+        endpoints.ok_or_else(|| WireError::new("table", WireProblem::UnknownTable(number)))
+    };
     match kind {
-        "patch" => Ok(EndpointUpdate::Delta { table: table? }),
-        "whole" | "stale_copy" => Ok(EndpointUpdate::Snapshot { table: table? }),
+        "patch" => Ok(EndpointUpdate::Delta(endpoints()?)),
+        "whole" | "stale_copy" => Ok(EndpointUpdate::Snapshot(endpoints()?)),
         "broken" => Ok(EndpointUpdate::PollFailed),
         other => {
             let problem = WireProblem::UnknownEndpointUpdate(other.to_string());
@@ -50,7 +57,9 @@
     })
 }
 
-pub(super) fn parse_adopted_connection(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+pub(super) fn parse_adopted_connection(
+    fields: &mut Fields,
+) -> Result<SimulatorEvent<'static>, WireError> {
     let id = fields.required("ref")?;
     let group = fields.optional("team-id")?;
     let _came_back = fields.flag("came-back")?;
@@ -72,7 +81,7 @@
     Ok(SimulatorEvent::ConnectionAdopted { flow, server_id })
 }
 
-pub(super) fn parse_connected(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+pub(super) fn parse_connected(fields: &mut Fields) -> Result<SimulatorEvent<'static>, WireError> {
     let flow = fields.required("ref")?;
     let _number: u32 = fields.required("send-no")?;
     let _server_id: ServerId = fields.required("server")?;
@@ -80,7 +89,7 @@
     Ok(SimulatorEvent::Connected { flow, took })
 }
 
-pub(super) fn parse_signal(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+pub(super) fn parse_signal(fields: &mut Fields) -> Result<SimulatorEvent<'static>, WireError> {
     let flow = fields.required("ref")?;
     let _server_id: ServerId = fields.required("server")?;
     let topic: u64 = fields.required("topic")?;
@@ -95,7 +104,7 @@
 pub(super) fn parse_attempt_end(
     fields: &mut Fields,
     load_reports: &LoadReportFormat,
-) -> Result<SimulatorEvent, WireError> {
+) -> Result<SimulatorEvent<'static>, WireError> {
     let flow = fields.required("ref")?;
     let number = fields.required("send-no")?;
     let server_id = fields.required("server")?;
@@ -120,7 +129,7 @@
 pub(super) fn parse_health_check(
     fields: &mut Fields,
     load_reports: &LoadReportFormat,
-) -> Result<SimulatorEvent, WireError> {
+) -> Result<SimulatorEvent<'static>, WireError> {
     let _took = fields.time("time-taken")?;
     let server_id = fields.required("server")?;
     let passed = parse_end(fields.word("reason")?)? == AttemptEnd::Done;
@@ -132,7 +141,7 @@
     })
 }
 
-pub(super) fn parse_gossip(fields: &mut Fields) -> Result<SimulatorEvent, WireError> {
+pub(super) fn parse_gossip(fields: &mut Fields) -> Result<SimulatorEvent<'static>, WireError> {
     let _sender: u64 = fields.required("from")?;
     let bytes = parse_hex(fields.word("content")?)?;
     let placement = GroupPlacement::from_bytes(&bytes);
--- a/crates/adapter/src/wire/fields.rs
+++ b/crates/adapter/src/wire/fields.rs
@@ -17,10 +17,12 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Returns the fields of `line`, none of them taken.
     pub fn new(line: &'a str) -> Self {
         Fields { rest: Some(line) }
     }
 
+    /// Takes a field as it is written.
     pub fn word(&mut self, field: &str) -> Result<&'a str, WireError> {
         let rest = self.text(field)?;
         let word = match rest.split_once(' ') {
@@ -36,6 +38,7 @@
         }
     }
 
+    /// Reads a value; `None` where it is absent.
     pub fn optional<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, WireError> {
         let word = self.word(field)?;
         if word == ABSENT {
@@ -47,6 +50,7 @@
             .map_err(|_| WireError::new(field, WireProblem::Unreadable(word.to_string())))
     }
 
+    /// Reads a value that may not be absent.
     pub fn required<T: FromStr>(&mut self, field: &str) -> Result<T, WireError> {
         self.optional(field)?
             .ok_or_else(|| WireError::new(field, WireProblem::Absent))
--- a/crates/adapter/tests/exchange.rs
+++ b/crates/adapter/tests/exchange.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_flow_is_sent_reconnected_established_and_ends() {
+fn a_flow_is_placed_retried_connected_and_ends() {
     let script = create("balancer-0", CONF)
         + "BEGIN_BATCH 1002000\nON balancer-0\nKNOCK 7 0 0 k 1800000 - tpl/a 0 0 0\nEND\n\
            BEGIN_BATCH 1004000\nON balancer-0\nRESULT 7 0 51 no_route 900 0 -\nEND\n\
@@ -52,7 +52,7 @@
     let replies: Vec<&str> = text.split_inclusive("NEXT\n").collect();
     assert_eq!(replies.len(), 7, "{text}");
     assert!(replies[0].starts_with("AS balancer-0\nTIMER 1 "), "{text}");
-    // The draining server gets nothing, the limit ends before the client gives up.
+    // The draining server gets nothing; the attempt times out before the client gives up.
     assert!(
         replies[1].starts_with("AS balancer-0\nSUBMIT_TO 7 51 1796000\n"),
         "{text}"
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -28,7 +28,7 @@
     pub retry_budget_max: f64,
     /// Slots in each of the fixed tables of rates and promises.
     pub table_size: usize,
-    /// The longest Retry-After that a client is told, in nanoseconds.
+    /// The longest Retry-After, in nanoseconds.
     pub max_retry_after: Time,
     /// Weights of keys, where they aren't 1.
     pub weights: BTreeMap<u64, f64>,
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -188,8 +188,8 @@
     }
 
     /// Appends to `decisions` the rejection of each flow whose latency objective has run out, and
-    /// the admission of at most one flow. The caller asks the policy about that one, tells its
-    /// queue by [`AdmissionController::set_policy_queue`] and calls again, until nothing is
+    /// the admission of at most one flow. The caller asks the policy about that one, passes its
+    /// queue to [`AdmissionController::set_policy_queue`] and calls again, until nothing is
     /// decided.
     pub fn next_decisions(&mut self, now: Time, decisions: &mut Vec<AdmissionDecision>) {
         self.reject_expired(now, decisions);
@@ -290,7 +290,7 @@
     }
 
     /// Returns a Retry-After for a client that is rejected, and remembers it: not shorter than the
-    /// queue needs, at a time that few others were told.
+    /// queue needs, at a time for which few others are scheduled.
     fn schedule_retry_after(&mut self, now: Time, key: u64, client: u64, least: Time) -> Time {
         // A flow that is admitted and finds no server is not served: the lower rate counts.
         let rate = self
--- a/crates/admission/src/decision.rs
+++ b/crates/admission/src/decision.rs
@@ -46,7 +46,7 @@
         flow: FlowId,
         /// Why it is rejected.
         reason: RejectReason,
-        /// How long its client is told to wait before it tries again, in nanoseconds.
+        /// The Retry-After for its client, in nanoseconds.
         retry_after: Time,
     },
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! An [`AdmissionController`] owns the flows that wait to be admitted, the limits of each key (a
 //! tenant or a client, as the caller chooses), the budget of clients' retries, and the Retry-After
-//! times that rejected clients were told. All of it is bounded by [`AdmissionConfig`], however many
-//! distinct clients come. It has no I/O, clock, threads or hash order; its random draws and its
-//! hashes come from one seed, which is new with each start.
+//! times that rejected clients were given. All of it is bounded by [`AdmissionConfig`], however
+//! many distinct clients come. It has no I/O, clock, threads or hash order; its random draws and
+//! its hashes come from one seed, which is new with each start.
 //!
 //! It must never choose a server, nor reject a flow for the fleet's load: both are the policy's.
 //! While the policy has [`AdmissionConfig::policy_queue_limit`] flows that it can't place yet, none
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! The Retry-After times that rejected clients are told, in tables of fixed size: a schedule that
+//! The Retry-After times of rejected clients, in tables of fixed size: a schedule that
 //! spreads them, and the promises by which a client that keeps to its time is recognized.
 
 #[cfg(test)]
@@ -21,13 +21,13 @@
 struct Promise {
     /// Tells clients that share a slot apart.
     tag: u32,
-    /// When the client was told to come back; 0 is an empty slot.
+    /// When the client's Retry-After ends; 0 is an empty slot.
     at: Time,
 }
 
 const NO_PROMISE: Promise = Promise { tag: 0, at: 0 };
 
-/// Which clients were told to come back when. Of two clients that share a slot, the one told last
+/// When the Retry-After of each client ends. Of two clients that share a slot, the last one
 /// is remembered.
 pub struct RetryAfterPromises {
     slots: Vec<Promise>,
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Remembers that a client was told to come back at `at`.
+    /// Remembers that the Retry-After of a client ends at `at`.
     pub fn record(&mut self, at: Time, client: u64) {
         let hash = hash_number(self.seed, client);
         let slot = self.slot(hash);
         self.slots[slot] = Promise { tag: tag(hash), at };
     }
 
-    /// Returns whether a client comes back when it was told to, and forgets its promise if so.
+    /// Returns whether a client comes back at the end of its Retry-After, and forgets it if so.
     pub fn redeem(&mut self, now: Time, client: u64) -> bool {
         let hash = hash_number(self.seed, client);
         let slot = self.slot(hash);
@@ -75,7 +75,7 @@
 /// The length of a slice of the schedule, in nanoseconds.
 const SLICE: Time = 100 * MS;
 
-/// How many clients were told to come back in each slice of time, from now to the longest
+/// How many clients are scheduled to come back in each slice of time, from now to the longest
 /// Retry-After.
 pub struct RetryAfterSchedule {
     /// A ring of counts, a slice's at its number modulo the length.
--- a/crates/admission/src/service_rate.rs
+++ b/crates/admission/src/service_rate.rs
@@ -14,7 +14,7 @@
 
 /// An estimate of the rate at which flows are served: the lower of two exponentially weighted
 /// moving averages, a quick and a slow one. A tenfold fall shows within a second and a rise only
-/// after a while, since what a client is told from the estimate is a promise.
+/// after a while, since a Retry-After that follows from the estimate is a promise.
 #[derive(Default)]
 pub struct ServiceRate {
     averages: [f64; 2],
--- a/crates/flow-table/src/command.rs
+++ b/crates/flow-table/src/command.rs
@@ -23,7 +23,7 @@
     Reject {
         /// The flow.
         flow: FlowId,
-        /// The Retry-After that the client is told, in nanoseconds; `None` where it is told none.
+        /// The Retry-After that is sent to the client, in nanoseconds; `None` where none is.
         retry_after: Option<Time>,
     },
     /// Answer the client that its flow has failed: an attempt may have run.
--- a/crates/flow-table/src/identity.rs
+++ b/crates/flow-table/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a flow comes from, as far as admission control tells clients apart.
+//! The origin of a flow, as far as admission control distinguishes clients.
 
 use nettlemux_policy::Time;
 
--- a/crates/flow-table/src/retry_after_hint.rs
+++ b/crates/flow-table/src/retry_after_hint.rs
@@ -1,10 +1,10 @@
-//! What rejected clients are told.
+//! The Retry-After in the answer to a rejected flow.
 
-/// Whether the clients that admission control rejects are told a Retry-After.
+/// Whether the answer to a flow that admission control rejects has a Retry-After.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfterHint {
-    /// The client is told how long to wait before it tries again.
+    /// The answer has one.
     Sent,
-    /// The client is told nothing.
+    /// The answer has none.
     Withheld,
 }
--- a/crates/flow-table/src/table.rs
+++ b/crates/flow-table/src/table.rs
@@ -74,22 +74,18 @@
         commands: &mut Vec<PolicyCommand>,
     ) {
         let id = flow.id;
-        let awaits_answer = true;
-        if self.admission.is_some() {
-            let entry = FlowEntry {
-                flow,
-                awaits_answer,
-            };
-            self.flows.insert(id, entry);
-            self.request_admission(now, id, identity, commands);
-        } else {
-            let placement = self.policy.place(now, &flow);
-            let entry = FlowEntry {
-                flow,
-                awaits_answer,
-            };
-            self.flows.insert(id, entry);
-            self.apply_placement(now, id, placement, commands);
+        let placement = match &self.admission {
+            Some(_) => None,
+            None => Some(self.policy.place(now, &flow)),
+        };
+        let entry = FlowEntry {
+            flow,
+            awaits_answer: true,
+        };
+        self.flows.insert(id, entry);
+        match placement {
+            Some(placement) => self.apply_placement(now, id, placement, commands),
+            None => self.request_admission(now, id, identity, commands),
         }
     }
 
--- a/crates/flow-table/src/table/admission.rs
+++ b/crates/flow-table/src/table/admission.rs
@@ -83,17 +83,17 @@
                     flow, retry_after, ..
                 } => {
                     self.mark_answered(flow);
-                    let is_told = self.retry_after_hint == RetryAfterHint::Sent;
+                    let is_sent = self.retry_after_hint == RetryAfterHint::Sent;
                     commands.push(PolicyCommand::Reject {
                         flow,
-                        retry_after: is_told.then_some(retry_after),
+                        retry_after: is_sent.then_some(retry_after),
                     });
                 }
             }
         }
     }
 
-    /// Returns the Retry-After for a flow that the policy rejects: where the client may be told one
+    /// Returns the Retry-After for a flow that the policy rejects: where the client may be sent one
     /// and admission control knows the flow, the time that the queue needs.
     pub(super) fn rejection_retry_after(
         &mut self,
--- a/crates/flow-table/src/table/tests.rs
+++ b/crates/flow-table/src/table/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-/// Answers with the placements of the test in turn, and records what it was asked.
+/// Answers with the placements of the test in turn, and records whether flows were unanswered.
 #[derive(Default)]
 struct ScriptedPolicy {
     placements: Vec<Placement>,
@@ -153,7 +153,7 @@
     flow_table.remove(5, 7, &mut commands);
     assert!(
         flow_table.flows.is_empty() && flow_table.policy.awaits_answer.len() == 3,
-        "no attempt is in flight, so the policy is told nothing"
+        "no attempt is in flight, so the policy is not notified"
     );
 }
 
@@ -182,7 +182,7 @@
     assert_eq!(
         flow_table.policy.awaits_answer,
         [false],
-        "the policy is told once that it is not in flight"
+        "the policy is notified once that it is not in flight"
     );
     flow_table.remove(4, 1, &mut commands);
     assert_eq!(flow_table.policy.awaits_answer, [false]);
--- a/crates/settings/src/operator/admission.rs
+++ b/crates/settings/src/operator/admission.rs
@@ -18,7 +18,7 @@
 const WEIGHTS: RangeInclusive<f64> = 0.001..=1000.0;
 
 /// Admission control before the policy: fair queues, limits of each key, and a Retry-After that
-/// tells what the queue needs.
+/// is as long as the queue needs.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionSettings {
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -54,8 +54,7 @@
         Ok(self.number_or(keys::ATTEMPTS_MAX, 1.0)?.max(0.0) as usize)
     }
 
-    /// Returns the longest Retry-After that clients are told, in nanoseconds; `None` where they may
-    /// not be told any.
+    /// Returns the longest Retry-After, in nanoseconds; `None` where clients may not be sent any.
     ///
     /// # Errors
     /// Where a setting can't be read.
