--- a/crates/flow-table/src/table/tests.rs
+++ b/crates/flow-table/src/table/tests.rs
@@ -47,6 +47,20 @@
     })
 }
 
+/// Accepts a flow that nothing is known of but its number.
+fn accept(
+    flow_table: &mut FlowTable<ScriptedPolicy>,
+    now: Time,
+    id: FlowId,
+    commands: &mut Vec<PolicyCommand>,
+) {
+    let flow = Flow {
+        id,
+        ..Flow::default()
+    };
+    flow_table.accept(now, flow, ClientIdentity::default(), commands);
+}
+
 #[test]
 fn a_flow_is_connected_again_and_answered_once() {
     let mut flow_table = flow_table(&[
@@ -65,15 +79,7 @@
         },
     ]);
     let mut commands = Vec::new();
-    flow_table.accept(
-        1,
-        Flow {
-            id: 7,
-            ..Flow::default()
-        },
-        ClientIdentity::default(),
-        &mut commands,
-    );
+    accept(&mut flow_table, 1, 7, &mut commands);
     let report = LoadReport {
         utilization: Some(0.4),
         connections: None,
@@ -167,15 +173,7 @@
         send_within: 9,
     }]);
     let mut commands = Vec::new();
-    flow_table.accept(
-        1,
-        Flow {
-            id: 1,
-            ..Flow::default()
-        },
-        ClientIdentity::default(),
-        &mut commands,
-    );
+    accept(&mut flow_table, 1, 1, &mut commands);
     // The client leaves while the command to start the attempt is on its way.
     flow_table.client_left(2, 1, &mut commands);
     flow_table.remove(3, 1, &mut commands);
@@ -200,24 +198,8 @@
         },
     ]);
     let mut commands = Vec::new();
-    flow_table.accept(
-        1,
-        Flow {
-            id: 1,
-            ..Flow::default()
-        },
-        ClientIdentity::default(),
-        &mut commands,
-    );
-    flow_table.accept(
-        1,
-        Flow {
-            id: 2,
-            ..Flow::default()
-        },
-        ClientIdentity::default(),
-        &mut commands,
-    );
+    accept(&mut flow_table, 1, 1, &mut commands);
+    accept(&mut flow_table, 1, 2, &mut commands);
     flow_table.client_left(2, 1, &mut commands);
     flow_table.timer_expired(3, &mut commands);
     assert_eq!(
