--- /dev/null
+++ b/crates/balancer/src/assembly.rs
@@ -0,0 +1,339 @@
+//! How the parts of the balancer are put together, started, and waited for.
+//!
+//! The order matters: nothing that needs the coroutine runtime comes before it is configured, the
+//! stored endpoints are sent before the first client can connect, and signals are heard once all
+//! that they change is there.
+
+use std::hash::{BuildHasher, RandomState};
+use std::net::TcpListener;
+use std::panic::catch_unwind;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+
+use may::coroutine::JoinHandle;
+use may::io::CoIo;
+use nettlemux_admission::AdmissionController;
+use nettlemux_dataplane::discovery::{self, Agent};
+use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig};
+use nettlemux_dataplane::gossip::Peers;
+use nettlemux_dataplane::health_check::{self, HealthChecker};
+use nettlemux_dataplane::mailbox::{Mailbox, Sender};
+use nettlemux_dataplane::messages::{DispatcherMessage, GossipMessage};
+use nettlemux_dataplane::pool::{Buffers, DescriptorBudgets};
+use nettlemux_dataplane::shared::{Dataplane, SharedSettings};
+use nettlemux_dataplane::shutdown::AnswerDeadline;
+use nettlemux_dataplane::supervisor;
+use nettlemux_flow_table::FlowTable;
+use nettlemux_line_protocol::acceptor::{self, Acceptor};
+use nettlemux_line_protocol::first_line::FirstLineSettings;
+use nettlemux_policy::{EndpointState, MS, SEC, Time};
+use nettlemux_settings::Settings;
+use nettlemux_settings::operator::{self, Operator};
+use signal_hook::iterator::Signals;
+use tracing::{error, info};
+
+use crate::cli::Files;
+use crate::config::Config;
+use crate::operator_file;
+use crate::re_exec::re_exec;
+use crate::reload::{self, PeerTransport, Reloader};
+use crate::signals;
+use crate::start_error::StartError;
+
+/// How long before an attempt's timeout the client is answered. Answers go out some milliseconds
+/// late where another program is busy on the same core.
+const ANSWER_MARGIN: Time = 15 * MS;
+/// The size of a coroutine's stack in words of 8 bytes: 64 KB, of which the system gives only the
+/// pages that are touched. Discovery, which parses JSON, needs the most.
+const COROUTINE_STACK_WORDS: usize = 0x2000;
+/// The longest Retry-After of admission control, where the settings allow none.
+const RETRY_AFTER_MAX_DEFAULT: Time = SEC;
+/// The least value of the longest Retry-After of admission control.
+const RETRY_AFTER_MAX_MIN: Time = 100 * MS;
+
+/// What the balancer is built from.
+pub struct Inputs {
+    pub config: Config,
+    pub operator: Operator,
+    /// The files that SIGHUP reads again.
+    pub files: Files,
+    pub signals: Signals,
+}
+
+/// Builds the balancer and runs it until it is told to end.
+///
+/// # Errors
+/// If it can't start, or a part without which it can't go on has failed.
+pub fn serve(inputs: Inputs) -> Result<(), StartError> {
+    let Inputs {
+        mut config,
+        operator,
+        files,
+        signals,
+    } = inputs;
+    let budgets = DescriptorBudgets::new(config.sockets, config.memory);
+    configure_runtime(&budgets);
+    let settings = &config
+        .settings
+        .clone()
+        .with_gossip(operator.peers.is_some());
+    let decisions = Decisions::new(&config, settings, operator.admission.as_ref())?;
+    let messages = Mailbox::new();
+    let shared = SharedParts::new(&config, budgets, messages.sender());
+    let acceptor = Acceptor::new(shared.dataplane.clone(), decisions.first_line_settings);
+
+    let known_version = send_known_endpoints(&mut config, &shared.dispatcher);
+    let listener = listen(&config, &shared.dataplane)?;
+    let gossip = Gossip::start(operator.peers, &shared.dispatcher)?;
+    reload::warn_of_missing_peers(&config.settings, gossip.transport.as_ref());
+
+    let health_checker = shared.health_checker();
+    let dispatcher = Dispatcher::new(
+        decisions.flow_table,
+        messages,
+        settings.names("areas"),
+        settings.names("models"),
+        health_checker,
+        gossip.sender,
+        DispatcherConfig {
+            seed: config.seed,
+            margin: ANSWER_MARGIN,
+            answer_deadline: AnswerDeadline::new(settings.longest_wait()),
+            pending_connections: shared.dataplane.budgets.waiting.clone(),
+        },
+    );
+    let running = may::go!(move || dispatcher.run());
+    let agent = Agent::new(config.discovery);
+    let discovery = shared.discovery_context(agent.clone(), config.seed);
+    let reloader = Reloader {
+        files,
+        settings_in_file: config.settings.clone(),
+        config,
+        admission_seed: decisions.admission_seed,
+        runtime_settings: shared.runtime_settings,
+        acceptor: acceptor.clone(),
+        peers: gossip.transport,
+        agent,
+        dispatcher: shared.dispatcher.clone(),
+    };
+    signals::listen(signals, reloader, shared.dispatcher.clone()).map_err(StartError::Signals)?;
+    start_discovery(discovery, known_version, shared.dispatcher.clone());
+    start_listener(acceptor, listener, shared.dispatcher);
+    wait_for_end(running)
+}
+
+/// Waits until the dispatcher has ended.
+fn wait_for_end(dispatcher: JoinHandle<Result<(), &'static str>>) -> Result<(), StartError> {
+    let ended = dispatcher.join().unwrap_or(Err("the dispatcher"));
+    ended.map(|()| info!("ended")).map_err(|service| {
+        error!(service, "a service has failed for good");
+        StartError::ServiceFailed { service }
+    })
+}
+
+/// Configures the coroutine runtime, before anything starts it.
+fn configure_runtime(budgets: &DescriptorBudgets) {
+    let runtime = may::config();
+    // One core is all there is: one worker, free to run where the system puts it.
+    runtime
+        .set_workers(1)
+        .set_stack_size(COROUTINE_STACK_WORDS)
+        .set_worker_pin(false);
+    // Guards against a client that is accepted and lost since its coroutine's stack can't be mapped
+    // at that moment.
+    runtime.set_pool_capacity(budgets.coroutines());
+}
+
+/// What decides: the flow table with the policy and admission control in it, and how first lines
+/// are read for them.
+struct Decisions {
+    flow_table: FlowTable,
+    first_line_settings: FirstLineSettings,
+    /// Seeds the keys of admission control, where that is on.
+    admission_seed: Option<u64>,
+}
+
+impl Decisions {
+    fn new(
+        config: &Config,
+        settings: &Settings,
+        admission: Option<&operator::AdmissionSettings>,
+    ) -> Result<Self, StartError> {
+        let policy = settings.policy(config.seed, ANSWER_MARGIN, true)?;
+        let mut decisions = Decisions {
+            first_line_settings: FirstLineSettings::new(settings)?,
+            flow_table: FlowTable::new(policy),
+            admission_seed: None,
+        };
+        if let Some(keys) = admission {
+            decisions = decisions.with_admission(config, settings, keys)?;
+        }
+        Ok(decisions)
+    }
+
+    fn with_admission(
+        self,
+        config: &Config,
+        settings: &Settings,
+        keys: &operator::AdmissionSettings,
+    ) -> Result<Self, StartError> {
+        // New with each start, so that no client can aim at another's place in the tables.
+        let seed = config.seed ^ RandomState::new().hash_one(config.seed);
+        let retry_after_max = settings.retry_after()?;
+        let controller = AdmissionController::new(
+            operator_file::admission(
+                keys,
+                seed,
+                retry_after_max
+                    .unwrap_or(RETRY_AFTER_MAX_DEFAULT)
+                    .max(RETRY_AFTER_MAX_MIN),
+            ),
+            seed,
+        );
+        info!(by = ?keys.by, waiting = keys.waiting, "admission control enabled");
+        Ok(Decisions {
+            flow_table: self
+                .flow_table
+                .with_admission(controller, retry_after_max.is_some()),
+            first_line_settings: FirstLineSettings {
+                by: Some((keys.by, seed)),
+                ..self.first_line_settings
+            },
+            admission_seed: Some(seed),
+        })
+    }
+}
+
+/// What coroutines share.
+struct SharedParts {
+    /// The way to the dispatcher.
+    dispatcher: Sender<DispatcherMessage>,
+    runtime_settings: Arc<SharedSettings>,
+    dataplane: Arc<Dataplane>,
+}
+
+impl SharedParts {
+    fn new(
+        config: &Config,
+        budgets: DescriptorBudgets,
+        dispatcher: Sender<DispatcherMessage>,
+    ) -> Self {
+        let runtime_settings = SharedSettings::new(config.runtime_settings());
+        let dataplane = Arc::new(Dataplane {
+            dispatcher: dispatcher.clone(),
+            buffers: Buffers::new(),
+            budgets,
+            ids: Arc::default(),
+            settings: runtime_settings.clone(),
+            numbers: AtomicU64::new(1),
+        });
+        SharedParts {
+            dispatcher,
+            runtime_settings,
+            dataplane,
+        }
+    }
+
+    fn health_checker(&self) -> HealthChecker {
+        HealthChecker::new(health_check::HealthCheckContext {
+            dispatcher: self.dispatcher.clone(),
+            descriptors: self.dataplane.budgets.others.clone(),
+            buffers: self.dataplane.buffers.clone(),
+            settings: self.runtime_settings.clone(),
+        })
+    }
+
+    fn discovery_context(&self, agent: Arc<Agent>, seed: u64) -> discovery::Context {
+        discovery::Context {
+            agent,
+            settings: self.runtime_settings.clone(),
+            seed,
+            descriptors: self.dataplane.budgets.others.clone(),
+            buffers: self.dataplane.buffers.clone(),
+        }
+    }
+}
+
+/// Sends the dispatcher the endpoint list as last known, without removed servers; returns its
+/// version.
+fn send_known_endpoints(
+    config: &mut Config,
+    dispatcher: &Sender<DispatcherMessage>,
+) -> Option<u64> {
+    let known = config.known_endpoints.take()?;
+    let mut entries = known.entries;
+    entries.retain(|entry| entry.state != EndpointState::Removed);
+    dispatcher.send(DispatcherMessage::StoredEndpoints(entries));
+    Some(known.version)
+}
+
+/// Opens the listener. It is the first that needs the coroutine runtime: if that can't start, the
+/// program is executed anew.
+fn listen(config: &Config, dataplane: &Dataplane) -> Result<CoIo<TcpListener>, StartError> {
+    let address = config.listen;
+    let opened = match catch_unwind(|| acceptor::listen(address)) {
+        Ok(opened) => opened,
+        Err(_) => match re_exec()? {},
+    };
+    let listener = opened.map_err(|source| StartError::Listener { address, source })?;
+    let flows = dataplane.budgets.flows.limit();
+    let waiting = dataplane.budgets.waiting.limit();
+    info!(name = config.name, listen = %address, sockets = config.sockets, flows, waiting, "serving");
+    Ok(listener)
+}
+
+/// Gossip with the other balancers, where peers are configured.
+struct Gossip {
+    transport: Option<PeerTransport>,
+    sender: Option<Sender<GossipMessage>>,
+}
+
+impl Gossip {
+    fn start(
+        peers: Option<operator::Peers>,
+        dispatcher: &Sender<DispatcherMessage>,
+    ) -> Result<Self, StartError> {
+        let Some(keys) = peers else {
+            return Ok(Gossip {
+                transport: None,
+                sender: None,
+            });
+        };
+        let address = keys.listen;
+        let (peers, sender) = Peers::start(address, keys.addresses, dispatcher.clone())
+            .map_err(|source| StartError::Gossip { address, source })?;
+        Ok(Gossip {
+            transport: Some(PeerTransport {
+                listen: address,
+                peers,
+            }),
+            sender: Some(sender),
+        })
+    }
+}
+
+fn start_discovery(
+    context: discovery::Context,
+    known_version: Option<u64>,
+    dispatcher: Sender<DispatcherMessage>,
+) {
+    may::go!(
+        move || supervisor::supervise("discovery", &dispatcher, || discovery::watch(
+            known_version,
+            &context,
+            &dispatcher
+        ))
+    );
+}
+
+fn start_listener(
+    acceptor: Arc<Acceptor>,
+    listener: CoIo<TcpListener>,
+    dispatcher: Sender<DispatcherMessage>,
+) {
+    may::go!(
+        move || supervisor::supervise("the listener", &dispatcher, || acceptor::accept(
+            &acceptor, &listener
+        ))
+    );
+}
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -1,167 +1,101 @@
-//! The signals: a thread of its own that waits for SIGTERM or SIGINT, which tell the desk to end, and for SIGHUP,
-//! which reads the configuration again. It owns the signal handlers and what the configuration says now. It must
-//! never end the process itself, and a file that is faulty must change nothing.
+//! The signals: a thread of its own waits for SIGTERM and SIGINT, which tell the dispatcher to end,
+//! and for SIGHUP, which reloads the files. It owns the signal handlers and must never end the
+//! process itself.
 
 use std::ffi::c_int;
 use std::io;
-use std::net::SocketAddr;
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use std::path::PathBuf;
-use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
-use nettlemux_dataplane::discovery::Agent;
-use nettlemux_dataplane::gossip::Peers;
 use nettlemux_dataplane::mailbox::Sender;
 use nettlemux_dataplane::messages::DispatcherMessage;
 use nettlemux_dataplane::retry;
-use nettlemux_dataplane::shared::SharedSettings;
-use nettlemux_line_protocol::acceptor::Acceptor;
-use nettlemux_line_protocol::first_line::FirstLineSettings;
-use nettlemux_settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
-use tracing::{debug, error, info, warn};
+use tracing::{debug, error};
 
-use crate::config::{self, Config};
+use crate::reload::Reloader;
 
-/// The thread's stack: it reads the configuration, whose JSON may be nested.
-const STACK: usize = 1 << 20;
+/// The thread's stack: a reload parses JSON, which may be nested.
+const STACK_BYTES: usize = 1 << 20;
 
-/// A configuration that can't be read as SIGHUP comes, or is still being written, is read again so often, at such intervals:
-/// 3 s in all, since what it says counts 4 s after the signal.
-const RELOAD_TRIES: u32 = 31;
-const RELOAD_INTERVAL: Duration = Duration::from_millis(100);
+/// A file that can't be used when SIGHUP comes may still be being written: it is read again, for 3
+/// s in all, as a configuration counts 4 s after its signal.
+const RELOAD_ATTEMPTS_MAX: u32 = 31;
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Takes over the signals. To be called before all else: until then SIGHUP ends the process. What comes before
-/// [`listen`] waits.
+/// Catches the signals. It must be called before all else: until then SIGHUP ends the process.
+/// Signals that come before [`listen`] are kept for it.
+///
+/// # Errors
+/// If the system refuses the handlers, now and a few seconds later.
 pub fn catch() -> io::Result<Signals> {
     retry::until_it_passes(|| Signals::new([SIGTERM, SIGINT, SIGHUP]))
 }
 
-/// What SIGHUP reads again, and what it says now.
-pub struct Reload {
-    /// The settings as the file had them last; those in force keep the places of what was named before.
-    pub in_file: Settings,
-    pub runtime_settings: Arc<SharedSettings>,
-    pub front: Arc<Acceptor>,
-    /// The way to the other balancers, where there is one, and where it listens.
-    pub peers: Option<(SocketAddr, Arc<Peers>)>,
-    pub file: Option<PathBuf>,
-    pub operator: Option<PathBuf>,
-    /// The seed of the door's keys, where there is a door.
-    pub admission_seed: Option<u64>,
-    pub config: Config,
-}
-
+/// Starts the thread that acts on signals.
+///
+/// # Errors
+/// If the thread can't be started.
 pub fn listen(
-    mut signals: Signals,
-    mut reload: Reload,
+    signals: Signals,
+    reloader: Reloader,
     dispatcher: Sender<DispatcherMessage>,
-    agent: Arc<Agent>,
 ) -> io::Result<()> {
     thread::Builder::new()
         .name("signals".into())
-        .stack_size(STACK)
-        .spawn(move || {
-            let mut tries_left = 0;
-            loop {
-                for signal in next(&mut signals, tries_left > 0) {
-                    match signal {
-                        SIGHUP => tries_left = RELOAD_TRIES,
-                        _ => dispatcher.send(DispatcherMessage::Terminate),
-                    }
-                }
-                if tries_left > 0 {
-                    tries_left -= 1;
-                    // Guards against a balancer that no longer hears SIGTERM since a reload has panicked.
-                    let reloaded =
-                        catch_unwind(AssertUnwindSafe(|| reload.again(&agent, &dispatcher)));
-                    match reloaded {
-                        Ok(Ok(())) => tries_left = 0,
-                        Ok(Err(why)) if tries_left > 0 => {
-                            debug!(%why, tries_left, "reload failed, will be retried")
-                        }
-                        Ok(Err(why)) => error!(%why, "reload failed, nothing changes"),
-                        Err(_) => {
-                            error!("a reload panicked");
-                            tries_left = 0;
-                        }
-                    }
-                }
-            }
-        })?;
+        .stack_size(STACK_BYTES)
+        .spawn(move || act_on_signals(signals, reloader, &dispatcher))?;
     Ok(())
 }
 
-/// The signals that have come; while a reload is to be tried again none is waited for longer than till then.
-fn next(signals: &mut Signals, retries: bool) -> Vec<c_int> {
-    if retries {
-        thread::sleep(RELOAD_INTERVAL);
-        return signals.pending().collect();
+fn act_on_signals(
+    mut signals: Signals,
+    mut reloader: Reloader,
+    dispatcher: &Sender<DispatcherMessage>,
+) -> ! {
+    let mut reload_attempts_left = 0;
+    loop {
+        let received = if reload_attempts_left > 0 {
+            signals_before_retry(&mut signals)
+        } else {
+            signals.wait().collect()
+        };
+        for signal in received {
+            match signal {
+                SIGHUP => reload_attempts_left = RELOAD_ATTEMPTS_MAX,
+                _ => dispatcher.send(DispatcherMessage::Terminate),
+            }
+        }
+        if reload_attempts_left > 0 {
+            reload_attempts_left = attempt_reload(&mut reloader, reload_attempts_left - 1);
+        }
     }
-    signals.wait().collect()
 }
 
-/// Says so where settings expect words that have no way to go: groups are then held in more places.
-pub fn untold(settings: &Settings, peers: bool) {
-    if settings.may_gossip().unwrap_or(false) && !peers {
-        warn!(
-            key = "peers",
-            "gossip is allowed, but no peers are configured"
-        );
-    }
+/// Returns the signals that come before the next attempt to reload.
+fn signals_before_retry(signals: &mut Signals) -> Vec<c_int> {
+    thread::sleep(RELOAD_RETRY_INTERVAL);
+    signals.pending().collect()
 }
 
-impl Reload {
-    fn again(
-        &mut self,
-        agent: &Agent,
-        dispatcher: &Sender<DispatcherMessage>,
-    ) -> Result<(), String> {
-        // Both are read before either acts: a faulty one changes nothing.
-        let new = config::load(self.file.as_deref()).map_err(|e| e.to_string())?;
-        let operator = config::operator(self.operator.as_deref())?;
-        // The last that may fail: from here on all is taken over.
-        let merged = new.settings.following(&self.config.settings);
-        let known = merged.and_then(|merged| Ok((FirstLineSettings::new(&merged)?, merged)));
-        let (known, merged) = known.map_err(|why| why.to_string())?;
-        new.warn_of_unknown();
-        config::warn_of_deprecated(&operator);
-        if new.settings != self.in_file {
-            // Before the front names what is new: the desk reads its mail in order.
-            dispatcher.send(DispatcherMessage::ApplySettings(Box::new(
-                merged.clone().with_gossip(self.peers.is_some()),
-            )));
-            self.runtime_settings.change(new.runtime_settings());
-            self.front.change(known);
-            info!("settings applied");
-            (self.in_file, self.config.settings) = (new.settings.clone(), merged);
-        }
-        match (&operator.peers, &self.peers) {
-            (Some(keys), Some((listen, peers))) if keys.listen == *listen => {
-                peers.change(keys.addresses.clone())
-            }
-            (None, None) => {}
-            _ => warn!(key = "peers", "a change of this key needs a restart"),
-        }
-        untold(&new.settings, self.peers.is_some());
-        for key in self.config.needing_a_restart(&new) {
-            warn!(key, "a change of this key needs a restart");
+/// Attempts a reload; returns how many attempts are left, none after one that succeeded.
+fn attempt_reload(reloader: &mut Reloader, attempts_left: u32) -> u32 {
+    // Guards against a balancer that no longer hears SIGTERM since a reload has panicked.
+    match catch_unwind(AssertUnwindSafe(|| reloader.reload())) {
+        Ok(Ok(())) => 0,
+        Ok(Err(error)) if attempts_left > 0 => {
+            debug!(%error, attempts_left, "reload failed, will be retried");
+            attempts_left
         }
-        match (&operator.admission, self.admission_seed) {
-            (Some(keys), Some(seed)) => dispatcher.send(DispatcherMessage::ApplyAdmission(
-                config::admission(keys, seed, 0),
-            )),
-            (None, None) => {}
-            _ => warn!(key = "admission", "a change of this key needs a restart"),
+        Ok(Err(error)) => {
+            error!(%error, "reload failed, nothing changes");
+            0
         }
-        info!(discovery = %new.discovery, changed = new.discovery != self.config.discovery, "reloaded");
-        if new.discovery != self.config.discovery {
-            self.config.discovery = new.discovery;
-            agent.moves_to(new.discovery);
+        Err(_) => {
+            error!("a reload panicked");
+            0
         }
-        Ok(())
     }
 }
