--- a/crates/balancer/tests/gossip.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -158,6 +158,6 @@
             .filter(|line| line.contains("g=one"))
             .count()
     };
-    let held: Vec<usize> = balancer.servers.iter().map(of_group).collect();
-    assert!(held.iter().all(|count| *count <= 6), "{held:?}");
+    let counts: Vec<usize> = balancer.servers.iter().map(of_group).collect();
+    assert!(counts.iter().all(|count| *count <= 6), "{counts:?}");
 }
--- a/crates/balancer/tests/reload.rs
+++ b/crates/balancer/tests/reload.rs
@@ -16,17 +16,17 @@
 fn a_new_configuration_moves_discovery_and_a_faulty_one_nothing() {
     let mut balancer = TestBalancer::new(2);
     let other = DiscoveryAgent::start("127.0.0.1:0").unwrap();
-    let told = balancer.config.clone();
-    let moved = told.replace(
+    let first = balancer.config.clone();
+    let moved = first.replace(
         &balancer.agent.address.to_string(),
         &other.address.to_string(),
     );
     // Nothing answers there: the old list holds. Several in a row: the last one counts.
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap();
+    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     balancer.reload("{");
-    balancer.reload(&told.replace(
+    balancer.reload(&first.replace(
         &balancer.agent.address.to_string(),
-        &nobody.local_addr().unwrap().to_string(),
+        &silent.local_addr().unwrap().to_string(),
     ));
     thread::sleep(Duration::from_millis(200));
     assert_eq!(balancer.client("c=chat,d=900").read_line(), "UP 1");
--- a/crates/balancer/tests/system_calls.rs
+++ b/crates/balancer/tests/system_calls.rs
@@ -332,15 +332,15 @@
 #[test]
 fn clients_are_answered_although_stacks_cannot_be_mapped_at_first() {
     let balancer = balancer();
-    let mut held = Vec::new();
+    let mut open = Vec::new();
     for every in [3, 2, 1] {
         let plan = format!("mmap fail {ENOMEM} 0 {every} 12\nmmap64 fail {ENOMEM} 0 {every} 12");
         balancer.faults().set(&plan);
         for _ in 0..130 {
             let mut client = balancer.client("c=chat,d=2000");
             let answer = client.read_line();
-            assert_eq!(answer, "UP 1", "{plan}, {} held", held.len());
-            held.push(client);
+            assert_eq!(answer, "UP 1", "{plan}, {} open", open.len());
+            open.push(client);
         }
     }
 }
