--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -199,10 +199,9 @@
         info!(by = ?keys.by, waiting = keys.waiting, "admission control enabled");
         Ok(Decisions {
             flow_table: self.flow_table.with_admission(controller, hint),
-            first_line_settings: FirstLineSettings {
-                client_keys: Some(ClientKeys { by: keys.by, seed }),
-                ..self.first_line_settings
-            },
+            first_line_settings: self
+                .first_line_settings
+                .with_client_keys(Some(ClientKeys { by: keys.by, seed })),
             admission_seed: Some(seed),
         })
     }
