--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -134,7 +134,7 @@
     };
     vec![
         gap(
-            "bytes a second of the module's probes, measured with the operators' own connections",
+            "bytes a second of the policy's health checks, measured with the operators' own connections",
             of_module.map(|probes| probes * probe_bytes(inputs)),
             bytes,
         ),
@@ -144,7 +144,7 @@
             bytes,
         )),
         gap(
-            "% of a core for the module's probes",
+            "% of a core for the policy's health checks",
             of_module.and_then(|probes| probes_percent(inputs, probes)),
             percent,
         ),
--- a/crates/testbed/src/capacity/mechanism.rs
+++ b/crates/testbed/src/capacity/mechanism.rs
@@ -10,7 +10,7 @@
     Partial(&'static str),
     /// Not in the code: what would be needed, and where its place is.
     Missing(&'static str),
-    /// Not ours to carry.
+    /// For the platform to carry.
     Outside(&'static str),
 }
 
@@ -21,23 +21,24 @@
             Mechanism::Present(what) => what.to_string(),
             Mechanism::Partial(what) => format!("in part: {what}"),
             Mechanism::Missing(what) => format!("*missing*: {what}"),
-            Mechanism::Outside(what) => format!("not ours: {what}"),
+            Mechanism::Outside(what) => format!("the platform's: {what}"),
         }
     }
 }
 
 /// Bounds what control costs a balancer.
 pub const CONTROL_BUDGET: Mechanism = Mechanism::Present(
-    "CONTROL_BYTES in crates/candidates/src/probes.rs, at lists over WHOLE_LIST; by flows below, PROBES_WORTH in \
-     crates/policy/src/policy.rs",
+    "CONTROL_BYTES_PER_SECOND in crates/candidates/src/health_checks.rs, at lists over \
+     WHOLE_LIST_MAX; by flows below, COST_FRACTION_MAX in crates/policy/src/health_checks.rs",
 );
 /// Bounds how many servers a placement looks at.
 pub const BOUNDED_CANDIDATES: Mechanism = Mechanism::Present(
-    "`LongList` in crates/candidates/src/long_list.rs, `place` in crates/policy/src/policy.rs",
+    "`CandidateSet` in crates/candidates/src/candidate_set.rs, `select` in \
+     crates/policy/src/placement.rs",
 );
 /// Bounds what all balancers together ask of one server.
 pub const FLEET_PROBE_BUDGET: Mechanism = Mechanism::Partial(
-    "each balancer's budget, crates/candidates/src/probes.rs; nothing bounds the sum at one server",
+    "each balancer's budget, crates/candidates/src/health_checks.rs; nothing bounds the sum at one server",
 );
 /// Bounds how many balancers keep a connection for health checks to one server.
 pub const PROBE_CONNECTIONS: Mechanism = Mechanism::Missing(
@@ -45,7 +46,7 @@
 );
 /// Bounds memory for health checks.
 pub const STACK_PER_PROBE: Mechanism = Mechanism::Missing(
-    "fewer servers that are probed; each open probe has a stack, crates/dataplane/src/health_check.rs",
+    "fewer servers that are checked; each open check has a stack, crates/dataplane/src/health_check.rs",
 );
 /// Brings a whole list within the budget.
 pub const WHOLE_LIST: Mechanism = Mechanism::Missing(
@@ -60,30 +61,31 @@
     Mechanism::Present("only what has changed is told, crates/dataplane/src/discovery.rs");
 /// Brings changes of the configuration into force.
 pub const CONFIGURATION: Mechanism = Mechanism::Missing(
-    "a way from the control machines; SIGHUP reads a whole file, crates/balancer/src/signals.rs",
+    "a way from the control machines; SIGHUP reads a whole file, crates/balancer/src/reload.rs",
 );
 /// What the control machines run.
 pub const CONTROL_MACHINES: Mechanism =
-    Mechanism::Missing("nothing of ours runs there; SIGHUP reads a file that others bring");
+    Mechanism::Missing("no part of nettlemux runs there; SIGHUP reads a file that others bring");
 /// Tells other balancers which servers hold a group.
 pub const PEER_MESSAGES: Mechanism = Mechanism::Partial(
     "off today; bounded, so it tells of few groups; crates/dataplane/src/gossip.rs",
 );
 /// Spreads a large topic.
-pub const LARGE_TOPICS: Mechanism = Mechanism::Partial(
-    "one home that grows server by server; `place` in crates/policy/src/policy.rs",
-);
+pub const LARGE_TOPICS: Mechanism =
+    Mechanism::Partial("one home that grows server by server; crates/policy/src/group_affinity.rs");
 /// Bounds attempts to all new servers together.
 pub const COLD_SUM: Mechanism = Mechanism::Missing(
     "a bound on the sum over new servers; each balancer's window bounds its own",
 );
 /// Bounds attempts to one new server.
-pub const COLD_PACE: Mechanism =
-    Mechanism::Present("`pace`, `credit` and FILLS in crates/policy/src/policy.rs");
+pub const COLD_PACE: Mechanism = Mechanism::Present(
+    "`ramp_rate`, `admits` and FILLS_PER_WARM_UP in crates/policy/src/slow_start.rs",
+);
 /// The platform's discovery.
 pub const AGENTS: Mechanism =
     Mechanism::Outside("the platform's agents; crates/dataplane/src/discovery.rs calls one");
 /// Passes clients' and servers' lines on.
 pub const RELAY: Mechanism = Mechanism::Present("one worker, crates/dataplane/src/relay.rs");
 /// Shares descriptors and memory out.
-pub const SHARES: Mechanism = Mechanism::Present("crates/dataplane/src/pool.rs `Shares`");
+pub const SHARES: Mechanism =
+    Mechanism::Present("`DescriptorBudgets` in crates/dataplane/src/descriptors.rs");
--- a/crates/testbed/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -57,21 +57,21 @@
             Mechanism::Present("one line each way, crates/dataplane/src/health_check.rs"),
         ),
         row(
-            "probes of the module with the operators' own connections",
+            "health checks with the operators' own connections",
             "a second",
             &of_module.describe(),
             Box::new(|f| module_probes(inputs, f)),
             probes_paid_for,
         ),
         row(
-            "bytes of the module's probes",
+            "bytes of the policy's health checks",
             "a second",
             &a_probe,
             Box::new(|f| Some(module_probes(inputs, f)? * probe_bytes(inputs))),
             bytes,
         ),
         row(
-            "processor for the module's probes",
+            "processor for the policy's health checks",
             "% of a core",
             ratio,
             Box::new(|f| probes_percent(inputs, module_probes(inputs, f)?)),
@@ -151,20 +151,20 @@
         .over(Unknown::Servers)
         .within(memory_budget),
         Row::new(
-            "the module's state of servers",
+            "the policy's state of servers",
             "MB",
             format!("{} x servers", of_server.describe()),
             move |f| Some(of_server.at(f.servers)? * f.servers / BYTES_PER_MB),
-            Mechanism::Present("crates/policy/src/policy.rs `Server`"),
+            Mechanism::Present("`Server` in crates/policy/src/endpoints.rs"),
         )
         .over(Unknown::Servers)
         .within(memory_budget),
         Row::new(
-            "the module's state of own connections",
+            "the policy's state of own connections",
             "MB",
             format!("{} x own connections", of_connection.describe()),
             |f| own_state_mb(inputs, f),
-            Mechanism::Present("crates/policy/src/policy.rs `Book`"),
+            Mechanism::Present("`ConnectionTable` in crates/policy/src/connections.rs"),
         )
         .within(memory_budget),
         Row::new(
@@ -172,11 +172,11 @@
             "MB",
             format!("{} x own connections", in_table.describe()),
             move |f| Some(in_table.at(f.own_connections())? * f.own_connections() / BYTES_PER_MB),
-            Mechanism::Present("crates/flow-table/src/lib.rs"),
+            Mechanism::Present("crates/flow-table/src/table.rs"),
         )
         .within(memory_budget),
         Row::new(
-            "memory for control: the process on sockets and the module's own connections",
+            "memory for control: the process on sockets and the policy's own connections",
             "MB",
             "sum of both rows above",
             |f| control_memory_mb(inputs, f),
@@ -215,7 +215,9 @@
             "",
             format!("shards / {} (code)", number(code.peer_message_groups.value)),
             |f| Some(f.shards / inputs.assumptions.code.peer_message_groups.value),
-            Mechanism::Partial("sixteen bits a group, `Holds` in crates/policy/src/types.rs"),
+            Mechanism::Partial(
+                "sixteen bits a group, `GroupPlacement` in crates/policy/src/types.rs",
+            ),
         ),
     ]
 }
@@ -300,7 +302,7 @@
             "",
             "listeners / balancers",
             |f| Some(f.largest_topic_listeners / f.balancers),
-            Mechanism::Present("crates/policy/src/policy.rs `Book`"),
+            Mechanism::Present("`ConnectionTable` in crates/policy/src/connections.rs"),
         ),
         Row::new(
             "servers that the largest topic needs",
@@ -450,7 +452,7 @@
             "",
             "connections / balancers",
             |f| Some(f.own_connections()),
-            Mechanism::Present("crates/flow-table/src/lib.rs, crates/dataplane/src/pipeline.rs"),
+            Mechanism::Present("crates/flow-table/src/table.rs, crates/dataplane/src/pipeline.rs"),
         ),
         Row::new(
             "memory of flows, as bounded",
@@ -487,7 +489,7 @@
                 let part = inputs.assumptions.code.probe_descriptor_part.value;
                 Some(descriptors_needed(inputs, f) / part / f.servers_held())
             },
-            Mechanism::Present("probes in turn where there are too few, crates/dataplane/src/health_check.rs"),
+            Mechanism::Present("checks in turn where there are too few, crates/dataplane/src/health_check.rs"),
         )
         .over(Unknown::Servers),
         Row::new(
--- a/crates/testbed/src/capacity/roles/clients.rs
+++ b/crates/testbed/src/capacity/roles/clients.rs
@@ -16,21 +16,30 @@
             "connections / life (three lives)",
             |f| Some(f.placements_per_second()),
             Mechanism::Present(
-                "admission, crates/admission/src/lib.rs where it is on; windows, crates/policy/src/policy.rs",
+                "admission, crates/admission/src/controller.rs where it is on; concurrency limits, \
+                 crates/policy/src/concurrency.rs",
             ),
         )
         .over(Unknown::ConnectionLife),
         Row::new(
             "lines that keep connections from counting as gone",
             "a second",
-            format!("connections / {} s (code)", number(code.idle_client_s.value)),
+            format!(
+                "connections / {} s (code)",
+                number(code.idle_client_s.value)
+            ),
             |f| Some(f.connections / inputs.assumptions.code.idle_client_s.value),
-            Mechanism::Partial("a listener that sends nothing is told to move; crates/dataplane/src/relay.rs"),
+            Mechanism::Partial(
+                "a listener that sends nothing is told to move; crates/dataplane/src/relay.rs",
+            ),
         ),
         Row::new(
             "bytes of those lines",
             "MB a second",
-            format!("x {} bytes (*assumed*)", number(assumed.client_line_bytes.value)),
+            format!(
+                "x {} bytes (*assumed*)",
+                number(assumed.client_line_bytes.value)
+            ),
             |f| {
                 let lines = f.connections / inputs.assumptions.code.idle_client_s.value;
                 Some(lines * inputs.assumptions.assumed.client_line_bytes.value / BYTES_PER_MB)
@@ -47,9 +56,15 @@
         Row::new(
             "bytes of deliveries",
             "MB a second",
-            format!("x {} bytes (*assumed*)", number(assumed.delivery_bytes.value)),
+            format!(
+                "x {} bytes (*assumed*)",
+                number(assumed.delivery_bytes.value)
+            ),
             |f| {
-                Some(f.deliveries_per_second * inputs.assumptions.assumed.delivery_bytes.value / BYTES_PER_MB)
+                Some(
+                    f.deliveries_per_second * inputs.assumptions.assumed.delivery_bytes.value
+                        / BYTES_PER_MB,
+                )
             },
             mechanism::RELAY,
         ),
@@ -59,7 +74,7 @@
             "connections / shards",
             |f| Some(f.connections / f.shards),
             Mechanism::Partial(
-                "holders first, then the group's home, `place` in crates/policy/src/policy.rs",
+                "holders first, then the group's home, crates/policy/src/group_affinity.rs",
             ),
         ),
         Row::new(
--- a/crates/testbed/src/capacity/roles/server.rs
+++ b/crates/testbed/src/capacity/roles/server.rs
@@ -19,11 +19,13 @@
             "",
             "connections / servers",
             |f| Some(f.server_connections()),
-            Mechanism::Present("no limit of ours but load; FULL in crates/policy/src/policy.rs"),
+            Mechanism::Present(
+                "no limit but load; OVERLOAD_UTILIZATION in crates/policy/src/load_reports.rs",
+            ),
         )
         .over(Unknown::Servers),
         Row::new(
-            "the module's probes, of all balancers",
+            "the policy's health checks, of all balancers",
             "a second",
             format!("{} x balancers / servers", probes.describe()),
             probes_here,
@@ -74,7 +76,7 @@
             "a second",
             "connections / life / servers (three lives)",
             |f| Some(f.placements_per_second() / f.servers),
-            Mechanism::Present("weighted rotation, crates/policy/src/policy.rs"),
+            Mechanism::Present("weighted round robin, crates/policy/src/rotation.rs"),
         )
         .over(Unknown::ConnectionLife)
         .within(assumed.server_attempts_per_second.value),
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -181,7 +181,7 @@
     let measured = [
         "one placement",
         "probes on sockets, at the run's price",
-        "processor for the module's probes",
+        "processor for the policy's health checks",
     ];
     for quantity in measured {
         let row = scratch.row(quantity);
@@ -203,12 +203,15 @@
         ("one probe", "176"),
         // 50 + 0.05 x servers.
         (
-            "probes of the module with the operators' own connections",
+            "health checks with the operators' own connections",
             "200 / 350 / 650",
         ),
-        ("bytes of the module's probes", "35,200 / 61,600 / 114,400"),
+        (
+            "bytes of the policy's health checks",
+            "35,200 / 61,600 / 114,400",
+        ),
         // 0.0025 / 0.25 % of a core a health check.
-        ("processor for the module's probes", "2 / 3.5 / 6.5"),
+        ("processor for the policy's health checks", "2 / 3.5 / 6.5"),
         // 10 + 0.25 x servers.
         (
             "probes on sockets, at the run's price",
@@ -225,8 +228,8 @@
             "18 / 24 / 36",
         ),
         // 800 x servers, and 565 x 44,286.
-        ("the module's state of servers", "2.4 / 4.8 / 9.6"),
-        ("the module's state of own connections", "25"),
+        ("the policy's state of servers", "2.4 / 4.8 / 9.6"),
+        ("the policy's state of own connections", "25"),
         // 0.0125 / 0.125 % of a core for each, times new connections a second.
         (
             "processor for setting connections up",
@@ -266,7 +269,7 @@
         second of a whole list within the time to be ready: 60 times its budget). Runner-up: **changes of the \
         configuration, told from the control machines as differences** (bytes a second of a change within its time: \
         2.52 times its budget). Over its budget although its mechanism is in the code: **bounded candidates and a \
-        control budget** (bytes a second of the module's probes, measured with the operators' own connections: 30.8 \
+        control budget** (bytes a second of the policy's health checks, measured with the operators' own connections: 30.8 \
         times its budget); ";
     assert!(scratch.page().contains(first), "{}", scratch.page());
     // 6,000 x (1 - e^-7.38) / 10 s x 176 bytes of 2,000: ranked, but no need of today.
@@ -317,7 +320,7 @@
         "{}",
         scratch.row("one probe")
     );
-    let processor = scratch.row("processor for the module's probes");
+    let processor = scratch.row("processor for the policy's health checks");
     assert!(processor.contains(NOT_MEASURED), "{processor}");
 }
 
@@ -545,7 +548,7 @@
         (
             code.probe_interval_longest_s.value,
             10.0,
-            "const PROBE_BOUND: Time = 10 * SEC;",
+            "const CHECK_INTERVAL_MAX: Time = 10 * SEC;",
         ),
         (
             code.watch_hold_s.value,
@@ -576,14 +579,18 @@
         (
             code.attempts_in_flight_fleet.value,
             600.0,
-            "const CALM_ALL: f64 = 600.0;",
+            "const INITIAL_LIMIT_OF_ALL_BALANCERS: f64 = 600.0;",
         ),
         (
             code.attempts_in_flight_most.value,
             8.0,
-            "const CALM: f64 = 8.0;",
+            "const INITIAL_LIMIT_MAX: f64 = 8.0;",
+        ),
+        (
+            code.cold_fill_factor.value,
+            4.0,
+            "const FILLS_PER_WARM_UP: f64 = 4.0;",
         ),
-        (code.cold_fill_factor.value, 4.0, "const FILLS: f64 = 4.0;"),
         (
             code.idle_client_s.value,
             30.0,
