--- a/crates/policy/tests/fleet_slow_start.rs
+++ b/crates/policy/tests/fleet_slow_start.rs
@@ -7,7 +7,7 @@
 //! times what a warm one completes in that time. Where requests last longer than `LONG`, capacity
 //! is counted by what fills a server: completed requests are no measure of what it can set up
 //! (docs/questions.md, first row: it fell at four times what fills it over its warm-up, not below).
-//! That the budget is made use of is tested in decisions.rs.
+//! That the budget is made use of is tested in slow_start.rs.
 
 mod common;
 
@@ -38,7 +38,7 @@
 const CONGESTED_ATTEMPTS: u64 = 2000;
 /// Requests that last longer end too rarely to tell what a server can set up.
 const LONG: Time = 10 * SEC;
-/// A server can set up what fills it in so much of its warm-up, as was measured at size.
+/// A server can set up what fills it in so much of its warm-up (docs/questions.md, first row).
 const FILLED_IN: Time = WARM_UP / 4;
 /// When the run begins: 0 would mean "long ago" to the policy.
 const BEGIN: Time = 1000 * SEC;
