--- a/crates/policy/src/concurrency.rs
+++ b/crates/policy/src/concurrency.rs
@@ -75,3 +75,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/connections.rs
+++ b/crates/policy/src/connections.rs
@@ -162,3 +162,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/load_reports.rs
+++ b/crates/policy/src/load_reports.rs
@@ -139,3 +139,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -69,3 +69,6 @@
     failures.push_back(at);
     failures.drain(..failures.len().saturating_sub(FAILURES_MAX));
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -111,3 +111,6 @@
         (GATHER_TIME_PER_LOOK * (self.queued * servers) as Time).min(GATHER_TIME_MAX)
     }
 }
+
+#[cfg(test)]
+mod tests;
