--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -17,11 +17,11 @@
 use bpaf::{Parser, construct, long, pure};
 use nettlemux_admission::AdmissionController;
 use nettlemux_dataplane::discovery::{self, Agent};
-use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig};
+use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig, DispatcherError};
 use nettlemux_dataplane::gossip::Peers;
 use nettlemux_dataplane::health_check::{self, HealthChecker};
 use nettlemux_dataplane::mailbox::Mailbox;
-use nettlemux_dataplane::messages::DispatcherMessage;
+use nettlemux_dataplane::messages::{DispatcherMessage, Service};
 use nettlemux_dataplane::pool::{Buffers, DescriptorBudgets};
 use nettlemux_dataplane::shared::{Dataplane, SharedSettings};
 use nettlemux_dataplane::shutdown::AnswerDeadline;
@@ -262,22 +262,19 @@
     };
     signals::untold(&config.settings, peers.is_some());
     let pending_connections = dataplane.budgets.waiting.clone();
-    let given = DispatcherConfig {
-        seed: config.seed,
-        margin: MARGIN,
-        answer_deadline,
-        pending_connections,
-    };
-    let whole_desk = Dispatcher::new(
+    let running_dispatcher = Dispatcher::new(DispatcherConfig {
         flow_table,
         messages,
         zones,
         machines,
         health_checker,
         gossip,
-        given,
-    );
-    let running = may::go!(move || whole_desk.run());
+        seed: config.seed,
+        margin: MARGIN,
+        answer_deadline,
+        pending_connections,
+    });
+    let running = may::go!(move || running_dispatcher.run());
     let agent = Agent::new(config.discovery);
     let in_file = config.settings.clone();
     let seed = config.seed;
@@ -302,18 +299,23 @@
     };
     let told = dispatcher.clone();
     may::go!(
-        move || supervisor::supervise("discovery", &told, || discovery::watch(
+        move || supervisor::supervise(Service::Discovery, &told, || discovery::watch(
             version, &context, &told
         ))
     );
     may::go!(
-        move || supervisor::supervise("the listener", &dispatcher, || acceptor::accept(
+        move || supervisor::supervise(Service::Listener, &dispatcher, || acceptor::accept(
             &front, &listener
         ))
     );
-    let ended = running.join().unwrap_or(Err("the desk"));
-    ended.map(|()| info!("ended")).map_err(|part| {
-        error!(part, "a part has failed for good");
-        format!("{part} has failed, and nothing is served without it")
+    let ended = running
+        .join()
+        .unwrap_or(Err(DispatcherError::ServiceFailed {
+            service: Service::Dispatcher,
+        }));
+    ended.map(|()| info!("ended")).map_err(|failure| {
+        let DispatcherError::ServiceFailed { service } = failure;
+        error!(part = service.name(), "a part has failed for good");
+        failure.to_string()
     })
 }
--- /dev/null
+++ b/crates/dataplane/src/dispatcher/clients.rs
@@ -0,0 +1,81 @@
+//! The clients of the flows in progress and the way to their coroutines.
+
+use std::collections::BTreeMap;
+
+use nettlemux_policy::{Flow, FlowId, ServerId};
+
+use crate::mailbox::Sender;
+use crate::messages::{FlowCommand, FlowEvent};
+
+/// A connection that was open before the balancer started and is not open again yet.
+pub(super) struct Adoption {
+    pub flow: Flow,
+    pub server_id: ServerId,
+}
+
+/// The client of one flow.
+pub(super) struct Client {
+    mailbox: Sender<FlowEvent>,
+    /// Set until the adopted connection is open again; none for new flows.
+    pub adoption: Option<Adoption>,
+}
+
+/// The clients of all flows in progress, in the order of the flows' numbers.
+#[derive(Default)]
+pub(super) struct ClientTable {
+    clients: BTreeMap<FlowId, Client>,
+}
+
+impl ClientTable {
+    /// Adds the client of a flow; `adoption` for a connection from before the start.
+    pub fn insert(&mut self, flow: FlowId, mailbox: Sender<FlowEvent>, adoption: Option<Adoption>) {
+        self.clients.insert(flow, Client { mailbox, adoption });
+    }
+
+    /// Removes the client of a flow that is closed.
+    pub fn remove(&mut self, flow: FlowId) {
+        self.clients.remove(&flow);
+    }
+
+    /// Returns the client of a flow.
+    pub fn get_mut(&mut self, flow: FlowId) -> Option<&mut Client> {
+        self.clients.get_mut(&flow)
+    }
+
+    /// Returns whether the flow has a client.
+    pub fn contains(&self, flow: FlowId) -> bool {
+        self.clients.contains_key(&flow)
+    }
+
+    /// Returns the number of clients.
+    pub fn len(&self) -> usize {
+        self.clients.len()
+    }
+
+    /// Returns whether there are no clients.
+    pub fn is_empty(&self) -> bool {
+        self.clients.is_empty()
+    }
+
+    /// Returns the flows from the number `first` on, in order.
+    pub fn flows_from(&self, first: FlowId) -> impl Iterator<Item = FlowId> {
+        self.clients.range(first..).map(|(flow, _)| *flow)
+    }
+
+    /// Sends a command to the flow's coroutine; a flow without a client is passed over.
+    pub fn command(&self, flow: FlowId, command: FlowCommand) {
+        if let Some(client) = self.clients.get(&flow) {
+            client.mailbox.send(FlowEvent::Command(command));
+        }
+    }
+
+    /// Times out the attempts of all connections that are being adopted.
+    pub fn time_out_adoptions(&self) {
+        for client in self.clients.values() {
+            if client.adoption.is_some() {
+                let command = FlowCommand::AttemptTimedOut;
+                client.mailbox.send(FlowEvent::Command(command));
+            }
+        }
+    }
+}
--- a/crates/dataplane/src/supervisor.rs
+++ b/crates/dataplane/src/supervisor.rs
@@ -1,5 +1,5 @@
-//! Parts of the process that should never end, and what becomes of it where one does. It owns nothing; it must never know
-//! what a part does, and never end the process itself.
+//! Supervision of the services that run as long as the process does. It owns nothing; it must never
+//! know what a service does, and never end the process itself.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -7,53 +7,28 @@
 use tracing::error;
 
 use crate::mailbox::Sender;
-use crate::messages::DispatcherMessage;
-
-/// How often in all a part is begun anew, and after how long: what fails more often won't get well.
-const TRIES: usize = 20;
-const PAUSE: Duration = Duration::from_millis(50);
-
-/// Runs a part that should never end. Guards against a process that goes on without it, of no use to anybody: a fault
-/// costs one round, and the process where it comes again and again.
-pub fn supervise(part: &'static str, dispatcher: &Sender<DispatcherMessage>, run: impl Fn()) {
-    for _ in 0..TRIES {
+use crate::messages::{DispatcherMessage, Service};
+
+/// Runs of a service in all: one that fails more often won't recover.
+const RUNS_MAX: usize = 20;
+/// Time between the end of one run and the start of the next.
+const RESTART_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Runs a service that should never end, again whenever it returns or panics, and tells the
+/// dispatcher once it has failed too often. Blocks its coroutine until then.
+///
+/// Guards against a process that goes on without a service, of no use to anybody.
+pub fn supervise(service: Service, dispatcher: &Sender<DispatcherMessage>, run: impl Fn()) {
+    for _ in 0..RUNS_MAX {
         let panicked = catch_unwind(AssertUnwindSafe(&run)).is_err();
-        error!(part, panicked, "a part has ended; it is begun anew");
-        may::coroutine::sleep(PAUSE);
+        error!(
+            service = service.name(),
+            panicked, "service ended, restarting it"
+        );
+        may::coroutine::sleep(RESTART_INTERVAL);
     }
-    dispatcher.send(DispatcherMessage::ServiceFailed(part));
+    dispatcher.send(DispatcherMessage::ServiceFailed(service));
 }
 
 #[cfg(test)]
-mod tests {
-    use std::sync::Arc;
-    use std::sync::atomic::{AtomicUsize, Ordering};
-
-    use nettlemux_policy::SEC;
-
-    use super::*;
-    use crate::clock;
-    use crate::mailbox::Mailbox;
-
-    /// Guards against a balancer that stays alive without its listener or its list.
-    #[test]
-    fn a_part_that_panics_is_begun_anew_and_in_the_end_given_up() {
-        let messages = Mailbox::new();
-        let (dispatcher, rounds) = (messages.sender(), Arc::new(AtomicUsize::new(0)));
-        let counted = rounds.clone();
-        may::go!(move || {
-            supervise("the listener", &dispatcher, || {
-                counted.fetch_add(1, Ordering::Relaxed);
-                panic!("on purpose");
-            });
-        });
-        let told = may::go!(move || messages.next(clock::now() + 10 * SEC))
-            .join()
-            .unwrap();
-        assert!(matches!(
-            told,
-            Some(DispatcherMessage::ServiceFailed("the listener"))
-        ));
-        assert_eq!(rounds.load(Ordering::Relaxed), TRIES);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/dataplane/src/supervisor/tests.rs
@@ -0,0 +1,32 @@
+//! A service that panics in each of its runs.
+
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+use nettlemux_policy::SEC;
+
+use super::*;
+use crate::clock;
+use crate::mailbox::Mailbox;
+
+/// Guards against a balancer that stays alive without its listener or its list.
+#[test]
+fn a_service_that_panics_is_restarted_and_in_the_end_given_up() {
+    let messages = Mailbox::new();
+    let (dispatcher, runs) = (messages.sender(), Arc::new(AtomicUsize::new(0)));
+    let counted = runs.clone();
+    may::go!(move || {
+        supervise(Service::Listener, &dispatcher, || {
+            counted.fetch_add(1, Ordering::Relaxed);
+            panic!("on purpose");
+        });
+    });
+    let message = may::go!(move || messages.next(clock::now() + 10 * SEC))
+        .join()
+        .unwrap();
+    assert!(matches!(
+        message,
+        Some(DispatcherMessage::ServiceFailed(Service::Listener))
+    ));
+    assert_eq!(runs.load(Ordering::Relaxed), RUNS_MAX);
+}
