--- a/crates/dataplane/src/dispatcher/graceful_shutdown.rs
+++ b/crates/dataplane/src/dispatcher/graceful_shutdown.rs
@@ -156,3 +156,6 @@
         progress.elapsed >= progress.migration_timeout && all_closed
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -1,7 +1,18 @@
-//! What carries a flow on sockets, whatever protocol its client speaks: the desk with the decision module, the stages
-//! from route on, sockets, mailboxes, buffers and descriptors, probes and discovery. Fronts hand flows to
-//! [`pipeline::serve`]; the program puts the parts together. Uses go one way, from the chain down to the clock, and no file
-//! here reads a configuration or a client's protocol.
+//! The data plane: carries flows on sockets, whatever protocol their clients speak.
+//!
+//! It owns the sockets, buffers and descriptors of all connections, the coroutines that serve them,
+//! and the one that runs the load balancing policy. It must never choose a server, a retry or a
+//! limit itself, read a configuration file, or know a client's protocol.
+//!
+//! The way through it: a front accepts a client and hands its flow to [`pipeline`], which asks the
+//! [`dispatcher`] where the flow goes, makes the attempt and relays lines until a side ends. The
+//! dispatcher owns the policy; other coroutines talk to it by the [`messages`] in its [`mailbox`].
+//! [`discovery`] brings it the endpoint list, [`health_check`] the servers' load reports and
+//! [`gossip`] what other balancers hold. [`wire`] reads and writes the servers' protocol. The
+//! [`supervisor`] restarts services that fail, [`shutdown`] says when the last answer is due,
+//! [`retry`] repeats steps of the start, and [`clock`] is the one clock of all.
+//!
+//! Modules use each other in one direction only, from the pipeline down to the clock.
 
 mod book;
 pub mod clock;
