--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -17,11 +17,11 @@
 use nettlemux_dataplane::dataplane::Dataplane;
 use nettlemux_dataplane::descriptors::DescriptorBudgets;
 use nettlemux_dataplane::discovery::{self, Agent};
-use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig};
+use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig, DispatcherError};
 use nettlemux_dataplane::gossip::Peers;
 use nettlemux_dataplane::health_check::{self, HealthChecker};
 use nettlemux_dataplane::mailbox::{Mailbox, Sender};
-use nettlemux_dataplane::messages::{DispatcherMessage, GossipMessage};
+use nettlemux_dataplane::messages::{DispatcherMessage, GossipMessage, Service};
 use nettlemux_dataplane::runtime_settings::SharedSettings;
 use nettlemux_dataplane::shutdown::AnswerDeadline;
 use nettlemux_dataplane::supervisor;
@@ -90,20 +90,18 @@
     reload::warn_of_missing_peers(&config.settings, gossip.transport.as_ref());
 
     let health_checker = shared.health_checker();
-    let dispatcher = Dispatcher::new(
-        decisions.flow_table,
+    let dispatcher = Dispatcher::new(DispatcherConfig {
+        flow_table: decisions.flow_table,
         messages,
-        settings.zone_names(),
-        settings.machine_model_names(),
+        zones: settings.zone_names(),
+        machines: settings.machine_model_names(),
         health_checker,
-        gossip.sender,
-        DispatcherConfig {
-            seed: config.seed,
-            margin: ANSWER_MARGIN,
-            answer_deadline: AnswerDeadline::new(settings.flow_timeout_max()),
-            pending_connections: shared.dataplane.budgets.pending.clone(),
-        },
-    );
+        gossip: gossip.sender,
+        seed: config.seed,
+        margin: ANSWER_MARGIN,
+        answer_deadline: AnswerDeadline::new(settings.flow_timeout_max()),
+        pending_connections: shared.dataplane.budgets.pending.clone(),
+    });
     let running = may::go!(move || dispatcher.run());
     let agent = Agent::new(config.discovery);
     let discovery = shared.discovery_context(agent.clone(), config.seed);
@@ -125,11 +123,15 @@
 }
 
 /// Waits until the dispatcher has ended.
-fn wait_for_end(dispatcher: JoinHandle<Result<(), &'static str>>) -> Result<(), StartError> {
-    let ended = dispatcher.join().unwrap_or(Err("the dispatcher"));
-    ended.map(|()| info!("ended")).map_err(|service| {
-        error!(service, "a service has failed for good");
-        StartError::ServiceFailed { service }
+fn wait_for_end(dispatcher: JoinHandle<Result<(), DispatcherError>>) -> Result<(), StartError> {
+    let panicked = DispatcherError::ServiceFailed {
+        service: Service::Dispatcher,
+    };
+    let ended = dispatcher.join().unwrap_or(Err(panicked));
+    ended.map(|()| info!("ended")).map_err(|failure| {
+        let DispatcherError::ServiceFailed { service } = failure;
+        error!(service = service.name(), "a service has failed for good");
+        StartError::ServiceFailed(failure)
     })
 }
 
@@ -321,7 +323,7 @@
     dispatcher: Sender<DispatcherMessage>,
 ) {
     may::go!(
-        move || supervisor::supervise("discovery", &dispatcher, || discovery::watch(
+        move || supervisor::supervise(Service::Discovery, &dispatcher, || discovery::watch(
             known_version,
             &context,
             &dispatcher
@@ -335,7 +337,7 @@
     dispatcher: Sender<DispatcherMessage>,
 ) {
     may::go!(
-        move || supervisor::supervise("the listener", &dispatcher, || acceptor::accept(
+        move || supervisor::supervise(Service::Listener, &dispatcher, || acceptor::accept(
             &acceptor, &listener
         ))
     );
--- a/crates/balancer/src/start_error.rs
+++ b/crates/balancer/src/start_error.rs
@@ -3,6 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
+use nettlemux_dataplane::dispatcher::DispatcherError;
 use nettlemux_settings::SettingsError;
 
 use crate::config_error::ConfigError;
@@ -40,8 +41,8 @@
         source: io::Error,
     },
     /// A part without which nothing is served has failed.
-    #[error("{service} has failed, and nothing is served without it")]
-    ServiceFailed { service: &'static str },
+    #[error(transparent)]
+    ServiceFailed(#[from] DispatcherError),
 }
 
 impl From<SettingsError> for StartError {
