--- a/crates/candidates/src/candidate_set.rs
+++ b/crates/candidates/src/candidate_set.rs
@@ -52,13 +52,14 @@
 }
 
 impl CandidateSet {
-    /// Takes in news of a server: one that isn't ready is no candidate.
-    pub fn update(&mut self, server: ServerId, zone: ZoneId, weight: f64, is_ready: bool) {
-        if is_ready {
-            self.candidates.insert(server, zone, weight);
-        } else {
-            self.candidates.remove(server);
-        }
+    /// Puts in a server that is ready, or changes its zone and weight.
+    pub fn insert(&mut self, server: ServerId, zone: ZoneId, weight: f64) {
+        self.candidates.insert(server, zone, weight);
+    }
+
+    /// Takes out a server that isn't ready any more, if it is known.
+    pub fn remove(&mut self, server: ServerId) {
+        self.candidates.remove(server);
     }
 
     /// Returns the servers for this key, in order of their ids: its candidates, more of them the
--- a/crates/candidates/tests/candidate_set.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -10,7 +10,7 @@
 
 fn candidate_set(servers: u64) -> CandidateSet {
     let mut list = CandidateSet::default();
-    (0..servers).for_each(|id| list.update(id, id % ZONES, 1.0, true));
+    (0..servers).for_each(|id| list.insert(id, id % ZONES, 1.0));
     list
 }
 
@@ -63,7 +63,7 @@
 fn a_server_that_is_not_ready_is_no_candidate() {
     let mut list = candidate_set(600);
     let first = list.scope(1, 3, ZoneReach::OwnZone, [].into_iter())[0];
-    list.update(first, first % ZONES, 1.0, false);
+    list.remove(first);
     assert!(
         !list
             .scope(1, 3, ZoneReach::AllZones, [].into_iter())
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -158,8 +158,11 @@
         let is_whole = is_complete || known.is_none();
         let mut candidates = known.unwrap_or_default();
         let mut update = |entry: &Endpoint| {
-            let is_ready = entry.state == EndpointState::Ready;
-            candidates.update(entry.server_id, entry.zone, entry.weight, is_ready);
+            if entry.state == EndpointState::Ready {
+                candidates.insert(entry.server_id, entry.zone, entry.weight);
+            } else {
+                candidates.remove(entry.server_id);
+            }
         };
         if is_whole {
             let servers = self.servers.values();
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -71,6 +71,8 @@
 pub(crate) struct PlacementQuery<'a> {
     pub(crate) view: FleetView<'a>,
     pub(crate) flow: &'a Flow,
+    /// The servers to look at; all where there is none.
+    pub(crate) scope: Option<&'a [ServerId]>,
     pub(crate) class: TrafficClass,
     pub(crate) zone: u64,
     pub(crate) balancers: f64,
@@ -83,20 +85,19 @@
 }
 
 impl<'a> PlacementQuery<'a> {
-    /// Looks at the servers of this scope, or at all, for where the flow may go.
-    pub(crate) fn select(&self, scope: Option<&[ServerId]>) -> Selection {
-        let listed = self.listed(scope);
+    /// Looks for where the flow may go.
+    pub(crate) fn select(&self) -> Selection {
+        let listed = self.listed();
         let looked_at_fraction =
             listed.len() as f64 / self.view.endpoints.servers.len().max(1) as f64;
         let permitted = self.permitted(listed);
         let responsive = self.prefer_responsive(permitted);
-        let load = self.candidate_load(&responsive, looked_at_fraction, scope.is_some());
+        let load = self.candidate_load(&responsive, looked_at_fraction);
         let affinity = self.group_affinity(&responsive);
         let (open, least_utilization) = self.below_limit(responsive, &load, &affinity);
-        let preferred = self.prefer_balanced(open, &load, scope.is_some());
+        let preferred = self.prefer_balanced(open, &load);
         let preferred = self.prefer_local(preferred, &affinity);
-        let (needs_report, eligible) =
-            self.take_choices(preferred, &load, &affinity, scope.is_some());
+        let (needs_report, eligible) = self.take_choices(preferred, &load, &affinity);
         Selection {
             needs_report: self.with_outdated_report(&needs_report),
             eligible: eligible.iter().map(Candidate::id).collect(),
@@ -105,9 +106,9 @@
     }
 
     /// The servers of the scope, or all.
-    fn listed(&self, scope: Option<&[ServerId]>) -> Vec<&'a Server> {
+    fn listed(&self) -> Vec<&'a Server> {
         let servers = &self.view.endpoints.servers;
-        match scope {
+        match self.scope {
             None => servers.values().collect(),
             Some(scope) => scope.iter().filter_map(|id| servers.get(id)).collect(),
         }
@@ -165,14 +166,9 @@
     /// Works out what is expected of the candidates between reports: what was placed lately counts
     /// at once, and other balancers place as this one does on average. Guards against all filling
     /// a server on one report.
-    fn candidate_load(
-        &self,
-        candidates: &[Candidate],
-        looked_at_fraction: f64,
-        is_scoped: bool,
-    ) -> CandidateLoad {
+    fn candidate_load(&self, candidates: &[Candidate], looked_at_fraction: f64) -> CandidateLoad {
         let number = candidates.len().max(1) as f64;
-        let own_connections = if is_scoped {
+        let own_connections = if self.scope.is_some() {
             let counts = candidates
                 .iter()
                 .map(|candidate| self.view.own_connections(candidate.server));
@@ -306,7 +302,6 @@
         &self,
         candidates: Vec<Candidate<'a>>,
         load: &CandidateLoad,
-        is_scoped: bool,
     ) -> Vec<Candidate<'a>> {
         // Guards against the few that one of hundreds of balancers holds being taken for too many.
         let slack = if self.gossip.is_enabled() {
@@ -316,7 +311,7 @@
         };
         // Some servers are candidates more often than others: the rotation alone would give them
         // more flows.
-        let factor = if self.flow.group.is_none() && is_scoped {
+        let factor = if self.flow.group.is_none() && self.scope.is_some() {
             1.0
         } else {
             FAIR_SHARE_FACTOR
@@ -351,7 +346,6 @@
         mut candidates: Vec<Candidate<'a>>,
         load: &CandidateLoad,
         affinity: &GroupAffinity,
-        is_scoped: bool,
     ) -> (Vec<Candidate<'a>>, Vec<Candidate<'a>>) {
         let holds = |candidate: &Candidate| affinity.holds(candidate.id());
         if self.flow.group.is_none() || candidates.iter().any(holds) {
@@ -364,7 +358,7 @@
         }
         let choices = if self.gossip.is_enabled() {
             GROUP_CHOICES_WITH_GOSSIP
-        } else if is_scoped {
+        } else if self.scope.is_some() {
             GROUP_CHOICES_AMONG_CANDIDATES
         } else {
             GROUP_CHOICES
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -100,9 +100,10 @@
         passed: bool,
         report: LoadReport,
     ) -> Vec<FlowId> {
-        let is_on_demand = self.health_checks.is_on_demand();
-        self.queue
-            .report_came(now, is_on_demand, self.endpoints.looked_at_max());
+        self.queue.report_came();
+        if self.health_checks.is_on_demand() {
+            self.queue.recheck_soon(now, self.endpoints.looked_at_max());
+        }
         let Some(server) = self.endpoints.servers.get_mut(&server_id) else {
             return Vec::new();
         };
--- a/crates/policy/src/policy/placing.rs
+++ b/crates/policy/src/policy/placing.rs
@@ -20,20 +20,22 @@
         if let Some(ramp_rates) = self.slow_start.due_ramp_rates(&self.view(now)) {
             self.slow_start.set_ramp_rates(now, ramp_rates);
         }
-        let query = self.query(now, flow, priority_utilization);
+        let select = |scope: Option<&[ServerId]>| {
+            self.query(now, flow, priority_utilization, scope).select()
+        };
         let zones = if self.gossip.is_enabled() {
             ZoneReach::AllZones
         } else {
             ZoneReach::OwnZone
         };
-        let mut selection = query.select(self.candidates(flow, zones).as_deref());
+        let mut selection = select(self.candidates(flow, zones).as_deref());
         if selection.eligible.is_empty() && self.endpoints.is_long() {
             let further = self.candidates(flow, ZoneReach::AllZones);
-            selection = query.select(further.as_deref());
+            selection = select(further.as_deref());
         }
         let is_whole = selection.eligible.is_empty() && self.endpoints.may_walk_list(now);
         if is_whole {
-            selection = self.query(now, flow, priority_utilization).select(None);
+            selection = self.query(now, flow, priority_utilization, None).select();
         }
         let is_returning = flow.reconnecting && self.view(now).has_started_empty();
         let is_first = flow.attempts.is_empty() && !is_returning;
@@ -50,10 +52,12 @@
         now: Time,
         flow: &'a Flow,
         priority_utilization: f64,
+        scope: Option<&'a [ServerId]>,
     ) -> PlacementQuery<'a> {
         PlacementQuery {
             view: self.view(now),
             flow,
+            scope,
             class: self.classes.of(flow),
             zone: self.zone,
             balancers: self.balancers,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -76,10 +76,14 @@
         self.reports_pending_until = now + QUEUE_RECHECK_INTERVAL;
     }
 
-    /// Notes that a report has come; queued flows that wait for one are placed again soon.
-    pub(crate) fn report_came(&mut self, now: Time, is_on_demand: bool, servers: usize) {
+    /// Notes that a report has come.
+    pub(crate) fn report_came(&mut self) {
         self.reports_pending_until = 0;
-        if is_on_demand && self.queued > 0 {
+    }
+
+    /// Places queued flows again soon, as a report has come that they may wait for.
+    pub(crate) fn recheck_soon(&mut self, now: Time, servers: usize) {
+        if self.queued > 0 {
             let gather_time = self.gather_time(servers).min(QUEUE_RECHECK_INTERVAL);
             self.recheck_at.get_or_insert(now + gather_time);
         }
--- a/crates/policy/src/queue/tests.rs
+++ b/crates/policy/src/queue/tests.rs
@@ -64,7 +64,8 @@
     assert!(queue.is_placement_futile(T0 + MS, &flow(T0), 0.72));
     assert!(!queue.is_placement_futile(T0 + MS, &flow(T0 + MS), 0.72));
     assert!(!queue.is_placement_futile(T0 + QUEUE_RECHECK_INTERVAL, &flow(T0), 0.72));
-    queue.report_came(T0 + MS, true, 10);
+    queue.report_came();
+    queue.recheck_soon(T0 + MS, 10);
     assert!(!queue.is_placement_futile(T0 + MS, &flow(T0), 0.72));
     assert_eq!(queue.recheck_after_report_at(), Some(T0 + 2 * MS));
     queue.timer_expired(T0 + 2 * MS);
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -172,7 +172,7 @@
     let list = servers(600);
     let mut long = nettlemux_candidates::CandidateSet::default();
     list.iter()
-        .for_each(|server| long.update(server.server_id, server.zone, server.weight, true));
+        .for_each(|server| long.insert(server.server_id, server.zone, server.weight));
     // Few other balancers, as each attempt here is taken for one of each of them.
     let mut policy = balancer_with(1, 3, config(4.0));
     policy.update_endpoints(T0, &list, true);
--- a/crates/testbed/src/scale/looked_at.rs
+++ b/crates/testbed/src/scale/looked_at.rs
@@ -66,12 +66,11 @@
             let all = || self.servers.values().copied().collect();
             let news: Vec<Endpoint> = if known { entries.to_vec() } else { all() };
             for entry in news {
-                long.update(
-                    entry.server_id,
-                    entry.zone,
-                    entry.weight,
-                    entry.state == EndpointState::Ready,
-                );
+                if entry.state == EndpointState::Ready {
+                    long.insert(entry.server_id, entry.zone, entry.weight);
+                } else {
+                    long.remove(entry.server_id);
+                }
             }
         } else {
             self.long = None;
