--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -16,7 +16,7 @@
 use nettlemux_dataplane::buffers::BufferPool;
 use nettlemux_dataplane::dataplane::Dataplane;
 use nettlemux_dataplane::descriptors::DescriptorBudgets;
-use nettlemux_dataplane::discovery::{self, Agent};
+use nettlemux_dataplane::discovery::{self, Agent, DiscoveryContext};
 use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig};
 use nettlemux_dataplane::gossip::Peers;
 use nettlemux_dataplane::health_check::{self, HealthChecker};
@@ -246,8 +246,8 @@
         })
     }
 
-    fn discovery_context(&self, agent: Arc<Agent>, seed: u64) -> discovery::Context {
-        discovery::Context {
+    fn discovery_context(&self, agent: Arc<Agent>, seed: u64) -> DiscoveryContext {
+        DiscoveryContext {
             agent,
             settings: self.runtime_settings.clone(),
             seed,
@@ -316,7 +316,7 @@
 }
 
 fn start_discovery(
-    context: discovery::Context,
+    context: DiscoveryContext,
     known_version: Option<u64>,
     dispatcher: Sender<DispatcherMessage>,
 ) {
--- a/crates/balancer/src/config_error.rs
+++ b/crates/balancer/src/config_error.rs
@@ -1,9 +1,9 @@
 //! Why a configuration can't be used. Each message names the key at fault.
 
-use std::error::Error;
 use std::io;
 use std::path::PathBuf;
 
+use nettlemux_dataplane::discovery::ListUpdateError;
 use nettlemux_settings::SettingsError;
 use serde_json::Value;
 
@@ -52,7 +52,7 @@
     },
     /// The last known endpoint list can't be read.
     #[error("configuration key 'known': {0}")]
-    KnownEndpoints(#[source] Box<dyn Error + Send + Sync>),
+    KnownEndpoints(#[source] ListUpdateError),
     /// `settings` is missing. An unknown key may be a misspelt `settings`, so these are listed too.
     #[error("configuration key 'settings': missing{}", list(unknown_keys))]
     NoSettings { unknown_keys: Vec<UnknownKey> },
--- a/crates/balancer/src/config_file.rs
+++ b/crates/balancer/src/config_file.rs
@@ -186,9 +186,9 @@
     fn known_endpoints(&self) -> Result<Option<ListUpdate>, ConfigError> {
         self.keys
             .get("known")
-            .map(discovery::update_of)
+            .map(discovery::parse_list_update)
             .transpose()
-            .map_err(|error| ConfigError::KnownEndpoints(error.into()))
+            .map_err(ConfigError::KnownEndpoints)
     }
 
     fn settings(&self, seed: u64, unknown_keys: &[UnknownKey]) -> Result<Settings, ConfigError> {
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -150,7 +150,7 @@
         info!(discovery = %new.discovery, changed, "reloaded");
         if changed {
             self.config.discovery = new.discovery;
-            self.agent.moves_to(new.discovery);
+            self.agent.set_address(new.discovery);
         }
     }
 }
--- a/crates/dataplane/src/discovery/agent.rs
+++ b/crates/dataplane/src/discovery/agent.rs
@@ -1,5 +1,5 @@
-//! Where the discovery agent is, which a new configuration may change at any time. It owns the address and the way to
-//! whoever waits for an answer from there; it must never do I/O.
+//! The address of the discovery agent, which a reload may change at any time. It owns the address
+//! and the way to the coroutine that waits for an answer from there. It must never do I/O.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,49 +7,59 @@
 use crate::mailbox::Sender;
 use crate::messages::FlowEvent;
 
-/// Where the agent is now. It may move at any time, also several times in a row.
+/// The discovery agent, by its present address.
 pub struct Agent {
     current: Mutex<Location>,
 }
 
+/// An address of the agent, and which of its addresses it is.
 #[derive(Clone)]
 pub(super) struct Location {
+    /// The address.
     pub address: SocketAddr,
-    /// How often it has moved.
-    pub moves: u64,
-    /// Wakes whoever waits for the agent.
+    /// How often the address had been set anew. An address that comes back has another revision.
+    pub revision: u64,
+    /// Notifies the coroutine that waits for the agent.
     notifier: Option<Sender<FlowEvent>>,
 }
 
 impl Agent {
+    /// Creates an agent at an address.
     pub fn new(address: SocketAddr) -> Arc<Self> {
         Arc::new(Agent {
             current: Mutex::new(Location {
                 address,
-                moves: 0,
+                revision: 0,
                 notifier: None,
             }),
         })
     }
 
-    /// From now on the agent is there: a call that is held elsewhere is dropped.
-    pub fn moves_to(&self, address: SocketAddr) {
+    /// Sets another address, and stops a wait for an answer from the one before.
+    pub fn set_address(&self, address: SocketAddr) {
         let mut current = self.current();
-        (current.address, current.moves) = (address, current.moves + 1);
+        current.address = address;
+        current.revision += 1;
         if let Some(notifier) = &current.notifier {
             notifier.send(FlowEvent::Stop);
         }
     }
 
+    /// Returns the present address.
     pub(super) fn location(&self) -> Location {
         self.current().clone()
     }
 
-    /// Wakes this one when the agent moves; false where it has moved from there already.
-    pub(super) fn notify(&self, notifier: Sender<FlowEvent>, location: &Location) -> bool {
+    /// Has `notifier` sent a stop when the address changes, in place of the one before. Returns
+    /// false if the address has changed since `location` was read.
+    pub(super) fn notify_on_change(
+        &self,
+        notifier: Sender<FlowEvent>,
+        location: &Location,
+    ) -> bool {
         let mut current = self.current();
         current.notifier = Some(notifier);
-        current.moves == location.moves
+        current.revision == location.revision
     }
 
     fn current(&self) -> MutexGuard<'_, Location> {
--- a/crates/dataplane/src/discovery/backoff/tests.rs
+++ b/crates/dataplane/src/discovery/backoff/tests.rs
@@ -7,7 +7,7 @@
     let mut rng = WyRand::new_seed(7);
     // What the call took, how many failed before it, the longest pause that may come of it.
     for (took, failed, most) in [
-        (0, 0, RETRY_MIN),
+        (0, 0, BACKOFF_MIN),
         (2 * SEC, 0, 8 * SEC),
         (2 * SEC, 1, 10 * SEC),
         (MS, 9, 2048 * MS),
@@ -15,16 +15,16 @@
     ] {
         // More draws than it takes to meet each tenth of the span by the later of two.
         let drawn: Vec<Time> = (0..2000)
-            .map(|_| pause(took, failed, 10 * SEC, &mut rng))
+            .map(|_| draw_backoff(took, failed, 10 * SEC, &mut rng))
             .collect();
         let (least, longest) = (drawn.iter().min().unwrap(), drawn.iter().max().unwrap());
         assert!(
-            *least >= RETRY_MIN && *longest <= most,
+            *least >= BACKOFF_MIN && *longest <= most,
             "{took}, {failed}: {least} to {longest}"
         );
         // Spread over the whole span, not all at its end.
         assert!(
-            most == RETRY_MIN || *least < most / 10 && *longest > most / 10 * 9,
+            most == BACKOFF_MIN || *least < most / 10 && *longest > most / 10 * 9,
             "{least} to {longest}"
         );
     }
@@ -34,26 +34,26 @@
 #[test]
 fn the_next_call_is_answered_before_its_news_counts_as_told() {
     let mut rng = WyRand::new_seed(11);
-    for failure in [Failure::NoAnswer, Failure::BadAnswer] {
+    for failure in [FailureKind::NoResponse, FailureKind::BadResponse] {
         for took in [0, MS, 500 * MS, 1500 * MS, 2 * SEC, QUEUE_TIMEOUT] {
             for (ask_within, failed) in
                 [(5 * SEC, 0), (10 * SEC, 3), (Time::MAX, u32::MAX), (SEC, 1)]
             {
-                let limit = pause_limit(failure, took, ask_within);
-                assert!((RETRY_MIN..=ask_within).contains(&limit));
+                let limit = backoff_limit(failure, took, ask_within);
+                assert!((BACKOFF_MIN..=ask_within).contains(&limit));
                 let longest = (0..500)
-                    .map(|_| pause(took, failed, limit, &mut rng))
+                    .map(|_| draw_backoff(took, failed, limit, &mut rng))
                     .max()
                     .unwrap();
                 // Discovery may have returned as soon as the failed call was out; one that answered had returned then.
-                let since = if failure == Failure::NoAnswer {
+                let since = if failure == FailureKind::NoResponse {
                     took
                 } else {
                     0
                 };
                 let told = since + longest + QUEUE_TIMEOUT;
                 assert!(
-                    told < TOLD_AFTER - 100 * MS,
+                    told < CHANGE_KNOWN_AFTER_MAX - 100 * MS,
                     "{failure:?} {took} {failed}: {told}"
                 );
             }
@@ -76,9 +76,9 @@
             continue;
         }
         turned_away += 1;
-        let limit = pause_limit(Failure::BadAnswer, patience, 10 * SEC);
+        let limit = backoff_limit(FailureKind::BadResponse, patience, 10 * SEC);
         calls.insert((
-            now + patience + pause(patience, failed, limit, rng),
+            now + patience + draw_backoff(patience, failed, limit, rng),
             caller,
             failed + 1,
         ));
@@ -94,7 +94,7 @@
         let mut rng = WyRand::new_seed(seed);
         let (answered, _) = hundred_calls(30, &mut rng);
         assert!(
-            answered.len() == 100 && answered.iter().all(|at| *at < TOLD_AFTER),
+            answered.len() == 100 && answered.iter().all(|at| *at < CHANGE_KNOWN_AFTER_MAX),
             "seed {seed}"
         );
         let (answered, turned_away) = hundred_calls(18, &mut rng);
@@ -108,7 +108,11 @@
 /// The bounds add up, with a wait in the queue that is longer than the service's own.
 #[test]
 fn the_queue_and_the_pause_fit_into_the_time() {
-    const { assert!(NEXT_CALL_MAX + QUEUE_TIMEOUT < TOLD_AFTER && QUEUE_TIMEOUT > 2 * SEC) };
+    const {
+        assert!(
+            NEXT_POLL_AFTER_MAX + QUEUE_TIMEOUT < CHANGE_KNOWN_AFTER_MAX && QUEUE_TIMEOUT > 2 * SEC
+        )
+    };
 }
 
 /// Guards against calls that are given up while they stand in the service's queue: each is worked on all the same, so those
--- a/crates/dataplane/src/discovery/http.rs
+++ b/crates/dataplane/src/discovery/http.rs
@@ -1,43 +1,93 @@
-//! Answers over HTTP/1.1, as far as the agent needs them: one at a time, with a length, in chunks or up to the end of the
-//! connection. It owns nothing; it must never read past an answer that it keeps the connection after, nor without a bound.
+//! A client of HTTP/1.1, as far as the agent needs one: one `GET` at a time, answered with a
+//! length, in chunks or up to the end of the connection. It owns nothing, and must never read past
+//! a response after which the connection is kept, nor without a bound.
 
+use std::net::SocketAddr;
 use std::sync::Arc;
 
 use httparse::Status;
 use nettlemux_policy::Time;
+use thiserror::Error;
 
 use crate::buffers::{Buffer, BufferPool};
 use crate::connection::{Connection, ConnectionError};
 
-/// An answer is no longer than this: guards against an endless one. 12,000 entries, indented by four, are 3.5 MB.
-const RESPONSE_MAX: usize = 4 << 20;
+/// The longest response. Guards against an endless one; 12,000 entries, indented by four, are
+/// 3.5 MB.
+const RESPONSE_BYTES_MAX: usize = 4 << 20;
 /// Header fields that are read; more are an error.
 const HEADERS_MAX: usize = 32;
-/// The end of a chunk.
-const CHUNK_END: usize = "\r\n".len();
+/// The bytes of a chunk's end.
+const CHUNK_END_BYTES: usize = "\r\n".len();
+/// The only status of a response that is used.
+const STATUS_OK: u16 = 200;
 
-/// One answer.
+/// A response with status 200.
 pub struct Response {
+    /// The whole body.
     pub body: Vec<u8>,
-    /// Whether the connection can be used again.
+    /// Whether the connection can be used for another request.
     pub keep_alive: bool,
 }
 
-/// How the length of a body is told.
+/// Why a request brought no response that can be used.
+#[derive(Debug, Error)]
+pub enum HttpError {
+    /// The connection has ended, or the deadline has passed.
+    #[error(transparent)]
+    Connection(#[from] ConnectionError),
+    /// A response came that can't be used.
+    #[error(transparent)]
+    Response(#[from] ResponseError),
+}
+
+/// Why a response can't be used.
+#[derive(Debug, Error)]
+pub enum ResponseError {
+    /// The head is no HTTP.
+    #[error(transparent)]
+    Head(#[from] httparse::Error),
+    /// The status is another than 200.
+    #[error("answered {0}")]
+    Status(u16),
+    /// The body comes in a transfer coding other than `chunked`.
+    #[error("unknown transfer coding '{0}'")]
+    TransferCoding(String),
+    /// The content length is no number, or over [`RESPONSE_BYTES_MAX`].
+    #[error("no sane content length")]
+    ContentLength,
+    /// A chunk begins without its size.
+    #[error("a chunk has no size")]
+    NoChunkSize,
+    /// A chunk is longer than [`RESPONSE_BYTES_MAX`].
+    #[error("a chunk is too long")]
+    ChunkTooLong,
+    /// The response is longer than [`RESPONSE_BYTES_MAX`].
+    #[error("the answer is too long")]
+    TooLong,
+}
+
+/// How the end of a body is found.
 enum Framing {
     Length(usize),
     Chunked,
     UntilClose,
 }
 
-/// What the head of an answer tells.
+/// What the head of a response says.
 struct Head {
-    /// Where the body begins.
+    /// The head's own length: where the body begins.
     length: usize,
     framing: Framing,
     keep_alive: bool,
 }
 
+/// Where the size line of a chunk ends, and how long the chunk is.
+struct ChunkHead {
+    data_start: usize,
+    data_length: usize,
+}
+
 /// Whether there is more to read.
 #[derive(PartialEq)]
 enum Progress {
@@ -45,129 +95,144 @@
     End,
 }
 
-/// An error that says that the answer can't be used.
-pub fn invalid(why: impl Into<String>) -> ConnectionError {
-    ConnectionError::Malformed(why.into())
-}
-
-/// Reads one answer.
+/// Requests a path over an idle connection and reads the response.
 ///
 /// # Errors
-/// `Malformed` where it came and can't be used or isn't a 200; else what ended the connection or the wait.
-pub fn read_response(
+/// [`HttpError::Response`] if a response came and can't be used or isn't a 200, else
+/// [`HttpError::Connection`].
+pub fn get(
     connection: &Connection,
+    host: SocketAddr,
+    path: &str,
     buffers: &Arc<BufferPool>,
     deadline: Time,
-) -> Result<Response, ConnectionError> {
-    let mut reader = Reader {
+) -> Result<Response, HttpError> {
+    let request =
+        format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+    connection.write(request.as_bytes(), deadline)?;
+    read_response(connection, buffers, deadline)
+}
+
+fn read_response(
+    connection: &Connection,
+    buffers: &Arc<BufferPool>,
+    deadline: Time,
+) -> Result<Response, HttpError> {
+    let mut reader = ResponseReader {
         connection,
         buffer: buffers.take(),
-        held: Vec::new(),
+        unread: Vec::new(),
         deadline,
     };
-    let head = reader.head()?;
-    reader.held.drain(..head.length);
+    let head = reader.read_head()?;
+    reader.unread.drain(..head.length);
     match head.framing {
-        Framing::Length(length) => reader.body_of(length, head.keep_alive),
-        Framing::Chunked => reader.chunks(head.keep_alive),
-        Framing::UntilClose => reader.body_until_close(),
+        Framing::Length(length) => reader.read_body(length, head.keep_alive),
+        Framing::Chunked => reader.read_chunks(head.keep_alive),
+        Framing::UntilClose => reader.read_until_close(),
     }
 }
 
-/// What has been read of an answer and not been used yet.
-struct Reader<'a> {
+/// Reads one response from a connection.
+struct ResponseReader<'a> {
     connection: &'a Connection,
     buffer: Buffer,
-    held: Vec<u8>,
+    /// Bytes that have come and haven't been parsed.
+    unread: Vec<u8>,
     deadline: Time,
 }
 
-impl Reader<'_> {
-    fn head(&mut self) -> Result<Head, ConnectionError> {
+impl ResponseReader<'_> {
+    fn read_head(&mut self) -> Result<Head, HttpError> {
         loop {
-            self.read_some()?;
-            if let Some(head) = parse_head(&self.held)? {
+            self.receive_more()?;
+            if let Some(head) = parse_head(&self.unread)? {
                 return Ok(head);
             }
         }
     }
 
-    fn body_of(mut self, length: usize, keep_alive: bool) -> Result<Response, ConnectionError> {
-        self.hold(length)?;
-        // More than it told is the answer to nothing.
-        let keep_alive = keep_alive && self.held.len() == length;
-        self.held.truncate(length);
+    fn read_body(mut self, length: usize, keep_alive: bool) -> Result<Response, HttpError> {
+        self.receive(length)?;
+        // Bytes past the body answer no request.
+        let keep_alive = keep_alive && self.unread.len() == length;
+        self.unread.truncate(length);
         Ok(Response {
-            body: self.held,
+            body: self.unread,
             keep_alive,
         })
     }
 
-    fn body_until_close(mut self) -> Result<Response, ConnectionError> {
-        while self.read()? == Progress::More {}
+    fn read_until_close(mut self) -> Result<Response, HttpError> {
+        while self.try_receive()? == Progress::More {}
         Ok(Response {
-            body: self.held,
+            body: self.unread,
             keep_alive: false,
         })
     }
 
-    fn chunks(mut self, keep_alive: bool) -> Result<Response, ConnectionError> {
+    fn read_chunks(mut self, keep_alive: bool) -> Result<Response, HttpError> {
         let mut body = Vec::new();
         loop {
-            let (start, size) = self.chunk_size()?;
-            if body.len() + size > RESPONSE_MAX {
-                return Err(invalid("the answer is too long"));
+            let chunk = self.read_chunk_head()?;
+            if body.len() + chunk.data_length > RESPONSE_BYTES_MAX {
+                return Err(ResponseError::TooLong.into());
             }
-            let end = start + size;
-            self.hold(end + CHUNK_END)?;
-            body.extend_from_slice(&self.held[start..end]);
-            self.held.drain(..end + CHUNK_END);
-            if size == 0 {
+            let data_end = chunk.data_start + chunk.data_length;
+            self.receive(data_end + CHUNK_END_BYTES)?;
+            body.extend_from_slice(&self.unread[chunk.data_start..data_end]);
+            self.unread.drain(..data_end + CHUNK_END_BYTES);
+            let is_last = chunk.data_length == 0;
+            if is_last {
                 return Ok(Response {
                     body,
-                    keep_alive: keep_alive && self.held.is_empty(),
+                    keep_alive: keep_alive && self.unread.is_empty(),
                 });
             }
         }
     }
 
-    /// Where the next chunk begins and how long it is.
-    fn chunk_size(&mut self) -> Result<(usize, usize), ConnectionError> {
+    fn read_chunk_head(&mut self) -> Result<ChunkHead, HttpError> {
         loop {
-            match httparse::parse_chunk_size(&self.held)
-                .map_err(|_| invalid("a chunk has no size"))?
-            {
-                // Before it is added to: guards against a size that the sum runs over at.
-                Status::Complete((_, size)) if size > RESPONSE_MAX as u64 => {
-                    return Err(invalid("a chunk is too long"));
+            let parsed =
+                httparse::parse_chunk_size(&self.unread).map_err(|_| ResponseError::NoChunkSize)?;
+            match parsed {
+                // Checked before it is added to: guards against an overflow of the sum.
+                Status::Complete((_, size)) if size > RESPONSE_BYTES_MAX as u64 => {
+                    return Err(ResponseError::ChunkTooLong.into());
+                }
+                Status::Complete((data_start, size)) => {
+                    return Ok(ChunkHead {
+                        data_start,
+                        data_length: size as usize,
+                    });
                 }
-                Status::Complete((start, size)) => return Ok((start, size as usize)),
-                Status::Partial => self.read_some()?,
+                Status::Partial => self.receive_more()?,
             }
         }
     }
 
-    /// Reads until so many bytes are held.
-    fn hold(&mut self, length: usize) -> Result<(), ConnectionError> {
-        while self.held.len() < length {
-            self.read_some()?;
+    /// Receives until `length` bytes are unread.
+    fn receive(&mut self, length: usize) -> Result<(), HttpError> {
+        while self.unread.len() < length {
+            self.receive_more()?;
         }
         Ok(())
     }
 
-    /// Reads more; the end of the connection is an error.
-    fn read_some(&mut self) -> Result<(), ConnectionError> {
-        match self.read()? {
+    /// Receives at least a byte; the end of the connection is an error.
+    fn receive_more(&mut self) -> Result<(), HttpError> {
+        match self.try_receive()? {
             Progress::More => Ok(()),
-            Progress::End => Err(ConnectionError::Closed),
+            Progress::End => Err(ConnectionError::Closed.into()),
         }
     }
 
-    fn read(&mut self) -> Result<Progress, ConnectionError> {
+    fn try_receive(&mut self) -> Result<Progress, HttpError> {
         let count = self.connection.read(&mut self.buffer[..], self.deadline)?;
-        self.held.extend_from_slice(&self.buffer[..count]);
-        if self.held.len() > RESPONSE_MAX {
-            return Err(invalid("the answer is too long"));
+        self.unread.extend_from_slice(&self.buffer[..count]);
+        if self.unread.len() > RESPONSE_BYTES_MAX {
+            return Err(ResponseError::TooLong.into());
         }
         Ok(if count > 0 {
             Progress::More
@@ -177,57 +242,56 @@
     }
 }
 
-/// Reads the head, once it is complete.
-fn parse_head(bytes: &[u8]) -> Result<Option<Head>, ConnectionError> {
+/// Reads a head; none while it isn't complete.
+fn parse_head(bytes: &[u8]) -> Result<Option<Head>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut response = httparse::Response::new(&mut headers);
-    let length = match response
-        .parse(bytes)
-        .map_err(|error| invalid(error.to_string()))?
-    {
-        Status::Complete(length) => length,
-        Status::Partial => return Ok(None),
+    let Status::Complete(length) = response.parse(bytes)? else {
+        return Ok(None);
     };
-    if response.code != Some(200) {
-        return Err(invalid(format!("answered {}", response.code.unwrap_or(0))));
+    let status = response.code.unwrap_or(0);
+    if status != STATUS_OK {
+        return Err(ResponseError::Status(status));
     }
-    let header = |name: &str| {
-        let found = response
-            .headers
-            .iter()
-            .find(|header| header.name.eq_ignore_ascii_case(name));
-        found.map(|header| {
-            String::from_utf8_lossy(header.value)
-                .trim()
-                .to_ascii_lowercase()
-        })
-    };
-    let framing = framing(header("transfer-encoding"), header("content-length"))?;
-    let keep_alive =
-        response.version == Some(1) && header("connection").as_deref() != Some("close");
+    let transfer_encoding = header_value(response.headers, "transfer-encoding");
+    let content_length = header_value(response.headers, "content-length");
+    let framing = framing(transfer_encoding, content_length)?;
+    let closes = header_value(response.headers, "connection").as_deref() == Some("close");
+    let is_http_1_1 = response.version == Some(1);
     Ok(Some(Head {
         length,
         framing,
-        keep_alive,
+        keep_alive: is_http_1_1 && !closes,
     }))
 }
 
+/// Returns the first value of a header field, trimmed and in lower case.
+fn header_value(headers: &[httparse::Header], name: &str) -> Option<String> {
+    let header = headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case(name))?;
+    let value = String::from_utf8_lossy(header.value);
+    Some(value.trim().to_ascii_lowercase())
+}
+
 fn framing(
     transfer_encoding: Option<String>,
     content_length: Option<String>,
-) -> Result<Framing, ConnectionError> {
+) -> Result<Framing, ResponseError> {
     match (transfer_encoding, content_length) {
         (Some(coding), _) if coding == "chunked" => Ok(Framing::Chunked),
-        (Some(coding), _) => Err(invalid(format!("unknown transfer coding '{coding}'"))),
-        (None, Some(length)) => {
-            let length = length.parse().ok().filter(|length| *length <= RESPONSE_MAX);
-            length
-                .map(Framing::Length)
-                .ok_or_else(|| invalid("no sane content length"))
-        }
+        (Some(coding), _) => Err(ResponseError::TransferCoding(coding)),
+        (None, Some(length)) => parse_length(&length).map(Framing::Length),
         (None, None) => Ok(Framing::UntilClose),
     }
 }
 
+fn parse_length(text: &str) -> Result<usize, ResponseError> {
+    text.parse()
+        .ok()
+        .filter(|length| *length <= RESPONSE_BYTES_MAX)
+        .ok_or(ResponseError::ContentLength)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/dataplane/src/discovery/http/tests.rs
+++ b/crates/dataplane/src/discovery/http/tests.rs
@@ -10,7 +10,7 @@
 use crate::descriptors::DescriptorBudget;
 
 /// Reads an answer that is written in these pieces, one after another, after which the connection ends.
-fn read(pieces: Vec<Vec<u8>>) -> Result<Response, ConnectionError> {
+fn read(pieces: Vec<Vec<u8>>) -> Result<Response, HttpError> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut agent = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = listener.accept().unwrap().0;
@@ -76,11 +76,11 @@
     ] {
         let error = read(vec![cut.into()]).err();
         match kind {
-            true => assert!(
-                matches!(error, Some(ConnectionError::Malformed(_))),
+            true => assert!(matches!(error, Some(HttpError::Response(_))), "{cut}"),
+            false => assert!(
+                matches!(error, Some(HttpError::Connection(ConnectionError::Closed))),
                 "{cut}"
             ),
-            false => assert!(matches!(error, Some(ConnectionError::Closed)), "{cut}"),
         }
     }
 }
@@ -90,9 +90,9 @@
 fn chunks_without_end_are_not_read_to_their_end() {
     let chunk = [b"10000\r\n".as_slice(), &[b' '; 0x10000], b"\r\n"].concat();
     let mut pieces = vec![CHUNKED.as_bytes().to_vec()];
-    pieces.extend(std::iter::repeat_n(chunk, RESPONSE_MAX / 0x10000 + 8));
+    pieces.extend(std::iter::repeat_n(chunk, RESPONSE_BYTES_MAX / 0x10000 + 8));
     pieces.push(b"0\r\n\r\n".to_vec());
-    assert!(matches!(read(pieces), Err(ConnectionError::Malformed(_))));
+    assert!(matches!(read(pieces), Err(HttpError::Response(_))));
 }
 
 #[test]
--- a/crates/dataplane/src/discovery/list/tests.rs
+++ b/crates/dataplane/src/discovery/list/tests.rs
@@ -11,7 +11,7 @@
         {"instanceId":"s-3","lifecycle":"Gone"},
         {"instanceId":"s-5","hostPort":null,"lifecycle":"Terminating"},
         {"instanceId":"s-4","hostPort":"127.1.0.18:8081","lifecycle":"Asleep"}]}"#;
-    let read = update_of(&serde_json::from_str(text).unwrap()).unwrap();
+    let read = parse_list_update(&serde_json::from_str(text).unwrap()).unwrap();
     assert_eq!(
         (read.version, read.is_complete, read.entries.len()),
         (41, true, 3)
@@ -32,14 +32,14 @@
     );
     for bad in [r#"{}"#, r#"{"generation":1,"reset":true}"#, r#"[]"#] {
         assert!(
-            update_of(&serde_json::from_str(bad).unwrap()).is_err(),
+            parse_list_update(&serde_json::from_str(bad).unwrap()).is_err(),
             "{bad}"
         );
     }
 }
 
 #[test]
-fn depth_is_told_without_following_it() {
-    assert!(nested_deeper(b"[[[", 2) && nested_deeper(br#"{"a":"]]]\"","b":[{"c":1}]}"#, 2));
-    assert!(!nested_deeper(br#"[[1],["[[[[\\"],[2]]"#, 2) && !nested_deeper(b"]]][[", 2));
+fn nesting_depth_is_found_without_recursion() {
+    assert!(is_nested_deeper(b"[[[", 2) && is_nested_deeper(br#"{"a":"]]]\"","b":[{"c":1}]}"#, 2));
+    assert!(!is_nested_deeper(br#"[[1],["[[[[\\"],[2]]"#, 2) && !is_nested_deeper(b"]]][[", 2));
 }
--- a/crates/dataplane/src/discovery/poll.rs
+++ b/crates/dataplane/src/discovery/poll.rs
@@ -1,72 +1,132 @@
-//! One call to the agent, over a connection that is kept between calls.
+//! One poll of the agent, over a connection that is kept between polls. It owns that connection. It
+//! must never poll an address that the agent has left, nor wait past a poll's deadline.
 
 use std::io::ErrorKind;
 
-use nettlemux_policy::{MS, Time};
+use nettlemux_policy::Time;
+use thiserror::Error;
 
+use super::DiscoveryContext;
 use super::agent::Location;
-use super::list::{self, ListUpdate};
-use super::{Context, http};
+use super::backoff::FailureKind;
+use super::http::{self, HttpError, ResponseError};
+use super::list::{self, ListUpdate, ListUpdateError};
 use crate::connection::{Connection, ConnectionError};
 use crate::mailbox::Mailbox;
 
-/// One call.
-pub struct Request {
-    pub started: Time,
-    /// The version to ask from; none for the whole list.
-    pub from: Option<u64>,
+/// What is asked of the agent, and for how long its answer is waited for.
+pub struct Poll {
+    /// When the poll begins.
+    pub started_at: Time,
+    /// The version since which changes are asked for; none asks for the complete list.
+    pub from_version: Option<u64>,
+    /// How long the agent may hold the request until there is a change.
     pub hold: Time,
+    /// When the poll is given up.
     pub deadline: Time,
-    /// It asks for the whole list since the agent may have been started anew.
+    /// Whether it asks for the complete list since the agent may have been restarted.
     pub after_restart: bool,
-    /// Where one service is asked by all balancers: the longest pause that the settings allow.
-    pub ask_within: Option<Time>,
+    /// The longest interval between polls that the settings allow; none where the agent is watched.
+    pub interval_max: Option<Time>,
 }
 
-impl Request {
+impl Poll {
+    /// Returns the path of the request.
     pub fn path(&self) -> String {
-        match self.from {
-            Some(version) => format!("/api/targets?from={version}&hold_ms={}", self.hold / MS),
-            None => "/api/targets".to_string(),
-        }
+        list::request_path(self.from_version, self.hold)
     }
 }
 
-/// Why a call brought no list.
-pub enum CallError {
-    /// The agent has moved while we waited.
-    Moved,
-    /// No descriptor is left for it.
+/// Why a poll brought no update.
+pub enum PollError {
+    /// The agent's address has changed meanwhile.
+    AddressChanged,
+    /// No descriptor is left for a connection.
     NoDescriptor,
-    Failed(ConnectionError),
+    /// The agent gave no answer that can be used.
+    Failed(PollFailure),
+}
+
+/// Why the agent gave no answer that can be used.
+#[derive(Debug, Error)]
+pub enum PollFailure {
+    /// There is no connection, or no response on it in time.
+    #[error(transparent)]
+    Connection(ConnectionError),
+    /// The response can't be used.
+    #[error(transparent)]
+    Response(ResponseError),
+    /// The response's body is no update.
+    #[error(transparent)]
+    ListUpdate(ListUpdateError),
 }
 
-impl From<ConnectionError> for CallError {
+impl PollFailure {
+    /// Returns what the failure means for the time of the next poll.
+    pub fn kind(&self) -> FailureKind {
+        match self {
+            PollFailure::Connection(_) => FailureKind::NoResponse,
+            PollFailure::Response(_) | PollFailure::ListUpdate(_) => FailureKind::BadResponse,
+        }
+    }
+
+    /// Returns whether the agent or its machine has ended the connection, or takes none: it may be
+    /// another process when it answers. The system reports a connection's end by many errors, and
+    /// a want of its own by few, so only these few are excluded.
+    fn suggests_restart(&self) -> bool {
+        match self {
+            PollFailure::Connection(ConnectionError::Closed) => true,
+            PollFailure::Connection(ConnectionError::System(error)) => !matches!(
+                error.kind(),
+                ErrorKind::Interrupted | ErrorKind::OutOfMemory | ErrorKind::AddrNotAvailable
+            ),
+            _ => false,
+        }
+    }
+}
+
+impl From<ConnectionError> for PollError {
     fn from(error: ConnectionError) -> Self {
         match error {
-            // Whoever waits for the agent is told to stop only when that has moved.
-            ConnectionError::Stopped => CallError::Moved,
-            error => CallError::Failed(error),
+            // Only a change of the agent's address stops a wait for it.
+            ConnectionError::Stopped => PollError::AddressChanged,
+            error => PollError::Failed(PollFailure::Connection(error)),
+        }
+    }
+}
+
+impl From<HttpError> for PollError {
+    fn from(error: HttpError) -> Self {
+        match error {
+            HttpError::Connection(error) => error.into(),
+            HttpError::Response(error) => PollError::Failed(PollFailure::Response(error)),
         }
     }
 }
 
-/// Calls the agent.
+impl From<ListUpdateError> for PollError {
+    fn from(error: ListUpdateError) -> Self {
+        PollError::Failed(PollFailure::ListUpdate(error))
+    }
+}
+
+/// Polls the agent.
 pub struct AgentClient<'a> {
-    context: &'a Context,
-    /// Kept from the last call.
+    context: &'a DiscoveryContext,
+    /// Kept from the last poll.
     connection: Option<Connection>,
-    /// The agent may have been started anew: its list may be another under the very number that we have, which nothing
-    /// shows.
-    pub restarted: bool,
+    /// Whether the agent may have been restarted: its list may then be another under the very
+    /// version that is known, which nothing in its answers shows.
+    pub restart_suspected: bool,
 }
 
 impl<'a> AgentClient<'a> {
-    pub fn new(context: &'a Context) -> Self {
+    /// Creates a client without a connection.
+    pub fn new(context: &'a DiscoveryContext) -> Self {
         AgentClient {
             context,
             connection: None,
-            restarted: false,
+            restart_suspected: false,
         }
     }
 
@@ -75,68 +135,68 @@
         self.connection = None;
     }
 
-    /// Makes one call. After an error no connection is kept.
-    pub fn call(
-        &mut self,
-        location: &Location,
-        request: &Request,
-    ) -> Result<ListUpdate, CallError> {
-        let result = self.exchange(location, request);
-        if let Err(CallError::Failed(error)) = &result {
-            self.restarted |= ended(error);
+    /// Polls the agent once.
+    ///
+    /// # Errors
+    /// There is no update; no connection is kept then.
+    pub fn poll(&mut self, location: &Location, poll: &Poll) -> Result<ListUpdate, PollError> {
+        let result = self.request_update(location, poll);
+        if let Err(PollError::Failed(failure)) = &result {
+            self.restart_suspected |= failure.suggests_restart();
         }
         result
     }
 
-    fn exchange(
+    fn request_update(
         &mut self,
         location: &Location,
-        request: &Request,
-    ) -> Result<ListUpdate, CallError> {
-        let connection = match self.connection.take() {
-            Some(connection) if connection.is_idle() => connection,
-            kept => {
-                // Guards against an agent that was started anew between two calls: its end shows here and nowhere else.
-                self.restarted |= kept.is_some();
-                drop(kept);
-                self.connect(location, request.deadline)?
-            }
-        };
-        let (path, host) = (request.path(), location.address);
-        let text =
-            format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
-        connection.write(text.as_bytes(), request.deadline)?;
-        let response = http::read_response(&connection, &self.context.buffers, request.deadline)?;
-        let update = list::parse(&response.body).map_err(http::invalid)?;
+        poll: &Poll,
+    ) -> Result<ListUpdate, PollError> {
+        let connection = self.take_connection(location, poll.deadline)?;
+        let response = http::get(
+            &connection,
+            location.address,
+            &poll.path(),
+            &self.context.buffers,
+            poll.deadline,
+        )?;
+        let update = list::parse_body(&response.body)?;
         if response.keep_alive {
             self.connection = Some(connection);
         }
         Ok(update)
     }
 
-    fn connect(&self, location: &Location, deadline: Time) -> Result<Connection, CallError> {
-        let slot = self
+    /// Takes the connection that was kept if it is still of use, else opens another.
+    fn take_connection(
+        &mut self,
+        location: &Location,
+        deadline: Time,
+    ) -> Result<Connection, PollError> {
+        match self.connection.take() {
+            Some(connection) if connection.is_idle() => Ok(connection),
+            stale => {
+                // Guards against an agent that was restarted between two polls: the end of its
+                // connection shows here and nowhere else.
+                self.restart_suspected |= stale.is_some();
+                drop(stale);
+                self.connect(location, deadline)
+            }
+        }
+    }
+
+    fn connect(&self, location: &Location, deadline: Time) -> Result<Connection, PollError> {
+        let permit = self
             .context
             .descriptors
             .try_acquire()
-            .ok_or(CallError::NoDescriptor)?;
+            .ok_or(PollError::NoDescriptor)?;
         let mailbox = Mailbox::new();
-        if !self.context.agent.notify(mailbox.sender(), location) {
-            return Err(CallError::Moved);
+        let agent = &self.context.agent;
+        if !agent.notify_on_change(mailbox.sender(), location) {
+            return Err(PollError::AddressChanged);
         }
-        Ok(Connection::dial(mailbox, location.address, slot, deadline)?)
-    }
-}
-
-/// Whether the agent, or its machine, has ended the connection or takes none: it may be another process when it answers. The
-/// system tells of a connection's end in many ways, and of our own trouble in few.
-fn ended(error: &ConnectionError) -> bool {
-    match error {
-        ConnectionError::Closed => true,
-        ConnectionError::System(error) => !matches!(
-            error.kind(),
-            ErrorKind::Interrupted | ErrorKind::OutOfMemory | ErrorKind::AddrNotAvailable
-        ),
-        _ => false,
+        let connection = Connection::dial(mailbox, location.address, permit, deadline)?;
+        Ok(connection)
     }
 }
--- a/crates/dataplane/src/discovery/watch.rs
+++ b/crates/dataplane/src/discovery/watch.rs
@@ -1,199 +1,225 @@
-//! The loop of the watch: which call is made next, what becomes of its answer, and what is handed to the desk.
+//! The loop of the watch: which poll is made next, and what becomes of its result. It owns the
+//! version of the endpoint list. It must never ask for changes since a version of another agent.
 
+use std::mem;
 use std::time::Duration;
 
 use nanorand::WyRand;
 use nettlemux_policy::{MS, SEC, Time};
 use tracing::{debug, info, warn};
 
-use super::Context;
+use super::DiscoveryContext;
 use super::agent::Location;
-use super::backoff::{Failure, QUEUE_TIMEOUT, RETRY_MIN, pause, pause_limit};
+use super::backoff::{BACKOFF_MIN, QUEUE_TIMEOUT, backoff_limit, draw_backoff};
 use super::list::ListUpdate;
-use super::poll::{AgentClient, CallError, Request};
+use super::poll::{AgentClient, Poll, PollError, PollFailure};
 use crate::clock;
-use crate::connection::ConnectionError;
 use crate::mailbox::Sender;
 use crate::messages::DispatcherMessage;
 
-/// How long one call is held. Short, since a silent agent shows only once a hold is over: what it should have
-/// told counts as told 2 s after.
+/// How long the agent may hold a poll. Short, since a silent agent shows only once a hold is over,
+/// and what it has withheld has to be known 2 s after that.
 const WATCH_HOLD: Time = SEC;
-/// How long past its hold a call is waited for.
+/// How long past its hold the answer to a poll is waited for.
 const ANSWER_TIMEOUT: Time = 500 * MS;
-/// Between the starts of two calls: guards against an agent that answers at once and without end, each time with nothing
-/// new or with all that it has. Well inside the 200 ms, and the shortest time in which a drain has to be kept.
-const CALL_INTERVAL_MIN: Time = 20 * MS;
-/// Between two whole lists that are asked for since the agent may have been started anew: at least so long, and so long for
-/// each entry of the last. An entry has some 164 bytes, so they take 1 KB a second at the most, half of what a balancer may
-/// spend on control; 12,000 entries are 2 MB and 28 to 47 ms of work. One that is put off is asked for later.
-const WHOLE_INTERVAL_MIN: Time = 60 * SEC;
-const WHOLE_INTERVAL_PER_ENTRY: Time = 160 * MS;
+/// Between two polls. Guards against an agent that answers at once and without end. Well under the
+/// 200 ms after which a watch has ended, and under the shortest time in which a drain has to be
+/// known.
+const POLL_INTERVAL_MIN: Time = 20 * MS;
+/// Between two complete lists that are asked for since the agent may have been restarted: at least
+/// this, and at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each entry of the last one.
+const COMPLETE_LIST_INTERVAL_MIN: Time = 60 * SEC;
+/// An entry has some 164 bytes, so complete lists take 1 KB/s at most, half of what a balancer may
+/// spend on control traffic.
+const COMPLETE_LIST_INTERVAL_PER_ENTRY: Time = 160 * MS;
 
-/// Watches for as long as the desk listens, from the version that is known.
-pub fn watch(known: Option<u64>, context: &Context, dispatcher: &Sender<DispatcherMessage>) {
-    let mut watcher = Watcher {
-        context,
-        dispatcher,
-        rng: WyRand::new_seed(context.seed),
-        client: AgentClient::new(context),
-        version: known,
-        moves: 0,
-        failed: 0,
-        begins: true,
-        answered: false,
-        next_whole: 0,
-    };
+/// Watches the endpoint list and sends its updates to the dispatcher, from `known_version` on if
+/// that is given, else from a complete list. It doesn't return.
+pub fn watch(
+    known_version: Option<u64>,
+    context: &DiscoveryContext,
+    dispatcher: &Sender<DispatcherMessage>,
+) {
+    let mut watch = EndpointWatch::new(known_version, context, dispatcher);
     loop {
-        watcher.call_once();
+        watch.poll_once();
     }
 }
 
-struct Watcher<'a> {
-    context: &'a Context,
+struct EndpointWatch<'a> {
+    context: &'a DiscoveryContext,
     dispatcher: &'a Sender<DispatcherMessage>,
     rng: WyRand,
     client: AgentClient<'a>,
-    /// The version of the list that we have; none where all of it is to be asked for.
+    /// The version of the list that is known; none where the complete list is to be asked for.
     version: Option<u64>,
-    /// How often the agent had moved when it was last called.
-    moves: u64,
-    /// Calls that failed since the last that was answered.
-    failed: u32,
-    /// The next call begins a watch, or is the first.
-    begins: bool,
-    /// A call has been answered.
-    answered: bool,
-    /// Before that no whole list is asked for on that account.
-    next_whole: Time,
+    /// The revision of the agent's address at the last poll.
+    agent_revision: u64,
+    /// Polls that failed since the last that was answered.
+    failures: u32,
+    /// Whether the next poll begins a watch: it is the first, or the one before brought no update.
+    begins_watch: bool,
+    /// Whether any poll has been answered.
+    has_been_answered: bool,
+    /// The earliest time of a complete list that is asked for since the agent may have been
+    /// restarted.
+    next_complete_list_at: Time,
 }
 
-impl Watcher<'_> {
-    /// Makes one call, hands on what it brings and waits until the next may be made.
-    fn call_once(&mut self) {
+impl<'a> EndpointWatch<'a> {
+    fn new(
+        known_version: Option<u64>,
+        context: &'a DiscoveryContext,
+        dispatcher: &'a Sender<DispatcherMessage>,
+    ) -> Self {
+        EndpointWatch {
+            context,
+            dispatcher,
+            rng: WyRand::new_seed(context.seed),
+            client: AgentClient::new(context),
+            version: known_version,
+            agent_revision: 0,
+            failures: 0,
+            begins_watch: true,
+            has_been_answered: false,
+            next_complete_list_at: 0,
+        }
+    }
+
+    /// Makes one poll, applies its result and sleeps until the next may be made.
+    fn poll_once(&mut self) {
         let location = self.context.agent.location();
-        self.follow(&location);
-        let request = self.request();
-        let result = self.client.call(&location, &request);
-        self.begins = result.is_err();
+        self.follow_agent(&location);
+        let poll = self.next_poll();
+        let result = self.client.poll(&location, &poll);
+        self.begins_watch = result.is_err();
         match result {
             Ok(update) => {
-                self.updated(update, &request);
-                if clock::now() < request.started + CALL_INTERVAL_MIN {
-                    sleep(CALL_INTERVAL_MIN);
+                self.apply_update(update, &poll);
+                if clock::now() < poll.started_at + POLL_INTERVAL_MIN {
+                    sleep(POLL_INTERVAL_MIN);
                 }
             }
-            Err(CallError::Moved) => {}
-            Err(CallError::NoDescriptor) => {
-                warn!("no descriptor left for a call to discovery");
-                sleep(RETRY_MIN);
+            Err(PollError::AddressChanged) => {}
+            Err(PollError::NoDescriptor) => {
+                warn!("no descriptor left for a poll of discovery");
+                sleep(BACKOFF_MIN);
             }
-            Err(CallError::Failed(error)) => {
-                let pause = self.failed(&error, &request);
-                sleep(pause);
+            Err(PollError::Failed(failure)) => {
+                let backoff = self.record_failure(&failure, &poll);
+                sleep(backoff);
             }
         }
     }
 
-    /// Another agent has another count of versions: it is asked for all that it has. Till then the old list holds.
-    fn follow(&mut self, location: &Location) {
-        if location.moves == self.moves {
+    /// Begins anew where the agent's address has changed: another agent counts versions of its own,
+    /// so it is asked for its complete list. Until that comes the old list holds.
+    fn follow_agent(&mut self, location: &Location) {
+        if location.revision == self.agent_revision {
             return;
         }
-        info!(agent = %location.address, "discovery has moved");
-        self.moves = location.moves;
+        info!(agent = %location.address, "discovery agent address changed");
+        self.agent_revision = location.revision;
         self.version = None;
         self.client.disconnect();
-        self.begins = true;
-        self.failed = 0;
+        self.begins_watch = true;
+        self.failures = 0;
     }
 
-    fn request(&self) -> Request {
-        let started = clock::now();
-        let ask_within = self.context.settings.current().endpoint_poll_interval_max;
-        // Where one service is asked by all, a whole list for each after its failure would fill its queue.
+    fn next_poll(&self) -> Poll {
+        let started_at = clock::now();
+        let interval_max = self.context.settings.current().endpoint_poll_interval_max;
+        let is_shared = interval_max.is_some();
+        // Guards against a shared service whose queue is filled, once it is back, by complete lists
+        // for all balancers.
         let after_restart =
-            self.client.restarted && ask_within.is_none() && started >= self.next_whole;
-        let from = self.version.filter(|_| !after_restart);
-        // A call that begins a watch there isn't held, so that its wait in the queue is all that it takes.
-        let queued = self.begins && ask_within.is_some();
-        let hold = if queued || from.is_none() {
+            self.client.restart_suspected && !is_shared && started_at >= self.next_complete_list_at;
+        let from_version = self.version.filter(|_| !after_restart);
+        // A poll that begins a watch there isn't held, so that its wait in the queue is all that it
+        // takes.
+        let is_queued = self.begins_watch && is_shared;
+        let hold = if is_queued || from_version.is_none() {
             0
         } else {
             WATCH_HOLD
         };
-        let timeout = if queued {
+        let timeout = if is_queued {
             QUEUE_TIMEOUT
         } else {
             ANSWER_TIMEOUT
         };
-        Request {
-            started,
-            from,
+        Poll {
+            started_at,
+            from_version,
             hold,
-            deadline: started + hold + timeout,
+            deadline: started_at + hold + timeout,
             after_restart,
-            ask_within,
+            interval_max,
         }
     }
 
-    /// Takes over what a call has brought.
-    fn updated(&mut self, update: ListUpdate, request: &Request) {
-        let ListUpdate {
-            version,
-            is_complete,
-            entries,
-        } = update;
-        if self.failed > 0 {
-            info!(failed = self.failed, "discovery answers again");
+    fn apply_update(&mut self, update: ListUpdate, poll: &Poll) {
+        if self.failures > 0 {
+            info!(failures = self.failures, "discovery recovered");
+        }
+        self.failures = 0;
+        self.record_version(&update, poll);
+        // The first answer is passed on even if nothing has changed: it shows that the list is
+        // watched from then on.
+        let is_first = !mem::replace(&mut self.has_been_answered, true);
+        if is_first || update.is_complete || !update.entries.is_empty() {
+            self.dispatcher.send(DispatcherMessage::EndpointsUpdated {
+                entries: update.entries,
+                is_complete: update.is_complete,
+            });
         }
-        self.failed = 0;
-        debug!(version, is_complete, entries = entries.len(), "list");
-        // Guards against an agent that has begun to count anew: what it has told under numbers that we think are
-        // past would never come.
-        let counts_anew = !is_complete && request.from.is_some_and(|from| version < from);
+    }
+
+    fn record_version(&mut self, update: &ListUpdate, poll: &Poll) {
+        let version = update.version;
+        let is_complete = update.is_complete;
+        let entries = update.entries.len();
+        debug!(version, is_complete, entries, "endpoint list update");
+        // Guards against an agent that has begun to count anew: its changes under versions that
+        // count as known would never come.
+        let counts_anew = !is_complete && poll.from_version.is_some_and(|from| version < from);
         self.version = (!counts_anew).then_some(version);
         if is_complete {
-            self.client.restarted = false;
-            if request.after_restart {
-                let interval = WHOLE_INTERVAL_PER_ENTRY * entries.len() as Time;
-                self.next_whole = request.started + interval.max(WHOLE_INTERVAL_MIN);
-            }
+            self.client.restart_suspected = false;
         }
-        // The first answer is told even if nothing has changed: from then on the list is watched.
-        let first = !std::mem::replace(&mut self.answered, true);
-        if first || is_complete || !entries.is_empty() {
-            self.dispatcher.send(DispatcherMessage::EndpointsUpdated {
-                entries,
-                is_complete,
-            });
+        if is_complete && poll.after_restart {
+            let interval = COMPLETE_LIST_INTERVAL_PER_ENTRY * entries as Time;
+            self.next_complete_list_at = poll.started_at + interval.max(COMPLETE_LIST_INTERVAL_MIN);
         }
     }
 
-    /// Notes a call that failed; how long to wait before the next.
-    fn failed(&mut self, error: &ConnectionError, request: &Request) -> Time {
-        let malformed = matches!(error, ConnectionError::Malformed(_));
-        let failure = if malformed {
-            Failure::BadAnswer
-        } else {
-            Failure::NoAnswer
-        };
-        if self.failed == 0 {
-            warn!(%error, "discovery fails");
+    /// Records a failed poll; returns how long to wait before the next.
+    fn record_failure(&mut self, failure: &PollFailure, poll: &Poll) -> Time {
+        if self.failures == 0 {
+            warn!(error = %failure, "discovery poll failed");
             self.dispatcher.send(DispatcherMessage::EndpointPollFailed);
         }
-        let took = clock::now() - request.started;
-        let pause = request.ask_within.map_or(RETRY_MIN, |ask_within| {
-            pause(
-                took,
-                self.failed,
-                pause_limit(failure, took, ask_within),
-                &mut self.rng,
-            )
-        });
-        debug!(%error, path = request.path(), took_ms = took / MS, pause_ms = pause / MS, "no list");
-        self.failed = self.failed.saturating_add(1);
-        pause
+        let duration = clock::now() - poll.started_at;
+        let backoff = self.backoff(failure, duration, poll);
+        debug!(
+            error = %failure,
+            path = poll.path(),
+            duration_ms = duration / MS,
+            backoff_ms = backoff / MS,
+            "discovery poll will be retried"
+        );
+        self.failures = self.failures.saturating_add(1);
+        backoff
+    }
+
+    /// Returns the backoff: random where one service answers the polls of all balancers, else the
+    /// shortest.
+    fn backoff(&mut self, failure: &PollFailure, duration: Time, poll: &Poll) -> Time {
+        let Some(interval_max) = poll.interval_max else {
+            return BACKOFF_MIN;
+        };
+        let limit = backoff_limit(failure.kind(), duration, interval_max);
+        draw_backoff(duration, self.failures, limit, &mut self.rng)
     }
 }
 
