--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -310,7 +310,7 @@
                 is_complete,
             } => {
                 self.update_endpoints(now, entries, is_complete);
-                self.start_times.watch();
+                self.start_times.begin_watch();
             }
             DispatcherMessage::EndpointPollFailed => self.flow_table.endpoint_poll_failed(now),
             DispatcherMessage::GossipReceived(message) => {
@@ -373,7 +373,7 @@
                 cell: self.cells.number(&entry.cell),
                 state: entry.state,
                 weight: entry.weight,
-                started: self.start_times.of(now, server_id, entry.started),
+                started: self.start_times.local_start(now, server_id, entry.started),
             });
             let ready = entry.state == EndpointState::Ready;
             match self.servers.get(&server_id) {
@@ -418,7 +418,7 @@
         self.health_checker
             .keep(|server_id| servers.contains_key(&server_id));
         self.start_times
-            .keep(servers.len(), |server_id| servers.contains_key(&server_id));
+            .forget_unlisted(servers.len(), |server_id| servers.contains_key(&server_id));
         self.flow_table.update_endpoints(now, &listed, is_complete);
     }
 
@@ -507,7 +507,7 @@
     fn ending(&mut self, since: Time) -> bool {
         let now = clock::now();
         let passed = now.saturating_sub(since);
-        let last_answer = self.given.answer_deadline.at(now);
+        let last_answer = self.given.answer_deadline.timeout_at(now);
         // Late, since the connections are sound and others may be restarting with us, and spread, so that clients
         // don't come to those all at once. Nor too early: the front sends us new ones for up to 0.4 s, and they
         // would come straight back.
--- a/crates/dataplane/src/shutdown.rs
+++ b/crates/dataplane/src/shutdown.rs
@@ -1,55 +1,68 @@
-//! How long the last answer may take once the balancer is told to end. SIGKILL comes by the longest deadline of the
-//! deployment, which a reload may change just before or after SIGTERM: which of the two counts is not told, so the shorter
-//! one does. Plain values; it must never read a clock.
+//! How long the last answer may take after SIGTERM. SIGKILL follows by the longest flow timeout of
+//! the deployment, which a reload may change just before or after SIGTERM. Which of the two
+//! timeouts counts isn't known then, so the shorter one does. It owns these timeouts, and must
+//! never read a clock.
 
 use nettlemux_policy::{SEC, Time};
 
-/// What is owed an answer is given up once the longest deadline has passed, and this at the latest: SIGKILL comes 0.7 s after
-/// that.
-const LONGEST: Time = 3 * SEC;
-/// A new configuration counts as told so long after its signal.
-const RELOAD_SETTLES: Time = 4 * SEC;
+/// The longest wait for the last answer: SIGKILL comes 0.7 s after the longest flow timeout, and
+/// 0.7 s after this at the latest.
+const ANSWER_TIMEOUT_MAX: Time = 3 * SEC;
+/// How long after its signal a new configuration counts as applied.
+const RELOAD_SETTLING_TIME: Time = 4 * SEC;
 
-/// When the last answer is due.
+/// When the last answer is due after SIGTERM.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerDeadline {
     current: Time,
-    /// What held before the last reload, and when that came.
-    previous: Option<(Time, Time)>,
-    /// What was left to it when the end was asked for, and shorter ones told since.
-    fixed: Option<Time>,
+    previous: Option<ReplacedTimeout>,
+    /// The timeout that held at SIGTERM, or a shorter one that a reload has brought since.
+    after_termination: Option<Time>,
+}
+
+/// The timeout that held before the last reload.
+#[derive(Clone, Copy, Debug)]
+struct ReplacedTimeout {
+    timeout: Time,
+    replaced_at: Time,
 }
 
 impl AnswerDeadline {
-    /// By the settings' longest deadline.
-    pub fn new(longest: Time) -> Self {
+    /// Creates a deadline from the longest flow timeout of the settings.
+    pub fn new(flow_timeout_max: Time) -> Self {
         AnswerDeadline {
-            current: longest.min(LONGEST),
+            current: flow_timeout_max.min(ANSWER_TIMEOUT_MAX),
             previous: None,
-            fixed: None,
+            after_termination: None,
         }
     }
 
-    /// Other settings hold from now on.
-    pub fn reload(&mut self, now: Time, longest: Time) {
-        let longest = longest.min(LONGEST);
-        self.previous = Some((self.at(now), now));
-        self.current = longest;
-        self.fixed = self.fixed.map(|fixed| fixed.min(longest));
+    /// Applies the longest flow timeout of other settings, which hold from now on.
+    pub fn reload(&mut self, now: Time, flow_timeout_max: Time) {
+        let timeout = flow_timeout_max.min(ANSWER_TIMEOUT_MAX);
+        self.previous = Some(ReplacedTimeout {
+            timeout: self.timeout_at(now),
+            replaced_at: now,
+        });
+        self.current = timeout;
+        self.after_termination = self.after_termination.map(|fixed| fixed.min(timeout));
     }
 
-    /// The end is asked for.
+    /// Notes SIGTERM; a further one changes nothing.
     pub fn terminate(&mut self, now: Time) {
-        self.fixed = self.fixed.or(Some(self.at(now)));
+        self.after_termination = self.after_termination.or(Some(self.timeout_at(now)));
     }
 
-    /// How long after SIGTERM the last answer is due, were it to come now; once it has come, how long it was.
-    pub fn at(&self, now: Time) -> Time {
-        let previous = self
+    /// Returns how long after SIGTERM the last answer is due: before SIGTERM, for one that came
+    /// now.
+    pub fn timeout_at(&self, now: Time) -> Time {
+        if let Some(timeout) = self.after_termination {
+            return timeout;
+        }
+        let settling = self
             .previous
-            .filter(|(_, reloaded)| now < reloaded + RELOAD_SETTLES);
-        let longest = previous.map_or(self.current, |(previous, _)| previous.min(self.current));
-        self.fixed.unwrap_or(longest)
+            .filter(|previous| now < previous.replaced_at + RELOAD_SETTLING_TIME);
+        settling.map_or(self.current, |previous| previous.timeout.min(self.current))
     }
 }
 
--- a/crates/dataplane/src/shutdown/tests.rs
+++ b/crates/dataplane/src/shutdown/tests.rs
@@ -1,4 +1,4 @@
-//! Reloads before, between and after two requests to end.
+//! Reloads before, between and after two signals to terminate.
 
 use super::*;
 
@@ -9,15 +9,16 @@
         Terminate,
     }
     use Step::{Reload, Terminate};
-    let last = RELOAD_SETTLES - 1;
-    // At the start, what happens and when, and how long after the end was asked for the last answer is due.
+    let last = RELOAD_SETTLING_TIME - 1;
+    // The timeout at the start, the steps with their times, and how long after SIGTERM the last
+    // answer is due.
     for (start, steps, due) in [
         (SEC, vec![(9, Terminate)], SEC),
-        (9 * SEC, vec![(9, Terminate)], LONGEST),
+        (9 * SEC, vec![(9, Terminate)], ANSWER_TIMEOUT_MAX),
         (SEC, vec![(0, Reload(2 * SEC)), (last, Terminate)], SEC),
         (
             SEC,
-            vec![(0, Reload(2 * SEC)), (RELOAD_SETTLES, Terminate)],
+            vec![(0, Reload(2 * SEC)), (RELOAD_SETTLING_TIME, Terminate)],
             2 * SEC,
         ),
         (2 * SEC, vec![(0, Reload(SEC)), (last, Terminate)], SEC),
@@ -42,13 +43,17 @@
         ),
     ] {
         let mut deadline = AnswerDeadline::new(start);
-        let told: Vec<Time> = steps.iter().map(|(at, _)| *at).collect();
+        let times: Vec<Time> = steps.iter().map(|(at, _)| *at).collect();
         for (at, step) in &steps {
             match step {
                 Reload(longest) => deadline.reload(*at, *longest),
                 Terminate => deadline.terminate(*at),
             }
         }
-        assert_eq!(deadline.at(RELOAD_SETTLES * 9), due, "{start} {told:?}");
+        assert_eq!(
+            deadline.timeout_at(RELOAD_SETTLING_TIME * 9),
+            due,
+            "{start} {times:?}"
+        );
     }
 }
--- a/crates/dataplane/src/start_times.rs
+++ b/crates/dataplane/src/start_times.rs
@@ -1,61 +1,71 @@
-//! When servers started, by the balancer's own clock. Discovery tells starts in Unix time, and a machine's wall clock may be
-//! off, by an hour too, so it is believed only where there is nothing better: one that starts while we watch began, at the
-//! latest, when we were told. Plain values; it must never read a clock.
+//! When servers started, by the balancer's own clock. It owns the starts that discovery has
+//! reported, and must never read a clock.
+//!
+//! Discovery reports starts in Unix time, and a machine's wall clock may be off, by an hour too. So
+//! a reported start is believed only where nothing better is known: a server that starts while the
+//! list is watched has started, at the latest, when that was reported.
 
 use std::collections::HashMap;
 
 use nettlemux_policy::{ServerId, Time};
 
-/// Starts of servers that are no longer listed are kept for so many at least: one that is listed again by mistake has not
-/// started anew.
-const UNLISTED_MAX: usize = 1024;
+/// Servers that are no longer listed and whose starts are kept at least: a server that is listed
+/// again after a mistake has not been restarted.
+const UNLISTED_SERVERS_MAX: usize = 1024;
 
-/// A start as discovery told it, and by our clock.
+/// A server's start.
 #[derive(Clone, Copy)]
 struct Start {
-    told: Time,
-    ours: Time,
+    /// As discovery has reported it.
+    reported: Time,
+    /// By the balancer's clock.
+    local: Time,
 }
 
-/// The starts of all servers that we were told of.
+/// The starts of the servers that discovery has reported.
 #[derive(Default)]
 pub struct StartTimes {
-    start_times: HashMap<ServerId, Start>,
-    /// We have had the list from discovery, so what it tells from now on has come to pass since.
-    watching: bool,
+    starts: HashMap<ServerId, Start>,
+    /// Whether an update has come from discovery: a start that is new from then on has happened
+    /// since.
+    is_watching: bool,
 }
 
 impl StartTimes {
-    /// When this server started, by our clock, for one that was told to have started then; 0 stays long ago.
+    /// Returns when a server started, by the balancer's clock, from the start that discovery
+    /// reports for it; 0 stands for long ago.
     ///
-    /// On the first list nothing but the wall clock tells how long ago a start was. What lies in its future shows that the
-    /// clock is behind; such a server counts as started now. Of a clock that is ahead nothing shows.
-    pub fn of(&mut self, now: Time, server_id: ServerId, told: Time) -> Time {
-        if told == 0 {
+    /// On the first list only the wall clock says how long ago a start was. A start in its future
+    /// shows that the clock is behind; such a server counts as started now. Nothing shows a clock
+    /// that is ahead.
+    pub fn local_start(&mut self, now: Time, server_id: ServerId, reported: Time) -> Time {
+        if reported == 0 {
             return 0;
         }
-        if let Some(start) = self
-            .start_times
-            .get(&server_id)
-            .filter(|start| start.told == told)
-        {
-            return start.ours;
+        let known = self.starts.get(&server_id);
+        if let Some(start) = known.filter(|start| start.reported == reported) {
+            return start.local;
         }
-        let ours = if self.watching { now } else { told.min(now) };
-        self.start_times.insert(server_id, Start { told, ours });
-        ours
+        let local = if self.is_watching {
+            now
+        } else {
+            reported.min(now)
+        };
+        self.starts.insert(server_id, Start { reported, local });
+        local
     }
 
-    /// The list has come from discovery: what was not on it starts later.
-    pub fn watch(&mut self) {
-        self.watching = true;
+    /// Notes that an update of the list has come from discovery: starts that are new after it have
+    /// happened since.
+    pub fn begin_watch(&mut self) {
+        self.is_watching = true;
     }
 
-    /// Forgets servers that are no longer listed, once there are many of them.
-    pub fn keep(&mut self, listed: usize, is_listed: impl Fn(ServerId) -> bool) {
-        if self.start_times.len() > listed + UNLISTED_MAX {
-            self.start_times
-                .retain(|server_id, _| is_listed(*server_id));
+    /// Forgets the servers that are no longer listed, once there are many of them. `listed` counts
+    /// the servers on the list.
+    pub fn forget_unlisted(&mut self, listed: usize, is_listed: impl Fn(ServerId) -> bool) {
+        if self.starts.len() > listed + UNLISTED_SERVERS_MAX {
+            self.starts.retain(|server_id, _| is_listed(*server_id));
         }
     }
 }
--- a/crates/dataplane/src/start_times/tests.rs
+++ b/crates/dataplane/src/start_times/tests.rs
@@ -8,38 +8,39 @@
 const NOW: Time = 1_000_000 * SEC;
 
 #[test]
-fn one_that_starts_while_we_watch_starts_when_we_are_told() {
-    for told in [NOW - HOUR, NOW - 2 * SEC, NOW + 5 * SEC, NOW + HOUR] {
+fn a_server_that_starts_during_the_watch_started_when_reported() {
+    for reported in [NOW - HOUR, NOW - 2 * SEC, NOW + 5 * SEC, NOW + HOUR] {
         let mut start_times = StartTimes::default();
-        // On the first list the wall clock tells, but for what lies in its future.
-        assert_eq!(start_times.of(NOW, 1, told), told.min(NOW));
-        start_times.watch();
+        // On the first list the wall clock counts, except for a start in its future.
+        assert_eq!(start_times.local_start(NOW, 1, reported), reported.min(NOW));
+        start_times.begin_watch();
         assert_eq!(
-            start_times.of(NOW + SEC, 1, told),
-            told.min(NOW),
-            "it has not started anew"
+            start_times.local_start(NOW + SEC, 1, reported),
+            reported.min(NOW),
+            "it was not restarted"
         );
-        assert_eq!(start_times.of(NOW + SEC, 2, told), NOW + SEC);
+        assert_eq!(start_times.local_start(NOW + SEC, 2, reported), NOW + SEC);
         assert_eq!(
-            start_times.of(NOW + 9 * SEC, 2, told),
+            start_times.local_start(NOW + 9 * SEC, 2, reported),
             NOW + SEC,
-            "told once more"
+            "reported once more"
         );
         assert_eq!(
-            start_times.of(NOW + 9 * SEC, 1, told + 1),
+            start_times.local_start(NOW + 9 * SEC, 1, reported + 1),
             NOW + 9 * SEC,
-            "started anew"
+            "restarted"
         );
-        assert_eq!(start_times.of(NOW + 9 * SEC, 3, 0), 0, "long ago");
+        assert_eq!(start_times.local_start(NOW + 9 * SEC, 3, 0), 0, "long ago");
     }
 }
 
 #[test]
-fn starts_of_servers_that_are_gone_are_bounded() {
+fn starts_of_unlisted_servers_are_bounded() {
     let mut start_times = StartTimes::default();
-    (0..2 * UNLISTED_MAX as ServerId).for_each(|server_id| _ = start_times.of(NOW, server_id, SEC));
-    start_times.keep(UNLISTED_MAX, |_| false);
-    assert_eq!(start_times.start_times.len(), 2 * UNLISTED_MAX);
-    start_times.keep(1, |server_id| server_id == 7);
-    assert_eq!(start_times.start_times.len(), 1);
+    (0..2 * UNLISTED_SERVERS_MAX as ServerId)
+        .for_each(|server_id| _ = start_times.local_start(NOW, server_id, SEC));
+    start_times.forget_unlisted(UNLISTED_SERVERS_MAX, |_| false);
+    assert_eq!(start_times.starts.len(), 2 * UNLISTED_SERVERS_MAX);
+    start_times.forget_unlisted(1, |server_id| server_id == 7);
+    assert_eq!(start_times.starts.len(), 1);
 }
