--- a/crates/dataplane/src/discovery/http/tests.rs
+++ b/crates/dataplane/src/discovery/http/tests.rs
@@ -1,4 +1,4 @@
-//! What is read of the heads of answers.
+//! Responses in each framing, whole, in pieces and cut short.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 use crate::clock;
 use crate::descriptors::DescriptorBudget;
 
-/// Reads an answer that is written in these pieces, one after another, after which the connection ends.
+/// Reads a response that is written in these pieces, after which the connection ends.
 fn read(pieces: Vec<Vec<u8>>) -> Result<Response, HttpError> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut agent = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -36,7 +36,7 @@
             "list",
             true,
         ),
-        // More than it told is the answer to nothing.
+        // Bytes past the body answer no request.
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlistHTTP".to_string(),
             "list",
@@ -56,7 +56,8 @@
             let at_once = pieces.len() == 1;
             let response = read(pieces).unwrap();
             assert_eq!(response.body, body.as_bytes(), "{text}");
-            // In pieces what is more than it told may come after the answer is read: the next call looks for it.
+            // In pieces the bytes past the body may come after the response is read: the next
+            // request looks for them.
             let surplus_later = !at_once && text.ends_with("HTTP");
             assert!(
                 keep_alive || !response.keep_alive || surplus_later,
@@ -64,28 +65,28 @@
             );
         }
     }
-    let (closed, malformed) = (false, true);
-    for (cut, kind) in [
-        ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nlist", closed),
-        ("HTTP/1.1 200 OK\r\n", closed),
-        ("HTTP/1.1 503 Busy\r\n\r\n", malformed),
-        (
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
-            malformed,
-        ),
+}
+
+#[test]
+fn responses_that_are_cut_short_or_malformed_are_told_apart() {
+    for cut in [
+        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nlist",
+        "HTTP/1.1 200 OK\r\n",
     ] {
         let error = read(vec![cut.into()]).err();
-        match kind {
-            true => assert!(matches!(error, Some(HttpError::Response(_))), "{cut}"),
-            false => assert!(
-                matches!(error, Some(HttpError::Connection(ConnectionError::Closed))),
-                "{cut}"
-            ),
-        }
+        let is_closed = matches!(error, Some(HttpError::Connection(ConnectionError::Closed)));
+        assert!(is_closed, "{cut}");
+    }
+    for malformed in [
+        "HTTP/1.1 503 Busy\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
+    ] {
+        let error = read(vec![malformed.into()]).err();
+        assert!(matches!(error, Some(HttpError::Response(_))), "{malformed}");
     }
 }
 
-/// Guards against an answer without end in small chunks, which took memory until its time was up.
+/// Guards against a response without end in small chunks, which takes memory until its deadline.
 #[test]
 fn chunks_without_end_are_not_read_to_their_end() {
     let chunk = [b"10000\r\n".as_slice(), &[b' '; 0x10000], b"\r\n"].concat();
@@ -102,7 +103,7 @@
             .unwrap()
             .is_none()
     );
-    for (text, stays) in [
+    for (text, keep_alive) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", true),
         (
             "HTTP/1.1 200 OK\r\ncontent-length: 5\r\nConnection: close\r\n\r\n",
@@ -116,7 +117,7 @@
     ] {
         assert_eq!(
             parse_head(text.as_bytes()).unwrap().unwrap().keep_alive,
-            stays,
+            keep_alive,
             "{text}"
         );
     }
@@ -128,3 +129,31 @@
         assert!(parse_head(bad.as_bytes()).is_err(), "{bad}");
     }
 }
+
+/// The log shows these texts.
+#[test]
+fn each_error_says_why_a_response_cannot_be_used() {
+    let head = |rest: &str| format!("HTTP/1.1 200 OK\r\n{rest}\r\n\r\n");
+    for (text, why) in [
+        ("HTTP/1.1 503 Busy\r\n\r\n".to_string(), "answered 503"),
+        ("SSH-2.0\r\n\r\n".to_string(), "invalid HTTP version"),
+        (
+            head("Transfer-Encoding: gzip"),
+            "unknown transfer coding 'gzip'",
+        ),
+        (head("Content-Length: x"), "no sane content length"),
+        (head("Content-Length: 4194305"), "no sane content length"),
+    ] {
+        let error = parse_head(text.as_bytes()).err().unwrap();
+        assert_eq!(error.to_string(), why, "{text}");
+    }
+    for (chunk, why) in [
+        ("x\r\n", "a chunk has no size"),
+        ("400001\r\n", "a chunk is too long"),
+    ] {
+        let error = read(vec![format!("{CHUNKED}{chunk}").into()])
+            .err()
+            .unwrap();
+        assert_eq!(error.to_string(), why, "{chunk}");
+    }
+}
--- a/crates/dataplane/src/discovery/list/tests.rs
+++ b/crates/dataplane/src/discovery/list/tests.rs
@@ -1,4 +1,4 @@
-//! What is read of the agent's updates.
+//! The agent's updates and the path that asks for them, in the words of its wire.
 
 use super::*;
 
@@ -11,25 +11,20 @@
         {"instanceId":"s-3","lifecycle":"Gone"},
         {"instanceId":"s-5","hostPort":null,"lifecycle":"Terminating"},
         {"instanceId":"s-4","hostPort":"127.1.0.18:8081","lifecycle":"Asleep"}]}"#;
-    let read = parse_list_update(&serde_json::from_str(text).unwrap()).unwrap();
-    assert_eq!(
-        (read.version, read.is_complete, read.entries.len()),
-        (41, true, 3)
-    );
-    let first = &read.entries[0];
-    assert_eq!(
-        (first.name.as_str(), first.cell.as_str(), first.state),
-        ("s-1", "3", EndpointState::Ready)
-    );
+    let update = parse_list_update(&serde_json::from_str(text).unwrap()).unwrap();
+    assert_eq!(update.version, 41);
+    assert!(update.is_complete);
+    let [first, second, third] = &update.entries[..] else {
+        panic!("three entries are wanted: {update:?}");
+    };
+    assert_eq!(first.name, "s-1");
+    assert_eq!(first.cell, "3");
+    assert_eq!(first.state, EndpointState::Ready);
     assert_eq!(first.started, 1_700_000_000_123 * MS);
-    assert_eq!(
-        (read.entries[1].name.as_str(), read.entries[1].state),
-        ("s-3", EndpointState::Removed)
-    );
-    assert_eq!(
-        (read.entries[2].name.as_str(), read.entries[2].state),
-        ("s-5", EndpointState::Draining)
-    );
+    assert_eq!(second.name, "s-3");
+    assert_eq!(second.state, EndpointState::Removed);
+    assert_eq!(third.name, "s-5");
+    assert_eq!(third.state, EndpointState::Draining);
     for bad in [r#"{}"#, r#"{"generation":1,"reset":true}"#, r#"[]"#] {
         assert!(
             parse_list_update(&serde_json::from_str(bad).unwrap()).is_err(),
@@ -43,3 +38,46 @@
     assert!(is_nested_deeper(b"[[[", 2) && is_nested_deeper(br#"{"a":"]]]\"","b":[{"c":1}]}"#, 2));
     assert!(!is_nested_deeper(br#"[[1],["[[[[\\"],[2]]"#, 2) && !is_nested_deeper(b"]]][[", 2));
 }
+
+/// The configuration's error and the log show these texts; they name the members of the wire.
+#[test]
+fn each_error_names_the_member_at_fault() {
+    for (body, text) in [
+        ("[[[[[[[[[[[[[[[[[", "the answer is nested too deep"),
+        ("{", "EOF while parsing an object at line 1 column 1"),
+        ("[]", "'generation' is no number"),
+        (r#"{"generation":-1}"#, "'generation' is no number"),
+        (
+            r#"{"generation":1,"reset":1}"#,
+            "'reset' is neither true nor false",
+        ),
+        (r#"{"generation":1,"reset":true}"#, "'instances' is no list"),
+    ] {
+        let error = parse_body(body.as_bytes()).unwrap_err();
+        assert_eq!(error.to_string(), text, "{body}");
+    }
+    for (entry, text) in [
+        (
+            r#"{"instanceId":"s-1","lifecycle":"Asleep"}"#,
+            "s-1: 'lifecycle' is 'Asleep'",
+        ),
+        (
+            r#"{"instanceId":"s-1","lifecycle":"Ready","hostPort":"nowhere"}"#,
+            "s-1: 'hostPort' is no address",
+        ),
+        (r#"{"lifecycle":"Gone"}"#, "'instanceId' is missing"),
+    ] {
+        let error = parse_entry(&serde_json::from_str(entry).unwrap()).unwrap_err();
+        assert_eq!(error.to_string(), text, "{entry}");
+    }
+}
+
+#[test]
+fn changes_are_asked_for_since_a_version_and_the_complete_list_without_one() {
+    assert_eq!(
+        request_path(Some(41), 1000 * MS),
+        "/api/targets?from=41&hold_ms=1000"
+    );
+    assert_eq!(request_path(Some(41), 0), "/api/targets?from=41&hold_ms=0");
+    assert_eq!(request_path(None, 0), "/api/targets");
+}
