--- /dev/null
+++ b/crates/dataplane/src/discovery/watch.rs
@@ -0,0 +1,228 @@
+//! The loop of the watch: which poll is made next, and what becomes of its result. It owns the
+//! version of the endpoint list. It must never ask for changes since a version of another agent.
+
+use std::mem;
+use std::time::Duration;
+
+use nanorand::WyRand;
+use nettlemux_policy::{MS, SEC, Time};
+use tracing::{debug, info, warn};
+
+use super::DiscoveryContext;
+use super::agent::Location;
+use super::backoff::{BACKOFF_MIN, QUEUE_TIMEOUT, backoff_limit, draw_backoff};
+use super::list::ListUpdate;
+use super::poll::{AgentClient, Poll, PollError, PollFailure};
+use crate::clock;
+use crate::mailbox::Sender;
+use crate::messages::DispatcherMessage;
+
+/// How long the agent may hold a poll. Short, since a silent agent shows only once a hold is over,
+/// and what it has withheld has to be known 2 s after that.
+const WATCH_HOLD: Time = SEC;
+/// How long past its hold the answer to a poll is waited for.
+const ANSWER_TIMEOUT: Time = 500 * MS;
+/// Between two polls. Guards against an agent that answers at once and without end. Well under the
+/// 200 ms after which a watch has ended, and under the shortest time in which a drain has to be
+/// known.
+const POLL_INTERVAL_MIN: Time = 20 * MS;
+/// Between two complete lists that are asked for since the agent may have been restarted: at least
+/// this, and at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each entry of the last one.
+const COMPLETE_LIST_INTERVAL_MIN: Time = 60 * SEC;
+/// An entry has some 164 bytes, so complete lists take 1 KB/s at most, half of what a balancer may
+/// spend on control traffic.
+const COMPLETE_LIST_INTERVAL_PER_ENTRY: Time = 160 * MS;
+
+/// Watches the endpoint list and sends its updates to the dispatcher, from `known_version` on if
+/// that is given, else from a complete list. It doesn't return.
+pub fn watch(
+    known_version: Option<u64>,
+    context: &DiscoveryContext,
+    dispatcher: &Sender<DispatcherMessage>,
+) {
+    let mut watch = EndpointWatch::new(known_version, context, dispatcher);
+    loop {
+        watch.poll_once();
+    }
+}
+
+struct EndpointWatch<'a> {
+    context: &'a DiscoveryContext,
+    dispatcher: &'a Sender<DispatcherMessage>,
+    rng: WyRand,
+    client: AgentClient<'a>,
+    /// The version of the list that is known; none where the complete list is to be asked for.
+    version: Option<u64>,
+    /// The revision of the agent's address at the last poll.
+    agent_revision: u64,
+    /// Polls that failed since the last that was answered.
+    failures: u32,
+    /// Whether the next poll begins a watch: it is the first, or the one before brought no update.
+    begins_watch: bool,
+    /// Whether any poll has been answered.
+    has_been_answered: bool,
+    /// The earliest time of a complete list that is asked for since the agent may have been
+    /// restarted.
+    next_complete_list_at: Time,
+}
+
+impl<'a> EndpointWatch<'a> {
+    fn new(
+        known_version: Option<u64>,
+        context: &'a DiscoveryContext,
+        dispatcher: &'a Sender<DispatcherMessage>,
+    ) -> Self {
+        EndpointWatch {
+            context,
+            dispatcher,
+            rng: WyRand::new_seed(context.seed),
+            client: AgentClient::new(context),
+            version: known_version,
+            agent_revision: 0,
+            failures: 0,
+            begins_watch: true,
+            has_been_answered: false,
+            next_complete_list_at: 0,
+        }
+    }
+
+    /// Makes one poll, applies its result and sleeps until the next may be made.
+    fn poll_once(&mut self) {
+        let location = self.context.agent.location();
+        self.follow_agent(&location);
+        let poll = self.next_poll();
+        let result = self.client.poll(&location, &poll);
+        self.begins_watch = result.is_err();
+        match result {
+            Ok(update) => {
+                self.apply_update(update, &poll);
+                if clock::now() < poll.started_at + POLL_INTERVAL_MIN {
+                    sleep(POLL_INTERVAL_MIN);
+                }
+            }
+            Err(PollError::AddressChanged) => {}
+            Err(PollError::NoDescriptor) => {
+                warn!("no descriptor left for a poll of discovery");
+                sleep(BACKOFF_MIN);
+            }
+            Err(PollError::Failed(failure)) => {
+                let backoff = self.record_failure(&failure, &poll);
+                sleep(backoff);
+            }
+        }
+    }
+
+    /// Begins anew where the agent's address has changed: another agent counts versions of its own,
+    /// so it is asked for its complete list. Until that comes the old list holds.
+    fn follow_agent(&mut self, location: &Location) {
+        if location.revision == self.agent_revision {
+            return;
+        }
+        info!(agent = %location.address, "discovery agent address changed");
+        self.agent_revision = location.revision;
+        self.version = None;
+        self.client.disconnect();
+        self.begins_watch = true;
+        self.failures = 0;
+    }
+
+    fn next_poll(&self) -> Poll {
+        let started_at = clock::now();
+        let interval_max = self.context.settings.current().endpoint_poll_interval_max;
+        let is_shared = interval_max.is_some();
+        // Guards against a shared service whose queue is filled, once it is back, by complete lists
+        // for all balancers.
+        let after_restart =
+            self.client.restart_suspected && !is_shared && started_at >= self.next_complete_list_at;
+        let from_version = self.version.filter(|_| !after_restart);
+        // A poll that begins a watch there isn't held, so that its wait in the queue is all that it
+        // takes.
+        let is_queued = self.begins_watch && is_shared;
+        let hold = if is_queued || from_version.is_none() {
+            0
+        } else {
+            WATCH_HOLD
+        };
+        let timeout = if is_queued {
+            QUEUE_TIMEOUT
+        } else {
+            ANSWER_TIMEOUT
+        };
+        Poll {
+            started_at,
+            from_version,
+            hold,
+            deadline: started_at + hold + timeout,
+            after_restart,
+            interval_max,
+        }
+    }
+
+    fn apply_update(&mut self, update: ListUpdate, poll: &Poll) {
+        if self.failures > 0 {
+            info!(failures = self.failures, "discovery recovered");
+        }
+        self.failures = 0;
+        self.record_version(&update, poll);
+        // The first answer is passed on even if nothing has changed: it shows that the list is
+        // watched from then on.
+        let is_first = !mem::replace(&mut self.has_been_answered, true);
+        if is_first || update.is_complete || !update.entries.is_empty() {
+            self.dispatcher.send(DispatcherMessage::EndpointsUpdated {
+                entries: update.entries,
+                is_complete: update.is_complete,
+            });
+        }
+    }
+
+    fn record_version(&mut self, update: &ListUpdate, poll: &Poll) {
+        let version = update.version;
+        let is_complete = update.is_complete;
+        let entries = update.entries.len();
+        debug!(version, is_complete, entries, "endpoint list update");
+        // Guards against an agent that has begun to count anew: its changes under versions that
+        // count as known would never come.
+        let counts_anew = !is_complete && poll.from_version.is_some_and(|from| version < from);
+        self.version = (!counts_anew).then_some(version);
+        if is_complete {
+            self.client.restart_suspected = false;
+        }
+        if is_complete && poll.after_restart {
+            let interval = COMPLETE_LIST_INTERVAL_PER_ENTRY * entries as Time;
+            self.next_complete_list_at = poll.started_at + interval.max(COMPLETE_LIST_INTERVAL_MIN);
+        }
+    }
+
+    /// Records a failed poll; returns how long to wait before the next.
+    fn record_failure(&mut self, failure: &PollFailure, poll: &Poll) -> Time {
+        if self.failures == 0 {
+            warn!(error = %failure, "discovery poll failed");
+            self.dispatcher.send(DispatcherMessage::EndpointPollFailed);
+        }
+        let duration = clock::now() - poll.started_at;
+        let backoff = self.backoff(failure, duration, poll);
+        debug!(
+            error = %failure,
+            path = poll.path(),
+            duration_ms = duration / MS,
+            backoff_ms = backoff / MS,
+            "discovery poll will be retried"
+        );
+        self.failures = self.failures.saturating_add(1);
+        backoff
+    }
+
+    /// Returns the backoff: random where one service answers the polls of all balancers, else the
+    /// shortest.
+    fn backoff(&mut self, failure: &PollFailure, duration: Time, poll: &Poll) -> Time {
+        let Some(interval_max) = poll.interval_max else {
+            return BACKOFF_MIN;
+        };
+        let limit = backoff_limit(failure.kind(), duration, interval_max);
+        draw_backoff(duration, self.failures, limit, &mut self.rng)
+    }
+}
+
+fn sleep(time: Time) {
+    may::coroutine::sleep(Duration::from_nanos(time));
+}
--- a/crates/dataplane/src/dispatcher/graceful_shutdown.rs
+++ b/crates/dataplane/src/dispatcher/graceful_shutdown.rs
@@ -97,7 +97,7 @@
     /// Returns how far the shutdown has come; none before its start.
     pub fn progress(&self, now: Time) -> Option<Progress> {
         let started_at = self.started_at?;
-        let answer_timeout = self.answer_deadline.at(now);
+        let answer_timeout = self.answer_deadline.timeout_at(now);
         // Guards against clients that are migrated while the front still sends new ones, and would
         // come straight back.
         let migration_timeout = (answer_timeout + LAST_MIGRATIONS_TIMEOUT)
--- a/crates/dataplane/src/dispatcher/server_directory.rs
+++ b/crates/dataplane/src/dispatcher/server_directory.rs
@@ -72,7 +72,7 @@
 
     /// Notes that discovery has answered: a server that is new from now on started no earlier.
     pub fn discovery_answered(&mut self) {
-        self.start_times.watch();
+        self.start_times.begin_watch();
     }
 
     /// Takes over an endpoint list and returns it with numbers in place of names.
@@ -98,7 +98,7 @@
         }
         let servers = &self.servers;
         self.start_times
-            .keep(servers.len(), |server_id| servers.contains_key(&server_id));
+            .forget_unlisted(servers.len(), |server_id| servers.contains_key(&server_id));
         endpoints
     }
 
@@ -112,7 +112,7 @@
             cell: self.cells.number_by_arrival(&entry.cell),
             state: entry.state,
             weight: entry.weight,
-            started: self.start_times.of(now, server_id, entry.started),
+            started: self.start_times.local_start(now, server_id, entry.started),
         }
     }
 
