--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -18,7 +18,7 @@
 use nettlemux_dataplane::descriptors::DescriptorBudgets;
 use nettlemux_dataplane::discovery::{self, Agent};
 use nettlemux_dataplane::dispatcher::{Dispatcher, DispatcherConfig};
-use nettlemux_dataplane::gossip::Peers;
+use nettlemux_dataplane::gossip::GossipTransport;
 use nettlemux_dataplane::health_check::{self, HealthChecker};
 use nettlemux_dataplane::mailbox::{Mailbox, Sender};
 use nettlemux_dataplane::messages::{DispatcherMessage, GossipMessage};
@@ -38,7 +38,7 @@
 use crate::config::Config;
 use crate::operator_file;
 use crate::re_exec::re_exec;
-use crate::reload::{self, PeerTransport, Reloader};
+use crate::reload::{self, GossipPeering, Reloader};
 use crate::signals;
 use crate::start_error::StartError;
 
@@ -287,7 +287,7 @@
 
 /// Gossip with the other balancers, where peers are configured.
 struct Gossip {
-    transport: Option<PeerTransport>,
+    transport: Option<GossipPeering>,
     sender: Option<Sender<GossipMessage>>,
 }
 
@@ -303,12 +303,13 @@
             });
         };
         let address = keys.listen;
-        let (peers, sender) = Peers::start(address, keys.addresses, dispatcher.clone())
-            .map_err(|source| StartError::Gossip { address, source })?;
+        let (transport, sender) =
+            GossipTransport::start(address, keys.addresses, dispatcher.clone())
+                .map_err(|source| StartError::Gossip { address, source })?;
         Ok(Gossip {
-            transport: Some(PeerTransport {
+            transport: Some(GossipPeering {
                 listen: address,
-                peers,
+                transport,
             }),
             sender: Some(sender),
         })
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use nettlemux_dataplane::discovery::Agent;
-use nettlemux_dataplane::gossip::Peers;
+use nettlemux_dataplane::gossip::GossipTransport;
 use nettlemux_dataplane::mailbox::Sender;
 use nettlemux_dataplane::messages::DispatcherMessage;
 use nettlemux_dataplane::runtime_settings::SharedSettings;
@@ -42,10 +42,11 @@
 }
 
 /// The way to the other balancers.
-pub struct PeerTransport {
+pub struct GossipPeering {
     /// Where this balancer receives gossip.
     pub listen: SocketAddr,
-    pub peers: Arc<Peers>,
+    /// The socket and the peers' addresses.
+    pub transport: Arc<GossipTransport>,
 }
 
 /// Reads the files again and applies what has changed.
@@ -61,7 +62,7 @@
     pub runtime_settings: Arc<SharedSettings>,
     pub acceptor: Arc<Acceptor>,
     /// The way to the other balancers, where peers are configured.
-    pub peers: Option<PeerTransport>,
+    pub peers: Option<GossipPeering>,
     pub agent: Arc<Agent>,
     pub dispatcher: Sender<DispatcherMessage>,
 }
@@ -124,8 +125,8 @@
 
     fn apply_peers(&self, operator: &OperatorFile) {
         match (&operator.peers, &self.peers) {
-            (Some(keys), Some(transport)) if keys.listen == transport.listen => {
-                transport.peers.change(keys.addresses.clone());
+            (Some(keys), Some(peering)) if keys.listen == peering.listen => {
+                peering.transport.replace_peers(keys.addresses.clone());
             }
             (None, None) => {}
             _ => warn_of_restart("peers"),
@@ -161,7 +162,7 @@
 
 /// Logs a warning where the settings allow gossip and no peers are configured: groups are then
 /// spread over more servers.
-pub fn warn_of_missing_peers(settings: &Settings, peers: Option<&PeerTransport>) {
+pub fn warn_of_missing_peers(settings: &Settings, peers: Option<&GossipPeering>) {
     if settings.gossip_allowed().unwrap_or(false) && peers.is_none() {
         warn!(
             key = "peers",
