--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -165,7 +165,7 @@
             }
             // Something is due soon while ending.
             let ending = self.terminated.map(|_| now + STEP);
-            let descriptor = self.health_checker.waits().then_some(now + DESCRIPTOR);
+            let descriptor = self.health_checker.has_queued().then_some(now + DESCRIPTOR);
             let until = [self.due, ending, descriptor]
                 .into_iter()
                 .flatten()
@@ -181,7 +181,7 @@
                 _ => None,
             };
             // Guards against a fault in one decision that takes every flow with it.
-            self.health_checker.go_on();
+            self.health_checker.start_queued();
             if catch_unwind(AssertUnwindSafe(|| self.turn(ask))).is_err() {
                 error!(?flow, "a decision panicked; its flow is aborted");
                 if let Some(id) = flow {
@@ -416,7 +416,7 @@
         }
         let servers = &self.servers;
         self.health_checker
-            .keep(|server_id| servers.contains_key(&server_id));
+            .retain_listed(|server_id| servers.contains_key(&server_id));
         self.start_times
             .keep(servers.len(), |server_id| servers.contains_key(&server_id));
         self.flow_table.update_endpoints(now, &listed, is_complete);
@@ -481,7 +481,7 @@
             }
             PolicyCommand::CheckHealth { server_id } => {
                 if let Some(server) = self.servers.get(&server_id) {
-                    self.health_checker.health_check(server_id, server.clone());
+                    self.health_checker.check(server_id, server.clone());
                 }
             }
             // The watch always runs, so there is nothing to ask for.
--- /dev/null
+++ b/crates/dataplane/src/health_check/exchange.rs
@@ -0,0 +1,52 @@
+//! One health check on a connection: the request and the server's answer. It must never open a
+//! connection or try again.
+
+use nettlemux_policy::Time;
+use tracing::debug;
+
+use super::context::HealthCheckContext;
+use crate::connection::{Connection, ConnectionError};
+use crate::messages::Server;
+use crate::runtime_settings::RuntimeSettings;
+use crate::wire::{self, HealthCheckAnswer};
+
+/// What one check has brought.
+pub(super) struct Exchange {
+    /// What the server has answered.
+    pub(super) answer: HealthCheckAnswer,
+    /// The connection, where nothing came after the answer.
+    pub(super) connection: Option<Connection>,
+}
+
+/// Sends a server the request for its health, and reads its answer.
+///
+/// # Errors
+/// No line has come by the deadline, or the connection has broken.
+pub(super) fn run(
+    connection: Connection,
+    server: &Server,
+    context: &HealthCheckContext,
+    deadline: Time,
+) -> Result<Exchange, ConnectionError> {
+    let settings = context.settings.current();
+    connection.write(request(&settings), deadline)?;
+    let mut buffer = context.buffers.take();
+    let mut filled = 0;
+    let line = connection.read_line(&mut buffer[..], &mut filled, deadline)?;
+    let text = &buffer[..line.length];
+    debug!(server = server.name, answer = %String::from_utf8_lossy(text), "probe");
+    let is_last_line = line.next == filled;
+    Ok(Exchange {
+        answer: HealthCheckAnswer::parse(text, &settings.report_format),
+        connection: is_last_line.then_some(connection),
+    })
+}
+
+/// Returns the line that asks for what the settings allow.
+fn request(settings: &RuntimeSettings) -> &'static [u8] {
+    if settings.load_reports_on_request {
+        wire::REQUEST_LOAD_REPORT
+    } else {
+        wire::REQUEST_PING
+    }
+}
--- /dev/null
+++ b/crates/dataplane/src/health_check/session.rs
@@ -0,0 +1,162 @@
+//! The health checks of one server, one after another. A [`Session`] owns the connection that is
+//! kept between two of them.
+
+use std::sync::Arc;
+
+use may::sync::mpsc::Receiver;
+use nettlemux_policy::{LoadReport, MS, ServerId, Time};
+use thiserror::Error;
+use tracing::{debug, warn};
+
+use super::context::HealthCheckContext;
+use super::exchange::{self, Exchange};
+use crate::clock;
+use crate::connection::{Connection, ConnectionError};
+use crate::descriptors::DescriptorPermit;
+use crate::mailbox::Mailbox;
+use crate::messages::{DispatcherMessage, Server};
+use crate::wire::HealthCheckAnswer;
+
+/// When a check without an answer has failed. Well inside the policy's shortest check interval, and
+/// far above what a server that still serves messages takes to answer.
+const CHECK_TIMEOUT: Time = 500 * MS;
+
+/// Why a health check has brought no answer.
+#[derive(Debug, Error)]
+enum HealthCheckError {
+    /// All descriptors for health checks are in use.
+    #[error("no descriptor left for a health check")]
+    NoDescriptor,
+    /// The server has not answered.
+    #[error(transparent)]
+    Connection(#[from] ConnectionError),
+}
+
+/// Checks one server, for as long as its connection may stay open.
+pub(super) struct Session {
+    server_id: ServerId,
+    /// Where further checks are asked for, each with the server as it is listed then.
+    requests: Receiver<Arc<Server>>,
+    /// The permit for the first connection, until that is opened.
+    first_permit: Option<DescriptorPermit>,
+    kept: Option<KeptConnection>,
+    context: HealthCheckContext,
+}
+
+/// A connection that is open between two checks.
+struct KeptConnection {
+    server: Arc<Server>,
+    connection: Connection,
+}
+
+impl Session {
+    /// Returns a session that checks a server on a connection of that permit.
+    pub(super) fn new(
+        server_id: ServerId,
+        requests: Receiver<Arc<Server>>,
+        permit: DescriptorPermit,
+        context: HealthCheckContext,
+    ) -> Self {
+        Session {
+            server_id,
+            requests,
+            first_permit: Some(permit),
+            kept: None,
+            context,
+        }
+    }
+
+    /// Checks the server, and again at each request.
+    pub(super) fn run(mut self, server: Arc<Server>) {
+        let mut next = Some(server);
+        while let Some(server) = next {
+            let result = self.check(&server);
+            self.report(&server, result);
+            next = self.next_request();
+        }
+    }
+
+    fn check(&mut self, server: &Arc<Server>) -> Result<HealthCheckAnswer, HealthCheckError> {
+        let deadline = clock::now() + CHECK_TIMEOUT;
+        let exchange = self.exchange(server, deadline)?;
+        if self.context.may_keep_connection() {
+            self.kept = exchange.connection.map(|connection| KeptConnection {
+                server: server.clone(),
+                connection,
+            });
+        }
+        Ok(exchange.answer)
+    }
+
+    /// Asks over the kept connection or, where that has ended meanwhile, over a new one.
+    fn exchange(
+        &mut self,
+        server: &Arc<Server>,
+        deadline: Time,
+    ) -> Result<Exchange, HealthCheckError> {
+        if let Some(connection) = self.take_kept(server) {
+            match exchange::run(connection, server, &self.context, deadline) {
+                Ok(exchange) => return Ok(exchange),
+                Err(ConnectionError::Deadline) => return Err(ConnectionError::Deadline.into()),
+                Err(_) => {}
+            }
+        }
+        let connection = self.connect(server, deadline)?;
+        Ok(exchange::run(connection, server, &self.context, deadline)?)
+    }
+
+    /// Takes the kept connection, if it leads to the server as listed and nothing has come on it.
+    fn take_kept(&mut self, server: &Arc<Server>) -> Option<Connection> {
+        self.kept
+            .take()
+            .filter(|kept| Arc::ptr_eq(&kept.server, server) && kept.connection.is_idle())
+            .map(|kept| kept.connection)
+    }
+
+    fn connect(&mut self, server: &Server, deadline: Time) -> Result<Connection, HealthCheckError> {
+        let permit = self
+            .first_permit
+            .take()
+            .or_else(|| self.context.acquire_permit())
+            .ok_or(HealthCheckError::NoDescriptor)?;
+        let connection = Connection::dial(Mailbox::new(), server.address, permit, deadline)?;
+        Ok(connection)
+    }
+
+    /// Tells the dispatcher what has come of a check.
+    fn report(&self, server: &Server, result: Result<HealthCheckAnswer, HealthCheckError>) {
+        let answer = match result {
+            Ok(answer) => answer,
+            // The balancer's own shortage must not count against the server, which is checked when
+            // its next check is due.
+            Err(HealthCheckError::NoDescriptor) => {
+                warn!(server = server.name, "no descriptor left for a probe");
+                return;
+            }
+            Err(HealthCheckError::Connection(e)) => {
+                debug!(server = server.name, error = %e, "probe fails");
+                HealthCheckAnswer {
+                    passed: false,
+                    report: LoadReport::default(),
+                }
+            }
+        };
+        self.context
+            .dispatcher
+            .send(DispatcherMessage::HealthChecked {
+                server_id: self.server_id,
+                passed: answer.passed,
+                report: answer.report,
+            });
+    }
+
+    /// Waits for the next request while a connection is kept; else takes one that has come during
+    /// the last check. Guards against a request that is left out since the connection ended.
+    fn next_request(&self) -> Option<Arc<Server>> {
+        if self.kept.is_some() {
+            self.requests.recv().ok()
+        } else {
+            self.requests.try_recv().ok()
+        }
+    }
+}
