--- a/crates/dataplane/src/mailbox.rs
+++ b/crates/dataplane/src/mailbox.rs
@@ -1,6 +1,9 @@
-//! Mailboxes: a queue that many post to and one coroutine waits at, until a time. It owns the posts that have
-//! not been read. It must never wait longer than it was asked to, which the channels of `may` do: their timed
-//! receive starts anew with the whole time when it is woken a moment early, and takes under 1 ms for ever.
+//! Mailboxes: queues that many senders fill and one coroutine reads, which waits for the next
+//! message until a deadline.
+//!
+//! A mailbox owns the messages that have not been read. It must never wait past its deadline, as
+//! the channels of `may` do: their timed receive begins anew with the whole time when it is woken a
+//! moment early, and a wait of under 1 ms never ends.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -11,27 +14,40 @@
 
 use crate::clock;
 
-struct Shared<T> {
-    posts: SegQueue<T>,
-    /// The coroutine that waits, once it has looked for the first time.
+/// The longest wait in one step, in milliseconds.
+const WAIT_STEP_MS_MAX: u64 = 4000;
+
+/// What a mailbox and its senders share.
+struct Queue<T> {
+    messages: SegQueue<T>,
+    /// The coroutine that reads, once it has asked for a message.
     reader: OnceLock<Coroutine>,
 }
 
-pub struct Mailbox<T>(Arc<Shared<T>>);
+/// The end of the queue that is read, by one coroutine only.
+pub struct Mailbox<T> {
+    queue: Arc<Queue<T>>,
+}
 
-/// The way into a mailbox.
-pub struct Sender<T>(Arc<Shared<T>>);
+/// The end of the queue that messages are sent into; it may be cloned, and outlive the mailbox.
+pub struct Sender<T> {
+    queue: Arc<Queue<T>>,
+}
 
 impl<T> Clone for Sender<T> {
     fn clone(&self) -> Self {
-        Sender(self.0.clone())
+        Sender {
+            queue: self.queue.clone(),
+        }
     }
 }
 
 impl<T> Sender<T> {
-    pub fn send(&self, post: T) {
-        self.0.posts.push(post);
-        if let Some(reader) = self.0.reader.get() {
+    /// Queues a message and wakes the reader. It never waits; a message to a mailbox that has been
+    /// dropped is never read.
+    pub fn send(&self, message: T) {
+        self.queue.messages.push(message);
+        if let Some(reader) = self.queue.reader.get() {
             reader.unpark();
         }
     }
@@ -44,71 +60,55 @@
 }
 
 impl<T> Mailbox<T> {
+    /// Returns an empty mailbox.
     pub fn new() -> Self {
-        Mailbox(Arc::new(Shared {
-            posts: SegQueue::new(),
-            reader: OnceLock::new(),
-        }))
+        Mailbox {
+            queue: Arc::new(Queue {
+                messages: SegQueue::new(),
+                reader: OnceLock::new(),
+            }),
+        }
     }
 
+    /// Returns a sender to this mailbox.
     pub fn sender(&self) -> Sender<T> {
-        Sender(self.0.clone())
+        Sender {
+            queue: self.queue.clone(),
+        }
     }
 
-    /// The next post; none once that time has come. To be called from one coroutine only.
-    pub fn next(&self, until: Time) -> Option<T> {
-        self.0.reader.get_or_init(coroutine::current);
+    /// Waits for the next message and returns it; none once the deadline has passed without one.
+    /// To be called from one coroutine only, the same each time: only the first caller is woken.
+    pub fn next(&self, deadline: Time) -> Option<T> {
+        self.queue.reader.get_or_init(coroutine::current);
         loop {
-            // Looked at after each wake-up: a post is there before its wake-up is.
-            if let Some(post) = self.0.posts.pop() {
-                return Some(post);
+            // A message is queued before its wake-up, so each wake-up is followed by a look.
+            if let Some(message) = self.queue.messages.pop() {
+                return Some(message);
             }
             let now = clock::now();
-            if now >= until {
+            if now >= deadline {
                 return None;
             }
-            coroutine::park_timeout(Duration::from_millis(step((until - now).div_ceil(MS))));
+            let step_ms = wait_step_ms((deadline - now).div_ceil(MS));
+            coroutine::park_timeout(Duration::from_millis(step_ms));
         }
     }
 }
 
-/// How many of these milliseconds are waited for in one step. The timers keep a list for each length that was
-/// ever asked for, so there are only so many lengths.
-fn step(ms: u64) -> u64 {
-    match ms {
-        0..=50 => ms.max(1),
-        51..=1000 => ms / 10 * 10,
-        _ => (ms / 500 * 500).min(4000),
+/// Returns how many of the milliseconds that remain are waited for in one step. Rounds down to few
+/// distinct lengths: the timers of `may` keep a list for each length that was ever asked for.
+fn wait_step_ms(remaining_ms: u64) -> u64 {
+    match remaining_ms {
+        0..=50 => remaining_ms.max(1),
+        51..=1000 => round_down(remaining_ms, 10),
+        _ => round_down(remaining_ms, 500).min(WAIT_STEP_MS_MAX),
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_wait_ends_in_time_and_a_post_ends_it_at_once() {
-        // Guards against waits of under 1 ms that never end, and waits that take twice their time.
-        for us in [1, 300, 1000, 1700, 30_000, 73_210] {
-            let late = may::go!(move || {
-                let until = clock::now() + us * 1000;
-                assert!(Mailbox::<()>::new().next(until).is_none());
-                clock::now() - until
-            });
-            let late = late.join().unwrap();
-            assert!(late < 20 * MS, "{us} us: late by {} us", late / 1000);
-        }
-        let mailbox = Mailbox::new();
-        let sender = mailbox.sender();
-        let read = may::go!(move || {
-            let since = clock::now();
-            (mailbox.next(since + 5000 * MS), clock::now() - since)
-        });
-        std::thread::sleep(Duration::from_millis(20));
-        sender.send(7);
-        let (post, took) = read.join().unwrap();
-        assert!(post == Some(7) && took < 1000 * MS);
-        let lengths: std::collections::BTreeSet<u64> = (0..100_000).map(step).collect();
-        assert!(lengths.len() < 200);
-    }
+fn round_down(value: u64, multiple: u64) -> u64 {
+    value / multiple * multiple
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/dataplane/src/mailbox/tests.rs
@@ -0,0 +1,29 @@
+//! Waits that end in time, and messages that end them.
+
+use super::*;
+
+#[test]
+fn a_wait_ends_in_time_and_a_post_ends_it_at_once() {
+    // Guards against waits of under 1 ms that never end, and waits that take twice their time.
+    for us in [1, 300, 1000, 1700, 30_000, 73_210] {
+        let late = may::go!(move || {
+            let until = clock::now() + us * 1000;
+            assert!(Mailbox::<()>::new().next(until).is_none());
+            clock::now() - until
+        });
+        let late = late.join().unwrap();
+        assert!(late < 20 * MS, "{us} us: late by {} us", late / 1000);
+    }
+    let mailbox = Mailbox::new();
+    let sender = mailbox.sender();
+    let read = may::go!(move || {
+        let since = clock::now();
+        (mailbox.next(since + 5000 * MS), clock::now() - since)
+    });
+    std::thread::sleep(Duration::from_millis(20));
+    sender.send(7);
+    let (message, took) = read.join().unwrap();
+    assert!(message == Some(7) && took < 1000 * MS);
+    let lengths: std::collections::BTreeSet<u64> = (0..100_000).map(wait_step_ms).collect();
+    assert!(lengths.len() < 200);
+}
