--- a/crates/dataplane/src/gossip/receive_limit.rs
+++ b/crates/dataplane/src/gossip/receive_limit.rs
@@ -28,7 +28,10 @@
         }
         self.received += 1;
         if self.received == FLOOD_THRESHOLD_PER_SECOND {
-            warn!("more messages than are received in a second; the rest are passed over");
+            warn!(
+                limit = FLOOD_THRESHOLD_PER_SECOND,
+                "too many gossip messages in a second, the rest are dropped"
+            );
         }
         self.received < FLOOD_THRESHOLD_PER_SECOND
     }
--- a/crates/dataplane/src/gossip/transport.rs
+++ b/crates/dataplane/src/gossip/transport.rs
@@ -54,7 +54,7 @@
 
     /// Replaces the peers' addresses.
     pub fn replace_peers(&self, peers: Vec<SocketAddr>) {
-        info!(others = peers.len(), "other balancers");
+        info!(peers = peers.len(), "gossip peers replaced");
         *self.lock_peers() = peers;
     }
 
--- a/crates/dataplane/src/health_check/exchange.rs
+++ b/crates/dataplane/src/health_check/exchange.rs
@@ -34,7 +34,7 @@
     let mut filled = 0;
     let line = connection.read_line(&mut buffer[..], &mut filled, deadline)?;
     let text = &buffer[..line.length];
-    debug!(server = server.name, answer = %String::from_utf8_lossy(text), "probe");
+    debug!(server = server.name, answer = %String::from_utf8_lossy(text), "health check answered");
     let is_last_line = line.next == filled;
     Ok(Exchange {
         answer: HealthCheckAnswer::parse(text, &settings.report_format),
--- a/crates/dataplane/src/health_check/session.rs
+++ b/crates/dataplane/src/health_check/session.rs
@@ -130,11 +130,14 @@
             // The balancer's own shortage must not count against the server, which is checked when
             // its next check is due.
             Err(HealthCheckError::NoDescriptor) => {
-                warn!(server = server.name, "no descriptor left for a probe");
+                warn!(
+                    server = server.name,
+                    "no descriptor left for a health check"
+                );
                 return;
             }
             Err(HealthCheckError::Connection(e)) => {
-                debug!(server = server.name, error = %e, "probe fails");
+                debug!(server = server.name, error = %e, "health check failed");
                 HealthCheckAnswer {
                     passed: false,
                     report: LoadReport::default(),
