--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -88,7 +88,7 @@
             if let Some(DispatcherMessage::ServiceFailed(service)) = message {
                 return Err(DispatcherError::ServiceFailed { service });
             }
-            self.health_checker.go_on();
+            self.health_checker.start_queued();
             self.handle_or_fail(message);
             if self.continue_shutdown() == ShutdownState::Complete {
                 return Ok(());
@@ -106,7 +106,7 @@
         let shutdown_step = self.shutdown.is_started().then_some(now + STEP_INTERVAL);
         let descriptor_retry = self
             .health_checker
-            .waits()
+            .has_queued()
             .then_some(now + DESCRIPTOR_RETRY_INTERVAL);
         let until = [self.next_timer, shutdown_step, descriptor_retry]
             .into_iter()
@@ -290,7 +290,7 @@
         let endpoints = self.servers.update(now, entries, scope);
         let servers = &self.servers;
         self.health_checker
-            .keep(|server_id| servers.contains(server_id));
+            .retain_listed(|server_id| servers.contains(server_id));
         self.flow_table
             .update_endpoints(now, &endpoints, scope == ListScope::Complete);
     }
--- a/crates/dataplane/src/dispatcher/commands.rs
+++ b/crates/dataplane/src/dispatcher/commands.rs
@@ -108,7 +108,7 @@
 
     fn check_health(&mut self, server_id: ServerId) {
         if let Some(server) = self.servers.get(server_id) {
-            self.health_checker.health_check(server_id, server.clone());
+            self.health_checker.check(server_id, server.clone());
         }
     }
 
