--- a/crates/testbed/src/capacity/assumptions.rs
+++ b/crates/testbed/src/capacity/assumptions.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use super::fault::Fault;
+use super::error::{AssumptionsError, CapacityError, ParameterError};
 
 /// How many values an unknown is worked out for: low, middle and high.
 pub const CASES: usize = 3;
@@ -15,7 +15,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "RawValue")]
 pub struct Parameter {
+    /// The value, over 0.
     pub value: f64,
+    /// Why it is taken.
     pub why: String,
 }
 
@@ -23,7 +25,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "RawValues")]
 pub struct Unknown {
+    /// Low, middle and high, all over 0.
     pub values: [f64; CASES],
+    /// Why they are taken.
     pub why: String,
 }
 
@@ -42,8 +46,8 @@
 }
 
 impl TryFrom<RawValue> for Parameter {
-    type Error = String;
-    fn try_from(raw: RawValue) -> Result<Self, String> {
+    type Error = ParameterError;
+    fn try_from(raw: RawValue) -> Result<Self, ParameterError> {
         check_value(raw.value, "value")?;
         check_reason(&raw.why)?;
         Ok(Parameter {
@@ -54,18 +58,21 @@
 }
 
 impl TryFrom<RawValues> for Unknown {
-    type Error = String;
-    fn try_from(raw: RawValues) -> Result<Self, String> {
+    type Error = ParameterError;
+    fn try_from(raw: RawValues) -> Result<Self, ParameterError> {
         let count = raw.values.len();
-        let values: [f64; CASES] = raw
-            .values
-            .try_into()
-            .map_err(|_| format!("`values` are {count}, not {CASES}"))?;
+        let values: [f64; CASES] =
+            raw.values
+                .try_into()
+                .map_err(|_| ParameterError::WrongCount {
+                    count,
+                    expected: CASES,
+                })?;
         values
             .iter()
             .try_for_each(|value| check_value(*value, "values"))?;
         if !values.is_sorted() {
-            return Err("`values` don't rise".into());
+            return Err(ParameterError::NotRising);
         }
         check_reason(&raw.why)?;
         Ok(Unknown {
@@ -75,16 +82,16 @@
     }
 }
 
-fn check_value(value: f64, key: &str) -> Result<(), String> {
+fn check_value(value: f64, key: &'static str) -> Result<(), ParameterError> {
     match value.is_finite() && value > 0.0 {
         true => Ok(()),
-        false => Err(format!("`{key}`: {value} is not over 0")),
+        false => Err(ParameterError::NotPositive { key, value }),
     }
 }
 
-fn check_reason(why: &str) -> Result<(), String> {
+fn check_reason(why: &str) -> Result<(), ParameterError> {
     match why.trim().is_empty() {
-        true => Err("`why` is empty".into()),
+        true => Err(ParameterError::EmptyReason),
         false => Ok(()),
     }
 }
@@ -192,8 +199,8 @@
     ///
     /// # Errors
     /// Names the file, the line and the key at fault.
-    pub fn load(file: &Path) -> Result<Self, Fault> {
-        let text = std::fs::read_to_string(file).map_err(|e| Fault::file(file, e))?;
+    pub fn load(file: &Path) -> Result<Self, CapacityError> {
+        let text = std::fs::read_to_string(file).map_err(|e| CapacityError::in_file(file, e))?;
         Self::parse(file, &text)
     }
 
@@ -201,20 +208,8 @@
     ///
     /// # Errors
     /// Names the file, the line and the key at fault.
-    pub fn parse(file: &Path, text: &str) -> Result<Self, Fault> {
-        toml::from_str(text).map_err(|e| {
-            let Some(start) = e.span().map(|span| span.start) else {
-                return Fault::file(file, e.message());
-            };
-            let line = text[..start].matches('\n').count();
-            let key = text
-                .lines()
-                .nth(line)
-                .and_then(|line| line.split_once('='))
-                .map(|(key, _)| key.trim());
-            let place = key.map_or(String::new(), |key| format!("`{key}`: "));
-            Fault::line(file, line + 1, format!("{place}{}", e.message()))
-        })
+    pub fn parse(file: &Path, text: &str) -> Result<Self, CapacityError> {
+        toml::from_str(text).map_err(|e| toml_error(file, text, e))
     }
 
     /// All entries, section by section.
@@ -228,3 +223,23 @@
         sections.into_iter().flatten().collect()
     }
 }
+
+/// Names the line and the key that the TOML reader has refused.
+fn toml_error(file: &Path, text: &str, error: toml::de::Error) -> CapacityError {
+    let start = error.span().map(|span| span.start);
+    let source = Box::new(error);
+    let Some(start) = start else {
+        return CapacityError::in_file(file, AssumptionsError::Text(source));
+    };
+    let line = text[..start].matches('\n').count();
+    let key = text
+        .lines()
+        .nth(line)
+        .and_then(|line| line.split_once('='))
+        .map(|(key, _)| key.trim().to_string());
+    let reason = match key {
+        Some(key) => AssumptionsError::Key { key, source },
+        None => AssumptionsError::Text(source),
+    };
+    CapacityError::in_line(file, line + 1, reason)
+}
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -5,7 +5,7 @@
 pub mod assumptions;
 mod cold_servers;
 pub mod deployment;
-mod fault;
+mod error;
 mod gaps;
 pub mod markdown;
 mod mechanism;
@@ -18,7 +18,9 @@
 
 use std::path::{Path, PathBuf};
 
-pub use fault::Fault;
+pub use error::{
+    AssumptionsError, CapacityError, CapacityProblem, MarkerError, ParameterError, StoredRunError,
+};
 
 use assumptions::Assumptions;
 use deployment::Deployment;
@@ -33,8 +35,11 @@
 /// Where the page and what it is worked out from are.
 #[derive(Clone, Debug)]
 pub struct Files {
+    /// The stored scale run.
     pub run: PathBuf,
+    /// The assumptions file.
     pub assumptions: PathBuf,
+    /// The page.
     pub page: PathBuf,
 }
 
@@ -42,7 +47,7 @@
 ///
 /// # Errors
 /// Names the file, line and key at fault.
-pub fn check(files: &Files) -> Result<Vec<&'static str>, Fault> {
+pub fn check(files: &Files) -> Result<Vec<&'static str>, CapacityError> {
     let blocks = load_blocks(files)?;
     page::stale_blocks(&files.page, &read(&files.page)?, &blocks)
 }
@@ -51,11 +56,11 @@
 ///
 /// # Errors
 /// Names the file, line and key at fault; nothing has been written then.
-pub fn write(files: &Files) -> Result<(), Fault> {
+pub fn write(files: &Files) -> Result<(), CapacityError> {
     let blocks = load_blocks(files)?;
     let text = page::write_blocks(&files.page, &read(&files.page)?, &blocks)?;
     let temporary = files.page.with_extension("md.new");
-    let at = |file: &Path, e: std::io::Error| Fault::file(file, e);
+    let at = |file: &Path, e: std::io::Error| CapacityError::in_file(file, e);
     std::fs::write(&temporary, text).map_err(|e| at(&temporary, e))?;
     std::fs::rename(&temporary, &files.page).map_err(|e| at(&files.page, e))
 }
@@ -64,16 +69,16 @@
 ///
 /// # Errors
 /// Names the marker at fault.
-pub fn prose(files: &Files) -> Result<String, Fault> {
+pub fn prose(files: &Files) -> Result<String, CapacityError> {
     let blocks = load_blocks(files)?;
     page::without_blocks(&files.page, &read(&files.page)?, &blocks)
 }
 
-fn read(file: &Path) -> Result<String, Fault> {
-    std::fs::read_to_string(file).map_err(|e| Fault::file(file, e))
+fn read(file: &Path) -> Result<String, CapacityError> {
+    std::fs::read_to_string(file).map_err(|e| CapacityError::in_file(file, e))
 }
 
-fn load_blocks(files: &Files) -> Result<Vec<Block>, Fault> {
+fn load_blocks(files: &Files) -> Result<Vec<Block>, CapacityError> {
     let assumptions = Assumptions::load(&files.assumptions)?;
     let run = StoredRun::load(&files.run)?;
     Ok(blocks(&assumptions, run.as_ref()))
--- a/crates/testbed/src/capacity/page.rs
+++ b/crates/testbed/src/capacity/page.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use super::fault::Fault;
+use super::error::{CapacityError, MarkerError};
 
 /// A generated part of the page.
 pub struct Block {
@@ -20,33 +20,29 @@
 }
 
 /// Where a block's text lies in the page.
-fn place(file: &Path, page: &str, name: &str) -> Result<std::ops::Range<usize>, Fault> {
+fn place(file: &Path, page: &str, name: &str) -> Result<std::ops::Range<usize>, CapacityError> {
     let (begin, end) = (begin(name), end(name));
     for marker in [&begin, &end] {
-        match page.matches(marker.as_str()).count() {
-            1 => {}
-            0 => {
-                return Err(Fault::file(
-                    file,
-                    format!("the marker '{marker}' is missing"),
-                ));
-            }
-            count => {
-                return Err(Fault::file(
-                    file,
-                    format!("the marker '{marker}' stands there {count} times"),
-                ));
-            }
-        }
+        check_marker(page, marker).map_err(|e| CapacityError::in_file(file, e))?;
     }
     let start = page.find(&begin).expect("counted above") + begin.len();
     let stop = page.find(&end).expect("counted above");
-    match start <= stop {
-        true => Ok(start..stop),
-        false => Err(Fault::file(
+    if start > stop {
+        return Err(CapacityError::in_file(
             file,
-            format!("the marker '{end}' stands before '{begin}'"),
-        )),
+            MarkerError::Reversed { begin, end },
+        ));
+    }
+    Ok(start..stop)
+}
+
+/// Checks that a marker stands in the page exactly once.
+fn check_marker(page: &str, marker: &str) -> Result<(), MarkerError> {
+    let marker = marker.to_string();
+    match page.matches(marker.as_str()).count() {
+        1 => Ok(()),
+        0 => Err(MarkerError::Missing { marker }),
+        count => Err(MarkerError::Repeated { marker, count }),
     }
 }
 
@@ -54,7 +50,7 @@
 ///
 /// # Errors
 /// Names the marker that is missing, doubled or in the wrong order.
-pub fn write_blocks(file: &Path, page: &str, blocks: &[Block]) -> Result<String, Fault> {
+pub fn write_blocks(file: &Path, page: &str, blocks: &[Block]) -> Result<String, CapacityError> {
     let mut page = page.to_string();
     for block in blocks {
         let range = place(file, &page, block.name)?;
@@ -70,7 +66,11 @@
 ///
 /// # Errors
 /// Names the marker that is missing, doubled or in the wrong order.
-pub fn stale_blocks(file: &Path, page: &str, blocks: &[Block]) -> Result<Vec<&'static str>, Fault> {
+pub fn stale_blocks(
+    file: &Path,
+    page: &str,
+    blocks: &[Block],
+) -> Result<Vec<&'static str>, CapacityError> {
     let mut stale = Vec::new();
     for block in blocks {
         let range = place(file, page, block.name)?;
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// Names the marker that is missing, doubled or in the wrong order.
-pub fn without_blocks(file: &Path, page: &str, blocks: &[Block]) -> Result<String, Fault> {
+pub fn without_blocks(file: &Path, page: &str, blocks: &[Block]) -> Result<String, CapacityError> {
     let mut page = page.to_string();
     for block in blocks {
         let range = place(file, &page, block.name)?;
--- a/crates/testbed/src/capacity/stored_run.rs
+++ b/crates/testbed/src/capacity/stored_run.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::fault::Fault;
+use super::error::{CapacityError, StoredRunError};
 pub use crate::scale::measurement::{Part, Varied};
 
 /// The first line.
@@ -72,11 +72,11 @@
     ///
     /// # Errors
     /// Names the file, the line and the key at fault.
-    pub fn load(file: &Path) -> Result<Option<Self>, Fault> {
+    pub fn load(file: &Path) -> Result<Option<Self>, CapacityError> {
         match std::fs::read_to_string(file) {
             Ok(text) => Self::parse(file, &text).map(Some),
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(Fault::file(file, e)),
+            Err(e) => Err(CapacityError::in_file(file, e)),
         }
     }
 
@@ -84,15 +84,18 @@
     ///
     /// # Errors
     /// Names the file, the line and the key at fault.
-    pub fn parse(file: &Path, text: &str) -> Result<Self, Fault> {
+    pub fn parse(file: &Path, text: &str) -> Result<Self, CapacityError> {
         let mut lines = text
             .lines()
             .enumerate()
             .map(|(index, line)| (index + 1, line));
         let (number, first) = lines
             .next()
-            .ok_or_else(|| Fault::file(file, "is empty: no run"))?;
-        let head: Head = typed(file, number, json(file, number, first)?)?;
+            .ok_or_else(|| CapacityError::in_file(file, StoredRunError::Empty))?;
+        let in_line = |number, reason| CapacityError::in_line(file, number, reason);
+        let head: Head = json(first)
+            .and_then(typed)
+            .map_err(|reason: StoredRunError| in_line(number, reason))?;
         let mut run = StoredRun {
             name: head.run,
             text: head.text,
@@ -102,7 +105,9 @@
             ranges: BTreeMap::new(),
         };
         for (number, line) in lines {
-            run.take(json(file, number, line)?, file, number)?;
+            json(line)
+                .and_then(|value| run.take(value))
+                .map_err(|reason: StoredRunError| in_line(number, reason))?;
         }
         Ok(run)
     }
@@ -152,59 +157,51 @@
         self.ranges.iter().map(|(key, range)| (*key, *range))
     }
 
-    fn take(&mut self, value: Value, file: &Path, line: usize) -> Result<(), Fault> {
+    fn take(&mut self, value: Value) -> Result<(), StoredRunError> {
         if value.get("fit").is_some() {
-            let fit: Fit = typed(file, line, value)?;
-            self.check_name(&fit.run, file, line)?;
+            let fit: Fit = typed(value)?;
+            self.check_name(&fit.run)?;
             self.take_fit(fit)
-                .map_err(|reason| Fault::line(file, line, reason))
         } else if value.get("figures").is_some() {
-            let point: Point = typed(file, line, value)?;
-            self.check_name(&point.run, file, line)?;
+            let point: Point = typed(value)?;
+            self.check_name(&point.run)?;
             self.take_point(point)
-                .map_err(|reason| Fault::line(file, line, reason))
         } else {
-            Err(Fault::line(
-                file,
-                line,
-                "neither `figures` nor `fit`: no point and no slope",
-            ))
+            Err(StoredRunError::UnknownLine)
         }
     }
 
-    fn check_name(&self, name: &str, file: &Path, line: usize) -> Result<(), Fault> {
+    fn check_name(&self, name: &str) -> Result<(), StoredRunError> {
         if name == self.name {
             return Ok(());
         }
-        Err(Fault::line(
-            file,
-            line,
-            format!("`run` is '{name}', the first line's is '{}'", self.name),
-        ))
+        Err(StoredRunError::OtherRun {
+            found: name.into(),
+            expected: self.name.clone(),
+        })
     }
 
-    fn take_fit(&mut self, fit: Fit) -> Result<(), String> {
-        let key = (fit.part, fit.varied, fit.figure.clone());
-        let what = format!(
-            "`fit` {} over {} in {}",
-            fit.figure,
-            fit.varied.name(),
-            fit.part.name()
-        );
-        match self.fits.insert(key, fit) {
-            Some(_) => Err(format!("{what}: stands there already")),
+    fn take_fit(&mut self, fit: Fit) -> Result<(), StoredRunError> {
+        let (part, varied, figure) = (fit.part, fit.varied, fit.figure.clone());
+        match self.fits.insert((part, varied, figure.clone()), fit) {
+            Some(_) => Err(StoredRunError::DuplicateFit {
+                figure,
+                varied: varied.name(),
+                part: part.name(),
+            }),
             None => Ok(()),
         }
     }
 
-    fn take_point(&mut self, point: Point) -> Result<(), String> {
+    fn take_point(&mut self, point: Point) -> Result<(), StoredRunError> {
         if point.size <= 0.0 {
-            return Err("`size` is not over 0".into());
+            return Err(StoredRunError::SizeNotPositive);
         }
         // A figure that wasn't measured at a size is null there.
         let readable = |value: &Value| value.is_number() || value.is_null();
         if let Some((name, _)) = point.figures.iter().find(|(_, value)| !readable(value)) {
-            return Err(format!("`figures.{name}` is no number"));
+            let key = format!("figures.{name}");
+            return Err(StoredRunError::NotANumber { key });
         }
         let range = self
             .ranges
@@ -216,33 +213,24 @@
     }
 }
 
-fn json(file: &Path, number: usize, line: &str) -> Result<Value, Fault> {
-    serde_json::from_str(line)
-        .map_err(|e| Fault::line(file, number, format!("no JSON object: {e}")))
+fn json(line: &str) -> Result<Value, StoredRunError> {
+    serde_json::from_str(line).map_err(StoredRunError::NotJson)
 }
 
-fn typed<T: for<'de> Deserialize<'de>>(
-    file: &Path,
-    number: usize,
-    value: Value,
-) -> Result<T, Fault> {
-    let object = value
-        .as_object()
-        .ok_or_else(|| Fault::line(file, number, "no JSON object"))?;
-    // The reader names a missing key, but not the one whose value has the wrong type.
-    let wrong = NUMBERS
-        .iter()
-        .find(|key| object.get(**key).is_some_and(|value| !value.is_number()));
-    if let Some(key) = wrong {
-        return Err(Fault::line(file, number, format!("`{key}` is no number")));
+/// Reads an object. The reader names a missing key, but not the one whose value has the wrong type:
+/// those are checked first.
+fn typed<T: for<'de> Deserialize<'de>>(value: Value) -> Result<T, StoredRunError> {
+    let object = value.as_object().ok_or(StoredRunError::NotAnObject)?;
+    let is_wrong =
+        |key: &str, right: fn(&Value) -> bool| object.get(key).is_some_and(|v| !right(v));
+    if let Some(key) = NUMBERS.iter().find(|key| is_wrong(key, Value::is_number)) {
+        let key = key.to_string();
+        return Err(StoredRunError::NotANumber { key });
     }
-    let texts = TEXTS
-        .iter()
-        .find(|key| object.get(**key).is_some_and(|value| !value.is_string()));
-    if let Some(key) = texts {
-        return Err(Fault::line(file, number, format!("`{key}` is no text")));
+    if let Some(key) = TEXTS.iter().find(|key| is_wrong(key, Value::is_string)) {
+        return Err(StoredRunError::NotAText { key });
     }
-    T::deserialize(value).map_err(|e| Fault::line(file, number, e))
+    Ok(T::deserialize(value)?)
 }
 
 /// Keys whose values are numbers.
--- a/crates/testbed/src/capacity_command.rs
+++ b/crates/testbed/src/capacity_command.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
-use nettlemux_testbed::capacity::{self, Files};
+use nettlemux_testbed::capacity::{self, CapacityError, Files};
 
 /// Arguments of `nettlemux-testbed capacity`.
 #[derive(Clone, Debug, Bpaf)]
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// Names the file, line and key at fault.
-pub fn run(arguments: &Arguments) -> Result<(String, bool), String> {
+pub fn run(arguments: &Arguments) -> Result<(String, bool), CapacityError> {
     let Arguments {
         run,
         assumptions,
@@ -43,10 +43,10 @@
     };
     let page = files.page.display();
     if write {
-        capacity::write(&files).map_err(|e| e.to_string())?;
+        capacity::write(&files)?;
         return Ok((format!("{page}: written\n"), true));
     }
-    let stale = capacity::check(&files).map_err(|e| e.to_string())?;
+    let stale = capacity::check(&files)?;
     match stale.is_empty() {
         true => Ok((format!("{page}: as run and assumptions give\n"), true)),
         false => {
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -118,7 +118,7 @@
         } => run_scale(&scenario, &program, &out, &text),
         Command::SelfCheck { sockets, program } => self_check(sockets, &program),
         Command::Capacity(arguments) => {
-            let (text, passed) = capacity_command::run(&arguments)?;
+            let (text, passed) = capacity_command::run(&arguments).map_err(|e| e.to_string())?;
             Ok(Output::new(text, passed))
         }
         Command::FaultyBalancer { name } => run_faulty_balancer(&name),
