--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -398,7 +398,7 @@
     let (table_file, plot_file) = scale::beside(out);
     let table = table::markdown(&lines.lines);
     std::fs::write(&table_file, &table).map_err(file_error(&table_file))?;
-    let plot = plot::svg(&lines.lines)?;
+    let plot = plot::svg(&lines.lines).map_err(|e| e.to_string())?;
     std::fs::write(&plot_file, plot).map_err(file_error(&plot_file))?;
     ended.map_err(|failure| failure.to_string())?;
     Ok(Output::new(table, true))
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod experiment;
 pub mod figures;
 pub mod file;
+pub mod file_error;
 pub mod mutants;
 pub mod record;
 pub mod rules;
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -18,6 +18,7 @@
 use nettlemux_settings::{DrainMigration, Settings};
 
 use super::allocation::held_bytes;
+use super::error::MeasurementError;
 use super::looked_at::{Note, servers_per_placement};
 use super::measurement::Figures;
 use super::scenario::{Counts, ModulePart};
@@ -43,7 +44,7 @@
 ///
 /// # Errors
 /// The settings can't be used.
-pub fn measure(counts: &Counts, part: &ModulePart, seed: u64) -> Result<Figures, String> {
+pub fn measure(counts: &Counts, part: &ModulePart, seed: u64) -> Result<Figures, MeasurementError> {
     let mut driver = Driver::new(counts, part, seed)?;
     let server_bytes = driver.update_endpoints(counts.servers);
     let (module_bytes, table_bytes) = driver.adopt_connection(counts);
@@ -195,16 +196,14 @@
 }
 
 impl Driver {
-    fn new(counts: &Counts, part: &ModulePart, seed: u64) -> Result<Self, String> {
+    fn new(counts: &Counts, part: &ModulePart, seed: u64) -> Result<Self, MeasurementError> {
         let of = SettingsOf {
             balancers: counts.balancers,
             probe_price: part.probe_price,
             may_gossip: part.may_gossip,
         };
-        let settings = Settings::within(&settings(of)).map_err(|e| e.to_string())?;
-        let policy = settings
-            .policy(seed, MARGIN, DrainMigration::Enabled)
-            .map_err(|e| e.to_string())?;
+        let settings = Settings::within(&settings(of))?;
+        let policy = settings.policy(seed, MARGIN, DrainMigration::Enabled)?;
         let calls = Rc::new(RefCell::new(Calls::new()));
         Ok(Driver {
             flow_table: FlowTable::new(MeasuredPolicy {
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -8,6 +8,7 @@
 
 use super::clients::{Balancer, Clients};
 use super::discovery::{Change, Discovery, Lifecycle};
+use super::error::{BalancersDied, DeadBalancer, MeasurementError};
 use super::hollow::HollowBalancer;
 use super::processes::{Launch, RealBalancer, RunFolder, Usage};
 use super::scenario::Counts;
@@ -62,7 +63,7 @@
     ///
     /// # Errors
     /// A balancer isn't ready, or addresses or files can't be had.
-    pub async fn start(plan: &FleetPlan) -> Result<Self, String> {
+    pub async fn start(plan: &FleetPlan) -> Result<Self, MeasurementError> {
         let counts = &plan.counts;
         let (listed, all) = (
             counts.servers as usize,
@@ -71,10 +72,10 @@
         let connections =
             (plan.real * counts.connections + plan.hollow * plan.hollow_connections) as f64;
         let servers =
-            Servers::start(all, listed, connections).map_err(|e| format!("hollow servers: {e}"))?;
+            Servers::start(all, listed, connections).map_err(MeasurementError::Servers)?;
         let discovery = Discovery::start()
             .await
-            .map_err(|e| format!("discovery: {e}"))?;
+            .map_err(MeasurementError::Discovery)?;
         let ready = |server| Change {
             server,
             address: servers.address(server),
@@ -174,8 +175,8 @@
     ///
     /// # Errors
     /// Names them, with the end of their logs.
-    pub fn all_alive(&self) -> Result<(), String> {
-        let died: Vec<String> = self
+    pub fn all_alive(&self) -> Result<(), BalancersDied> {
+        let died: Vec<DeadBalancer> = self
             .real
             .iter()
             .filter_map(|balancer| balancer.died())
@@ -183,7 +184,7 @@
         if died.is_empty() {
             Ok(())
         } else {
-            Err(died.join("\n"))
+            Err(BalancersDied(died))
         }
     }
 
--- a/crates/testbed/src/scale/measurement.rs
+++ b/crates/testbed/src/scale/measurement.rs
@@ -314,13 +314,28 @@
     }
 }
 
+/// A line of a run that cannot be read.
+#[derive(Debug, thiserror::Error)]
+#[error("line {line}: {source}")]
+pub struct LineError {
+    /// The line, counted from one.
+    pub line: usize,
+    /// What the JSON reader found.
+    pub source: serde_json::Error,
+}
+
 /// Reads the lines of a run.
 ///
 /// # Errors
 /// Names the line that is none.
-pub fn read(text: &str) -> Result<Vec<Line>, String> {
+pub fn read(text: &str) -> Result<Vec<Line>, LineError> {
     let lines = text.lines().enumerate();
     lines
-        .map(|(at, line)| serde_json::from_str(line).map_err(|e| format!("line {}: {e}", at + 1)))
+        .map(|(index, line)| {
+            serde_json::from_str(line).map_err(|source| LineError {
+                line: index + 1,
+                source,
+            })
+        })
         .collect()
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -8,6 +8,7 @@
 mod clients;
 pub mod decisions;
 mod discovery;
+mod error;
 pub mod fit;
 mod fleet;
 mod hollow;
@@ -27,9 +28,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+pub use error::{BalancersDied, DeadBalancer, MeasurementError, ScaleRunError};
+
 use fit::{LinearFit, least_squares};
 use fleet::FleetPlan;
-use limits::{Exceeded, Limits, Need};
+use limits::{Limits, Need};
 use measurement::{Figures, Fixed, Line, LineWriter, Machine, Part, Varied};
 use scenario::{Counts, ModulePart, ScaleScenario, SocketPart, StormPart};
 use storms::Storm;
@@ -45,55 +48,6 @@
 /// In a storm clients live until their connection is lost.
 const UNLIMITED_LIFE: Option<f64> = None;
 
-/// Why a run ended before its end. What was measured up to then is written.
-#[derive(Debug)]
-pub enum Failure {
-    /// The size that would pass a limit, by its part, count and size.
-    Limit {
-        part: Part,
-        varied: Varied,
-        size: f64,
-        exceeded: Exceeded,
-    },
-    /// A size that couldn't be measured.
-    Run {
-        part: Part,
-        varied: Varied,
-        size: f64,
-        why: String,
-    },
-    Write(std::io::Error),
-}
-
-impl std::fmt::Display for Failure {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        match self {
-            Failure::Limit {
-                part,
-                varied,
-                size,
-                exceeded,
-            } => {
-                write!(
-                    f,
-                    "{} with {} = {size} {exceeded}; stopped before it",
-                    part.name(),
-                    varied.name()
-                )
-            }
-            Failure::Run {
-                part,
-                varied,
-                size,
-                why,
-            } => {
-                write!(f, "{} with {} = {size}: {why}", part.name(), varied.name())
-            }
-            Failure::Write(error) => write!(f, "the run's lines can't be written: {error}"),
-        }
-    }
-}
-
 /// One size of one count.
 #[derive(Clone, Copy)]
 struct At {
@@ -103,24 +57,26 @@
 }
 
 impl At {
-    fn limit(&self, limits: &Limits, need: Need) -> Result<(), Failure> {
+    fn limit(&self, limits: &Limits, need: Need) -> Result<(), ScaleRunError> {
         let At {
             part, varied, size, ..
         } = *self;
-        limits.allow(&need).map_err(|exceeded| Failure::Limit {
-            part,
-            varied,
-            size,
-            exceeded,
-        })
+        limits
+            .allow(&need)
+            .map_err(|exceeded| ScaleRunError::Limit {
+                part,
+                varied,
+                size,
+                exceeded,
+            })
     }
 
-    fn failed(&self, why: String) -> Failure {
-        Failure::Run {
+    fn failed(&self, source: MeasurementError) -> ScaleRunError {
+        ScaleRunError::Measurement {
             part: self.part,
             varied: self.varied,
             size: self.size,
-            why,
+            source,
         }
     }
 }
@@ -151,7 +107,7 @@
     /// # Errors
     /// A size would pass a limit or failed, or a line couldn't be written. What was measured before
     /// it is written.
-    pub fn all(&mut self, text: &str) -> Result<(), Failure> {
+    pub fn all(&mut self, text: &str) -> Result<(), ScaleRunError> {
         let (run, machine) = (self.scenario.name.clone(), machine(&self.limits));
         self.write(Line::Start {
             run,
@@ -171,7 +127,7 @@
         Ok(())
     }
 
-    fn module(&mut self, part: &ModulePart) -> Result<(), Failure> {
+    fn module(&mut self, part: &ModulePart) -> Result<(), ScaleRunError> {
         for (varied, sizes) in part.sizes.all() {
             let mut measured = Vec::new();
             for size in sizes {
@@ -183,7 +139,7 @@
                 };
                 at.limit(&self.limits, limits::of_module(&counts, part))?;
                 let figures = decisions::measure(&counts, part, self.scenario.seed);
-                let figures = figures.map_err(|why| at.failed(why))?;
+                let figures = figures.map_err(|e| at.failed(e))?;
                 let fixed = Fixed {
                     probe_price: Some(part.probe_price),
                     ..Fixed::new(counts)
@@ -196,7 +152,7 @@
         Ok(())
     }
 
-    fn sockets(&mut self, part: &SocketPart) -> Result<(), Failure> {
+    fn sockets(&mut self, part: &SocketPart) -> Result<(), ScaleRunError> {
         for (varied, sizes) in part.sizes.all() {
             let mut measured = Vec::new();
             for size in sizes {
@@ -211,8 +167,7 @@
                     limits::of_sockets(&counts, part, self.limits.descriptors),
                 )?;
                 let plan = self.socket_plan(&counts, part);
-                let figures =
-                    on_threads(steady::measure(&plan, part)).map_err(|why| at.failed(why))?;
+                let figures = on_threads(steady::measure(&plan, part)).map_err(|e| at.failed(e))?;
                 let fixed = Fixed {
                     real_balancers: Some(plan.real),
                     hollow_balancers: Some(plan.hollow),
@@ -248,7 +203,7 @@
         }
     }
 
-    fn storms(&mut self, part: &StormPart) -> Result<(), Failure> {
+    fn storms(&mut self, part: &StormPart) -> Result<(), ScaleRunError> {
         let counts = part.fixed;
         let plan = FleetPlan {
             counts,
@@ -303,7 +258,7 @@
                 limits::of_storm(part, self.limits.descriptors),
             )?;
             let figures =
-                on_threads(storms::measure(&plan, part, storm)).map_err(|why| at.failed(why))?;
+                on_threads(storms::measure(&plan, part, storm)).map_err(|e| at.failed(e))?;
             self.write_measurement(at, fixed, &figures)?;
         }
         Ok(())
@@ -314,7 +269,7 @@
         at: At,
         fixed: Fixed,
         figures: &Figures,
-    ) -> Result<(), Failure> {
+    ) -> Result<(), ScaleRunError> {
         let At {
             part, varied, size, ..
         } = at;
@@ -334,7 +289,7 @@
         part: Part,
         varied: Varied,
         measured: &[(f64, Figures)],
-    ) -> Result<(), Failure> {
+    ) -> Result<(), ScaleRunError> {
         for (name, points) in by_figure(measured) {
             if let Some(LinearFit {
                 intercept,
@@ -357,8 +312,8 @@
         Ok(())
     }
 
-    fn write(&mut self, line: Line) -> Result<(), Failure> {
-        self.out.write(line).map_err(Failure::Write)
+    fn write(&mut self, line: Line) -> Result<(), ScaleRunError> {
+        self.out.write(line).map_err(ScaleRunError::Write)
     }
 }
 
@@ -382,12 +337,14 @@
 }
 
 /// Runs a fleet on threads of its own, which end with it.
-fn on_threads(work: impl Future<Output = Result<Figures, String>>) -> Result<Figures, String> {
+fn on_threads(
+    work: impl Future<Output = Result<Figures, MeasurementError>>,
+) -> Result<Figures, MeasurementError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(THREADS)
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("can't start threads: {e}"))?;
+    let runtime = runtime.map_err(MeasurementError::Threads)?;
     let figures = runtime.block_on(work);
     runtime.shutdown_timeout(SHUTDOWN);
     figures
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -29,11 +29,32 @@
 /// The least value that is drawn where an axis is logarithmic.
 const LEAST: f64 = 0.01;
 
+/// What the drawing library says of a panel or a page.
+type DrawingError = DrawingAreaErrorKind<std::io::Error>;
+
+/// A plot that cannot be drawn.
+#[derive(Debug, thiserror::Error)]
+pub enum PlotError {
+    /// The page as a whole.
+    #[error(transparent)]
+    Page(#[from] DrawingError),
+    /// One panel.
+    #[error("{} by {}: {source}", .part.name(), .varied.name())]
+    Panel {
+        /// The part of the run that the panel shows.
+        part: Part,
+        /// The count that grows.
+        varied: Varied,
+        /// What the drawing library says.
+        source: DrawingError,
+    },
+}
+
 /// Draws a run as SVG.
 ///
 /// # Errors
 /// As drawing has them.
-pub fn svg(lines: &[Line]) -> Result<String, String> {
+pub fn svg(lines: &[Line]) -> Result<String, PlotError> {
     let kinds: Vec<(Part, Varied)> = kinds(lines)
         .into_iter()
         .filter(|(part, _)| *part != Part::Storm)
@@ -43,24 +64,23 @@
     let mut text = String::new();
     {
         let root = SVGBackend::with_string(&mut text, size).into_drawing_area();
-        root.fill(&WHITE).map_err(|e| e.to_string())?;
+        root.fill(&WHITE)?;
         let panels = root.split_evenly((rows, COLUMNS));
         for (kind, panel) in kinds.iter().zip(&panels) {
-            draw(panel, lines, *kind)
-                .map_err(|e| format!("{} by {}: {e}", kind.0.name(), kind.1.name()))?;
+            draw(panel, lines, *kind).map_err(|source| PlotError::Panel {
+                part: kind.0,
+                varied: kind.1,
+                source,
+            })?;
         }
-        root.present().map_err(|e| e.to_string())?;
+        root.present()?;
     }
     Ok(text)
 }
 
 type Panel<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-fn draw(
-    panel: &Panel,
-    lines: &[Line],
-    kind: (Part, Varied),
-) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(panel: &Panel, lines: &[Line], kind: (Part, Varied)) -> Result<(), DrawingError> {
     let series = series(lines, kind);
     let values = || series.iter().flat_map(|(_, points)| points);
     let bounds = |of: fn(&(f64, f64)) -> f64| {
--- a/crates/testbed/src/scale/processes.rs
+++ b/crates/testbed/src/scale/processes.rs
@@ -14,6 +14,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+use super::error::{DeadBalancer, MeasurementError};
+use crate::file_error::FileError;
+
 /// A balancer must be ready by then.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_INTERVAL: Duration = Duration::from_millis(20);
@@ -38,12 +41,12 @@
     ///
     /// # Errors
     /// Names the folder that can't be made.
-    pub fn new() -> Result<Self, String> {
+    pub fn new() -> Result<Self, FileError> {
         static MADE: AtomicU16 = AtomicU16::new(0);
         let number = MADE.fetch_add(1, Relaxed);
         let path =
             std::env::temp_dir().join(format!("nettlemux-scale-{}-{number}", std::process::id()));
-        fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        fs::create_dir_all(&path).map_err(FileError::at(&path))?;
         Ok(RunFolder { path })
     }
 }
@@ -109,7 +112,7 @@
     ///
     /// # Errors
     /// Names the program or the file at fault.
-    pub fn start(number: usize, launch: &Launch, folder: &RunFolder) -> Result<Self, String> {
+    pub fn start(number: usize, launch: &Launch, folder: &RunFolder) -> Result<Self, FileError> {
         let process = std::process::id();
         let [second, third] = [96 + process % 32, 1 + process / 32 % 250].map(|byte| byte as u8);
         let address = SocketAddr::from((
@@ -126,7 +129,7 @@
             "settings": launch.settings,
         });
         let path = folder.path.join(format!("b{number}.json"));
-        fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+        fs::write(&path, config.to_string()).map_err(FileError::at(&path))?;
         let balancer = RealBalancer {
             address,
             number,
@@ -144,20 +147,16 @@
     ///
     /// # Errors
     /// Names the program or the file at fault.
-    pub fn spawn(&self) -> Result<(), String> {
+    pub fn spawn(&self) -> Result<(), FileError> {
         let log = File::options().create(true).append(true).open(&self.log);
-        let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
-        let copy = log
-            .try_clone()
-            .map_err(|e| format!("{}: {e}", self.log.display()))?;
+        let log = log.map_err(FileError::at(&self.log))?;
+        let copy = log.try_clone().map_err(FileError::at(&self.log))?;
         let mut command = Command::new(&self.program);
         command
             .args(["serve", "--log", "warn", "--config"])
             .arg(&self.config);
         command.stdin(Stdio::null()).stdout(copy).stderr(log);
-        let child = command
-            .spawn()
-            .map_err(|e| format!("{}: {e}", self.program.display()))?;
+        let child = command.spawn().map_err(FileError::at(&self.program))?;
         *self.child() = Some(child);
         Ok(())
     }
@@ -166,7 +165,7 @@
     ///
     /// # Errors
     /// It doesn't in time; with the end of its log.
-    pub async fn wait_until_ready(&self) -> Result<(), String> {
+    pub async fn wait_until_ready(&self) -> Result<(), MeasurementError> {
         let ready = async {
             while !answers_ping(self.address).await {
                 tokio::time::sleep(READY_INTERVAL).await;
@@ -177,11 +176,10 @@
         if in_time {
             Ok(())
         } else {
-            Err(format!(
-                "balancer {} isn't ready:\n{}",
-                self.number,
-                self.log_end()
-            ))
+            Err(MeasurementError::NotReady {
+                number: self.number,
+                log_end: self.log_end(),
+            })
         }
     }
 
@@ -199,13 +197,16 @@
         }
     }
 
-    /// That it has ended by itself, with the end of its log.
-    pub fn died(&self) -> Option<String> {
+    /// Returns that it has ended by itself, with the end of its log.
+    pub fn died(&self) -> Option<DeadBalancer> {
         let ended = self
             .child()
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
-        ended.then(|| format!("balancer {} died:\n{}", self.number, self.log_end()))
+        ended.then(|| DeadBalancer {
+            number: self.number,
+            log_end: self.log_end(),
+        })
     }
 
     /// What it uses; nothing where it doesn't run.
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -6,6 +6,7 @@
 
 use hdrhistogram::Histogram;
 
+use super::error::MeasurementError;
 use super::fleet::{Fleet, FleetPlan, Replacement};
 use super::measurement::Figures;
 use super::processes::Usage;
@@ -52,7 +53,7 @@
 ///
 /// # Errors
 /// It can't be started, or a balancer died.
-pub async fn measure(plan: &FleetPlan, part: &SocketPart) -> Result<Figures, String> {
+pub async fn measure(plan: &FleetPlan, part: &SocketPart) -> Result<Figures, MeasurementError> {
     let mut fleet = Fleet::start(plan).await?;
     tokio::time::sleep(Duration::from_secs_f64(part.settle_seconds)).await;
     let up = fleet.clients.up();
--- a/crates/testbed/src/scale/storms.rs
+++ b/crates/testbed/src/scale/storms.rs
@@ -6,6 +6,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
+use super::error::MeasurementError;
 use super::fleet::{Fleet, FleetPlan};
 use super::measurement::Figures;
 use super::scenario::StormPart;
@@ -47,7 +48,11 @@
 ///
 /// # Errors
 /// It can't be started, or a balancer died by itself.
-pub async fn measure(plan: &FleetPlan, part: &StormPart, storm: Storm) -> Result<Figures, String> {
+pub async fn measure(
+    plan: &FleetPlan,
+    part: &StormPart,
+    storm: Storm,
+) -> Result<Figures, MeasurementError> {
     let mut fleet = Fleet::start(plan).await?;
     tokio::time::sleep(Duration::from_secs_f64(part.settle_seconds)).await;
     let up = fleet.clients.up();
@@ -101,7 +106,7 @@
 
 /// Kills the same part of the real and of the hollow balancers at once, and starts them again a
 /// little later.
-async fn kill_and_restart(fleet: &Fleet, part: &StormPart) -> Result<(), String> {
+async fn kill_and_restart(fleet: &Fleet, part: &StormPart) -> Result<(), MeasurementError> {
     let share = part.killed as f64 / part.fixed.balancers as f64;
     let of_real = (share * fleet.real.len() as f64).round() as usize;
     let of_hollow = (part.killed as usize)
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -605,6 +605,7 @@
     assert!(
         measurement::read(&broken)
             .unwrap_err()
+            .to_string()
             .starts_with("line 2:")
     );
 }
