--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -63,17 +63,22 @@
     }
 }
 
+/// A name that no policy has.
+#[derive(Debug, thiserror::Error)]
+#[error("'{name}' is none of module, random, round-robin, least-connections, power-of-two")]
+pub struct UnknownPolicy {
+    /// The name that was given.
+    pub name: String,
+}
+
 impl FromStr for PolicyKind {
-    type Err = String;
-    fn from_str(name: &str) -> Result<Self, String> {
+    type Err = UnknownPolicy;
+    fn from_str(name: &str) -> Result<Self, UnknownPolicy> {
         let mut all = PolicyKind::BASELINES
             .into_iter()
             .chain([PolicyKind::Nettlemux]);
-        all.find(|kind| kind.name() == name).ok_or_else(|| {
-            format!(
-                "'{name}' is none of module, random, round-robin, least-connections, power-of-two"
-            )
-        })
+        all.find(|kind| kind.name() == name)
+            .ok_or_else(|| UnknownPolicy { name: name.into() })
     }
 }
 
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -3,17 +3,18 @@
 //! occasion, and must never count a break of another rule as a catch.
 
 use std::fmt::Write;
+use std::io;
 use std::path::Path;
 
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_policy::MS;
 
 use crate::baselines::PolicyKind;
-use crate::file;
+use crate::file::{self, ScenarioFileError};
 use crate::mutants::Mutant;
 use crate::rules::Verdict;
 use crate::simulate::{PolicyChoice, simulate};
-use crate::sockets::{self, Program};
+use crate::sockets::{self, Outcome, Program, SocketRunError};
 
 const SCENARIO: (&str, &str) = (
     "testbed/scenarios/self-check.toml",
@@ -61,6 +62,27 @@
         );
     }
 
+    /// Reports a run on sockets; one that is void is no pass, but a break that was seen was seen,
+    /// however slow the machine.
+    fn socket_run(&mut self, run: &CheckedRun, outcome: &Outcome) {
+        match (run.mutant, &outcome.void) {
+            (Some(mutant), _) => self.caught(&run.name, mutant, &outcome.verdict),
+            (None, Some(void)) => self.say(&run.name, false, &format!("void: {void}")),
+            (None, None) => self.sound_socket_run(&run.name, outcome),
+        }
+    }
+
+    fn sound_socket_run(&mut self, name: &str, outcome: &Outcome) {
+        self.sound(name, &outcome.verdict);
+        for example in &outcome.verdict.examples {
+            let at_ms = example.at / MS;
+            self.text += &format!("     {:?} at {at_ms} ms: {}\n", example.rule, example.what);
+        }
+        for why in &outcome.died {
+            self.say(name, false, why);
+        }
+    }
+
     fn closed(mut self) -> (String, bool) {
         let good = self.missed == 0;
         writeln!(
@@ -74,20 +96,48 @@
     }
 }
 
-fn scenario((name, text): (&str, &str)) -> Result<Scenario, String> {
-    let table: toml::Table = text
-        .parse()
-        .map_err(|e: toml::de::Error| format!("{name}: {e}"))?;
-    file::read(&table, Path::new(name)).map_err(|e| e.to_string())
+/// Why the rule checker could not be checked.
+#[derive(Debug, thiserror::Error)]
+pub enum CheckError {
+    /// A scenario of the check is no TOML.
+    #[error("{file}: {source}")]
+    Toml {
+        /// The scenario's file.
+        file: &'static str,
+        /// What the TOML reader found.
+        source: Box<toml::de::Error>,
+    },
+    /// A scenario of the check is faulty.
+    #[error(transparent)]
+    ScenarioFile(#[from] ScenarioFileError),
+    /// A run in virtual time could not be made.
+    #[error(transparent)]
+    Simulation(#[from] io::Error),
+    /// A run on sockets could not be made.
+    #[error("{name}: {source}")]
+    SocketRun {
+        /// What was run.
+        name: String,
+        /// Why it could not be made.
+        source: SocketRunError,
+    },
+}
+
+fn scenario((file, text): (&'static str, &str)) -> Result<Scenario, CheckError> {
+    let table: toml::Table = text.parse().map_err(|e| CheckError::Toml {
+        file,
+        source: Box::new(e),
+    })?;
+    Ok(file::read(&table, Path::new(file))?)
 }
 
 /// In virtual time: what to print, and whether the rule checker is to be trusted.
 ///
 /// # Errors
 /// The scenario is faulty.
-pub fn self_check() -> Result<(String, bool), String> {
+pub fn self_check() -> Result<(String, bool), CheckError> {
     let scenario = scenario(SCENARIO)?;
-    let run = |who| simulate(&scenario, scenario.seed, who, None).map_err(|e| e.to_string());
+    let run = |who| simulate(&scenario, scenario.seed, who, None);
     let mut report = CheckReport::default();
     report.sound(
         "sound",
@@ -103,64 +153,75 @@
     Ok(report.closed())
 }
 
-/// The same on sockets, with small balancers started from this program (`lab`) and, where it is
+/// The same on sockets, with small balancers started from the testbed's program and, where it is
 /// named, the real one. All run side by side, each between stand-ins of its own.
 ///
 /// # Errors
 /// The scenario is faulty or a run could not be made; a run that is void is no pass.
-pub fn on_sockets(lab: &Path, real: Option<&Path>) -> Result<(String, bool), String> {
+pub fn on_sockets(testbed: &Path, real: Option<&Path>) -> Result<(String, bool), CheckError> {
     let scenario = scenario(ON_SOCKETS)?;
-    let small = |name: &str| Program {
-        path: lab.into(),
-        args: vec!["faulty-balancer".into(), name.into()],
-    };
-    let mut runs = vec![("sound, on sockets".to_string(), None, small("sound"))];
-    if let Some(path) = real {
-        let program = Program {
-            path: path.into(),
-            args: vec!["serve".into()],
-        };
-        runs.push(("the balancer itself, on sockets".into(), None, program));
-    }
-    for mutant in Mutant::ALL {
-        let name = mutant.name();
-        runs.push((format!("{name}, on sockets"), Some(mutant), small(name)));
-    }
     let mut report = CheckReport::default();
     // A few at a time: the stand-ins of all at once would need more cores than there are.
-    for some in runs.chunks(AT_ONCE) {
-        let done: Vec<_> = std::thread::scope(|scope| {
-            let start = |(_, _, program): &(String, Option<Mutant>, Program)| {
-                let (scenario, program) = (&scenario, program.clone());
-                scope.spawn(move || sockets::run(scenario, scenario.seed, &program, None, None))
-            };
-            let all: Vec<_> = some.iter().map(start).collect();
-            all.into_iter()
-                .map(|one| one.join().unwrap_or_else(|_| Err("it panicked".into())))
-                .collect()
-        });
-        for ((name, mutant, _), outcome) in some.iter().zip(done) {
-            let outcome = outcome.map_err(|why| format!("{name}: {why}"))?;
-            match (mutant, &outcome.void) {
-                // A break that was seen was seen, however slow the machine.
-                (Some(mutant), _) => report.caught(name, *mutant, &outcome.verdict),
-                (None, Some(void)) => report.say(name, false, &format!("void: {void}")),
-                (None, None) => {
-                    report.sound(name, &outcome.verdict);
-                    for one in outcome.verdict.examples.iter() {
-                        report.text +=
-                            &format!("     {:?} at {} ms: {}\n", one.rule, one.at / MS, one.what);
-                    }
-                    outcome
-                        .died
-                        .iter()
-                        .for_each(|why| report.say(name, false, why));
-                }
-            }
+    for runs in checked_runs(testbed, real).chunks(CONCURRENT_RUNS) {
+        for (run, outcome) in runs.iter().zip(run_side_by_side(&scenario, runs)) {
+            let outcome = outcome.map_err(|source| CheckError::SocketRun {
+                name: run.name.clone(),
+                source,
+            })?;
+            report.socket_run(run, &outcome);
         }
     }
     Ok(report.closed())
 }
 
+/// A run on sockets that the rule checker must judge rightly.
+struct CheckedRun {
+    name: String,
+    /// What it breaks; none where it is sound.
+    mutant: Option<Mutant>,
+    program: Program,
+}
+
+/// All runs on sockets, the sound ones first.
+fn checked_runs(testbed: &Path, real: Option<&Path>) -> Vec<CheckedRun> {
+    let small = |name: &str| Program {
+        path: testbed.into(),
+        args: vec!["faulty-balancer".into(), name.into()],
+    };
+    let sound = CheckedRun {
+        name: "sound, on sockets".into(),
+        mutant: None,
+        program: small("sound"),
+    };
+    let real = real.map(|path| CheckedRun {
+        name: "the balancer itself, on sockets".into(),
+        mutant: None,
+        program: Program::serving(path.into()),
+    });
+    let mutants = Mutant::ALL.into_iter().map(|mutant| CheckedRun {
+        name: format!("{}, on sockets", mutant.name()),
+        mutant: Some(mutant),
+        program: small(mutant.name()),
+    });
+    std::iter::once(sound).chain(real).chain(mutants).collect()
+}
+
+/// Makes the runs at the same time, each on a thread of its own.
+fn run_side_by_side(
+    scenario: &Scenario,
+    runs: &[CheckedRun],
+) -> Vec<Result<Outcome, SocketRunError>> {
+    std::thread::scope(|scope| {
+        let start = |run: &CheckedRun| {
+            let program = run.program.clone();
+            scope.spawn(move || sockets::run(scenario, scenario.seed, &program, None, None))
+        };
+        let all: Vec<_> = runs.iter().map(start).collect();
+        all.into_iter()
+            .map(|thread| thread.join().unwrap_or(Err(SocketRunError::Panicked)))
+            .collect()
+    })
+}
+
 /// Runs on sockets at a time.
-const AT_ONCE: usize = 4;
+const CONCURRENT_RUNS: usize = 4;
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -1,109 +1,88 @@
 //! Scenario files: read, checked, changed by a key for a sweep, and turned into the settings that a
 //! balancer gets. It owns the errors that name file, key and reason. It must never run anything.
 
-use std::fmt;
-use std::path::{Path, PathBuf};
+mod error;
+
+use std::path::Path;
 
 use nettlemux_admission::AdmissionConfig;
-use nettlemux_fleet_model::scenario::{IdempotencySetting, Scenario, Weights};
+use nettlemux_fleet_model::scenario::{Expect, IdempotencySetting, Scenario, Weights};
 use nettlemux_policy::Time;
 use nettlemux_settings::{nearest_name, operator};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
+pub use error::{ScenarioFileError, ScenarioProblem, SetKeyError};
+
 /// The key that is named where none is known.
 pub(crate) const WHOLE_FILE: &str = "(whole file)";
 
-/// What is wrong with a scenario, and where.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ScenarioFileError {
-    /// The file.
-    pub file: PathBuf,
-    /// The key at fault, with the tables that it stands in.
-    pub key: String,
-    /// Why its value cannot be used.
-    pub why: String,
-}
-
-impl fmt::Display for ScenarioFileError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(
-            f,
-            "{}: key '{}': {}",
-            self.file.display(),
-            self.key,
-            self.why
-        )
-    }
-}
-
 /// Reads a scenario's file.
 ///
 /// # Errors
 /// Names the file and the key at fault; an unknown key with the nearest known one.
 pub fn load(file: &Path) -> Result<(Scenario, toml::Table), ScenarioFileError> {
-    let faulty = |key: &str, why: String| ScenarioFileError {
-        file: file.into(),
-        key: key.into(),
-        why,
-    };
-    let text = std::fs::read_to_string(file).map_err(|e| faulty(WHOLE_FILE, e.to_string()))?;
+    let whole = |problem| ScenarioFileError::new(file, WHOLE_FILE, problem);
+    let text = std::fs::read_to_string(file).map_err(|e| whole(ScenarioProblem::Io(e)))?;
     let table: toml::Table = text
         .parse()
-        .map_err(|e: toml::de::Error| faulty(WHOLE_FILE, e.to_string()))?;
+        .map_err(|e: toml::de::Error| whole(ScenarioProblem::Toml(Box::new(e))))?;
     Ok((read(&table, file)?, table))
 }
 
 /// Reads a scenario that is in hand already; `file` is named in errors.
+///
+/// # Errors
+/// As [`load`].
 pub fn read(table: &toml::Table, file: &Path) -> Result<Scenario, ScenarioFileError> {
-    let faulty = |key: String, why: String| ScenarioFileError {
-        file: file.into(),
-        key,
-        why,
-    };
     let scenario = Scenario::deserialize(table.clone()).map_err(|e| {
-        let (key, why) = complaint(e.message());
-        faulty(key, why)
+        let (key, problem) = key_and_problem(e.message());
+        ScenarioFileError::new(file, key, problem)
+    })?;
+    scenario.check().map_err(|error| {
+        ScenarioFileError::new(file, error.key, ScenarioProblem::Invalid(error.reason))
     })?;
-    scenario
-        .check()
-        .map_err(|error| faulty(error.key, error.reason))?;
     for (name, expect) in &scenario.expect {
-        let names = crate::figures::NAMES.map(|(name, _)| name);
-        if !names.contains(&name.as_str()) {
-            let near = nearest_name(name, names)
-                .map_or(names.join(", "), |near| format!("is '{near}' meant?"));
-            return Err(faulty(
-                format!("expect.{name}"),
-                format!("no figure; {near}"),
-            ));
-        }
-        if expect.min.is_none() && expect.max.is_none() {
-            return Err(faulty(
-                format!("expect.{name}"),
-                "neither min nor max".into(),
-            ));
-        }
+        check_expectation(name, expect)
+            .map_err(|problem| ScenarioFileError::new(file, format!("expect.{name}"), problem))?;
     }
     Ok(scenario)
 }
 
-/// A key and a reason out of what the reader says: it sets names in backticks.
-pub(crate) fn complaint(message: &str) -> (String, String) {
+/// Checks that an expectation names a figure and a bound.
+fn check_expectation(name: &str, expect: &Expect) -> Result<(), ScenarioProblem> {
+    let names = crate::figures::NAMES.map(|(name, _)| name);
+    if !names.contains(&name) {
+        return Err(ScenarioProblem::UnknownFigure {
+            nearest: nearest_name(name, names).map(String::from),
+            known: names.join(", "),
+        });
+    }
+    match expect.min.is_none() && expect.max.is_none() {
+        true => Err(ScenarioProblem::NoBound),
+        false => Ok(()),
+    }
+}
+
+/// Returns the key and the problem that the TOML reader speaks of: it sets names in backticks.
+pub(crate) fn key_and_problem(message: &str) -> (String, ScenarioProblem) {
     let mut names = message.split('`').skip(1).step_by(2);
     match (message.starts_with("unknown field"), names.next()) {
         (true, Some(name)) => {
             let known: Vec<&str> = names.collect();
-            let near = nearest_name(name, known.iter().copied());
-            let near = near.map_or(format!("there are {}", known.join(", ")), |n| {
-                format!("is '{n}' meant?")
-            });
-            (name.to_string(), format!("unknown; {near}"))
+            let problem = ScenarioProblem::UnknownKey {
+                nearest: nearest_name(name, known.iter().copied()).map(String::from),
+                known: known.join(", "),
+            };
+            (name.to_string(), problem)
         }
         (false, Some(name)) if message.starts_with("missing field") => {
-            (name.to_string(), "missing".into())
+            (name.to_string(), ScenarioProblem::Missing)
+        }
+        _ => {
+            let message = message.trim().to_string();
+            (WHOLE_FILE.into(), ScenarioProblem::Unreadable(message))
         }
-        _ => (WHOLE_FILE.into(), message.trim().to_string()),
     }
 }
 
@@ -111,38 +90,53 @@
 ///
 /// # Errors
 /// The path leads nowhere.
-pub fn set(table: &mut toml::Table, path: &str, value: f64) -> Result<(), String> {
-    let (first, rest) = path.split_once('.').unwrap_or((path, ""));
-    let number = |old: Option<&toml::Value>| match old {
-        Some(toml::Value::Integer(_)) => toml::Value::Integer(value.round() as i64),
-        None if value.fract() == 0.0 => toml::Value::Integer(value as i64),
-        _ => toml::Value::Float(value),
-    };
-    if rest.is_empty() {
-        let new = number(table.get(first));
-        table.insert(first.into(), new);
+pub fn set(table: &mut toml::Table, path: &str, value: f64) -> Result<(), SetKeyError> {
+    let Some((first, rest)) = path.split_once('.').filter(|(_, rest)| !rest.is_empty()) else {
+        let key = path.split('.').next().unwrap_or(path);
+        let new = number_like(table.get(key), value);
+        table.insert(key.into(), new);
         return Ok(());
-    }
+    };
     match table.get_mut(first) {
         Some(toml::Value::Table(inner)) => set(inner, rest, value),
         Some(toml::Value::Array(list)) => {
             let (index, key) = rest
                 .split_once('.')
-                .ok_or(format!("'{path}' names no key in a list"))?;
-            let index: usize = index
-                .parse()
-                .map_err(|_| format!("'{index}' is no place in '{first}'"))?;
-            let inner = list.get_mut(index).and_then(toml::Value::as_table_mut);
-            set(
-                inner.ok_or(format!("'{first}' has no place {index}"))?,
-                key,
-                value,
-            )
+                .ok_or_else(|| SetKeyError::NoKeyInList { path: path.into() })?;
+            let inner = table_in_list(list, first, index)?;
+            set(inner, key, value)
         }
-        _ => Err(format!("there is no '{first}'")),
+        _ => Err(SetKeyError::NoSuchKey { key: first.into() }),
     }
 }
 
+/// A number of the kind of the old value; an integer where there is none and it is whole.
+fn number_like(old: Option<&toml::Value>, value: f64) -> toml::Value {
+    match old {
+        Some(toml::Value::Integer(_)) => toml::Value::Integer(value.round() as i64),
+        None if value.fract() == 0.0 => toml::Value::Integer(value as i64),
+        _ => toml::Value::Float(value),
+    }
+}
+
+/// The table at a place of a list, which stands under `key`.
+fn table_in_list<'a>(
+    list: &'a mut [toml::Value],
+    key: &str,
+    index: &str,
+) -> Result<&'a mut toml::Table, SetKeyError> {
+    let place: usize = index.parse().map_err(|_| SetKeyError::NotAnIndex {
+        index: index.into(),
+        key: key.into(),
+    })?;
+    list.get_mut(place)
+        .and_then(toml::Value::as_table_mut)
+        .ok_or_else(|| SetKeyError::OutOfList {
+            index: place,
+            key: key.into(),
+        })
+}
+
 /// The settings that a balancer of that zone gets: the platform's form, times in microseconds.
 pub fn settings(scenario: &Scenario, zone: usize) -> Value {
     let us = |s: f64| (s * 1e6).round() as u64;
@@ -192,7 +186,7 @@
     })
 }
 
-/// The door as a scenario has it: tenants are told apart by number, and weights name them c0, c1
+/// The admission control as a scenario has it: tenants are told apart by number, and weights name them c0, c1
 /// and so on.
 pub fn admission(keys: &operator::AdmissionSettings, longest: Time) -> AdmissionConfig {
     keys.config(longest, |name| {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -31,8 +31,8 @@
                 false => ExitCode::FAILURE,
             }
         }
-        Err(why) => {
-            eprintln!("nettlemux-testbed: {why}");
+        Err(error) => {
+            eprintln!("nettlemux-testbed: {error}");
             ExitCode::from(EXIT_FAULT)
         }
     }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -46,50 +46,82 @@
     pub cut: Option<usize>,
 }
 
+/// A record that cannot be read, by the line at fault.
+#[derive(Debug, thiserror::Error)]
+#[error("line {line}: {problem}")]
+pub struct RecordError {
+    /// The line, counted from one.
+    pub line: usize,
+    /// What is wrong there.
+    #[source]
+    pub problem: RecordProblem,
+}
+
+/// What is wrong in a line of a record.
+#[derive(Debug, thiserror::Error)]
+pub enum RecordProblem {
+    /// The line cannot be read from the file.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The line is no observation.
+    #[error(transparent)]
+    NotAnObservation(#[from] serde_json::Error),
+    /// The record is of another version.
+    #[error("version {version}, not {VERSION}")]
+    OtherVersion {
+        /// The record's version.
+        version: u32,
+    },
+    /// The first line is another observation than the header.
+    #[error("no header")]
+    NoHeader,
+    /// The file is empty.
+    #[error("nothing")]
+    Empty,
+}
+
 /// Reads a record.
 ///
 /// # Errors
 /// The file can't be read, is no record or of another version, or has a faulty line that isn't its
 /// last; the line is named.
-pub fn read(from: impl io::Read) -> Result<Read, String> {
-    let mut lines = BufReader::new(from);
-    let (mut seen, mut number, mut text) = (Vec::new(), 0, Vec::new());
-    loop {
+pub fn read(from: impl io::Read) -> Result<Read, RecordError> {
+    let mut reader = BufReader::new(from);
+    let (mut seen, mut line, mut text) = (Vec::new(), 0, Vec::new());
+    let cut = loop {
         text.clear();
-        number += 1;
-        if lines
+        line += 1;
+        let at_line = |problem| RecordError { line, problem };
+        let length = reader
             .read_until(b'\n', &mut text)
-            .map_err(|e| format!("line {number}: {e}"))?
-            == 0
-        {
-            break;
+            .map_err(|e| at_line(e.into()))?;
+        if length == 0 {
+            break None;
         }
         match serde_json::from_slice::<Observation>(&text) {
-            Ok(one) => seen.push(one),
-            Err(_) if text.last() != Some(&b'\n') && number > 1 => {
-                return Ok(Read {
-                    seen,
-                    cut: Some(number),
-                });
-            }
-            Err(e) => return Err(format!("line {number}: {e}")),
+            Ok(observation) => seen.push(observation),
+            Err(_) if text.last() != Some(&b'\n') && line > 1 => break Some(line),
+            Err(e) => return Err(at_line(e.into())),
         }
-        if number == 1 {
-            match seen[0] {
-                Observation::Header {
-                    version: VERSION, ..
-                } => {}
-                Observation::Header { version, .. } => {
-                    return Err(format!("line 1: version {version}, not {VERSION}"));
-                }
-                _ => return Err("line 1: no header".into()),
-            }
+        if line == 1 {
+            check_header(&seen[0]).map_err(at_line)?;
         }
-    }
+    };
     if seen.is_empty() {
-        Err("line 1: nothing".into())
-    } else {
-        Ok(Read { seen, cut: None })
+        let problem = RecordProblem::Empty;
+        return Err(RecordError { line: 1, problem });
+    }
+    Ok(Read { seen, cut })
+}
+
+/// Checks that the first observation is a header of this version.
+fn check_header(first: &Observation) -> Result<(), RecordProblem> {
+    match *first {
+        Observation::Header {
+            version: VERSION, ..
+        } => Ok(()),
+        Observation::Header { version, .. } => Err(RecordProblem::OtherVersion { version }),
+        _ => Err(RecordProblem::NoHeader),
     }
 }
 
--- a/crates/testbed/src/record/tests.rs
+++ b/crates/testbed/src/record/tests.rs
@@ -27,7 +27,7 @@
     for at in 0..text.len() {
         match read(&text.as_bytes()[..at]) {
             Ok(cut) => assert!(cut.seen[0] == header && cut.seen.len() <= 2, "{at}"),
-            Err(why) => assert!(why.starts_with("line 1"), "{at}: {why}"),
+            Err(why) => assert!(why.to_string().starts_with("line 1"), "{at}: {why}"),
         }
     }
     assert_eq!(
@@ -37,8 +37,14 @@
     assert!(
         read(text.replace(r#""version":1"#, r#""version":9"#).as_bytes())
             .unwrap_err()
+            .to_string()
             .contains("version 9")
     );
     let middle = text.replacen("left", "lost", 1) + "\n";
-    assert!(read(middle.as_bytes()).unwrap_err().starts_with("line 2"));
+    assert!(
+        read(middle.as_bytes())
+            .unwrap_err()
+            .to_string()
+            .starts_with("line 2")
+    );
 }
--- a/crates/testbed/src/scale/scenario.rs
+++ b/crates/testbed/src/scale/scenario.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::measurement::Varied;
-use crate::file::{self, ScenarioFileError};
+use crate::file::{self, ScenarioFileError, ScenarioProblem};
 
 /// A scenario as its file has it. A part that is left out isn't run.
 #[derive(Clone, Debug, Deserialize)]
@@ -157,12 +157,8 @@
     /// # Errors
     /// Names the file and the key at fault; an unknown key with the nearest known one.
     pub fn load(file: &Path) -> Result<Self, ScenarioFileError> {
-        let whole = |why: String| ScenarioFileError {
-            file: file.into(),
-            key: file::WHOLE_FILE.into(),
-            why,
-        };
-        let text = std::fs::read_to_string(file).map_err(|e| whole(e.to_string()))?;
+        let text = std::fs::read_to_string(file)
+            .map_err(|e| ScenarioFileError::new(file, file::WHOLE_FILE, ScenarioProblem::Io(e)))?;
         Self::parse(&text, file)
     }
 
@@ -171,25 +167,20 @@
     /// # Errors
     /// As [`ScaleScenario::load`].
     pub fn parse(text: &str, file: &Path) -> Result<Self, ScenarioFileError> {
-        let faulty = |key: String, why: String| ScenarioFileError {
-            file: file.into(),
-            key,
-            why,
-        };
         let scenario: Self = toml::from_str(text).map_err(|error| {
-            let (key, why) = file::complaint(error.message());
+            let (key, problem) = file::key_and_problem(error.message());
             // A value of the wrong kind is told by its place alone: the line names its key.
             let line_key = error.span().and_then(|span| key_at(text, span.start));
-            match line_key {
-                Some(line_key) if key == file::WHOLE_FILE => faulty(line_key, why),
-                _ => faulty(key, why),
-            }
+            let key = line_key.filter(|_| key == file::WHOLE_FILE).unwrap_or(key);
+            ScenarioFileError::new(file, key, problem)
         })?;
-        scenario.check().map_err(|(key, why)| faulty(key, why))?;
+        scenario
+            .check()
+            .map_err(|InvalidKey { key, problem }| ScenarioFileError::new(file, key, problem))?;
         Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), (String, String)> {
+    fn check(&self) -> Result<(), InvalidKey> {
         if let Some(module) = &self.module {
             check_counts("module", &module.fixed, &module.sizes)?;
             positive("module.placements", module.placements as f64)?;
@@ -231,47 +222,61 @@
 
 /// A single phase takes no longer than this: a run is bounded in time.
 const SECONDS_LIMIT: f64 = 60.0;
-/// Sizes beyond this are a slip of the pen.
+/// Guards against sizes with a digit too many.
 const SIZE_LIMIT: f64 = 1e8;
 
-type Complaint = (String, String);
+/// A key of a scale scenario whose value cannot be used.
+struct InvalidKey {
+    key: String,
+    problem: ScenarioProblem,
+}
 
-fn positive(key: &str, value: f64) -> Result<(), Complaint> {
+fn positive(key: &str, value: f64) -> Result<(), InvalidKey> {
     let good = value.is_finite() && value > 0.0 && value <= SIZE_LIMIT;
     if good {
         Ok(())
     } else {
-        Err((
-            key.into(),
-            format!("{value} isn't between 0 and {SIZE_LIMIT}"),
-        ))
+        Err(InvalidKey {
+            key: key.into(),
+            problem: ScenarioProblem::OutOfRange {
+                value,
+                limit: SIZE_LIMIT,
+            },
+        })
     }
 }
 
-fn seconds(key: &str, value: f64) -> Result<(), Complaint> {
+fn seconds(key: &str, value: f64) -> Result<(), InvalidKey> {
     let good = value.is_finite() && value > 0.0 && value <= SECONDS_LIMIT;
     if good {
         Ok(())
     } else {
-        Err((
-            key.into(),
-            format!("{value} isn't between 0 and {SECONDS_LIMIT} seconds"),
-        ))
+        Err(InvalidKey {
+            key: key.into(),
+            problem: ScenarioProblem::DurationOutOfRange {
+                value,
+                limit: SECONDS_LIMIT,
+            },
+        })
     }
 }
 
-fn at_most(key: &str, value: u64, other: &str, limit: u64) -> Result<(), Complaint> {
+fn at_most(key: &str, value: u64, other: &'static str, limit: u64) -> Result<(), InvalidKey> {
     if value <= limit {
         Ok(())
     } else {
-        Err((
-            key.into(),
-            format!("{value} is too many for {other}: {limit} at most"),
-        ))
+        Err(InvalidKey {
+            key: key.into(),
+            problem: ScenarioProblem::TooMany {
+                value,
+                other,
+                limit,
+            },
+        })
     }
 }
 
-fn check_counts(part: &str, fixed: &Counts, sizes: &Sizes) -> Result<(), Complaint> {
+fn check_counts(part: &str, fixed: &Counts, sizes: &Sizes) -> Result<(), InvalidKey> {
     positive(&format!("{part}.fixed.servers"), fixed.servers as f64)?;
     positive(&format!("{part}.fixed.balancers"), fixed.balancers as f64)?;
     positive(
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -8,6 +8,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
+use super::error::SocketRunError;
 use super::shared_run::SharedRun;
 
 /// Holds no call for longer.
@@ -17,11 +18,11 @@
 ///
 /// # Errors
 /// Its address can't be had.
-pub async fn start(shared: &Arc<SharedRun>, balancer: usize) -> Result<(), String> {
-    let at = shared.discovery(balancer);
-    let listener = TcpListener::bind(at)
+pub async fn start(shared: &Arc<SharedRun>, balancer: usize) -> Result<(), SocketRunError> {
+    let address = shared.discovery(balancer);
+    let listener = TcpListener::bind(address)
         .await
-        .map_err(|e| format!("can't listen at {at}: {e}"))?;
+        .map_err(|source| SocketRunError::Listen { address, source })?;
     let shared = shared.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
--- a/crates/testbed/src/sockets/faulty.rs
+++ b/crates/testbed/src/sockets/faulty.rs
@@ -4,7 +4,9 @@
 //! that isn't asked for them.
 
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
+use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -12,6 +14,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
+use crate::file_error::FileError;
 use crate::mutants::Mutant;
 
 /// Answers so long before the client's time is up.
@@ -38,19 +41,63 @@
     once_only: Vec<String>,
 }
 
+/// Why a faulty balancer cannot serve.
+#[derive(Debug, thiserror::Error)]
+pub enum FaultyBalancerError {
+    /// The configuration's file is not named.
+    #[error("LB_CONFIG is not set")]
+    NoConfig,
+    /// The configuration's file cannot be read.
+    #[error(transparent)]
+    File(#[from] FileError),
+    /// The configuration is no JSON.
+    #[error("{file}: {source}")]
+    NotJson {
+        /// The configuration's file.
+        file: String,
+        /// What the JSON reader found.
+        source: serde_json::Error,
+    },
+    /// A key without an address.
+    #[error("{file}: key '{key}': no address")]
+    NoAddress {
+        /// The configuration's file.
+        file: String,
+        /// The key.
+        key: &'static str,
+    },
+    /// The runtime did not start.
+    #[error(transparent)]
+    Runtime(io::Error),
+    /// There is no listening at the address.
+    #[error("{address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system said.
+        source: io::Error,
+    },
+}
+
 /// Serves by the configuration that `LB_CONFIG` names, until it is killed.
 ///
 /// # Errors
 /// The configuration or an address can't be had.
-pub fn run(mutant: Option<Mutant>) -> Result<(), String> {
-    let file = std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG is not set".to_string())?;
-    let text = std::fs::read_to_string(&file).map_err(|e| format!("{file}: {e}"))?;
-    let config: Value = serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
-    let address = |key: &str| -> Result<SocketAddr, String> {
+pub fn run(mutant: Option<Mutant>) -> Result<(), FaultyBalancerError> {
+    let file = std::env::var("LB_CONFIG").map_err(|_| FaultyBalancerError::NoConfig)?;
+    let text = std::fs::read_to_string(&file).map_err(FileError::at(Path::new(&file)))?;
+    let config: Value = match serde_json::from_str(&text) {
+        Ok(config) => config,
+        Err(source) => return Err(FaultyBalancerError::NotJson { file, source }),
+    };
+    let address = |key: &'static str| -> Result<SocketAddr, FaultyBalancerError> {
         config[key]
             .as_str()
             .and_then(|at| at.parse().ok())
-            .ok_or(format!("{file}: key '{key}': no address"))
+            .ok_or_else(|| FaultyBalancerError::NoAddress {
+                file: file.clone(),
+                key,
+            })
     };
     let (listen, discovery) = (address("listen")?, address("discovery")?);
     let types = config["settings"]["service-types"]
@@ -69,17 +116,23 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    runtime.map_err(|e| e.to_string())?.block_on(async {
-        let listener = TcpListener::bind(listen)
-            .await
-            .map_err(|e| format!("{listen}: {e}"))?;
-        tokio::spawn(watch(shared.clone(), discovery));
-        loop {
-            if let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(shared.clone(), stream));
+    runtime
+        .map_err(FaultyBalancerError::Runtime)?
+        .block_on(async {
+            let listener =
+                TcpListener::bind(listen)
+                    .await
+                    .map_err(|source| FaultyBalancerError::Listen {
+                        address: listen,
+                        source,
+                    })?;
+            tokio::spawn(watch(shared.clone(), discovery));
+            loop {
+                if let Ok((stream, _)) = listener.accept().await {
+                    tokio::spawn(serve(shared.clone(), stream));
+                }
             }
-        }
-    })
+        })
 }
 
 async fn watch(shared: Arc<Shared>, discovery: SocketAddr) {
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -6,6 +6,7 @@
 
 mod client;
 mod discovery;
+mod error;
 pub mod faulty;
 mod processes;
 mod server;
@@ -23,6 +24,7 @@
 use crate::figures::Figures;
 use crate::record::Writer;
 use crate::rules::Verdict;
+pub use error::SocketRunError;
 use processes::Processes;
 use shared_run::SharedRun;
 
@@ -50,6 +52,16 @@
     pub args: Vec<String>,
 }
 
+impl Program {
+    /// Returns a balancer's program, run to serve.
+    pub fn serving(path: PathBuf) -> Self {
+        Program {
+            path,
+            args: vec!["serve".into()],
+        }
+    }
+}
+
 /// What a program says of its version; `unknown` where it says nothing.
 pub fn version(program: &Program) -> String {
     processes::version(program)
@@ -80,12 +92,12 @@
     program: &Program,
     record: Option<Writer>,
     logs: Option<&Path>,
-) -> Result<Outcome, String> {
+) -> Result<Outcome, SocketRunError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(THREADS)
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("can't start threads: {e}"))?;
+    let runtime = runtime.map_err(SocketRunError::Threads)?;
     let outcome = runtime.block_on(play(scenario, seed, program, record, logs));
     runtime.shutdown_timeout(Duration::from_millis(500));
     outcome
@@ -97,7 +109,7 @@
     program: &Program,
     record: Option<Writer>,
     logs: Option<&Path>,
-) -> Result<Outcome, String> {
+) -> Result<Outcome, SocketRunError> {
     let shared = SharedRun::new(scenario.clone(), seed, record)?;
     let version = version(program);
     let name = scenario.name.clone();
@@ -137,7 +149,7 @@
     let outcome = shared.finish(end, &balancers);
     let died = processes.end();
     let void = void.or_else(|| too_slow(&late));
-    let (figures, verdict) = outcome.map_err(|e| format!("the record can't be written: {e}"))?;
+    let (figures, verdict) = outcome.map_err(SocketRunError::Record)?;
     Ok(Outcome {
         figures,
         verdict,
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -19,8 +19,10 @@
 use tokio::net::TcpStream;
 
 use super::Program;
+use super::error::SocketRunError;
 use super::shared_run::SharedRun;
 use crate::file;
+use crate::file_error::FileError;
 
 /// All balancers must be ready by then.
 const READY: Duration = Duration::from_secs(10);
@@ -83,12 +85,10 @@
         shared: &Arc<SharedRun>,
         program: &Program,
         logs: Option<&Path>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, SocketRunError> {
         if !program.path.is_file() {
-            return Err(format!(
-                "{}: there is no such program",
-                program.path.display()
-            ));
+            let path = program.path.clone();
+            return Err(SocketRunError::NoProgram { path });
         }
         let (folder, ours) = match logs {
             Some(folder) => (folder.to_path_buf(), false),
@@ -101,7 +101,7 @@
                 (std::env::temp_dir().join(name), true)
             }
         };
-        std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+        std::fs::create_dir_all(&folder).map_err(FileError::at(&folder))?;
         // As many descriptors as this process may have: each connection takes two of them.
         let limit = rustix::process::getrlimit(Resource::Nofile);
         let all = Rlimit {
@@ -121,7 +121,7 @@
         })
     }
 
-    fn spawn(&self, b: usize, again: u64) -> Result<(Child, PathBuf, PathBuf), String> {
+    fn spawn(&self, b: usize, again: u64) -> Result<(Child, PathBuf, PathBuf), SocketRunError> {
         let shared = &self.shared;
         let scenario = &shared.scenario;
         let expected = scenario
@@ -142,13 +142,10 @@
         });
         let at = |name: String| self.folder.join(name);
         let (path, log) = (at(format!("b{b}.json")), at(format!("b{b}.log")));
-        std::fs::write(&path, config.to_string())
-            .map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, config.to_string()).map_err(FileError::at(&path))?;
         let file = File::options().create(true).append(true).open(&log);
-        let file = file.map_err(|e| format!("{}: {e}", log.display()))?;
-        let other = file
-            .try_clone()
-            .map_err(|e| format!("{}: {e}", log.display()))?;
+        let file = file.map_err(FileError::at(&log))?;
+        let other = file.try_clone().map_err(FileError::at(&log))?;
         let mut command = Command::new(&self.program.path);
         command.args(&self.program.args);
         if let Some(admission) = &scenario.admission {
@@ -156,22 +153,20 @@
                 admission: Some(admission.clone()),
                 ..OperatorFile::default()
             };
-            let text = toml::to_string(&operator).map_err(|e| e.to_string())?;
+            let text = toml::to_string(&operator)?;
             let path = at(format!("b{b}.toml"));
-            std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
+            std::fs::write(&path, text).map_err(FileError::at(&path))?;
             command.arg("--operator").arg(&path);
         }
         command
             .env("LB_CONFIG", &path)
             .env("LB_NAME", format!("b{b}"));
         command.stdin(Stdio::null()).stdout(other).stderr(file);
-        let child = command
-            .spawn()
-            .map_err(|e| format!("{}: {e}", self.program.path.display()))?;
+        let child = command.spawn().map_err(FileError::at(&self.program.path))?;
         Ok((child, log, path))
     }
 
-    pub async fn start_all(&mut self) -> Result<(), String> {
+    pub async fn start_all(&mut self) -> Result<(), SocketRunError> {
         for b in 0..self.shared.scenario.balancers.number {
             let (child, log, config) = self.spawn(b, 0)?;
             self.all.push(One {
@@ -190,10 +185,10 @@
                 }
             };
             if tokio::time::timeout(READY, ready).await.is_err() {
-                return Err(format!(
-                    "balancer {b} isn't ready in time:\n{}",
-                    end_of(&self.all[b].log)
-                ));
+                return Err(SocketRunError::NotReady {
+                    balancer: b,
+                    log_end: end_of(&self.all[b].log),
+                });
             }
             self.shared.lock().alive[b] = true;
         }
@@ -263,8 +258,8 @@
                         self.shared.lock().alive[b] = true;
                         tokio::spawn(mark_alive(self.shared.clone(), b));
                     }
-                    Err(why) => {
-                        self.died.push(why);
+                    Err(error) => {
+                        self.died.push(error.to_string());
                         self.all[b].state = State::Away(Time::MAX);
                     }
                 },
--- a/crates/testbed/src/sockets/shared_run.rs
+++ b/crates/testbed/src/sockets/shared_run.rs
@@ -20,6 +20,7 @@
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 
+use super::error::SocketRunError;
 use super::{FOREVER, SLACK, server};
 use crate::figures::{FigureCollector, Figures};
 use crate::record::Writer;
@@ -131,7 +132,11 @@
 }
 
 impl SharedRun {
-    pub fn new(scenario: Scenario, seed: u64, record: Option<Writer>) -> Result<Arc<Self>, String> {
+    pub fn new(
+        scenario: Scenario,
+        seed: u64,
+        record: Option<Writer>,
+    ) -> Result<Arc<Self>, SocketRunError> {
         let (block, claim) = claim()?;
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -421,7 +426,7 @@
 
 /// A block of loopback addresses (127.BLOCK.0.0/16) that no other run holds: held by a listener for
 /// as long as the run lasts.
-fn claim() -> Result<(u8, TcpListener), String> {
+fn claim() -> Result<(u8, TcpListener), SocketRunError> {
     let first = std::process::id() % 250;
     for k in 0..250 {
         let block = (2 + (first + k) % 250) as u8;
@@ -429,5 +434,5 @@
             return Ok((block, listener));
         }
     }
-    Err("no block of loopback addresses is free".into())
+    Err(SocketRunError::NoFreeAddresses)
 }
