--- a/crates/balancer/tests/testbed.rs
+++ b/crates/balancer/tests/testbed.rs
@@ -5,7 +5,7 @@
 
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_testbed::file;
-use nettlemux_testbed::sockets::{Outcome, Program, run};
+use nettlemux_testbed::sockets::{Outcome, Program, SocketRunError, run};
 
 fn scenario(change: &str) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -16,7 +16,7 @@
     file::read(&table, &path).unwrap()
 }
 
-fn play(scenario: &Scenario, program: PathBuf, args: &[&str]) -> Result<Outcome, String> {
+fn play(scenario: &Scenario, program: PathBuf, args: &[&str]) -> Result<Outcome, SocketRunError> {
     let program = Program {
         path: program,
         args: args.iter().map(|arg| arg.to_string()).collect(),
@@ -86,13 +86,14 @@
         .map(|_| ())
         .unwrap_err();
     assert!(
-        reported.contains("balancer 0 isn't ready") && reported.contains("frobnicate"),
+        reported.to_string().contains("balancer 0 isn't ready")
+            && reported.to_string().contains("frobnicate"),
         "{reported}"
     );
     let nowhere = play(&scenario, "/nowhere/nettlemux".into(), &[])
         .map(|_| ())
         .unwrap_err();
-    assert!(nowhere.contains("no such program"), "{nowhere}");
+    assert!(nowhere.to_string().contains("no such program"), "{nowhere}");
 }
 
 /// Guards against a death in the middle of a run that goes unseen, or is taken for a planned end.
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -14,6 +14,8 @@
 //!
 //! Modules use each other in one direction only, from the pipeline down to the clock.
 
+#![warn(missing_docs)]
+
 mod attempt;
 pub mod buffers;
 pub mod client_ids;
