--- a/crates/dataplane/src/mailbox/tests.rs
+++ b/crates/dataplane/src/mailbox/tests.rs
@@ -1,9 +1,28 @@
 //! Waits that end in time, and messages that end them.
 
+use std::thread;
+use std::time::Instant;
+
+use may::coroutine::JoinHandle;
+
 use super::*;
 
+/// Longest time that a coroutine of these tests may take.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Returns what the coroutine returns. Guards against a wait that never ends and keeps the whole
+/// test run waiting.
+fn join<T>(coroutine: JoinHandle<T>) -> T {
+    let since = Instant::now();
+    while !coroutine.is_done() {
+        assert!(since.elapsed() < JOIN_TIMEOUT, "a wait doesn't end");
+        thread::sleep(Duration::from_millis(1));
+    }
+    coroutine.join().unwrap()
+}
+
 #[test]
-fn a_wait_ends_in_time_and_a_post_ends_it_at_once() {
+fn a_wait_ends_in_time_and_a_message_ends_it_at_once() {
     // Guards against waits of under 1 ms that never end, and waits that take twice their time.
     for us in [1, 300, 1000, 1700, 30_000, 73_210] {
         let late = may::go!(move || {
@@ -11,7 +30,7 @@
             assert!(Mailbox::<()>::new().next(until).is_none());
             clock::now() - until
         });
-        let late = late.join().unwrap();
+        let late = join(late);
         assert!(late < 20 * MS, "{us} us: late by {} us", late / 1000);
     }
     let mailbox = Mailbox::new();
@@ -20,9 +39,9 @@
         let since = clock::now();
         (mailbox.next(since + 5000 * MS), clock::now() - since)
     });
-    std::thread::sleep(Duration::from_millis(20));
+    thread::sleep(Duration::from_millis(20));
     sender.send(7);
-    let (message, took) = read.join().unwrap();
+    let (message, took) = join(read);
     assert!(message == Some(7) && took < 1000 * MS);
     let lengths: std::collections::BTreeSet<u64> = (0..100_000).map(wait_step_ms).collect();
     assert!(lengths.len() < 200);
