--- a/crates/dataplane/src/discovery/agent.rs
+++ b/crates/dataplane/src/discovery/agent.rs
@@ -17,7 +17,7 @@
 pub(super) struct Location {
     /// The address.
     pub address: SocketAddr,
-    /// How often the address had been set anew. An address that comes back has another revision.
+    /// How often the address had been changed. An address that comes back has another revision.
     pub revision: u64,
     /// Notifies the coroutine that waits for the agent.
     notifier: Option<Sender<FlowEvent>>,
--- a/crates/dataplane/src/discovery/list.rs
+++ b/crates/dataplane/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The agent's wire: the path that asks for the endpoint list, and the JSON of its updates. It owns
+//! The agent's wire: the path of the endpoint list, and the JSON of its updates. It owns
 //! nothing, and must never do I/O or judge a server. Names of the agent's wire end here.
 
 use std::net::SocketAddr;
@@ -106,8 +106,8 @@
     NoName,
 }
 
-/// Returns the path that asks for the changes since a version, which the agent may hold for `hold`
-/// until there are any; without a version, the path that asks for the complete list.
+/// Returns the path that requests the changes since a version, which the agent may hold for `hold`
+/// until there are any; without a version, the path that requests the complete list.
 pub(super) fn request_path(from_version: Option<u64>, hold: Time) -> String {
     match from_version {
         Some(version) => format!("{LIST_PATH}?from={version}&hold_ms={}", hold / MS),
--- a/crates/dataplane/src/discovery/list/tests.rs
+++ b/crates/dataplane/src/discovery/list/tests.rs
@@ -1,4 +1,4 @@
-//! The agent's updates and the path that asks for them, in the words of its wire.
+//! The agent's updates and the path that requests them, in the words of its wire.
 
 use super::*;
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn changes_are_asked_for_since_a_version_and_the_complete_list_without_one() {
+fn changes_are_requested_since_a_version_and_the_complete_list_without_one() {
     assert_eq!(
         request_path(Some(41), 1000 * MS),
         "/api/targets?from=41&hold_ms=1000"
--- a/crates/dataplane/src/discovery/poll.rs
+++ b/crates/dataplane/src/discovery/poll.rs
@@ -14,17 +14,17 @@
 use crate::connection::{Connection, ConnectionError};
 use crate::mailbox::Mailbox;
 
-/// What is asked of the agent, and for how long its answer is waited for.
+/// What is requested of the agent, and how long its answer may take.
 pub struct Poll {
     /// When the poll begins.
     pub started_at: Time,
-    /// The version since which changes are asked for; none asks for the complete list.
+    /// The version since which changes are requested; none requests the complete list.
     pub from_version: Option<u64>,
     /// How long the agent may hold the request until there is a change.
     pub hold: Time,
     /// When the poll is given up.
     pub deadline: Time,
-    /// Whether it asks for the complete list since the agent may have been restarted.
+    /// Whether it requests the complete list because the agent may have been restarted.
     pub after_restart: bool,
     /// The longest interval between polls that the settings allow; none where the agent is watched.
     pub interval_max: Option<Time>,
--- a/crates/dataplane/src/discovery/watch.rs
+++ b/crates/dataplane/src/discovery/watch.rs
@@ -1,5 +1,5 @@
 //! The loop of the watch: which poll is made next, and what becomes of its result. It owns the
-//! version of the endpoint list. It must never ask for changes since a version of another agent.
+//! version of the endpoint list. It must never request changes since a version of another agent.
 
 use std::mem;
 use std::time::Duration;
@@ -26,8 +26,8 @@
 /// 200 ms after which a watch has ended, and under the shortest time in which a drain has to be
 /// known.
 const POLL_INTERVAL_MIN: Time = 20 * MS;
-/// Between two complete lists that are asked for since the agent may have been restarted: at least
-/// this, and at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each entry of the last one.
+/// Between two complete lists that are requested because the agent may have been restarted: at
+/// least this, and at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each entry of the last one.
 const COMPLETE_LIST_INTERVAL_MIN: Time = 60 * SEC;
 /// An entry has some 164 bytes, so complete lists take 1 KB/s at most, half of what a balancer may
 /// spend on control traffic.
@@ -51,7 +51,7 @@
     dispatcher: &'a Sender<DispatcherMessage>,
     rng: WyRand,
     client: AgentClient<'a>,
-    /// The version of the list that is known; none where the complete list is to be asked for.
+    /// The version of the list that is known; none where the complete list is to be requested.
     version: Option<u64>,
     /// The revision of the agent's address at the last poll.
     agent_revision: u64,
@@ -61,7 +61,7 @@
     begins_watch: bool,
     /// Whether any poll has been answered.
     has_been_answered: bool,
-    /// The earliest time of a complete list that is asked for since the agent may have been
+    /// The earliest time of a complete list that is requested because the agent may have been
     /// restarted.
     next_complete_list_at: Time,
 }
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Begins anew where the agent's address has changed: another agent counts versions of its own,
-    /// so it is asked for its complete list. Until that comes the old list holds.
+    /// Starts over if the agent's address has changed: another agent counts versions of its own, so
+    /// its complete list is requested. Until that comes the old list holds.
     fn follow_agent(&mut self, location: &Location) {
         if location.revision == self.agent_revision {
             return;
@@ -180,10 +180,11 @@
         let is_complete = update.is_complete;
         let entries = update.entries.len();
         debug!(version, is_complete, entries, "endpoint list update");
-        // Guards against an agent that has begun to count anew: its changes under versions that
+        // Guards against an agent that has restarted its versions: its changes under versions that
         // count as known would never come.
-        let counts_anew = !is_complete && poll.from_version.is_some_and(|from| version < from);
-        self.version = (!counts_anew).then_some(version);
+        let has_restarted_versions =
+            !is_complete && poll.from_version.is_some_and(|from| version < from);
+        self.version = (!has_restarted_versions).then_some(version);
         if is_complete {
             self.client.restart_suspected = false;
         }
