--- a/crates/dataplane/src/discovery.rs
+++ b/crates/dataplane/src/discovery.rs
@@ -9,30 +9,13 @@
 
 mod agent;
 mod backoff;
+mod context;
 mod http;
 mod list;
 mod poll;
 mod watch;
 
-use std::sync::Arc;
-
 pub use self::agent::Agent;
+pub use self::context::DiscoveryContext;
 pub use self::list::{ListUpdate, ListUpdateError, parse_list_update};
 pub use self::watch::watch;
-use crate::buffers::BufferPool;
-use crate::descriptors::DescriptorBudget;
-use crate::runtime_settings::SharedSettings;
-
-/// What [`watch`](fn@watch) needs of the rest of the program.
-pub struct DiscoveryContext {
-    /// The agent that is polled.
-    pub agent: Arc<Agent>,
-    /// The settings that hold now; the longest interval between polls is read before each.
-    pub settings: Arc<SharedSettings>,
-    /// The seed of the backoff's random draws.
-    pub seed: u64,
-    /// The budget that the connection to the agent is opened from.
-    pub descriptors: Arc<DescriptorBudget>,
-    /// The pool of buffers that answers are read into.
-    pub buffers: Arc<BufferPool>,
-}
--- a/crates/dataplane/src/discovery/poll.rs
+++ b/crates/dataplane/src/discovery/poll.rs
@@ -6,9 +6,9 @@
 use nettlemux_policy::Time;
 use thiserror::Error;
 
-use super::DiscoveryContext;
 use super::agent::Location;
 use super::backoff::FailureKind;
+use super::context::DiscoveryContext;
 use super::http::{self, HttpError, ResponseError};
 use super::list::{self, ListUpdate, ListUpdateError};
 use crate::connection::{Connection, ConnectionError};
--- a/crates/dataplane/src/discovery/watch.rs
+++ b/crates/dataplane/src/discovery/watch.rs
@@ -8,9 +8,9 @@
 use nettlemux_policy::{MS, SEC, Time};
 use tracing::{debug, info, warn};
 
-use super::DiscoveryContext;
 use super::agent::Location;
 use super::backoff::{BACKOFF_MIN, QUEUE_TIMEOUT, backoff_limit, draw_backoff};
+use super::context::DiscoveryContext;
 use super::list::ListUpdate;
 use super::poll::{AgentClient, Poll, PollError, PollFailure};
 use crate::clock;
