--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -540,7 +540,7 @@
         (
             code.probe_interval_longest_s.value,
             10.0,
-            "const PROBE_BOUND: Time = 10 * SEC;",
+            "const CHECK_INTERVAL_MAX: Time = 10 * SEC;",
         ),
         (
             code.watch_hold_s.value,
@@ -571,14 +571,18 @@
         (
             code.attempts_in_flight_fleet.value,
             600.0,
-            "const CALM_ALL: f64 = 600.0;",
+            "const INITIAL_LIMIT_OF_ALL_BALANCERS: f64 = 600.0;",
         ),
         (
             code.attempts_in_flight_most.value,
             8.0,
-            "const CALM: f64 = 8.0;",
+            "const INITIAL_LIMIT_MAX: f64 = 8.0;",
+        ),
+        (
+            code.cold_fill_factor.value,
+            4.0,
+            "const FILLS_PER_WARM_UP: f64 = 4.0;",
         ),
-        (code.cold_fill_factor.value, 4.0, "const FILLS: f64 = 4.0;"),
         (
             code.idle_client_s.value,
             30.0,
