--- a/crates/dataplane/src/attempt.rs
+++ b/crates/dataplane/src/attempt.rs
@@ -135,7 +135,7 @@
 
     fn wait_until_connected(&mut self, server: &Socket) -> Result<(), AttemptFailure> {
         let connect_timeout = self.dataplane.settings.current().connect_timeout;
-        let connect_by = self.target.by.min(clock::now() + connect_timeout);
+        let connect_by = self.target.send_by.min(clock::now() + connect_timeout);
         loop {
             server.rearm_notification();
             match server.is_connected() {
@@ -150,8 +150,8 @@
     /// What a connection that isn't up in time says: where its time was cut short so that a retry
     /// can't be late, nothing of the server.
     fn connect_timeout_end(&self) -> AttemptEnd {
-        let is_cut_short = self.target.by < self.target.until;
-        if is_cut_short && clock::now() >= self.target.by {
+        let is_cut_short = self.target.send_by < self.target.deadline;
+        if is_cut_short && clock::now() >= self.target.send_by {
             AttemptEnd::NotSent
         } else {
             AttemptEnd::Unreachable
@@ -180,11 +180,13 @@
     fn line_to_send(&self, line: &[u8], origin: FlowOrigin) -> Result<Vec<u8>, AttemptFailure> {
         match origin {
             FlowOrigin::Adopted => Ok([line, b"\r\n"].concat()),
-            FlowOrigin::New if !self.target.server.ready() || clock::now() >= self.target.by => {
+            FlowOrigin::New
+                if !self.target.server.ready() || clock::now() >= self.target.send_by =>
+            {
                 Err(unsent(AttemptEnd::NotSent))
             }
             FlowOrigin::New => {
-                let wait = self.target.until.saturating_sub(clock::now());
+                let wait = self.target.deadline.saturating_sub(clock::now());
                 Ok(wire::forwarded_line(line, wait))
             }
         }
@@ -200,7 +202,7 @@
                 Err(_) => return Err(unsent(AttemptEnd::Unreachable)),
             }
             if written < line.len() {
-                self.wait_unsent(self.target.by, |_| AttemptEnd::Unreachable)?;
+                self.wait_unsent(self.target.send_by, |_| AttemptEnd::Unreachable)?;
             }
         }
         Ok(())
@@ -220,7 +222,7 @@
                     drop(server);
                     return Err(sent(AttemptEnd::TimedOut));
                 }
-                Ok(None) => match self.wait(self.target.until) {
+                Ok(None) => match self.wait(self.target.deadline) {
                     Wakeup::Progress => {}
                     // Looked at once more: guards against an answer that has come and whose
                     // notification comes after the timer's.
@@ -262,8 +264,8 @@
             Some(FlowEvent::Command(FlowCommand::CancelAttempt)) if self.client_left => {
                 Wakeup::Cancelled
             }
-            Some(FlowEvent::Command(FlowCommand::Migrate(by))) => {
-                self.flow.migrate_by = Some(by);
+            Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) => {
+                self.flow.migrate_by = Some(line_deadline);
                 Wakeup::Progress
             }
             Some(FlowEvent::Command(_) | FlowEvent::Stop) => Wakeup::Progress,
--- a/crates/dataplane/src/attempt/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -69,13 +69,13 @@
             address,
             ready: AtomicBool::new(true),
         });
-        let until = clock::now() + SEC / 5;
+        let deadline = clock::now() + SEC / 5;
         let target = AttemptTarget {
             server_id: 1,
             number: 0,
             server,
-            until,
-            by: until,
+            deadline,
+            send_by: deadline,
         };
         let result = run(
             &dataplane,
--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -152,13 +152,17 @@
 
     fn handle(&mut self, now: Time, message: DispatcherMessage) {
         match message {
-            DispatcherMessage::PlaceFlow { flow, who, mailbox } => {
-                self.place_flow(now, flow, who, mailbox)
-            }
-            DispatcherMessage::AdoptConnection { flow, at, mailbox } => {
-                self.adopt_connection(flow, &at, mailbox)
-            }
-            DispatcherMessage::Connected { flow, took } => self.connected(now, flow, took),
+            DispatcherMessage::PlaceFlow {
+                flow,
+                client,
+                mailbox,
+            } => self.place_flow(now, flow, client, mailbox),
+            DispatcherMessage::AdoptConnection {
+                flow,
+                server_name,
+                mailbox,
+            } => self.adopt_connection(flow, &server_name, mailbox),
+            DispatcherMessage::Connected { flow, elapsed } => self.connected(now, flow, elapsed),
             DispatcherMessage::AttemptEnded {
                 flow,
                 server_id,
@@ -214,12 +218,12 @@
         &mut self,
         now: Time,
         flow: Flow,
-        who: ClientIdentity,
+        client: ClientIdentity,
         mailbox: Sender<FlowEvent>,
     ) {
         self.clients.insert(flow.id, mailbox, None);
         self.apply(now, |flow_table, commands| {
-            flow_table.accept(now, flow, who, commands)
+            flow_table.accept(now, flow, client, commands)
         });
     }
 
@@ -232,8 +236,8 @@
                 server_id,
                 number: 0,
                 server: server.clone(),
-                until: flow.deadline,
-                by: flow.deadline,
+                deadline: flow.deadline,
+                send_by: flow.deadline,
             }),
             None => FlowCommand::EndpointUnknown,
         };
@@ -243,14 +247,14 @@
         self.clients.insert(id, mailbox, Some(adoption));
     }
 
-    fn connected(&mut self, now: Time, flow: FlowId, took: Time) {
+    fn connected(&mut self, now: Time, flow: FlowId, elapsed: Time) {
         let Some(client) = self.clients.get_mut(flow) else {
             return;
         };
         match client.adoption.take() {
             Some(Adoption { flow, server_id }) => self.flow_table.adopt_connection(flow, server_id),
             None => self.apply(now, |flow_table, commands| {
-                flow_table.connected(now, flow, took, commands)
+                flow_table.connected(now, flow, elapsed, commands)
             }),
         }
     }
@@ -334,7 +338,9 @@
             return ShutdownState::Running;
         };
         for flow in self.shutdown.next_migrations(&progress, &self.clients) {
-            let command = FlowCommand::Migrate(progress.migration_deadline());
+            let command = FlowCommand::Migrate {
+                line_deadline: progress.migration_deadline(),
+            };
             self.clients.command(flow, command);
         }
         if self.shutdown.answer_check_is_due(&progress) {
--- a/crates/dataplane/src/dispatcher/commands.rs
+++ b/crates/dataplane/src/dispatcher/commands.rs
@@ -66,13 +66,16 @@
                 deadline: self.now + timeout,
                 send_by: self.now + send_within,
             }),
-            PolicyCommand::Reject { flow, retry_after } => {
-                self.clients.command(flow, FlowCommand::Reject(retry_after))
-            }
-            PolicyCommand::Fail { flow } => self.clients.command(flow, FlowCommand::Fail),
-            PolicyCommand::Migrate { flow } => self
+            PolicyCommand::Reject { flow, retry_after } => self
                 .clients
-                .command(flow, FlowCommand::Migrate(self.now + LINE_TIMEOUT)),
+                .command(flow, FlowCommand::Reject { retry_after }),
+            PolicyCommand::Fail { flow } => self.clients.command(flow, FlowCommand::Fail),
+            PolicyCommand::Migrate { flow } => self.clients.command(
+                flow,
+                FlowCommand::Migrate {
+                    line_deadline: self.now + LINE_TIMEOUT,
+                },
+            ),
             PolicyCommand::CancelAttempt { flow, .. } => {
                 self.clients.command(flow, FlowCommand::CancelAttempt)
             }
@@ -99,8 +102,8 @@
             server_id,
             number: attempt.number,
             server: server.clone(),
-            until: attempt.deadline,
-            by: attempt.send_by,
+            deadline: attempt.deadline,
+            send_by: attempt.send_by,
         };
         self.clients
             .command(flow, FlowCommand::StartAttempt(target));
--- a/crates/dataplane/src/flow_guard.rs
+++ b/crates/dataplane/src/flow_guard.rs
@@ -100,7 +100,7 @@
         );
         self.notify_dispatcher(DispatcherMessage::Connected {
             flow: self.id,
-            took,
+            elapsed: took,
         });
     }
 
--- a/crates/dataplane/src/messages.rs
+++ b/crates/dataplane/src/messages.rs
@@ -90,7 +90,7 @@
         /// The flow, owed an answer from now on.
         flow: Flow,
         /// Its client, for admission control.
-        who: ClientIdentity,
+        client: ClientIdentity,
         /// Where its coroutine gets its commands.
         mailbox: Sender<FlowEvent>,
     },
@@ -99,7 +99,7 @@
         /// The flow of that connection.
         flow: Flow,
         /// The name of the server that it was open at.
-        at: String,
+        server_name: String,
         /// Where its coroutine gets its commands.
         mailbox: Sender<FlowEvent>,
     },
@@ -108,7 +108,7 @@
         /// The attempt's flow.
         flow: FlowId,
         /// Time since the flow was accepted, in nanoseconds.
-        took: Time,
+        elapsed: Time,
     },
     /// An attempt has failed, or the connection that it made has ended.
     AttemptEnded {
@@ -178,15 +178,21 @@
 pub enum FlowCommand {
     /// Make an attempt.
     StartAttempt(AttemptTarget),
-    /// Reject the flow, with the time after which the client may retry, in nanoseconds, if any.
-    Reject(Option<Time>),
+    /// Reject the flow.
+    Reject {
+        /// The time after which the client may retry, in nanoseconds, if any.
+        retry_after: Option<Time>,
+    },
     /// Answer that the flow has failed.
     Fail,
     /// The server that an adopted connection was open at is not listed.
     EndpointUnknown,
-    /// Tell the client to reconnect elsewhere: before that time between two lines of the server,
-    /// from then on also within a line.
-    Migrate(Time),
+    /// Tell the client to reconnect elsewhere.
+    Migrate {
+        /// Until then the client is told between two lines of the server, from then on also within
+        /// a line.
+        line_deadline: Time,
+    },
     /// Stop waiting for the attempt, as its client has left.
     CancelAttempt,
     /// Stop waiting for the attempt, as its time is over.
@@ -202,9 +208,9 @@
     /// The server as it is listed now.
     pub server: Arc<Server>,
     /// The time until which the server's answer is waited for.
-    pub until: Time,
+    pub deadline: Time,
     /// The time by which the line has to be written whole; else the attempt is not made.
-    pub by: Time,
+    pub send_by: Time,
 }
 
 /// How an attempt that brought no connection has ended.
@@ -228,7 +234,8 @@
         }
     }
 
-    /// The outcome of an attempt whose line was written, which the server may have run, without a load report.
+    /// The outcome of an attempt whose line was written, which the server may have run, without a
+    /// load report.
     pub fn sent(end: AttemptEnd) -> Self {
         AttemptOutcome {
             end,
--- a/crates/dataplane/src/pipeline.rs
+++ b/crates/dataplane/src/pipeline.rs
@@ -80,7 +80,7 @@
             RouteDecision::Command(FlowCommand::EndpointUnknown) => {
                 resend_or_fail(dataplane, flow, request)?;
             }
-            RouteDecision::Command(FlowCommand::Reject(retry_after)) => {
+            RouteDecision::Command(FlowCommand::Reject { retry_after }) => {
                 flow.reject(retry_after);
                 return ControlFlow::Break(());
             }
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -305,10 +305,10 @@
 
     fn wait(&mut self, until: Time) {
         // Anything else was meant for the attempt, or only ends the wait.
-        if let Some(FlowEvent::Command(FlowCommand::Migrate(by))) =
+        if let Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) =
             self.flow.client.mailbox.next(until)
         {
-            self.flow.migrate_by = Some(by);
+            self.flow.migrate_by = Some(line_deadline);
         }
     }
 
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -44,12 +44,12 @@
         let message = match &self.previous_server {
             Some(previous_server) => DispatcherMessage::AdoptConnection {
                 flow: self.flow.clone(),
-                at: previous_server.clone(),
+                server_name: previous_server.clone(),
                 mailbox,
             },
             None => DispatcherMessage::PlaceFlow {
                 flow: self.flow.clone(),
-                who: self.identity,
+                client: self.identity,
                 mailbox,
             },
         };
@@ -76,7 +76,9 @@
     }
     loop {
         match flow.client.mailbox.next(flow.deadline + COMMAND_GRACE) {
-            Some(FlowEvent::Command(FlowCommand::Migrate(by))) => flow.migrate_by = Some(by),
+            Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) => {
+                flow.migrate_by = Some(line_deadline)
+            }
             // Of an attempt that has ended meanwhile.
             Some(
                 FlowEvent::Command(FlowCommand::CancelAttempt | FlowCommand::AttemptTimedOut)
