--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -109,56 +109,68 @@
     all
 }
 
+/// Needs of every second: health checks, placing and memory.
 fn constant_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
+    let mut all = health_check_gaps(inputs, fleet);
+    all.extend(placement_and_memory_gaps(inputs, fleet));
+    all
+}
+
+/// A need of every second, with its mechanism.
+fn constant_gap(need_name: &'static str, need: Option<f64>, budget: f64) -> Gap {
+    Gap {
+        remedy: Remedy::CandidatesAndBudget,
+        need_name,
+        when: Frequency::Always,
+        need,
+        budget,
+        without_remedy: false,
+    }
+}
+
+fn health_check_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let requirements = &inputs.assumptions.requirements;
-    let (bytes, percent) = (
-        requirements.control_bytes_per_second.value,
-        requirements.control_percent_of_core.value,
-    );
-    let of_module = module_probes(inputs, fleet);
+    let bytes = requirements.control_bytes_per_second.value;
+    let percent = requirements.control_percent_of_core.value;
+    let of_policy = module_probes(inputs, fleet);
     let least = least_probes(inputs, fleet);
-    let gap = |need_name, need, budget| {
-        let (remedy, when) = (Remedy::CandidatesAndBudget, Frequency::Always);
-        Gap {
-            remedy,
-            need_name,
-            when,
-            need,
-            budget,
-            without_remedy: false,
-        }
-    };
     let without_remedy = |gap| Gap {
         without_remedy: true,
         ..gap
     };
     vec![
-        gap(
+        constant_gap(
             "bytes a second of the policy's health checks, measured with the operators' own connections",
-            of_module.map(|probes| probes * probe_bytes(inputs)),
+            of_policy.map(|probes| probes * probe_bytes(inputs)),
             bytes,
         ),
-        without_remedy(gap(
+        without_remedy(constant_gap(
             "bytes a second of probes at the longest interval, without a control budget",
             Some(least * probe_bytes(inputs)),
             bytes,
         )),
-        gap(
+        constant_gap(
             "% of a core for the policy's health checks",
-            of_module.and_then(|probes| probes_percent(inputs, probes)),
+            of_policy.and_then(|probes| probes_percent(inputs, probes)),
             percent,
         ),
-        without_remedy(gap(
+        without_remedy(constant_gap(
             "% of a core for probes at the longest interval, without a control budget",
             probes_percent(inputs, least),
             percent,
         )),
-        gap(
+    ]
+}
+
+fn placement_and_memory_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
+    let requirements = &inputs.assumptions.requirements;
+    vec![
+        constant_gap(
             "% of a core for placing",
             placement_percent(inputs, fleet),
-            percent,
+            requirements.control_percent_of_core.value,
         ),
-        gap(
+        constant_gap(
             "MB for control",
             control_memory_mb(inputs, fleet),
             requirements.control_memory_mb.value,
@@ -166,6 +178,7 @@
     ]
 }
 
+/// Needs of an event: a change of the configuration, a whole list, the loss of a zone.
 fn event_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let requirements = &inputs.assumptions.requirements;
     let change = change_bytes_per_second(inputs, fleet);
--- /dev/null
+++ b/crates/testbed/src/capacity/roles/balancer/flows.rs
@@ -0,0 +1,135 @@
+//! What flows cost a balancer: memory, descriptors and the processor for their lines.
+
+use crate::capacity::deployment::Unknown;
+use crate::capacity::markdown::number;
+use crate::capacity::mechanism::{self, Mechanism};
+use crate::capacity::needs::{
+    BYTES_PER_KB, BYTES_PER_MB, MICROSECONDS_PER_SECOND, PERCENT, descriptors_needed,
+    percent_per_set_up,
+};
+use crate::capacity::row::{Inputs, Row};
+use crate::capacity::stored_run::{Part, Varied};
+
+/// What flows cost a balancer.
+pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let groups = [
+        memory_rows(inputs),
+        descriptor_rows(inputs),
+        set_up_rows(inputs),
+        delivery_rows(inputs),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
+/// Own connections and the memory of their flows.
+fn memory_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let memory = inputs.slope(Part::Sockets, Varied::Connections, "memory_mb");
+    let code = &inputs.assumptions.code;
+    vec![
+        Row::new(
+            "own connections",
+            "",
+            "connections / balancers",
+            |f| Some(f.own_connections()),
+            Mechanism::Present("crates/flow-table/src/table.rs, crates/dataplane/src/pipeline.rs"),
+        ),
+        Row::new(
+            "memory of flows, as bounded",
+            "MB",
+            format!(
+                "{} KB (code) x own connections; beside the control budget",
+                number(code.flow_memory_kb.value)
+            ),
+            |f| {
+                let bytes = inputs.assumptions.code.flow_memory_kb.value * BYTES_PER_KB;
+                Some(f.own_connections() * bytes / BYTES_PER_MB)
+            },
+            mechanism::SHARES,
+        ),
+        Row::new(
+            "memory of flows, by slope",
+            "MB",
+            format!(
+                "slope x own connections of {}; beside the control budget",
+                memory.describe()
+            ),
+            move |f| Some(memory.per_unit()? * f.own_connections()),
+            mechanism::SHARES,
+        ),
+    ]
+}
+
+/// Descriptors of flows, and what they leave for health checks.
+fn descriptor_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    vec![
+        Row::new(
+            "`limits.sockets` that this takes",
+            "descriptors",
+            "two a flow and the parts for probes and those that wait (code)",
+            |f| Some(descriptors_needed(inputs, f)),
+            mechanism::SHARES,
+        ),
+        Row::new(
+            "descriptors for probes that this leaves, of those needed",
+            "part",
+            "a sixteenth of them / servers held",
+            |f| {
+                let part = inputs.assumptions.code.probe_descriptor_part.value;
+                Some(descriptors_needed(inputs, f) / part / f.servers_held())
+            },
+            Mechanism::Present(
+                "checks in turn where there are too few, crates/dataplane/src/health_check.rs",
+            ),
+        )
+        .over(Unknown::Servers),
+    ]
+}
+
+/// The processor for new connections.
+fn set_up_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    vec![
+        Row::new(
+            "processor for setting connections up",
+            "% of a core",
+            "new connections x the ratio of slopes of processor and connects over connections (measured, sockets)",
+            |f| Some(percent_per_set_up(inputs)? * f.own_placements_per_second()),
+            Mechanism::Present("crates/dataplane/src/pipeline.rs"),
+        )
+        .over(Unknown::ConnectionLife),
+    ]
+}
+
+/// Deliveries to listeners.
+fn delivery_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let assumed = &inputs.assumptions.assumed;
+    vec![
+        Row::new(
+            "deliveries",
+            "a second",
+            "deliveries / balancers",
+            |f| Some(f.deliveries_per_second / f.balancers),
+            mechanism::RELAY,
+        ),
+        Row::new(
+            "processor for deliveries",
+            "% of a core",
+            format!(
+                "{} us (*assumed*) x deliveries; beside the control budget",
+                number(assumed.delivery_us.value)
+            ),
+            |f| {
+                let each = inputs.assumptions.assumed.delivery_us.value / MICROSECONDS_PER_SECOND;
+                Some(f.deliveries_per_second / f.balancers * each * PERCENT)
+            },
+            mechanism::RELAY,
+        ),
+        Row::new(
+            "99 in 100 deliveries",
+            "ms",
+            "*not measured*: the scale run carries no lines of clients",
+            |_| None,
+            Mechanism::Present("lines go on as they come, crates/dataplane/src/relay.rs"),
+        )
+        .within(inputs.assumptions.requirements.delivery_limit_ms.value),
+    ]
+}
--- /dev/null
+++ b/crates/testbed/src/capacity/roles/balancer/health_checks.rs
@@ -0,0 +1,182 @@
+//! What health checks cost a balancer, three times: as the policy asks for them with the operators'
+//! own connections, as its longest interval gives them at least, and as counted on sockets.
+
+use crate::capacity::deployment::{Deployment, Unknown};
+use crate::capacity::markdown::number;
+use crate::capacity::mechanism::{self, Mechanism};
+use crate::capacity::needs::{
+    least_probes, measured_control_bytes, module_probes, probe_bytes, probe_bytes_basis,
+    probes_percent,
+};
+use crate::capacity::row::{Inputs, Row};
+use crate::capacity::stored_run::{Part, Varied};
+
+/// How the processor for health checks is worked out, as the page says it.
+const PROCESSOR_BASIS: &str =
+    "those probes x the ratio of slopes of processor and probes over servers (measured, sockets)";
+
+/// What health checks cost a balancer.
+pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let groups = [
+        policy_rows(inputs),
+        longest_interval_rows(inputs),
+        measured_rows(inputs),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
+/// A figure of health checks that grows with the servers and has a budget.
+fn check_row<'a>(
+    quantity: &'static str,
+    unit: &'static str,
+    basis: impl Into<String>,
+    value: impl Fn(&Deployment) -> Option<f64> + 'a,
+    budget: f64,
+) -> Row<'a> {
+    Row::new(quantity, unit, basis, value, mechanism::CONTROL_BUDGET)
+        .over(Unknown::Servers)
+        .within(budget)
+}
+
+/// How the bytes of health checks are worked out, as the page says it.
+fn a_probe(inputs: &Inputs) -> String {
+    format!("probes x {} bytes", number(probe_bytes(inputs)))
+}
+
+/// Health checks a second that the budget of control bytes has room for.
+fn probes_within_budget(inputs: &Inputs) -> f64 {
+    inputs
+        .assumptions
+        .requirements
+        .control_bytes_per_second
+        .value
+        / probe_bytes(inputs)
+}
+
+/// Health checks as the policy asks for them.
+fn policy_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let bytes = inputs
+        .assumptions
+        .requirements
+        .control_bytes_per_second
+        .value;
+    let percent = inputs
+        .assumptions
+        .requirements
+        .control_percent_of_core
+        .value;
+    let of_policy = inputs.slope(Part::Module, Varied::Servers, "probes_per_second");
+    vec![
+        Row::new(
+            "one probe",
+            "bytes",
+            probe_bytes_basis(inputs),
+            |_| Some(probe_bytes(inputs)),
+            Mechanism::Present("one line each way, crates/dataplane/src/health_check.rs"),
+        ),
+        check_row(
+            "health checks with the operators' own connections",
+            "a second",
+            of_policy.describe(),
+            |f| module_probes(inputs, f),
+            probes_within_budget(inputs),
+        ),
+        check_row(
+            "bytes of the policy's health checks",
+            "a second",
+            a_probe(inputs),
+            |f| Some(module_probes(inputs, f)? * probe_bytes(inputs)),
+            bytes,
+        ),
+        check_row(
+            "processor for the policy's health checks",
+            "% of a core",
+            PROCESSOR_BASIS,
+            |f| probes_percent(inputs, module_probes(inputs, f)?),
+            percent,
+        ),
+    ]
+}
+
+/// Health checks as the longest interval gives them at least.
+fn longest_interval_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let bytes = inputs
+        .assumptions
+        .requirements
+        .control_bytes_per_second
+        .value;
+    let percent = inputs
+        .assumptions
+        .requirements
+        .control_percent_of_core
+        .value;
+    let longest = format!(
+        "servers held, by chance / {} s (code)",
+        number(inputs.assumptions.code.probe_interval_longest_s.value)
+    );
+    vec![
+        check_row(
+            "probes at the longest interval, without a control budget",
+            "a second",
+            longest,
+            |f| Some(least_probes(inputs, f)),
+            probes_within_budget(inputs),
+        ),
+        check_row(
+            "bytes of probes at the longest interval, without a control budget",
+            "a second",
+            a_probe(inputs),
+            |f| Some(least_probes(inputs, f) * probe_bytes(inputs)),
+            bytes,
+        ),
+        check_row(
+            "processor for probes at the longest interval, without a control budget",
+            "% of a core",
+            PROCESSOR_BASIS,
+            |f| probes_percent(inputs, least_probes(inputs, f)),
+            percent,
+        ),
+    ]
+}
+
+/// Health checks as counted on sockets.
+fn measured_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let bytes = inputs
+        .assumptions
+        .requirements
+        .control_bytes_per_second
+        .value;
+    let percent = inputs
+        .assumptions
+        .requirements
+        .control_percent_of_core
+        .value;
+    let sockets = |figure| inputs.slope(Part::Sockets, Varied::Servers, figure);
+    let (on_sockets, processor) = (sockets("probes_per_second"), sockets("cpu_percent_of_core"));
+    vec![
+        check_row(
+            "probes on sockets, at the run's price",
+            "a second",
+            on_sockets.describe(),
+            move |f| on_sockets.at(f.servers),
+            probes_within_budget(inputs),
+        ),
+        check_row(
+            "control bytes on sockets, at the run's price",
+            "a second",
+            format!(
+                "{} + packet headers (*assumed*)",
+                sockets("control_bytes_per_second").describe()
+            ),
+            |f| measured_control_bytes(inputs, f),
+            bytes,
+        ),
+        check_row(
+            "processor on sockets, at the run's price",
+            "% of a core",
+            processor.describe(),
+            move |f| processor.at(f.servers),
+            percent,
+        ),
+    ]
+}
--- /dev/null
+++ b/crates/testbed/src/capacity/roles/balancer/placement.rs
@@ -0,0 +1,135 @@
+//! What placing new connections costs a balancer.
+
+use crate::capacity::deployment::Unknown;
+use crate::capacity::mechanism::{self, Mechanism};
+use crate::capacity::needs::{placement_percent, placement_us};
+use crate::capacity::row::{Inputs, Row};
+use crate::capacity::stored_run::{Part, Varied};
+
+/// What placing new connections costs a balancer.
+pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let groups = [
+        placement_rows(inputs),
+        call_rows(inputs),
+        processor_rows(inputs),
+        topic_rows(),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
+/// New connections, and one placement.
+fn placement_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let module = |figure| inputs.slope(Part::Module, Varied::Servers, figure);
+    let (place, looked_at) = (module("place_p50_us"), module("servers_per_placement"));
+    vec![
+        Row::new(
+            "new connections",
+            "a second",
+            "connections / balancers / life (three lives)",
+            |f| Some(f.own_placements_per_second()),
+            Mechanism::Present("crates/dataplane/src/dispatcher.rs"),
+        )
+        .over(Unknown::ConnectionLife),
+        Row::new(
+            "servers looked at for one placement",
+            "",
+            looked_at.describe(),
+            move |f| looked_at.at(f.servers),
+            mechanism::BOUNDED_CANDIDATES,
+        )
+        .over(Unknown::Servers),
+        Row::new(
+            "one placement",
+            "us",
+            place.describe(),
+            move |f| place.at(f.servers),
+            mechanism::BOUNDED_CANDIDATES,
+        )
+        .over(Unknown::Servers),
+    ]
+}
+
+/// All calls of the policy that a new connection takes.
+fn call_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let module = |figure| inputs.slope(Part::Module, Varied::Servers, figure);
+    let (per_flow, placed) = (module("place_us_per_flow"), module("placed_share"));
+    let calls = module("place_calls_per_placement");
+    vec![
+        Row::new(
+            "all calls for one new connection",
+            "us",
+            per_flow.describe(),
+            |f| placement_us(inputs, f),
+            mechanism::BOUNDED_CANDIDATES,
+        )
+        .over(Unknown::Servers),
+        Row::new(
+            "part of new connections that are placed",
+            "",
+            placed.describe(),
+            move |f| placed.at(f.servers),
+            mechanism::BOUNDED_CANDIDATES,
+        )
+        .over(Unknown::Servers),
+        Row::new(
+            "calls for one placement",
+            "",
+            calls.describe(),
+            move |f| calls.at(f.servers),
+            mechanism::BOUNDED_CANDIDATES,
+        )
+        .over(Unknown::Servers),
+    ]
+}
+
+/// The processor that placing takes.
+fn processor_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let percent_budget = inputs
+        .assumptions
+        .requirements
+        .control_percent_of_core
+        .value;
+    let per_flow = inputs.slope(Part::Module, Varied::Servers, "place_us_per_flow");
+    let share = format!("{} x new connections a second", per_flow.describe());
+    vec![
+        Row::new(
+            "placing, over the servers",
+            "% of a core",
+            share.clone(),
+            |f| placement_percent(inputs, f),
+            mechanism::BOUNDED_CANDIDATES,
+        )
+        .over(Unknown::Servers)
+        .within(percent_budget),
+        Row::new(
+            "placing, over the lives",
+            "% of a core",
+            share,
+            |f| placement_percent(inputs, f),
+            mechanism::BOUNDED_CANDIDATES,
+        )
+        .over(Unknown::ConnectionLife)
+        .within(percent_budget),
+    ]
+}
+
+/// The largest topic.
+fn topic_rows() -> Vec<Row<'static>> {
+    vec![
+        Row::new(
+            "listeners of the largest topic at one balancer",
+            "",
+            "listeners / balancers",
+            |f| Some(f.largest_topic_listeners / f.balancers),
+            Mechanism::Present("`ConnectionTable` in crates/policy/src/connections.rs"),
+        ),
+        Row::new(
+            "servers that the largest topic needs",
+            "",
+            "listeners / a server's mean of connections",
+            |f| Some(f.largest_topic_listeners / f.server_connections()),
+            mechanism::LARGE_TOPICS,
+        )
+        .over(Unknown::Servers),
+    ]
+}
--- a/crates/testbed/src/capacity/roles/clients.rs
+++ b/crates/testbed/src/capacity/roles/clients.rs
@@ -6,8 +6,14 @@
 use crate::capacity::needs::BYTES_PER_MB;
 use crate::capacity::row::{Inputs, Row};
 
-/// All clients, where they add up.
+/// Returns the figures of all clients, where they add up.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let groups = [connection_rows(inputs), delivery_rows(inputs), shard_rows()];
+    groups.into_iter().flatten().collect()
+}
+
+/// New connections, and the lines that keep idle ones.
+fn connection_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let (assumed, code) = (&inputs.assumptions.assumed, &inputs.assumptions.code);
     vec![
         Row::new(
@@ -46,6 +52,13 @@
             },
             mechanism::RELAY,
         ),
+    ]
+}
+
+/// Deliveries to all clients.
+fn delivery_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let assumed = &inputs.assumptions.assumed;
+    vec![
         Row::new(
             "deliveries",
             "a second",
@@ -68,6 +81,12 @@
             },
             mechanism::RELAY,
         ),
+    ]
+}
+
+/// Listeners of a shard.
+fn shard_rows() -> Vec<Row<'static>> {
+    vec![
         Row::new(
             "listeners of a shard, on the mean",
             "",
--- a/crates/testbed/src/capacity/roles/control.rs
+++ b/crates/testbed/src/capacity/roles/control.rs
@@ -6,10 +6,19 @@
 use crate::capacity::needs::{BYTES_PER_MB, SECONDS_PER_DAY, change_bytes_per_second};
 use crate::capacity::row::{Inputs, Row};
 
-/// The machines that are set aside for control: what they would do.
+/// Returns the figures of the machines that are set aside for control: what they would do.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let requirements = &inputs.assumptions.requirements;
-    let within = requirements.configuration_limit_s.value;
+    let groups = [
+        watch_rows(),
+        change_rows(inputs),
+        history_rows(),
+        processor_rows(),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
+/// The balancers that a control machine watches over.
+fn watch_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
             "balancers that one watches over",
@@ -25,6 +34,13 @@
             |f| Some(f.balancers / (f.control_machines - 1.0).max(1.0)),
             mechanism::CONTROL_MACHINES,
         ),
+    ]
+}
+
+/// A change of the configuration while it comes into force.
+fn change_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let within = inputs.assumptions.requirements.configuration_limit_s.value;
+    vec![
         Row::new(
             "messages for changes of the configuration, of all",
             "a day",
@@ -52,6 +68,12 @@
             mechanism::CONTROL_MACHINES,
         )
         .over(Unknown::ChangeBytes),
+    ]
+}
+
+/// Changes over a day.
+fn history_rows() -> Vec<Row<'static>> {
+    vec![
         Row::new(
             "between two changes",
             "s",
@@ -67,12 +89,16 @@
             mechanism::CONTROL_MACHINES,
         )
         .over(Unknown::ChangeBytes),
-        Row::new(
-            "processor",
-            "% of a core",
-            "*not measured*: there is no such program",
-            |_| None,
-            mechanism::CONTROL_MACHINES,
-        ),
     ]
 }
+
+/// The processor of a control machine.
+fn processor_rows() -> Vec<Row<'static>> {
+    vec![Row::new(
+        "processor",
+        "% of a core",
+        "*not measured*: there is no such program",
+        |_| None,
+        mechanism::CONTROL_MACHINES,
+    )]
+}
--- a/crates/testbed/src/capacity/roles/discovery.rs
+++ b/crates/testbed/src/capacity/roles/discovery.rs
@@ -9,8 +9,19 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// Discovery and its agents, all of them together.
+/// Returns the figures of discovery and its agents, all of them together.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let groups = [
+        call_rows(inputs),
+        change_rows(inputs),
+        whole_list_rows(inputs),
+        own_rows(inputs),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
+/// Calls by balancers.
+fn call_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let calls = inputs.slope(Part::Sockets, Varied::Servers, "list_calls_per_second");
     let answered = inputs.slope(
         Part::Sockets,
@@ -43,6 +54,12 @@
             |f| Some(f.balancers / inputs.assumptions.code.watch_hold_s.value),
             mechanism::AGENTS,
         ),
+    ]
+}
+
+/// A list that does not change, and changes of it.
+fn change_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    vec![
         Row::new(
             "bytes while nothing changes",
             "MB a second",
@@ -75,6 +92,12 @@
             mechanism::AGENTS,
         )
         .over(Unknown::Servers),
+    ]
+}
+
+/// Whole lists for all balancers.
+fn whole_list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    vec![
         Row::new(
             "whole lists for all balancers",
             "MB",
@@ -97,6 +120,12 @@
             mechanism::WHOLE_LISTS_OF_ALL,
         )
         .over(Unknown::Servers),
+    ]
+}
+
+/// What discovery itself holds and uses.
+fn own_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    vec![
         Row::new(
             "state held",
             "MB",
--- a/crates/testbed/src/capacity/roles/server.rs
+++ b/crates/testbed/src/capacity/roles/server.rs
@@ -7,12 +7,24 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// One server, as far as balancers load it.
+/// Returns the figures of one server, as far as balancers load it.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let assumed = &inputs.assumptions.assumed;
-    let probes = inputs.slope(Part::Module, Varied::Servers, "probes_per_second");
-    let probes_here = move |f: &Deployment| Some(probes.at(f.servers)? * f.balancers / f.servers);
-    let least_here = |f: &Deployment| least_probes(inputs, f) * f.balancers / f.servers;
+    let groups = [
+        connection_rows(),
+        health_check_rows(inputs),
+        health_check_cost_rows(inputs),
+        set_up_rows(inputs),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
+/// Health checks a second that a server gets from all balancers at the longest interval.
+fn least_probes_here(inputs: &Inputs, fleet: &Deployment) -> f64 {
+    least_probes(inputs, fleet) * fleet.balancers / fleet.servers
+}
+
+/// Connections that a server holds.
+fn connection_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
             "connections held",
@@ -24,6 +36,14 @@
             ),
         )
         .over(Unknown::Servers),
+    ]
+}
+
+/// Health checks a second of all balancers.
+fn health_check_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let probes = inputs.slope(Part::Module, Varied::Servers, "probes_per_second");
+    let probes_here = move |f: &Deployment| Some(probes.at(f.servers)? * f.balancers / f.servers);
+    vec![
         Row::new(
             "the policy's health checks, of all balancers",
             "a second",
@@ -36,15 +56,22 @@
             "probes at the longest interval, of all balancers",
             "a second",
             "a balancer's x balancers / servers (code)",
-            move |f| Some(least_here(f)),
+            move |f| Some(least_probes_here(inputs, f)),
             mechanism::FLEET_PROBE_BUDGET,
         )
         .over(Unknown::Servers),
+    ]
+}
+
+/// What the health checks at the longest interval cost a server.
+fn health_check_cost_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let assumed = &inputs.assumptions.assumed;
+    vec![
         Row::new(
             "bytes of those probes",
             "a second",
             format!("probes x {} bytes", number(probe_bytes(inputs))),
-            move |f| Some(least_here(f) * probe_bytes(inputs)),
+            move |f| Some(least_probes_here(inputs, f) * probe_bytes(inputs)),
             mechanism::FLEET_PROBE_BUDGET,
         )
         .over(Unknown::Servers),
@@ -58,7 +85,7 @@
             move |f| {
                 let each =
                     inputs.assumptions.assumed.server_probe_us.value / MICROSECONDS_PER_SECOND;
-                Some(least_here(f) * each * PERCENT)
+                Some(least_probes_here(inputs, f) * each * PERCENT)
             },
             mechanism::FLEET_PROBE_BUDGET,
         )
@@ -71,6 +98,13 @@
             mechanism::PROBE_CONNECTIONS,
         )
         .over(Unknown::Servers),
+    ]
+}
+
+/// New connections.
+fn set_up_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+    let assumed = &inputs.assumptions.assumed;
+    vec![
         Row::new(
             "new connections",
             "a second",
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -228,49 +228,40 @@
     Some((days.swap_remove(first), judged[first].clone(), looked))
 }
 
+/// Faults that a hunt draws from.
+const HUNTED_KINDS: [FaultKind; 18] = [
+    FaultKind::Crash,
+    FaultKind::Vanish,
+    FaultKind::Slow,
+    FaultKind::Decay,
+    FaultKind::Neighbour,
+    FaultKind::StuckReports,
+    FaultKind::AbsurdReports,
+    FaultKind::FastErrors,
+    FaultKind::ProbesFail,
+    FaultKind::ZoneCut,
+    FaultKind::StoreSlow,
+    FaultKind::ListSilent,
+    FaultKind::ListWrong,
+    FaultKind::Grow,
+    FaultKind::Shrink,
+    FaultKind::Roll,
+    FaultKind::RestartInTurn,
+    FaultKind::Surge,
+];
+
+/// Draws a fault. The order and number of draws are part of what a seed means.
 fn draw(scenario: &Scenario, rng: &mut Rng) -> Fault {
-    const KINDS: [FaultKind; 18] = [
-        FaultKind::Crash,
-        FaultKind::Vanish,
-        FaultKind::Slow,
-        FaultKind::Decay,
-        FaultKind::Neighbour,
-        FaultKind::StuckReports,
-        FaultKind::AbsurdReports,
-        FaultKind::FastErrors,
-        FaultKind::ProbesFail,
-        FaultKind::ZoneCut,
-        FaultKind::StoreSlow,
-        FaultKind::ListSilent,
-        FaultKind::ListWrong,
-        FaultKind::Grow,
-        FaultKind::Shrink,
-        FaultKind::Roll,
-        FaultKind::RestartInTurn,
-        FaultKind::Surge,
-    ];
-    let what = KINDS[rng.index_below(KINDS.len())];
     let half = |value: f64| (value * 2.0).round() / 2.0;
-    let amount = match what {
-        FaultKind::Slow | FaultKind::Decay => rng.uniform_between(0.2, 0.7),
-        FaultKind::Neighbour => rng.uniform_between(0.2, 0.6),
-        FaultKind::AbsurdReports => [0.0, 0.05, 5.0][rng.index_below(3)],
-        FaultKind::StoreSlow => rng.uniform_between(0.05, 0.4),
-        FaultKind::RestartInTurn => 1.0,
-        FaultKind::Surge => rng.uniform_between(1.3, 3.0),
-        _ => 0.0,
-    };
+    let what = HUNTED_KINDS[rng.index_below(HUNTED_KINDS.len())];
+    let amount = draw_amount(what, rng);
     let latest = (scenario.seconds - scenario.settle) * 0.6;
     Fault {
         what,
         at: half(scenario.settle + rng.uniform_between(1.0, latest.max(1.0)))
             .min(scenario.seconds - 0.5),
         lasts: half(rng.uniform_between(4.0, 20.0)),
-        share: if what == FaultKind::RestartInTurn {
-            0.0
-        } else {
-            (rng.uniform_between(0.05, 0.4) * 20.0).round() / 20.0
-        },
+        share: draw_share(what, rng),
         who: Vec::new(),
         zone: rng.index_below(scenario.zones.number),
         amount: (amount * 100.0).round() / 100.0,
@@ -282,5 +273,26 @@
     }
 }
 
+/// Draws how strong a fault of this kind is; kinds without a strength draw nothing.
+fn draw_amount(what: FaultKind, rng: &mut Rng) -> f64 {
+    match what {
+        FaultKind::Slow | FaultKind::Decay => rng.uniform_between(0.2, 0.7),
+        FaultKind::Neighbour => rng.uniform_between(0.2, 0.6),
+        FaultKind::AbsurdReports => [0.0, 0.05, 5.0][rng.index_below(3)],
+        FaultKind::StoreSlow => rng.uniform_between(0.05, 0.4),
+        FaultKind::RestartInTurn => 1.0,
+        FaultKind::Surge => rng.uniform_between(1.3, 3.0),
+        _ => 0.0,
+    }
+}
+
+/// Draws the share of servers that a fault meets; restarts in turn draw nothing.
+fn draw_share(what: FaultKind, rng: &mut Rng) -> f64 {
+    match what {
+        FaultKind::RestartInTurn => 0.0,
+        _ => (rng.uniform_between(0.05, 0.4) * 20.0).round() / 20.0,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -3,183 +3,24 @@
 //! at servers in slow start. It must never be told anything by a balancer, nor by the model about
 //! what it would have done.
 
+mod records;
+mod verdict;
+
 use std::collections::{BTreeMap, VecDeque};
 
-use nettlemux_fleet_model::observation::{
-    ClosedBy, DeduplicationScope, FinalAnswer, Idempotency, Observation,
-};
+use nettlemux_fleet_model::observation::{ClosedBy, FinalAnswer, Idempotency, Observation};
 use nettlemux_fleet_model::scenario::Scenario;
-use nettlemux_fleet_model::server::BUDGET_SLACK;
 use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{MS, SEC, Time};
-use serde::Serialize;
+
+use records::{AttemptRecord, FlowRecord, ServerRecord, SlowStart};
+pub use verdict::{Rule, Verdict, Violation};
 
 /// How long after a flow's end a further answer or attempt is still noticed.
 const CLOSED_FLOW_RETENTION: Time = 10 * SEC;
 /// How many violations are described. All are counted.
 const EXAMPLES_MAX: usize = 20;
 
-/// The rules, by the names that reports have.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Rule {
-    /// Rule 1: a flow without an answer by its deadline.
-    Lost,
-    /// Rule 1: a second answer.
-    AnsweredTwice,
-    /// Rule 1: an answer after the deadline.
-    Late,
-    /// Rule 1: an answer or an attempt for a flow that is closed.
-    AfterTheEnd,
-    /// Rule 1: a connection ended by the balancer, unannounced, while its server still answered.
-    Cut,
-    /// Rule 2: an effect that may come twice.
-    Twice,
-    /// Rule 2: two attempts in flight.
-    TwoInFlight,
-    /// Rule 3: an attempt at a draining or removed server after the grace.
-    Drain,
-    /// Rule 4: more attempts than a server in slow start can bear.
-    Cold,
-}
-
-/// One violation of a rule.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Violation {
-    /// The rule.
-    pub rule: Rule,
-    /// When it was noticed, in nanoseconds from the start of the run.
-    pub at: Time,
-    /// What was observed.
-    pub what: String,
-}
-
-/// The result of a whole run.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Verdict {
-    /// How often each rule was violated.
-    pub violations: BTreeMap<Rule, usize>,
-    /// The first violations.
-    pub examples: Vec<Violation>,
-    /// How many flows balancers have accepted.
-    pub flows: usize,
-    /// How many attempts servers have got.
-    pub attempts: usize,
-}
-
-impl Verdict {
-    /// Whether all rules were kept.
-    pub fn kept(&self) -> bool {
-        self.violations.is_empty()
-    }
-}
-
-struct AttemptRecord {
-    number: usize,
-    server: usize,
-    at: Time,
-    /// Whether it was known not to have run, once it is no longer in flight.
-    known_unexecuted: Option<bool>,
-}
-
-impl AttemptRecord {
-    fn new(number: usize, server: usize, at: Time) -> Self {
-        AttemptRecord {
-            number,
-            server,
-            at,
-            known_unexecuted: None,
-        }
-    }
-
-    fn may_have_run(&self) -> bool {
-        self.known_unexecuted != Some(true)
-    }
-}
-
-struct FlowRecord {
-    balancer: usize,
-    idempotency: Idempotency,
-    deadline: Time,
-    answer: Option<FinalAnswer>,
-    closed_at: Option<Time>,
-    attempts: Vec<AttemptRecord>,
-}
-
-impl FlowRecord {
-    fn new(balancer: usize, idempotency: Idempotency, deadline: Time) -> Self {
-        FlowRecord {
-            balancer,
-            idempotency,
-            deadline,
-            answer: None,
-            closed_at: None,
-            attempts: Vec::new(),
-        }
-    }
-
-    fn awaits_answer(&self) -> bool {
-        self.answer.is_none() && self.closed_at.is_none()
-    }
-
-    fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(AttemptRecord::may_have_run)
-    }
-
-    /// Whether a rejection, which says that a retry is safe, would be wrong.
-    fn must_not_be_rejected(&self) -> bool {
-        self.may_have_run()
-            && match self.idempotency {
-                Idempotency::Idempotent => false,
-                // Wherever the retry goes, it is dropped while the window lasts.
-                Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
-                Idempotency::NonIdempotent => true,
-            }
-    }
-}
-
-#[derive(Default)]
-struct ServerRecord {
-    zone: usize,
-    cell: usize,
-    started: Option<Time>,
-    /// When it got attempts, since it started and while it is in slow start.
-    sent: VecDeque<Time>,
-}
-
-impl ServerRecord {
-    /// Whether this server drops repeats of attempts at another one.
-    fn shares_scope(&self, other: &ServerRecord, scope: DeduplicationScope) -> bool {
-        match scope {
-            DeduplicationScope::All => true,
-            DeduplicationScope::Zone => self.zone == other.zone,
-            DeduplicationScope::Cell => self.cell == other.cell,
-        }
-    }
-}
-
-/// What the rule on servers in slow start depends on.
-struct SlowStart {
-    initial_capacity: f64,
-    warm_up: Time,
-    collapse_multiple: f64,
-    collapse_window: Time,
-    connection_rate: f64,
-}
-
-impl SlowStart {
-    /// Returns how many attempts a server of this age may get within the collapse window.
-    fn budget(&self, age: Time) -> f64 {
-        let warmth = self.initial_capacity
-            + (1.0 - self.initial_capacity) * age as f64 / self.warm_up as f64;
-        self.collapse_multiple
-            * warmth
-            * self.connection_rate
-            * (self.collapse_window as f64 / SEC as f64)
-            + BUDGET_SLACK
-    }
-}
-
 /// Checks the rules over a run.
 pub struct RuleChecker {
     hedging: bool,
@@ -233,23 +74,18 @@
     pub fn observe(&mut self, fact: &Observation) {
         self.now = self.now.max(fact.at().unwrap_or(self.now));
         self.forget_closed_flows();
+        self.dispatch(fact);
+    }
+
+    /// Hands a fact to the check of its kind.
+    fn dispatch(&mut self, fact: &Observation) {
         match *fact {
             Observation::Header { .. } => {}
             Observation::Server {
                 server, zone, cell, ..
-            } => {
-                let record = self.servers.entry(server).or_default();
-                (record.zone, record.cell) = (zone, cell);
-            }
-            Observation::ServerStarted { at, server } => {
-                let record = self.servers.entry(server).or_default();
-                record.started = Some(at);
-                record.sent.clear();
-            }
-            Observation::ServerCollapsed { server, .. } => {
-                let what = format!("server {server} collapsed in its slow start");
-                self.violation(Rule::Cold, what);
-            }
+            } => self.server_placed(server, zone, cell),
+            Observation::ServerStarted { at, server } => self.server_started(at, server),
+            Observation::ServerCollapsed { server, .. } => self.server_collapsed(server),
             Observation::EndpointNotified {
                 at,
                 balancer,
@@ -284,13 +120,7 @@
                 by,
                 client_notified,
                 server_healthy,
-            } => {
-                if by == ClosedBy::Balancer && server_healthy && !client_notified {
-                    let what = format!("flow {flow} was cut off unannounced");
-                    self.violation(Rule::Cut, what);
-                }
-                self.close(at, flow);
-            }
+            } => self.connection_closed(at, flow, by, server_healthy && !client_notified),
             Observation::BalancerEnded {
                 at,
                 balancer,
@@ -299,6 +129,30 @@
         }
     }
 
+    fn server_placed(&mut self, server: usize, zone: usize, cell: usize) {
+        let record = self.servers.entry(server).or_default();
+        (record.zone, record.cell) = (zone, cell);
+    }
+
+    fn server_started(&mut self, at: Time, server: usize) {
+        let record = self.servers.entry(server).or_default();
+        record.started = Some(at);
+        record.sent.clear();
+    }
+
+    fn server_collapsed(&mut self, server: usize) {
+        let what = format!("server {server} collapsed in its slow start");
+        self.violation(Rule::Cold, what);
+    }
+
+    fn connection_closed(&mut self, at: Time, id: u64, by: ClosedBy, unannounced: bool) {
+        if by == ClosedBy::Balancer && unannounced {
+            let what = format!("flow {id} was cut off unannounced");
+            self.violation(Rule::Cut, what);
+        }
+        self.close(at, id);
+    }
+
     fn forget_closed_flows(&mut self) {
         while let Some((closed_at, flow)) = self.closed.front().copied()
             && closed_at + CLOSED_FLOW_RETENTION < self.now
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -1,5 +1,7 @@
 //! The rule checker's verdict on short records, one rule at a time.
 
+use nettlemux_fleet_model::observation::DeduplicationScope;
+
 use super::*;
 
 fn scenario() -> Scenario {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -204,50 +204,12 @@
     }
 
     fn storms(&mut self, part: &StormPart) -> Result<(), ScaleRunError> {
-        let counts = part.fixed;
-        let plan = FleetPlan {
-            counts,
-            real: part.real_balancers,
-            hollow: counts.balancers - part.real_balancers,
-            hollow_connections: part.hollow_connections,
-            hollow_probes_per_second: part.hollow_probes_per_second,
-            probe_price: 0.0,
-            connection_seconds: UNLIMITED_LIFE,
-            spare_servers: part.replaced,
-            descriptors: self.limits.descriptors,
-            seed: self.scenario.seed,
-            program: self.program.clone(),
-            ramp: Duration::from_secs_f64(part.settle_seconds * RAMP_PART),
-        };
-        let base = Fixed {
-            real_balancers: Some(plan.real),
-            hollow_balancers: Some(plan.hollow),
-            probe_price: Some(0.0),
-            ..Fixed::new(counts)
-        };
-        let killed = Fixed {
-            killed: Some(part.killed),
-            ..base.clone()
-        };
-        let replaced = Fixed {
-            replaced: Some(part.replaced),
-            ..base
-        };
-        let storms = [
-            (
-                Storm::BalancersKilled,
-                Varied::Balancers,
-                counts.balancers,
-                killed,
-            ),
-            (
-                Storm::ServersReplaced,
-                Varied::Servers,
-                counts.servers,
-                replaced,
-            ),
-        ];
-        for (storm, varied, size, fixed) in storms {
+        let plan = self.storm_plan(part);
+        for storm in [Storm::BalancersKilled, Storm::ServersReplaced] {
+            let (varied, size) = match storm {
+                Storm::BalancersKilled => (Varied::Balancers, part.fixed.balancers),
+                Storm::ServersReplaced => (Varied::Servers, part.fixed.servers),
+            };
             let at = At {
                 part: Part::Storm,
                 varied,
@@ -259,11 +221,28 @@
             )?;
             let figures =
                 on_threads(storms::measure(&plan, part, storm)).map_err(|e| at.failed(e))?;
-            self.write_measurement(at, fixed, &figures)?;
+            self.write_measurement(at, storm_counts(&plan, part, storm), &figures)?;
         }
         Ok(())
     }
 
+    fn storm_plan(&self, part: &StormPart) -> FleetPlan {
+        FleetPlan {
+            counts: part.fixed,
+            real: part.real_balancers,
+            hollow: part.fixed.balancers - part.real_balancers,
+            hollow_connections: part.hollow_connections,
+            hollow_probes_per_second: part.hollow_probes_per_second,
+            probe_price: 0.0,
+            connection_seconds: UNLIMITED_LIFE,
+            spare_servers: part.replaced,
+            descriptors: self.limits.descriptors,
+            seed: self.scenario.seed,
+            program: self.program.clone(),
+            ramp: Duration::from_secs_f64(part.settle_seconds * RAMP_PART),
+        }
+    }
+
     fn write_measurement(
         &mut self,
         at: At,
@@ -317,6 +296,22 @@
     }
 }
 
+/// The counts of a storm, as its line has them.
+fn storm_counts(plan: &FleetPlan, part: &StormPart, storm: Storm) -> Fixed {
+    let (killed, replaced) = match storm {
+        Storm::BalancersKilled => (Some(part.killed), None),
+        Storm::ServersReplaced => (None, Some(part.replaced)),
+    };
+    Fixed {
+        real_balancers: Some(plan.real),
+        hollow_balancers: Some(plan.hollow),
+        probe_price: Some(plan.probe_price),
+        killed,
+        replaced,
+        ..Fixed::new(plan.counts)
+    }
+}
+
 /// Each figure with its points, in the order in which figures are written.
 fn by_figure(measured: &[(f64, Figures)]) -> Vec<(String, Vec<(f64, f64)>)> {
     let points: Vec<(f64, Vec<(String, f64)>)> = measured
