--- a/crates/testbed/src/capacity/roles/server.rs
+++ b/crates/testbed/src/capacity/roles/server.rs
@@ -32,7 +32,7 @@
             "connections / servers",
             |f| Some(f.server_connections()),
             Mechanism::Present(
-                "no limit but load; OVERLOAD_UTILIZATION in crates/policy/src/load_reports.rs",
+                "no limit but load; PLACEMENT_UTILIZATION_MAX in crates/policy/src/placement.rs",
             ),
         )
         .over(Unknown::Servers),
