--- a/crates/dataplane/src/health_check.rs
+++ b/crates/dataplane/src/health_check.rs
@@ -13,3 +13,6 @@
 
 pub use self::checker::HealthChecker;
 pub use self::context::HealthCheckContext;
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/dataplane/src/health_check/tests.rs
@@ -0,0 +1,159 @@
+//! Connections that are kept, replaced and given back, and checks that wait for a descriptor.
+
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use nettlemux_policy::{SEC, ServerId};
+use socket2::{Domain, Socket, Type};
+
+use super::*;
+use crate::buffers::BufferPool;
+use crate::clock;
+use crate::descriptors::DescriptorBudget;
+use crate::mailbox::Mailbox;
+use crate::messages::{DispatcherMessage, Server};
+use crate::runtime_settings::{RuntimeSettings, SharedSettings};
+
+const SERVER_ID: ServerId = 7;
+
+/// A checker with its own dispatcher's mailbox and descriptors.
+struct Fixture {
+    checker: HealthChecker,
+    messages: Mailbox<DispatcherMessage>,
+    descriptors: Arc<DescriptorBudget>,
+}
+
+impl Fixture {
+    fn new(descriptors: usize) -> Self {
+        let messages = Mailbox::new();
+        let descriptors = DescriptorBudget::new(descriptors);
+        let checker = HealthChecker::new(HealthCheckContext {
+            dispatcher: messages.sender(),
+            descriptors: descriptors.clone(),
+            buffers: BufferPool::new(),
+            settings: SharedSettings::new(RuntimeSettings::default()),
+        });
+        Fixture {
+            checker,
+            messages,
+            descriptors,
+        }
+    }
+
+    /// Runs steps in a coroutine, as waits need one; all that read the messages in the same one.
+    fn run(mut self, steps: impl FnOnce(&mut Fixture) + Send + 'static) -> Self {
+        let running = may::go!(move || {
+            steps(&mut self);
+            self
+        });
+        running.join().unwrap()
+    }
+
+    /// Returns whether the next check that ends has passed.
+    fn next_has_passed(&self) -> bool {
+        match self.messages.next(clock::now() + 5 * SEC) {
+            Some(DispatcherMessage::HealthChecked {
+                server_id, passed, ..
+            }) => {
+                assert_eq!(server_id, SERVER_ID);
+                passed
+            }
+            Some(_) => panic!("another message"),
+            None => panic!("no check has ended"),
+        }
+    }
+
+    /// Waits until so many descriptors are in use. A connection's is given back a moment after its
+    /// end, by the coroutine that watches its socket. To be called outside coroutines.
+    fn wait_for_descriptors_in_use(&self, expected: usize) {
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while self.descriptors.in_use() != expected {
+            let in_use = self.descriptors.in_use();
+            assert!(Instant::now() < deadline, "{in_use} in use, not {expected}");
+            thread::sleep(Duration::from_millis(1));
+        }
+    }
+}
+
+fn server(address: SocketAddr) -> Arc<Server> {
+    Arc::new(Server {
+        name: "s-7".into(),
+        address,
+        ready: AtomicBool::new(true),
+    })
+}
+
+/// Answers so many health checks on one connection, which is returned.
+fn answer(listener: &TcpListener, checks: usize) -> TcpStream {
+    let mut stream = listener.accept().unwrap().0;
+    let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
+    for _ in 0..checks {
+        assert_eq!(lines.next().unwrap().unwrap(), "PING");
+        stream.write_all(b"PONG\r\n").unwrap();
+    }
+    stream
+}
+
+#[test]
+fn a_connection_is_kept_replaced_once_it_has_ended_and_closed_with_its_server() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let server = server(listener.local_addr().unwrap());
+    let answering = thread::spawn(move || {
+        drop(answer(&listener, 2));
+        let mut second = BufReader::new(answer(&listener, 1));
+        let mut rest = String::new();
+        second.read_line(&mut rest).unwrap();
+        assert_eq!(rest, "", "closed by the balancer");
+    });
+    let mut fixture = Fixture::new(16).run(move |fixture| {
+        for _ in 0..3 {
+            fixture.checker.check(SERVER_ID, server.clone());
+            assert!(fixture.next_has_passed());
+        }
+    });
+    fixture.wait_for_descriptors_in_use(1);
+    fixture.checker.retain_listed(|_| false);
+    fixture.wait_for_descriptors_in_use(0);
+    answering.join().unwrap();
+}
+
+#[test]
+fn a_check_waits_for_a_descriptor_and_an_unlisted_server_does_not() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let server = server(listener.local_addr().unwrap());
+    let answering = thread::spawn(move || answer(&listener, 1));
+    // Two are discovery's, and one is in use.
+    let fixture = Fixture::new(3);
+    let in_use = fixture.descriptors.try_acquire().unwrap();
+    let fixture = fixture.run(move |fixture| {
+        fixture.checker.check(SERVER_ID, server.clone());
+        fixture.checker.check(SERVER_ID + 1, server);
+        assert!(fixture.checker.has_queued());
+        fixture.checker.retain_listed(|listed| listed == SERVER_ID);
+        drop(in_use);
+        fixture.checker.start_queued();
+        assert!(!fixture.checker.has_queued());
+        assert!(fixture.next_has_passed());
+    });
+    // So few descriptors are left that the connection isn't kept.
+    fixture.wait_for_descriptors_in_use(0);
+    drop(answering.join().unwrap());
+}
+
+#[test]
+fn a_server_that_refuses_the_connection_has_failed_its_check() {
+    // Bound but not listening, so that no other test is given the port meanwhile.
+    let refusing = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    refusing.bind(&any_port.into()).unwrap();
+    let address = refusing.local_addr().unwrap().as_socket().unwrap();
+    let fixture = Fixture::new(16).run(move |fixture| {
+        fixture.checker.check(SERVER_ID, server(address));
+        assert!(!fixture.next_has_passed());
+    });
+    fixture.wait_for_descriptors_in_use(0);
+}
