--- a/crates/balancer/tests/deadlines.rs
+++ b/crates/balancer/tests/deadlines.rs
@@ -52,15 +52,15 @@
     }
 }
 
-/// Idle clients fill the descriptors while discovery is down, and a server drains meanwhile: told
+/// Idle clients fill the descriptors while discovery is down, and a server drains meanwhile: known
 /// at the return of discovery, the drain is kept from the grace on, and clients that ask are
 /// answered all the time.
 #[test]
 fn a_drain_is_kept_though_idle_clients_filled_the_descriptors_while_discovery_was_down() {
     /// More than the balancer takes of those who say nothing.
     const IDLE: usize = 400;
-    /// A change counts as told so long after discovery had it and could be reached.
-    const TOLD_AFTER: Duration = Duration::from_secs(6);
+    /// Longest time until a change is known, from when discovery had it and could be reached.
+    const CHANGE_KNOWN_AFTER_MAX: Duration = Duration::from_secs(6);
     let balancer = TestBalancer::with_config(2, |config| {
         let config = with_settings(&config, &[("limits/probes", json!(false))]);
         config.replace("\"sockets\":1024", "\"sockets\":256")
@@ -96,6 +96,10 @@
         let before = balancer.servers[1].first_lines().len();
         (0..6).all(|_| asks(ask())) && balancer.servers[1].first_lines().len() == before
     });
-    assert!(returned.elapsed() < TOLD_AFTER, "{:?}", returned.elapsed());
+    assert!(
+        returned.elapsed() < CHANGE_KNOWN_AFTER_MAX,
+        "{:?}",
+        returned.elapsed()
+    );
     drop(idle);
 }
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -14,11 +14,11 @@
 use common::{TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// Longest time until a change is known, from when discovery had it and could be reached.
+const CHANGE_KNOWN_AFTER_MAX: Duration = Duration::from_secs(6);
 
 /// The wait in the queue of a service that all balancers share, a little under the 2 s after which
-/// it turns calls away.
+/// it rejects calls.
 const QUEUE: Duration = Duration::from_millis(1900);
 
 /// How long a failing service keeps a call.
@@ -53,7 +53,7 @@
             .find_map(|call| call.answered_at.filter(|at| *at > returned))
     };
     // Waited for longer than is allowed, so that the time is reported where it is too long.
-    while answered().is_none() && returned.elapsed() < 3 * TOLD_AFTER {
+    while answered().is_none() && returned.elapsed() < 3 * CHANGE_KNOWN_AFTER_MAX {
         thread::sleep(Duration::from_millis(20));
     }
     answered().map_or(returned.elapsed(), |at| at - returned)
@@ -74,7 +74,7 @@
                 let late = &late;
                 scope.spawn(move || {
                     let took = time_until_answered(down, Duration::from_millis(ms));
-                    if took >= TOLD_AFTER {
+                    if took >= CHANGE_KNOWN_AFTER_MAX {
                         late.lock()
                             .unwrap()
                             .push(format!("{down:?}, returned after {ms} ms: {took:?}"));
@@ -283,7 +283,7 @@
 
 /// Guards against a hundred balancers that call a service they share again at once, keep its queue
 /// full and learn nothing from then on. An agent on the same machine costs nothing and is asked
-/// again at once: what it has counts as told.
+/// again at once: a change that it has must become known in time.
 #[test]
 fn a_list_that_is_asked_for_is_called_for_less_and_less_while_calls_fail() {
     let balancer = TestBalancer::new(1);
--- a/crates/balancer/tests/system_calls.rs
+++ b/crates/balancer/tests/system_calls.rs
@@ -233,7 +233,7 @@
 }
 
 /// Guards against a configuration that is lost since its file couldn't be read at the signal: a
-/// move of discovery counts as told 4 s after it.
+/// new address of discovery must be in use 4 s after it.
 #[test]
 fn a_reload_that_meets_an_unreadable_file_is_made_good() {
     for trouble in ["open64", "read", "half"] {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -79,7 +79,7 @@
     }
 
     /// Goes on under the settings of `new`, which has to keep the indices of traffic classes and
-    /// tenants that flows in hand refer to.
+    /// tenants that flows in progress refer to.
     pub fn apply_settings(&mut self, new: Policy) {
         let old = mem::replace(self, new);
         self.rng = old.rng;
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Returns how many attempts may be in flight at once for one flow.
+    /// Returns how many attempts one flow may make.
     ///
     /// # Errors
     /// Where the setting can't be read.
-    pub fn attempts_in_flight_max(&self) -> Result<usize, SettingsError> {
+    pub fn attempts_max(&self) -> Result<usize, SettingsError> {
         Ok(self.number_or(keys::ATTEMPTS_MAX, 1.0)?.max(0.0) as usize)
     }
 
--- a/crates/settings/src/platform/policy.rs
+++ b/crates/settings/src/platform/policy.rs
@@ -41,7 +41,7 @@
         let (zone, classes) = (self.zone()?, self.traffic_classes()?);
         let config = PolicyConfig {
             retry: RetryConfig {
-                attempts_max: self.attempts_in_flight_max()?,
+                attempts_max: self.attempts_max()?,
                 deadline_margin: margin,
                 allow_hedging: self.is_allowed(keys::HEDGING_ALLOWED)?,
                 allow_cancellation: self.is_allowed(keys::CANCELLATION_ALLOWED)?,
--- a/crates/settings/tests/platform_settings.rs
+++ b/crates/settings/tests/platform_settings.rs
@@ -63,7 +63,7 @@
 #[test]
 fn what_settings_leave_out_has_its_default() {
     let settings = Settings::within(&settings()).unwrap();
-    assert_eq!(settings.attempts_in_flight_max().unwrap(), 1);
+    assert_eq!(settings.attempts_max().unwrap(), 1);
     assert_eq!(settings.max_retry_after().unwrap(), None);
     assert_eq!(settings.endpoint_poll_interval_max().unwrap(), None);
     assert_eq!(settings.flow_timeouts(), [None, Some(3000 * MS)]);
--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -109,7 +109,7 @@
             types: settings
                 .traffic_classes()
                 .expect("settings made by the lab"),
-            attempts: settings.attempts_in_flight_max().unwrap_or(1),
+            attempts: settings.attempts_max().unwrap_or(1),
             servers: BTreeMap::new(),
             own: BTreeMap::new(),
             flows: BTreeMap::new(),
