--- a/crates/adapter/src/balancer.rs
+++ b/crates/adapter/src/balancer.rs
@@ -1,6 +1,6 @@
 //! One simulated balancer: its flow table and its timer.
 
-use nettlemux_flow_table::{AttemptOutcome, ClientIdentity, FlowTable, PolicyCommand};
+use nettlemux_flow_table::{ClientIdentity, EndedAttempt, FlowTable, PolicyCommand};
 use nettlemux_policy::{Flow, FlowId, MS, SEC, Time};
 use nettlemux_settings::{DrainMigration, LoadReportFormat, Settings};
 
@@ -107,16 +107,16 @@
     fn attempt_ended(
         &mut self,
         now: Time,
-        outcome: AttemptOutcome,
+        attempt: EndedAttempt,
         is_answered: bool,
         out: &mut String,
     ) {
-        let flow = outcome.flow;
+        let flow = attempt.flow;
         if is_answered {
             self.flow_table.mark_answered(flow);
         }
         let mut commands = Vec::new();
-        self.flow_table.attempt_ended(now, outcome, &mut commands);
+        self.flow_table.attempt_ended(now, attempt, &mut commands);
         self.write_commands(commands, out);
         self.remove_if_over(flow);
     }
--- a/crates/adapter/src/wire/event.rs
+++ b/crates/adapter/src/wire/event.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use nettlemux_flow_table::AttemptOutcome;
+use nettlemux_flow_table::EndedAttempt;
 use nettlemux_policy::{Endpoint, Flow, FlowId, GroupPlacement, LoadReport, ServerId, Time};
 use nettlemux_settings::{LoadReportFormat, Settings};
 
@@ -62,7 +62,7 @@
     /// An attempt, or the connection that it became, has ended.
     AttemptEnded {
         /// How it has ended.
-        outcome: AttemptOutcome,
+        outcome: EndedAttempt,
         /// Whether the client has its answer by it.
         is_answered: bool,
     },
--- a/crates/adapter/src/wire/event_fields.rs
+++ b/crates/adapter/src/wire/event_fields.rs
@@ -1,6 +1,6 @@
 //! The fields of each event.
 
-use nettlemux_flow_table::AttemptOutcome;
+use nettlemux_flow_table::EndedAttempt;
 use nettlemux_policy::{AttemptEnd, Flow, GroupPlacement, LoadReport, ServerId, Time};
 use nettlemux_settings::LoadReportFormat;
 
@@ -112,7 +112,7 @@
     let _took = fields.time("time-taken")?;
     let is_answered = fields.flag("closed")?;
     let report = parse_load_report(fields.word("report")?, load_reports)?;
-    let outcome = AttemptOutcome {
+    let outcome = EndedAttempt {
         flow,
         number,
         server_id,
--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -67,12 +67,8 @@
 /// # Errors
 /// If it can't start, or a part without which it can't go on has failed.
 pub fn serve(inputs: Inputs) -> Result<(), StartError> {
-    let Inputs {
-        mut config,
-        operator,
-        files,
-        signals,
-    } = inputs;
+    let mut config = inputs.config;
+    let operator = inputs.operator;
     let budgets = DescriptorBudgets::new(config.sockets, config.memory);
     configure_runtime(&budgets);
     let settings = &match operator.peers {
@@ -89,13 +85,12 @@
     let gossip = Gossip::start(operator.peers, &shared.dispatcher)?;
     reload::warn_of_missing_peers(&config.settings, gossip.transport.as_ref());
 
-    let health_checker = shared.health_checker();
     let dispatcher = Dispatcher::new(DispatcherConfig {
         flow_table: decisions.flow_table,
         messages,
         zones: settings.zone_names(),
         machines: settings.machine_model_names(),
-        health_checker,
+        health_checker: shared.health_checker(),
         gossip: gossip.sender,
         seed: config.seed,
         margin: ANSWER_MARGIN,
@@ -106,7 +101,7 @@
     let agent = Agent::new(config.discovery);
     let discovery = shared.discovery_context(agent.clone(), config.seed);
     let reloader = Reloader {
-        files,
+        files: inputs.files,
         settings_in_file: config.settings.clone(),
         config,
         admission_seed: decisions.admission_seed,
@@ -116,7 +111,8 @@
         agent,
         dispatcher: shared.dispatcher.clone(),
     };
-    signals::listen(signals, reloader, shared.dispatcher.clone()).map_err(StartError::Signals)?;
+    signals::listen(inputs.signals, reloader, shared.dispatcher.clone())
+        .map_err(StartError::Signals)?;
     start_discovery(discovery, known_version, shared.dispatcher.clone());
     start_listener(acceptor, listener, shared.dispatcher);
     wait_for_end(running)
--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -13,7 +13,7 @@
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use nettlemux_flow_table::{AttemptOutcome, ClientIdentity, FlowTable, PolicyCommand};
+use nettlemux_flow_table::{ClientIdentity, EndedAttempt, FlowTable, PolicyCommand};
 use nettlemux_policy::{Flow, FlowId, GroupPlacement, MS, SEC, Time};
 use nettlemux_settings::{DrainMigration, Settings};
 use tracing::{error, info};
@@ -121,7 +121,7 @@
     fn handle_or_fail(&mut self, message: Option<DispatcherMessage>) {
         let flow = match &message {
             Some(DispatcherMessage::PlaceFlow { flow, .. }) => Some(flow.id),
-            Some(DispatcherMessage::AttemptEnded { flow, .. }) => Some(*flow),
+            Some(DispatcherMessage::AttemptEnded(attempt)) => Some(attempt.flow),
             _ => None,
         };
         let handled = catch_unwind(AssertUnwindSafe(|| self.handle_next(message)));
@@ -163,24 +163,7 @@
                 mailbox,
             } => self.adopt_connection(flow, &server_name, mailbox),
             DispatcherMessage::Connected { flow, elapsed } => self.connected(now, flow, elapsed),
-            DispatcherMessage::AttemptEnded {
-                flow,
-                server_id,
-                number,
-                end,
-                known_unexecuted,
-                report,
-            } => self.attempt_ended(
-                now,
-                AttemptOutcome {
-                    flow,
-                    server_id,
-                    number,
-                    end,
-                    known_unexecuted,
-                    report,
-                },
-            ),
+            DispatcherMessage::AttemptEnded(attempt) => self.attempt_ended(now, attempt),
             DispatcherMessage::ConnectionLoad { flow, load } => {
                 self.flow_table.update_connection_load(flow, load)
             }
@@ -259,12 +242,12 @@
         }
     }
 
-    fn attempt_ended(&mut self, now: Time, outcome: AttemptOutcome) {
-        if !self.clients.contains(outcome.flow) {
+    fn attempt_ended(&mut self, now: Time, attempt: EndedAttempt) {
+        if !self.clients.contains(attempt.flow) {
             return;
         }
         self.apply(now, |flow_table, commands| {
-            flow_table.attempt_ended(now, outcome, commands)
+            flow_table.attempt_ended(now, attempt, commands)
         });
     }
 
--- a/crates/dataplane/src/flow_guard.rs
+++ b/crates/dataplane/src/flow_guard.rs
@@ -6,6 +6,7 @@
 use std::mem;
 use std::sync::Arc;
 
+use nettlemux_flow_table::EndedAttempt;
 use nettlemux_policy::{Flow, FlowId, MS, Time};
 use tracing::{debug, error, info, warn};
 
@@ -120,14 +121,14 @@
 
     /// Reports to the dispatcher how an attempt, or the connection that it brought, has ended.
     pub fn report_attempt_ended(&self, target: &AttemptTarget, outcome: AttemptOutcome) {
-        self.notify_dispatcher(DispatcherMessage::AttemptEnded {
+        self.notify_dispatcher(DispatcherMessage::AttemptEnded(EndedAttempt {
             flow: self.id,
             server_id: target.server_id,
             number: target.number,
             end: outcome.end,
             known_unexecuted: outcome.known_unexecuted,
             report: outcome.report,
-        });
+        }));
     }
 
     /// Answers that the flow is rejected, with the time after which the client may retry, where
--- a/crates/dataplane/src/messages.rs
+++ b/crates/dataplane/src/messages.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use nettlemux_admission::AdmissionConfig;
-use nettlemux_flow_table::ClientIdentity;
+use nettlemux_flow_table::{ClientIdentity, EndedAttempt};
 use nettlemux_policy::{AttemptEnd, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
 use nettlemux_settings::Settings;
 
@@ -111,21 +111,8 @@
         elapsed: Time,
     },
     /// An attempt has failed, or the connection that it made has ended.
-    AttemptEnded {
-        /// The attempt's flow.
-        flow: FlowId,
-        /// The server that the attempt went to.
-        server_id: ServerId,
-        /// The attempt's number within its flow, from 0.
-        number: usize,
-        /// What ended it.
-        end: AttemptEnd,
-        /// Whether the server certainly did not run the request.
-        known_unexecuted: bool,
-        /// The load report that came with the end; empty where none did.
-        report: LoadReport,
-    },
-    /// A server has told what load a connection causes.
+    AttemptEnded(EndedAttempt),
+    /// A server has reported what load a connection causes.
     ConnectionLoad {
         /// The connection's flow.
         flow: FlowId,
--- a/crates/flow-table/src/attempt.rs
+++ b/crates/flow-table/src/attempt.rs
@@ -4,7 +4,7 @@
 
 /// The end of an attempt, or of the connection that it became.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptOutcome {
+pub struct EndedAttempt {
     /// The flow that the attempt was made for.
     pub flow: FlowId,
     /// The attempt's number within its flow, from 0.
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -19,7 +19,7 @@
 mod retry_after_hint;
 mod table;
 
-pub use crate::attempt::AttemptOutcome;
+pub use crate::attempt::EndedAttempt;
 pub use crate::command::PolicyCommand;
 pub use crate::identity::ClientIdentity;
 pub use crate::policy::LoadBalancingPolicy;
--- a/crates/flow-table/src/table.rs
+++ b/crates/flow-table/src/table.rs
@@ -13,7 +13,7 @@
     PolicyEvent, ServerId, Time,
 };
 
-use crate::attempt::AttemptOutcome;
+use crate::attempt::EndedAttempt;
 use crate::command::PolicyCommand;
 use crate::identity::ClientIdentity;
 use crate::policy::LoadBalancingPolicy;
@@ -122,29 +122,29 @@
     pub fn attempt_ended(
         &mut self,
         now: Time,
-        outcome: AttemptOutcome,
+        ended: EndedAttempt,
         commands: &mut Vec<PolicyCommand>,
     ) {
-        let AttemptOutcome {
+        let EndedAttempt {
             flow, server_id, ..
-        } = outcome;
+        } = ended;
         // A load report that came with an answer counts like that of a health check: it is the
         // server's own.
-        if outcome.report.utilization.is_some() {
-            self.health_checked(now, server_id, true, outcome.report, commands);
+        if ended.report.utilization.is_some() {
+            self.health_checked(now, server_id, true, ended.report, commands);
         }
         let mut unanswered = None;
         if let Some(entry) = self.flows.get_mut(&flow) {
-            if let Some(attempt) = entry.flow.attempts.get_mut(outcome.number) {
+            if let Some(attempt) = entry.flow.attempts.get_mut(ended.number) {
                 attempt.in_flight = false;
-                attempt.known_unexecuted = outcome.known_unexecuted;
+                attempt.known_unexecuted = ended.known_unexecuted;
             }
             unanswered = entry.awaits_answer.then_some(&entry.flow);
         }
         let event = PolicyEvent::AttemptEnded {
             flow,
             server_id,
-            end: outcome.end,
+            end: ended.end,
             unanswered,
         };
         let actions = self.policy.on_event(now, event);
--- a/crates/flow-table/src/table/tests.rs
+++ b/crates/flow-table/src/table/tests.rs
@@ -86,7 +86,7 @@
     };
     flow_table.attempt_ended(
         2,
-        AttemptOutcome {
+        EndedAttempt {
             flow: 7,
             number: 0,
             server_id: 4,
@@ -104,7 +104,7 @@
     );
     flow_table.attempt_ended(
         3,
-        AttemptOutcome {
+        EndedAttempt {
             flow: 7,
             number: 1,
             server_id: 5,
@@ -142,7 +142,7 @@
     // Guards against a second answer for a flow that has had its own.
     flow_table.attempt_ended(
         4,
-        AttemptOutcome {
+        EndedAttempt {
             flow: 7,
             number: 1,
             server_id: 5,
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -3,7 +3,7 @@
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::server::AttemptResponse;
 use nettlemux_fleet_model::time::seconds;
-use nettlemux_flow_table::AttemptOutcome;
+use nettlemux_flow_table::EndedAttempt;
 use nettlemux_policy::{AttemptEnd, FlowId, LoadReport, Time};
 
 use super::event::{Ending, Event, ServerResponse};
@@ -226,7 +226,7 @@
             known_unexecuted,
         } = ending;
         self.ask(balancer, |flow_table, now, actions| {
-            let outcome = AttemptOutcome {
+            let outcome = EndedAttempt {
                 flow,
                 number,
                 server_id: server as u64,
