--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -120,7 +120,7 @@
     #[error("a mark is not 1")]
     FlagNotSet,
     /// A value that should be a number is none.
-    #[error("a parse_number is no number")]
+    #[error("a figure is no number")]
     NotANumber,
     /// The traffic class is missing.
     #[error("no class")]
