--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -16,7 +16,7 @@
 
 /// How long before an attempt timeout a balancer answers in virtual time, as one on sockets does.
 pub const MARGIN: Time = 15 * MS;
-/// What those who are rejected by a baseline are told at most.
+/// The longest Retry-After of a baseline.
 const RETRY_AFTER_SECONDS: [f64; 2] = [0.25, 1.0];
 
 /// A policy, by the name that the command line has.
@@ -35,7 +35,7 @@
 }
 
 impl PolicyKind {
-    /// All policies that the own one is held against.
+    /// All policies that nettlemux's own is compared with.
     pub const BASELINES: [PolicyKind; 4] = [
         PolicyKind::Random,
         PolicyKind::RoundRobin,
@@ -54,10 +54,10 @@
         }
     }
 
-    /// A policies for one balancer.
+    /// Returns a policy for one balancer.
     pub fn policy(self, settings: &Settings, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         match self {
-            PolicyKind::Nettlemux => Box::new(module(settings, seed)),
+            PolicyKind::Nettlemux => Box::new(balancer_policy(settings, seed)),
             _ => Box::new(Baseline::new(self, settings, seed)),
         }
     }
@@ -82,11 +82,11 @@
     }
 }
 
-/// The policy as a balancer on sockets has it.
-pub fn module(settings: &Settings, seed: u64) -> Policy {
+/// Returns the policy as a balancer on sockets has it.
+pub fn balancer_policy(settings: &Settings, seed: u64) -> Policy {
     settings
         .policy(seed, MARGIN, DrainMigration::Enabled)
-        .expect("settings made by the lab")
+        .expect("the testbed makes valid settings")
 }
 
 struct Baseline {
@@ -95,7 +95,7 @@
     types: Vec<TrafficClass>,
     attempts: usize,
     servers: BTreeMap<ServerId, Endpoint>,
-    /// Our connections and attempts on each.
+    /// Own connections and attempts on each.
     own: BTreeMap<ServerId, usize>,
     flows: BTreeMap<FlowId, ServerId>,
     turn: usize,
@@ -108,7 +108,7 @@
             rng: Rng::new(seed, 9),
             types: settings
                 .traffic_classes()
-                .expect("settings made by the lab"),
+                .expect("the testbed makes valid settings"),
             attempts: settings.attempts_in_flight_max().unwrap_or(1),
             servers: BTreeMap::new(),
             own: BTreeMap::new(),
--- a/crates/testbed/src/capacity/assumptions.rs
+++ b/crates/testbed/src/capacity/assumptions.rs
@@ -98,20 +98,24 @@
 
 /// One entry as the page lists it.
 pub struct Entry<'a> {
+    /// The section of the file.
     pub section: &'static str,
+    /// The key.
     pub key: &'static str,
+    /// One value, or low, middle and high.
     pub values: Vec<f64>,
+    /// Why they are taken.
     pub why: &'a str,
 }
 
 /// Declares a section: its keys, all of one kind, and how to list them.
 macro_rules! section {
-    ($(#[$about:meta])* $name:ident, $section:literal, $kind:ty, [$($key:ident),* $(,)?]) => {
+    ($(#[$about:meta])* $name:ident, $section:literal, $kind:ty, [$($(#[$key_about:meta])* $key:ident),* $(,)?]) => {
         $(#[$about])*
         #[derive(Clone, Debug, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct $name {
-            $(pub $key: $kind,)*
+            $($(#[$key_about])* pub $key: $kind,)*
         }
 
         impl $name {
@@ -148,27 +152,104 @@
     /// What the operators have said of the fleet ahead.
     Requirements, "requirements", Parameter,
     [
-        balancers, connections, shards, largest_topic_listeners, deliveries_per_second, delivery_limit_ms,
-        regions, zones, configuration_changes_per_day, configuration_limit_s, control_percent_of_core,
-        control_memory_mb, control_bytes_per_second, control_machines, failures_per_day, restarts_per_day,
-        racks_per_year, zones_per_year, region_cuts_per_year, zone_clients, ready_within_s, change_known_within_s,
+        /// Balancers.
+        balancers,
+        /// Clients' connections.
+        connections,
+        /// Shards, which are groups of connections.
+        shards,
+        /// Listeners of the largest topic.
+        largest_topic_listeners,
+        /// Messages delivered to clients a second.
+        deliveries_per_second,
+        /// Milliseconds within which 99 in 100 deliveries must come.
+        delivery_limit_ms,
+        /// Regions.
+        regions,
+        /// Zones, over all regions.
+        zones,
+        /// Changes of the configuration a day.
+        configuration_changes_per_day,
+        /// Seconds within which a change of the configuration must be in force.
+        configuration_limit_s,
+        /// Processor that control may take of a balancer, in percent of a core.
+        control_percent_of_core,
+        /// Memory that control may take of a balancer, in MB.
+        control_memory_mb,
+        /// Bytes a second that control may send and receive at a balancer.
+        control_bytes_per_second,
+        /// Machines that are set aside for control.
+        control_machines,
+        /// Failures of servers a day.
+        failures_per_day,
+        /// Restarts of servers a day.
+        restarts_per_day,
+        /// Racks that fail a year.
+        racks_per_year,
+        /// Zones that fail a year.
+        zones_per_year,
+        /// Cuts between regions a year.
+        region_cuts_per_year,
+        /// Clients of one zone.
+        zone_clients,
+        /// Seconds within which a balancer must be ready.
+        ready_within_s,
+        /// Seconds within which a change of the endpoint list must be known.
+        change_known_within_s,
     ]
 );
 
 section!(
     /// What they haven't said.
     Unknowns, "unknown", Unknown,
-    [servers, connection_life_s, change_bytes, return_spread_s]
+    [
+        /// Servers.
+        servers,
+        /// Mean life of a connection, in seconds.
+        connection_life_s,
+        /// Bytes of one change of the configuration.
+        change_bytes,
+        /// Seconds over which lost clients come back.
+        return_spread_s,
+    ]
 );
 
 section!(
     /// Constants of the program.
     Code, "code", Parameter,
     [
-        probe_interval_longest_s, watch_hold_s, answer_limit_bytes, flow_memory_kb, descriptors_per_flow,
-        descriptors_standing, probe_descriptor_part, waiting_descriptor_part, peer_messages_heard_per_second,
-        peer_message_repeat_s, peer_message_groups, attempts_in_flight_fleet, attempts_in_flight_most,
-        cold_fill_factor, idle_client_s, silent_server_s,
+        /// The longest health check interval, in seconds.
+        probe_interval_longest_s,
+        /// Seconds for which a call for the endpoint list is held.
+        watch_hold_s,
+        /// The largest answer of discovery that is read, in bytes.
+        answer_limit_bytes,
+        /// Memory that a flow may take, in KB.
+        flow_memory_kb,
+        /// Descriptors that a flow takes.
+        descriptors_per_flow,
+        /// Descriptors that a balancer has beside those of flows and checks.
+        descriptors_standing,
+        /// The part of descriptors that health checks may hold is one in so many.
+        probe_descriptor_part,
+        /// The part of descriptors that waiting connections may hold is one in so many.
+        waiting_descriptor_part,
+        /// Gossip messages that a balancer accepts a second.
+        peer_messages_heard_per_second,
+        /// Seconds after which a gossip message is repeated.
+        peer_message_repeat_s,
+        /// Numbers that groups are told apart by in gossip.
+        peer_message_groups,
+        /// Where the limits of attempts in flight of all balancers together start.
+        attempts_in_flight_fleet,
+        /// Where the limit of attempts in flight of one balancer starts at most.
+        attempts_in_flight_most,
+        /// How often a server is filled while it warms up.
+        cold_fill_factor,
+        /// Seconds after which a silent client counts as gone.
+        idle_client_s,
+        /// Seconds after which a silent server counts as failed.
+        silent_server_s,
     ]
 );
 
@@ -176,10 +257,47 @@
     /// What is taken for granted until it is measured or told.
     Assumed, "assumed", Parameter,
     [
-        packet_header_bytes, probe_payload_bytes, probe_packets, watch_payload_bytes, watch_packets,
-        list_entry_bytes, list_changes_per_failure, list_changes_per_restart, control_message_header_bytes,
-        server_probe_us, server_attempts_per_second, attempt_ms, delivery_us, delivery_bytes,
-        client_line_bytes, notice_s, rack_machines, cold_start_share, cold_multiple, warm_up_s,
+        /// Bytes of a packet's headers.
+        packet_header_bytes,
+        /// Payload of a health check, both ways, in bytes.
+        probe_payload_bytes,
+        /// Packets of a health check.
+        probe_packets,
+        /// Payload of a call for the endpoint list that brings nothing, in bytes.
+        watch_payload_bytes,
+        /// Packets of such a call.
+        watch_packets,
+        /// Bytes of an entry of the endpoint list.
+        list_entry_bytes,
+        /// Changes of the endpoint list for a failure.
+        list_changes_per_failure,
+        /// Changes of the endpoint list for a restart.
+        list_changes_per_restart,
+        /// Bytes of a control message beside its change.
+        control_message_header_bytes,
+        /// Processor of a server for a health check, in microseconds.
+        server_probe_us,
+        /// Attempts that a server takes a second.
+        server_attempts_per_second,
+        /// Milliseconds of an attempt.
+        attempt_ms,
+        /// Processor of a balancer for a delivery, in microseconds.
+        delivery_us,
+        /// Bytes of a delivery.
+        delivery_bytes,
+        /// Bytes of a client's line that keeps its connection.
+        client_line_bytes,
+        /// Seconds until a client notices a silent loss.
+        notice_s,
+        /// Machines of a rack.
+        rack_machines,
+        /// Capacity of a server at its start, of its full one.
+        cold_start_share,
+        /// Attempts at which a server in slow start collapses, as a multiple of what it can serve.
+        cold_multiple,
+        /// Seconds of slow start.
+        warm_up_s,
+        /// Part of the connections whose balancer and server are in two regions.
         crossing_share,
     ]
 );
@@ -188,9 +306,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumptions {
+    /// What the operators have said of the fleet ahead.
     pub requirements: Requirements,
+    /// What they haven't said.
     pub unknown: Unknowns,
+    /// Constants of the program.
     pub code: Code,
+    /// What is taken for granted.
     pub assumed: Assumed,
 }
 
--- a/crates/testbed/src/capacity/deployment.rs
+++ b/crates/testbed/src/capacity/deployment.rs
@@ -6,9 +6,13 @@
 /// A quantity that the operators haven't told and that a figure is worked out for three values of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unknown {
+    /// Servers of the fleet.
     Servers,
+    /// The mean life of a connection.
     ConnectionLife,
+    /// The size of a change of the configuration.
     ChangeBytes,
+    /// The time over which lost clients come back.
     ReturnSpread,
 }
 
@@ -20,21 +24,37 @@
 pub struct Deployment {
     /// The part of the operators' size.
     pub scale: f64,
+    /// Balancers.
     pub balancers: f64,
+    /// Servers.
     pub servers: f64,
+    /// Clients' connections.
     pub connections: f64,
+    /// Shards, which are groups of connections.
     pub shards: f64,
+    /// Listeners of the largest topic.
     pub largest_topic_listeners: f64,
+    /// Messages delivered to clients a second.
     pub deliveries_per_second: f64,
+    /// Changes of the configuration a day.
     pub configuration_changes_per_day: f64,
+    /// Machines that are set aside for control.
     pub control_machines: f64,
+    /// Failures of servers a day.
     pub failures_per_day: f64,
+    /// Restarts of servers a day.
     pub restarts_per_day: f64,
+    /// Clients of one zone.
     pub zone_clients: f64,
+    /// Zones, over all regions.
     pub zones: f64,
+    /// Regions.
     pub regions: f64,
+    /// Mean life of a connection, in seconds.
     pub connection_life_s: f64,
+    /// Bytes of one change of the configuration.
     pub change_bytes: f64,
+    /// Seconds over which lost clients come back.
     pub return_spread_s: f64,
 }
 
--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -5,8 +5,8 @@
 use super::markdown::{Table, figure, number};
 use super::mechanism::{self, Mechanism};
 use super::needs::{
-    change_bytes_per_second, control_memory_mb, entry_bytes, least_probes, module_probes,
-    placement_percent, probe_bytes, probes_percent, whole_list_bytes,
+    change_bytes_per_second, control_memory_mb, entry_bytes, least_probes, placement_percent,
+    policy_health_checks, probe_bytes, probes_percent, whole_list_bytes,
 };
 use super::row::Inputs;
 
@@ -132,7 +132,7 @@
     let requirements = &inputs.assumptions.requirements;
     let bytes = requirements.control_bytes_per_second.value;
     let percent = requirements.control_percent_of_core.value;
-    let of_policy = module_probes(inputs, fleet);
+    let of_policy = policy_health_checks(inputs, fleet);
     let least = least_probes(inputs, fleet);
     let without_remedy = |gap| Gap {
         without_remedy: true,
--- a/crates/testbed/src/capacity/needs.rs
+++ b/crates/testbed/src/capacity/needs.rs
@@ -86,9 +86,9 @@
 
 /// Health checks a second of the policy alone, with as many own connections as the operators have
 /// told.
-pub fn module_probes(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
+pub fn policy_health_checks(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     inputs
-        .slope(Part::Module, Varied::Servers, "probes_per_second")
+        .slope(Part::Decisions, Varied::Servers, "probes_per_second")
         .at(fleet.servers)
 }
 
@@ -160,7 +160,7 @@
 /// Processor time of placing one new connection, all calls together, in microseconds.
 pub fn placement_us(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     inputs
-        .slope(Part::Module, Varied::Servers, "place_us_per_flow")
+        .slope(Part::Decisions, Varied::Servers, "place_us_per_flow")
         .at(fleet.servers)
 }
 
@@ -204,7 +204,7 @@
 
 /// The policy's state of own connections.
 pub fn own_state_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
-    let of_connection = inputs.slope(Part::Module, Varied::Connections, "bytes_per_connection");
+    let of_connection = inputs.slope(Part::Decisions, Varied::Connections, "bytes_per_connection");
     let own = fleet.own_connections();
     Some(of_connection.at(own)? * own / BYTES_PER_MB)
 }
--- a/crates/testbed/src/capacity/roles/balancer/health_checks.rs
+++ b/crates/testbed/src/capacity/roles/balancer/health_checks.rs
@@ -5,7 +5,7 @@
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
 use crate::capacity::needs::{
-    least_probes, measured_control_bytes, module_probes, probe_bytes, probe_bytes_basis,
+    least_probes, measured_control_bytes, policy_health_checks, probe_bytes, probe_bytes_basis,
     probes_percent,
 };
 use crate::capacity::row::{Inputs, Row};
@@ -65,7 +65,7 @@
         .requirements
         .control_percent_of_core
         .value;
-    let of_policy = inputs.slope(Part::Module, Varied::Servers, "probes_per_second");
+    let of_policy = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
     vec![
         Row::new(
             "one probe",
@@ -78,21 +78,21 @@
             "health checks with the operators' own connections",
             "a second",
             of_policy.describe(),
-            |f| module_probes(inputs, f),
+            |f| policy_health_checks(inputs, f),
             probes_within_budget(inputs),
         ),
         check_row(
             "bytes of the policy's health checks",
             "a second",
             a_probe(inputs),
-            |f| Some(module_probes(inputs, f)? * probe_bytes(inputs)),
+            |f| Some(policy_health_checks(inputs, f)? * probe_bytes(inputs)),
             bytes,
         ),
         check_row(
             "processor for the policy's health checks",
             "% of a core",
             PROCESSOR_BASIS,
-            |f| probes_percent(inputs, module_probes(inputs, f)?),
+            |f| probes_percent(inputs, policy_health_checks(inputs, f)?),
             percent,
         ),
     ]
--- a/crates/testbed/src/capacity/roles/balancer/placement.rs
+++ b/crates/testbed/src/capacity/roles/balancer/placement.rs
@@ -19,8 +19,11 @@
 
 /// New connections, and one placement.
 fn placement_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let module = |figure| inputs.slope(Part::Module, Varied::Servers, figure);
-    let (place, looked_at) = (module("place_p50_us"), module("servers_per_placement"));
+    let decisions = |figure| inputs.slope(Part::Decisions, Varied::Servers, figure);
+    let (place, examined) = (
+        decisions("place_p50_us"),
+        decisions("servers_per_placement"),
+    );
     vec![
         Row::new(
             "new connections",
@@ -33,8 +36,8 @@
         Row::new(
             "servers looked at for one placement",
             "",
-            looked_at.describe(),
-            move |f| looked_at.at(f.servers),
+            examined.describe(),
+            move |f| examined.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
         .over(Unknown::Servers),
@@ -51,9 +54,9 @@
 
 /// All calls of the policy that a new connection takes.
 fn call_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let module = |figure| inputs.slope(Part::Module, Varied::Servers, figure);
-    let (per_flow, placed) = (module("place_us_per_flow"), module("placed_share"));
-    let calls = module("place_calls_per_placement");
+    let decisions = |figure| inputs.slope(Part::Decisions, Varied::Servers, figure);
+    let (per_flow, placed) = (decisions("place_us_per_flow"), decisions("placed_share"));
+    let calls = decisions("place_calls_per_placement");
     vec![
         Row::new(
             "all calls for one new connection",
@@ -89,7 +92,7 @@
         .requirements
         .control_percent_of_core
         .value;
-    let per_flow = inputs.slope(Part::Module, Varied::Servers, "place_us_per_flow");
+    let per_flow = inputs.slope(Part::Decisions, Varied::Servers, "place_us_per_flow");
     let share = format!("{} x new connections a second", per_flow.describe());
     vec![
         Row::new(
--- a/crates/testbed/src/capacity/roles/balancer/state.rs
+++ b/crates/testbed/src/capacity/roles/balancer/state.rs
@@ -21,7 +21,7 @@
 fn server_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
     let memory = inputs.slope(Part::Sockets, Varied::Servers, "memory_mb");
-    let of_server = inputs.slope(Part::Module, Varied::Servers, "bytes_per_server");
+    let of_server = inputs.slope(Part::Decisions, Varied::Servers, "bytes_per_server");
     vec![
         Row::new(
             "memory of the process on sockets, with the run's few flows",
@@ -47,9 +47,9 @@
 /// Memory that grows with the own connections.
 fn connection_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
-    let of_connection = inputs.slope(Part::Module, Varied::Connections, "bytes_per_connection");
+    let of_connection = inputs.slope(Part::Decisions, Varied::Connections, "bytes_per_connection");
     let in_table = inputs.slope(
-        Part::Module,
+        Part::Decisions,
         Varied::Connections,
         "flow_table_bytes_per_connection",
     );
--- a/crates/testbed/src/capacity/roles/server.rs
+++ b/crates/testbed/src/capacity/roles/server.rs
@@ -41,7 +41,7 @@
 
 /// Health checks a second of all balancers.
 fn health_check_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let probes = inputs.slope(Part::Module, Varied::Servers, "probes_per_second");
+    let probes = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
     let probes_here = move |f: &Deployment| Some(probes.at(f.servers)? * f.balancers / f.servers);
     vec![
         Row::new(
--- a/crates/testbed/src/capacity/stored_run.rs
+++ b/crates/testbed/src/capacity/stored_run.rs
@@ -22,12 +22,16 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Point {
     run: String,
+    /// The part of the run.
     pub part: Part,
+    /// The count that was varied.
     pub varied: Varied,
+    /// Its size.
     pub size: f64,
     /// The other counts and settings of the measurement.
     #[serde(default)]
     pub fixed: serde_json::Map<String, Value>,
+    /// The figures by name; null where one wasn't measured.
     pub figures: BTreeMap<String, Value>,
 }
 
@@ -35,12 +39,18 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fit {
     run: String,
+    /// The part of the run.
     pub part: Part,
+    /// The figure's name.
     #[serde(rename = "fit")]
     pub figure: String,
+    /// The count that was varied.
     pub varied: Varied,
+    /// The figure at a count of zero.
     pub intercept: f64,
+    /// How much the figure grows with one more.
     pub slope: f64,
+    /// The root mean square of what the line misses by.
     pub residual: f64,
 }
 
@@ -57,9 +67,11 @@
 /// A scale run as stored.
 #[derive(Clone, Debug)]
 pub struct StoredRun {
+    /// The run's name.
     pub name: String,
     /// The commit that was measured.
     pub text: String,
+    /// The machine that it was made on.
     pub machine: serde_json::Map<String, Value>,
     fits: BTreeMap<FitKey, Fit>,
     points: Vec<Point>,
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -131,7 +131,8 @@
 pub struct Found {
     /// The scenario with the faults that were found.
     pub scenario: Scenario,
-    /// How bad it is, by [`badness`].
+    /// How much more of the worth the best baseline serves than the policy, and one more for
+    /// each rule that was broken.
     pub badness: f64,
     /// What the rule checker said of it.
     pub verdict: Verdict,
@@ -141,12 +142,12 @@
 
 /// How bad a day is: what the best baseline serves beyond the policy, and 1 for each rule that the
 /// policy breaks.
-fn badness(module: &Outcome, baselines: &[Outcome]) -> f64 {
+fn badness(policy: &Outcome, baselines: &[Outcome]) -> f64 {
     let best = baselines
         .iter()
         .map(|b| b.figures.get("worth"))
         .fold(0.0, f64::max);
-    module.verdict.violations.len() as f64 + best - module.figures.get("worth")
+    policy.verdict.violations.len() as f64 + best - policy.figures.get("worth")
 }
 
 fn judge(scenarios: &[Scenario], threads: usize) -> Vec<(f64, Verdict)> {
@@ -163,8 +164,8 @@
     for _ in scenarios {
         let mut day: Vec<Outcome> = outcomes.by_ref().take(of).collect();
         let rest = day.split_off(1);
-        let module = day.pop().expect("the module's");
-        out.push((badness(&module, &rest), module.verdict));
+        let policy = day.pop().expect("the first run is the policy's");
+        out.push((badness(&policy, &rest), policy.verdict));
     }
     out
 }
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -186,8 +186,8 @@
     })
 }
 
-/// The admission control as a scenario has it: tenants are told apart by number, and weights name them c0, c1
-/// and so on.
+/// The admission control as a scenario has it: tenants are told apart by number, and weights name
+/// them c0, c1 and so on.
 pub fn admission(keys: &operator::AdmissionSettings, longest: Time) -> AdmissionConfig {
     keys.config(longest, |name| {
         name.strip_prefix('c')
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -7,6 +7,8 @@
 //! and [`capacity`] writes the capacity page from what it measured. Uses go down to the fleet model
 //! and the flow table. Nothing here may know how the policy decides.
 
+#![warn(missing_docs)]
+
 pub mod baselines;
 pub mod capacity;
 pub mod check;
--- a/crates/testbed/src/mutants.rs
+++ b/crates/testbed/src/mutants.rs
@@ -82,7 +82,7 @@
     pub fn policy(self, settings: &Value, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         let sound = |settings: &Value| -> Box<dyn LoadBalancingPolicy> {
             let settings = Settings::within(settings).expect("an object");
-            Box::new(crate::baselines::module(&settings, seed))
+            Box::new(crate::baselines::balancer_policy(&settings, seed))
         };
         match self {
             Mutant::SendsToDraining | Mutant::FloodsCold | Mutant::RejectsWhatMayHaveRun => {
--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of the fleet: each holds one connection by way of a balancer, real or hollow, and comes
-//! back when it is lost. It owns their number and what became of them. A hollow balancer carries no
+//! Clients of the fleet: each holds one connection by way of a balancer, real or simulated, and comes
+//! back when it is lost. It owns their number and what became of them. A simulated balancer carries no
 //! lines, so its clients go to the server it names.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
@@ -11,17 +11,17 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-use super::hollow::HollowBalancer;
 use super::processes::RealBalancer;
 use super::settings::DEADLINE_MS;
+use super::simulated_balancer::SimulatedBalancer;
 
 /// A client gives a try up after so long: its deadline, and the way there.
-const TRY_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 500);
 /// Before it tries again, between these.
 const BACKOFF_MIN_S: f64 = 0.05;
 const BACKOFF_MAX_S: f64 = 0.5;
 /// The longest Retry-After that it takes from a balancer.
-const COME_BACK_LIMIT: Duration = Duration::from_secs(2);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
 /// The longest time until placed again that is told apart, in milliseconds.
 const LONGEST_MS: u64 = 120_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
@@ -30,14 +30,14 @@
 #[derive(Clone)]
 pub enum Balancer {
     Real(Arc<RealBalancer>),
-    Hollow(Arc<HollowBalancer>),
+    Simulated(Arc<SimulatedBalancer>),
 }
 
 impl Balancer {
     fn ready(&self) -> bool {
         match self {
             Balancer::Real(balancer) => balancer.ready(),
-            Balancer::Hollow(balancer) => *balancer.alive().borrow(),
+            Balancer::Simulated(balancer) => *balancer.alive().borrow(),
         }
     }
 }
@@ -152,7 +152,8 @@
             self.choose_balancer();
             let balancer = self.all.balancers[self.home].clone();
             let tried =
-                tokio::time::timeout(TRY_TIMEOUT, self.open(&balancer, lost_at.is_some())).await;
+                tokio::time::timeout(ATTEMPT_TIMEOUT, self.open(&balancer, lost_at.is_some()))
+                    .await;
             match tried.ok().flatten().unwrap_or(Try::Failed(Duration::ZERO)) {
                 Try::Up(stream) => {
                     if let Some(at) = lost_at.take() {
@@ -193,7 +194,7 @@
         let line = format!("OPEN c{id:x} k{id:x} c=chat,d={DEADLINE_MS},g=g{group}{again}\r\n");
         let stream = match balancer {
             Balancer::Real(real) => TcpStream::connect(real.address).await.ok()?,
-            Balancer::Hollow(hollow) => hollow.connect(hollow.pick()?).await.ok()?,
+            Balancer::Simulated(simulated) => simulated.connect(simulated.pick()?).await.ok()?,
         };
         let mut stream = BufReader::with_capacity(256, stream);
         stream.write_all(line.as_bytes()).await.ok()?;
@@ -207,7 +208,7 @@
             .and_then(|ms| ms.trim_end().parse().ok())
             .unwrap_or(0);
         Some(Try::Failed(
-            Duration::from_millis(wait).min(COME_BACK_LIMIT),
+            Duration::from_millis(wait).min(RETRY_AFTER_MAX),
         ))
     }
 
@@ -225,7 +226,9 @@
         let killed = async {
             match balancer {
                 Balancer::Real(_) => std::future::pending().await,
-                Balancer::Hollow(hollow) => drop(hollow.alive().wait_for(|alive| !alive).await),
+                Balancer::Simulated(simulated) => {
+                    drop(simulated.alive().wait_for(|alive| !alive).await)
+                }
             }
         };
         let over = async {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -19,9 +19,9 @@
 
 use super::allocation::held_bytes;
 use super::error::MeasurementError;
-use super::looked_at::{Note, servers_per_placement};
+use super::examined_servers::{Note, servers_per_placement};
 use super::measurement::Figures;
-use super::scenario::{Counts, ModulePart};
+use super::scenario::{Counts, DecisionsPart};
 use super::settings::{DEADLINE_MS, SettingsOf, settings};
 
 /// How long before its deadline a flow is answered.
@@ -44,10 +44,14 @@
 ///
 /// # Errors
 /// The settings can't be used.
-pub fn measure(counts: &Counts, part: &ModulePart, seed: u64) -> Result<Figures, MeasurementError> {
+pub fn measure(
+    counts: &Counts,
+    part: &DecisionsPart,
+    seed: u64,
+) -> Result<Figures, MeasurementError> {
     let mut driver = Driver::new(counts, part, seed)?;
     let server_bytes = driver.update_endpoints(counts.servers);
-    let (module_bytes, table_bytes) = driver.adopt_connection(counts);
+    let (policy_bytes, table_bytes) = driver.adopt_connection(counts);
     driver.run_until(WARM_UP);
     driver.begin_measuring();
     driver.plan_arrivals(part);
@@ -69,7 +73,7 @@
         placed_share: Some(placed / asked),
         probes_per_second: Some(probes as f64 / measured),
         bytes_per_server: Some(server_bytes / counts.servers as f64),
-        bytes_per_connection: Some(module_bytes / counts.connections as f64),
+        bytes_per_connection: Some(policy_bytes / counts.connections as f64),
         flow_table_bytes_per_connection: Some(table_bytes / counts.connections as f64),
         ..Figures::default()
     })
@@ -196,7 +200,7 @@
 }
 
 impl Driver {
-    fn new(counts: &Counts, part: &ModulePart, seed: u64) -> Result<Self, MeasurementError> {
+    fn new(counts: &Counts, part: &DecisionsPart, seed: u64) -> Result<Self, MeasurementError> {
         let of = SettingsOf {
             balancers: counts.balancers,
             probe_price: part.probe_price,
@@ -235,28 +239,28 @@
             ..Endpoint::default()
         };
         let entries: Vec<Endpoint> = (0..servers).map(listed).collect();
-        let before = self.module_bytes();
+        let before = self.policy_bytes();
         self.flow_table.update_endpoints(self.now, &entries, true);
-        (self.module_bytes() - before) as f64
+        (self.policy_bytes() - before) as f64
     }
 
     /// Bytes held, without those of the notes.
-    fn module_bytes(&self) -> i64 {
+    fn policy_bytes(&self) -> i64 {
         held_bytes() - self.calls.borrow().noted_bytes
     }
 
     /// Own connections from before; returns the bytes that the policy and the flow table keep of
     /// them.
     fn adopt_connection(&mut self, counts: &Counts) -> (f64, f64) {
-        let before = self.module_bytes();
+        let before = self.policy_bytes();
         for _ in 0..counts.connections {
             let flow = self.new_flow(0);
             let server_id = self.rng.index_below(counts.servers as usize) as ServerId;
             self.flow_table.adopt_connection(flow, server_id);
         }
-        let all = (self.module_bytes() - before) as f64;
-        let module = self.calls.borrow().inherited_bytes as f64;
-        (module, all - module)
+        let all = (self.policy_bytes() - before) as f64;
+        let of_policy = self.calls.borrow().inherited_bytes as f64;
+        (of_policy, all - of_policy)
     }
 
     fn new_flow(&mut self, accepted_at: Time) -> Flow {
@@ -296,7 +300,7 @@
         }
     }
 
-    fn plan_arrivals(&mut self, part: &ModulePart) {
+    fn plan_arrivals(&mut self, part: &DecisionsPart) {
         let apart = (SEC as f64 / part.placements_per_second) as Time;
         for number in 1..=part.placements {
             self.last_arrival = self.now + number * apart;
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -1,5 +1,5 @@
 //! The stand-in discovery: the endpoint list of servers with its versions, told over HTTP/1.1 with
-//! held calls as the platform's agents do, and what its calls come to. Real and hollow balancers
+//! held calls as the platform's agents do, and what its calls come to. Real and simulated balancers
 //! call at ports of their own, so that each kind is counted by itself. It owns the endpoint list;
 //! it must never touch a server.
 
@@ -76,9 +76,9 @@
     list: Mutex<List>,
     version: watch::Sender<u64>,
     pub for_real: SocketAddr,
-    pub for_hollow: SocketAddr,
+    pub for_simulated: SocketAddr,
     pub real_calls: CallTraffic,
-    pub hollow_calls: CallTraffic,
+    pub simulated_calls: CallTraffic,
 }
 
 impl Discovery {
@@ -87,17 +87,17 @@
     /// # Errors
     /// There is no address to listen at.
     pub async fn start() -> io::Result<Arc<Self>> {
-        let [real, hollow] = [listen().await?, listen().await?];
+        let [real, simulated] = [listen().await?, listen().await?];
         let discovery = Arc::new(Discovery {
             list: Mutex::default(),
             version: watch::channel(0).0,
             for_real: real.local_addr()?,
-            for_hollow: hollow.local_addr()?,
+            for_simulated: simulated.local_addr()?,
             real_calls: CallTraffic::default(),
-            hollow_calls: CallTraffic::default(),
+            simulated_calls: CallTraffic::default(),
         });
         tokio::spawn(discovery.clone().accept(real, true));
-        tokio::spawn(discovery.clone().accept(hollow, false));
+        tokio::spawn(discovery.clone().accept(simulated, false));
         Ok(discovery)
     }
 
@@ -156,7 +156,7 @@
         let traffic = if real {
             &self.real_calls
         } else {
-            &self.hollow_calls
+            &self.simulated_calls
         };
         let (read, mut out) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
--- a/crates/testbed/src/scale/looked_at.rs
+++ b/crates/testbed/src/scale/examined_servers.rs
@@ -29,19 +29,19 @@
         tells,
         ..Known::default()
     };
-    let (mut looked_at, mut placements) = (0, 0);
+    let (mut examined, mut placements) = (0, 0);
     for note in notes {
         match note {
             Note::List(entries) => known.list(entries),
             Note::Held(group, server) => known.hold(group, *server),
             Note::Placed(group, server) => {
-                looked_at += known.looked_at(group, *server);
+                examined += known.examined(group, *server);
                 placements += 1;
                 known.hold(group, *server);
             }
         }
     }
-    (placements > 0).then(|| looked_at as f64 / placements as f64)
+    (placements > 0).then(|| examined as f64 / placements as f64)
 }
 
 /// What the policy knows by then.
@@ -95,11 +95,11 @@
 
     /// Servers looked at for a flow that went there: near candidates and holders; far ones as well
     /// where it went to none of those; and the whole list where it went to none of these either.
-    fn looked_at(&self, group: &str, went_to: ServerId) -> usize {
+    fn examined(&self, group: &str, went_to: ServerId) -> usize {
         let Some(long) = &self.long else {
             return self.servers.len();
         };
-        let mut looked_at = 0;
+        let mut examined = 0;
         let first = if self.tells {
             ZoneReach::AllZones
         } else {
@@ -108,11 +108,11 @@
         for reach in [first, ZoneReach::AllZones] {
             let holders = self.holders.get(group).into_iter().flatten();
             let scope = long.scope(hash_name(group), OWN_ZONE, reach, holders);
-            looked_at += scope.len();
+            examined += scope.len();
             if scope.contains(&went_to) {
-                return looked_at;
+                return examined;
             }
         }
-        looked_at + self.servers.len()
+        examined + self.servers.len()
     }
 }
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -3,8 +3,11 @@
 /// A straight line, and the root mean square of what it misses the points by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
+    /// The value at zero.
     pub intercept: f64,
+    /// How much the value grows with one more.
     pub slope: f64,
+    /// The root mean square of what the line misses by.
     pub residual: f64,
 }
 
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! One fleet on sockets: hollow servers, discovery, real and hollow balancers and their clients,
+//! One fleet on sockets: simulated servers, discovery, real and simulated balancers and their clients,
 //! put together and taken apart. It owns them all and which servers are listed.
 
 use std::collections::VecDeque;
@@ -9,19 +9,19 @@
 use super::clients::{Balancer, Clients};
 use super::discovery::{Change, Discovery, Lifecycle};
 use super::error::{BalancersDied, DeadBalancer, MeasurementError};
-use super::hollow::HollowBalancer;
 use super::processes::{Launch, RealBalancer, RunFolder, Usage};
 use super::scenario::Counts;
 use super::servers::Servers;
 use super::settings::{SettingsOf, settings};
+use super::simulated_balancer::SimulatedBalancer;
 
 /// What a fleet is made of.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
     pub counts: Counts,
     pub real: u64,
-    pub hollow: u64,
-    /// Connections of each hollow balancer.
+    pub simulated: u64,
+    /// Connections of each simulated balancer.
     pub hollow_connections: u64,
     pub hollow_probes_per_second: f64,
     pub probe_price: f64,
@@ -49,7 +49,7 @@
     pub servers: Arc<Servers>,
     pub discovery: Arc<Discovery>,
     pub real: Vec<Arc<RealBalancer>>,
-    pub hollow: Vec<Arc<HollowBalancer>>,
+    pub simulated: Vec<Arc<SimulatedBalancer>>,
     pub clients: Arc<Clients>,
     /// Listed servers, the longest listed first.
     pub listed: VecDeque<usize>,
@@ -70,7 +70,7 @@
             (counts.servers + plan.spare_servers) as usize,
         );
         let connections =
-            (plan.real * counts.connections + plan.hollow * plan.hollow_connections) as f64;
+            (plan.real * counts.connections + plan.simulated * plan.hollow_connections) as f64;
         let servers =
             Servers::start(all, listed, connections).map_err(MeasurementError::Servers)?;
         let discovery = Discovery::start()
@@ -104,23 +104,24 @@
             balancer.wait_until_ready().await?;
         }
         let rate = plan.hollow_probes_per_second;
-        let hollow = |number| HollowBalancer::start(number, discovery.for_hollow, rate, plan.seed);
-        let hollow: Vec<_> = (0..plan.hollow as usize).map(hollow).collect();
+        let simulated =
+            |number| SimulatedBalancer::start(number, discovery.for_simulated, rate, plan.seed);
+        let simulated: Vec<_> = (0..plan.simulated as usize).map(simulated).collect();
         let balancers = real.iter().cloned().map(Balancer::Real);
         let balancers = balancers
-            .chain(hollow.iter().cloned().map(Balancer::Hollow))
+            .chain(simulated.iter().cloned().map(Balancer::Simulated))
             .collect();
         let clients = Clients::new(balancers, counts.groups, plan.connection_seconds, plan.seed);
         let each = |balancer: &Balancer| match balancer {
             Balancer::Real(_) => counts.connections,
-            Balancer::Hollow(_) => plan.hollow_connections,
+            Balancer::Simulated(_) => plan.hollow_connections,
         };
         clients.start(each, plan.ramp);
         Ok(Fleet {
             servers,
             discovery,
             real,
-            hollow,
+            simulated,
             clients,
             listed: (0..listed).collect(),
             next_server: listed,
--- a/crates/testbed/src/scale/limits.rs
+++ b/crates/testbed/src/scale/limits.rs
@@ -6,16 +6,16 @@
 use rustix::process::{Resource, Rlimit};
 
 use super::scenario::Counts;
-use super::scenario::{LimitKeys, ModulePart, SocketPart, StormPart};
+use super::scenario::{DecisionsPart, LimitKeys, SocketPart, StormPart};
 
 /// Memory of the testbed itself, and of each thing that it keeps; measured ones are rounded up to
 /// twice.
-const LABORATORY_MB: u64 = 64;
+const TESTBED_MB: u64 = 64;
 const REAL_BALANCER_MB: u64 = 24;
 const SERVER_BYTES: u64 = 4 << 10;
-/// A hollow balancer keeps so much of each listed server, a client or the server's end of a
+/// A simulated balancer keeps so much of each listed server, a client or the server's end of a
 /// connection so much.
-const HOLLOW_SERVER_BYTES: u64 = 96;
+const SIMULATED_SERVER_BYTES: u64 = 96;
 const CONNECTION_BYTES: u64 = 4 << 10;
 /// In the policy alone: an own connection with its place in the flow table.
 const OWN_BYTES: u64 = 2 << 10;
@@ -23,13 +23,16 @@
 const STANDING_DESCRIPTORS: u64 = 64;
 /// Part of a balancer's descriptors that its health checks and discovery may hold; the rest are its
 /// clients' and servers'.
-const PROBE_PART: u64 = 16;
+const HEALTH_CHECK_PART: u64 = 16;
 
 /// What is limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resources {
+    /// Memory, in MB.
     Memory,
+    /// Descriptors of one process.
     Descriptors,
+    /// Processes.
     Processes,
 }
 
@@ -46,8 +49,11 @@
 /// A limit that a size would pass.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exceeded {
+    /// What is limited.
     pub resource: Resources,
+    /// How much the size needs.
     pub needed: u64,
+    /// How much is allowed.
     pub limit: u64,
 }
 
@@ -64,9 +70,11 @@
 /// What a run may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
+    /// Memory of all processes together, in MB.
     pub memory_mb: u64,
     /// Of each process.
     pub descriptors: u64,
+    /// Processes, this one included.
     pub processes: u64,
 }
 
@@ -139,16 +147,19 @@
 /// most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Need {
+    /// Memory, in MB.
     pub memory_mb: u64,
+    /// Descriptors of the process that needs most.
     pub descriptors: u64,
+    /// Processes, this one included.
     pub processes: u64,
 }
 
 /// What the policy alone needs at these counts.
-pub fn of_module(counts: &Counts, _part: &ModulePart) -> Need {
+pub fn of_decisions(counts: &Counts, _part: &DecisionsPart) -> Need {
     let bytes = counts.servers * SERVER_BYTES + counts.connections * OWN_BYTES;
     Need {
-        memory_mb: LABORATORY_MB + (bytes >> 20),
+        memory_mb: TESTBED_MB + (bytes >> 20),
         descriptors: STANDING_DESCRIPTORS,
         processes: 1,
     }
@@ -156,14 +167,14 @@
 
 /// What a fleet on sockets needs at these counts.
 pub fn of_sockets(counts: &Counts, part: &SocketPart, descriptors_of_each: u64) -> Need {
-    let hollow = counts
+    let simulated = counts
         .balancers
         .saturating_sub(part.real_balancers)
         .min(part.hollow_limit);
     of_fleet(
         counts,
         part.real_balancers,
-        hollow,
+        simulated,
         part.hollow_connections,
         descriptors_of_each,
     )
@@ -171,11 +182,11 @@
 
 /// What a storm needs.
 pub fn of_storm(part: &StormPart, descriptors_of_each: u64) -> Need {
-    let hollow = part.fixed.balancers - part.real_balancers;
+    let simulated = part.fixed.balancers - part.real_balancers;
     of_fleet(
         &part.fixed,
         part.real_balancers,
-        hollow,
+        simulated,
         part.hollow_connections,
         descriptors_of_each,
     )
@@ -184,23 +195,23 @@
 fn of_fleet(
     counts: &Counts,
     real: u64,
-    hollow: u64,
+    simulated: u64,
     hollow_connections: u64,
     descriptors_of_each: u64,
 ) -> Need {
-    let probes_of_each = counts.servers.min(descriptors_of_each / PROBE_PART);
-    // In the testbed: both ends of what is hollow, the clients' and the servers' ends of what is
+    let probes_of_each = counts.servers.min(descriptors_of_each / HEALTH_CHECK_PART);
+    // In the testbed: both ends of what is simulated, the clients' and the servers' ends of what is
     // real.
-    let of_hollow = hollow * (2 + 2 * hollow_connections + 2);
+    let of_simulated = simulated * (2 + 2 * hollow_connections + 2);
     let of_real = real * (2 * counts.connections + probes_of_each + 1);
     let of_balancer = 2 * counts.connections + probes_of_each;
-    let connections = of_hollow + of_real;
+    let connections = of_simulated + of_real;
     let bytes = counts.servers * SERVER_BYTES
-        + hollow * counts.servers * HOLLOW_SERVER_BYTES
+        + simulated * counts.servers * SIMULATED_SERVER_BYTES
         + connections * CONNECTION_BYTES
         + real * counts.servers * SERVER_BYTES;
     Need {
-        memory_mb: LABORATORY_MB + real * REAL_BALANCER_MB + (bytes >> 20),
+        memory_mb: TESTBED_MB + real * REAL_BALANCER_MB + (bytes >> 20),
         descriptors: STANDING_DESCRIPTORS + connections.max(of_balancer),
         processes: 1 + real,
     }
--- a/crates/testbed/src/scale/measurement.rs
+++ b/crates/testbed/src/scale/measurement.rs
@@ -15,7 +15,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Part {
     /// The policy and the flow table alone.
-    Module,
+    #[serde(rename = "module")]
+    Decisions,
     /// Real balancers on loopback sockets.
     Sockets,
     /// Failures of many processes at once.
@@ -26,7 +27,7 @@
     /// As it stands in the run and in the pages.
     pub fn name(self) -> &'static str {
         match self {
-            Part::Module => "module",
+            Part::Decisions => "module",
             Part::Sockets => "sockets",
             Part::Storm => "storm",
         }
@@ -37,10 +38,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Varied {
+    /// Servers on the endpoint list.
     Servers,
+    /// Balancers that share the servers.
     Balancers,
+    /// Own connections of each real balancer.
     Connections,
+    /// Groups of connections.
     Groups,
+    /// Changes of the endpoint list a second.
     ChangesPerSecond,
 }
 
@@ -65,6 +71,7 @@
     /// Time of one call of `place` that gave a server, median and 99th percentile.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place_p50_us: Option<f64>,
+    /// The 99th percentile.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place_p99_us: Option<f64>,
     /// Time of all calls of `place` for one flow, those that held it too: the mean.
@@ -80,40 +87,50 @@
     /// Part of the flows that were given a server.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_share: Option<f64>,
+    /// Health checks of a balancer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probes_per_second: Option<f64>,
     /// Bytes that the policy keeps of each listed server, of each own connection, and the flow
     /// table of each flow.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bytes_per_server: Option<f64>,
+    /// Of each own connection.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bytes_per_connection: Option<f64>,
+    /// Of each flow in the flow table.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub flow_table_bytes_per_connection: Option<f64>,
     /// Payload of health checks and of the endpoint list, both ways.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub control_bytes_per_second: Option<f64>,
+    /// Payload of health checks, both ways.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probe_bytes_per_second: Option<f64>,
+    /// Payload of the endpoint list, both ways.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_bytes_per_second: Option<f64>,
     /// Of the whole list, or in a storm of all calls by all balancers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_bytes: Option<f64>,
+    /// Calls of a balancer for the endpoint list.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_calls_per_second: Option<f64>,
     /// Calls that discovery answers a second, of all balancers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery_calls_per_second: Option<f64>,
+    /// Processor of a balancer, in percent of a core.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cpu_percent_of_core: Option<f64>,
     /// Resident at the end, and at most.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub memory_mb: Option<f64>,
+    /// Resident at most.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub memory_peak_mb: Option<f64>,
+    /// Open descriptors of a balancer at the end.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub descriptors: Option<f64>,
+    /// Attempts of a balancer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_per_second: Option<f64>,
     /// Clients' connections that were up when the measurement began.
@@ -122,40 +139,52 @@
     /// From a change at discovery until the new server gets its first health check or attempt.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub change_seen_ms_p50: Option<f64>,
+    /// The 99th percentile.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub change_seen_ms_p99: Option<f64>,
+    /// Changes whose new server was seen in time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub changes_seen: Option<f64>,
+    /// Changes whose new server wasn't.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub changes_unseen: Option<f64>,
     /// In a storm, summed over the fleet.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_calls: Option<f64>,
+    /// Connections that broke.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections_lost: Option<f64>,
+    /// Attempts for clients that come for the first time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_first: Option<f64>,
+    /// Attempts for clients whose connection broke or was moved.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_returning: Option<f64>,
+    /// Attempts after one that failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_retried: Option<f64>,
     /// Connections at each listed server before the storm and after it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections_mean: Option<f64>,
+    /// The most at one server before the storm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections_max_before: Option<f64>,
+    /// The most at one server after it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections_max: Option<f64>,
     /// The most attempts that any server was sent within a second, and any server that was new.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connects_in_a_second_max: Option<f64>,
+    /// The most that any new server was sent within a second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub new_server_connects_in_a_second_max: Option<f64>,
     /// From the loss of a connection until its client holds another.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_again_ms_p50: Option<f64>,
+    /// The 99th percentile.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_again_ms_p99: Option<f64>,
+    /// Part of the lost connections whose client holds another at the end.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_again_share: Option<f64>,
 }
@@ -174,8 +203,11 @@
 /// The machine that a run was made on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
+    /// Processor cores.
     pub cores: u64,
+    /// All memory, in MB.
     pub memory_mb: u64,
+    /// Descriptors that a process may have.
     pub descriptors: u64,
     /// Processes that ran or waited on it in the minute before: a busy machine's times are no good.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -188,27 +220,44 @@
 pub enum Line {
     /// The first one.
     Start {
+        /// The run's name.
         run: String,
+        /// The machine that it is made on.
         machine: Machine,
+        /// Names the text that is measured.
         text: String,
     },
+    /// The figures at one size.
     Measurement {
+        /// The run's name.
         run: String,
+        /// The part of the run.
         part: Part,
+        /// The count that grows.
         varied: Varied,
+        /// Its size.
         size: f64,
+        /// The counts and what else was set.
         fixed: Fixed,
+        /// What was measured.
         figures: Box<Figures>,
     },
     /// A straight line through the sizes of one count; `residual` is the root mean square of what
     /// it misses by.
     Fit {
+        /// The run's name.
         run: String,
+        /// The part of the run.
         part: Part,
+        /// The figure's name.
         fit: String,
+        /// The count that grew.
         varied: Varied,
+        /// The figure at a count of zero.
         intercept: f64,
+        /// How much the figure grows with one more.
         slope: f64,
+        /// The root mean square of what the line misses by.
         residual: f64,
     },
 }
@@ -216,28 +265,35 @@
 /// The counts of a measurement, and what else was set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fixed {
+    /// The counts.
     #[serde(flatten)]
     pub counts: Counted,
+    /// Real balancers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub real_balancers: Option<u64>,
+    /// Simulated balancers.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub hollow_balancers: Option<u64>,
+    #[serde(rename = "hollow_balancers")]
+    pub simulated_balancers: Option<u64>,
+    /// What a health check costs, in flows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probe_price: Option<f64>,
     /// In a storm: balancers that were killed, or servers that were replaced.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub killed: Option<u64>,
+    /// Servers that were replaced.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub replaced: Option<u64>,
 }
 
 impl Fixed {
+    /// Returns these counts with nothing else set.
     pub fn new(counts: Counts) -> Self {
         let counts = Counted::from(counts);
         Fixed {
             counts,
             real_balancers: None,
-            hollow_balancers: None,
+            simulated_balancers: None,
             probe_price: None,
             killed: None,
             replaced: None,
@@ -248,10 +304,15 @@
 /// [`Counts`] as they are written inside of other keys.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Counted {
+    /// Servers on the endpoint list.
     pub servers: u64,
+    /// Balancers that share the servers.
     pub balancers: u64,
+    /// Own connections of each real balancer.
     pub connections: u64,
+    /// Groups of connections.
     pub groups: u64,
+    /// Changes of the endpoint list a second.
     pub changes_per_second: f64,
 }
 
@@ -292,6 +353,7 @@
 }
 
 impl<W: Write> LineWriter<W> {
+    /// Returns a writer that has written nothing.
     pub fn new(out: W) -> Self {
         LineWriter {
             out,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,25 +1,25 @@
 //! Scale runs: one count grows at a time, what a balancer takes and sends is measured at each size,
-//! and a straight line is fitted. [`decisions`] measures the policy and the flow table alone,
-//! [`steady`] a fleet of real balancers beside hollow ones on sockets, [`storms`] that fleet when
-//! balancers are killed or servers replaced. Loopback only, bounded in count and time; a size that
-//! would pass a limit is named and not begun.
+//! and a straight line is fitted. [`decisions`] measures the policy and the flow table alone; two
+//! modules measure a fleet of real balancers beside simulated ones on sockets: `steady` while it
+//! runs, `storms` when balancers are killed or servers replaced. Loopback only, bounded in count and
+//! time; a size that would pass a limit is named and not begun.
 
 pub mod allocation;
 mod clients;
 pub mod decisions;
 mod discovery;
 mod error;
+mod examined_servers;
 pub mod fit;
 mod fleet;
-mod hollow;
 pub mod limits;
-mod looked_at;
 pub mod measurement;
 pub mod plot;
 mod processes;
 pub mod scenario;
 mod servers;
 mod settings;
+mod simulated_balancer;
 mod steady;
 mod storms;
 pub mod table;
@@ -34,10 +34,10 @@
 use fleet::FleetPlan;
 use limits::{Limits, Need};
 use measurement::{Figures, Fixed, Line, LineWriter, Machine, Part, Varied};
-use scenario::{Counts, ModulePart, ScaleScenario, SocketPart, StormPart};
+use scenario::{Counts, DecisionsPart, ScaleScenario, SocketPart, StormPart};
 use storms::Storm;
 
-/// Threads of all that is hollow: the real balancers need the cores.
+/// Threads of all that is simulated: the real balancers need the cores.
 const THREADS: usize = 3;
 /// When a size is done its connections are given so long to end.
 const SHUTDOWN: Duration = Duration::from_millis(500);
@@ -83,9 +83,13 @@
 
 /// A scale run: its scenario, what it may take, and where its lines go.
 pub struct Run<'a, W: Write> {
+    /// What is measured.
     pub scenario: &'a ScaleScenario,
+    /// The program that is run as the real balancers.
     pub program: PathBuf,
+    /// What the run may take.
     pub limits: Limits,
+    /// Where its lines go.
     pub out: &'a mut LineWriter<W>,
 }
 
@@ -116,7 +120,7 @@
         })?;
         let scenario = self.scenario;
         if let Some(part) = &scenario.module {
-            self.module(part)?;
+            self.decisions(part)?;
         }
         if let Some(part) = &scenario.sockets {
             self.sockets(part)?;
@@ -127,17 +131,17 @@
         Ok(())
     }
 
-    fn module(&mut self, part: &ModulePart) -> Result<(), ScaleRunError> {
+    fn decisions(&mut self, part: &DecisionsPart) -> Result<(), ScaleRunError> {
         for (varied, sizes) in part.sizes.all() {
             let mut measured = Vec::new();
             for size in sizes {
                 let counts = part.fixed.with(varied, *size);
                 let at = At {
-                    part: Part::Module,
+                    part: Part::Decisions,
                     varied,
                     size: *size,
                 };
-                at.limit(&self.limits, limits::of_module(&counts, part))?;
+                at.limit(&self.limits, limits::of_decisions(&counts, part))?;
                 let figures = decisions::measure(&counts, part, self.scenario.seed);
                 let figures = figures.map_err(|e| at.failed(e))?;
                 let fixed = Fixed {
@@ -147,7 +151,7 @@
                 self.write_measurement(at, fixed, &figures)?;
                 measured.push((*size, figures));
             }
-            self.write_fits(Part::Module, varied, &measured)?;
+            self.write_fits(Part::Decisions, varied, &measured)?;
         }
         Ok(())
     }
@@ -170,7 +174,7 @@
                 let figures = on_threads(steady::measure(&plan, part)).map_err(|e| at.failed(e))?;
                 let fixed = Fixed {
                     real_balancers: Some(plan.real),
-                    hollow_balancers: Some(plan.hollow),
+                    simulated_balancers: Some(plan.simulated),
                     probe_price: Some(part.probe_price),
                     ..Fixed::new(counts)
                 };
@@ -187,7 +191,7 @@
         FleetPlan {
             counts: *counts,
             real: part.real_balancers,
-            hollow: counts
+            simulated: counts
                 .balancers
                 .saturating_sub(part.real_balancers)
                 .min(part.hollow_limit),
@@ -230,7 +234,7 @@
         FleetPlan {
             counts: part.fixed,
             real: part.real_balancers,
-            hollow: part.fixed.balancers - part.real_balancers,
+            simulated: part.fixed.balancers - part.real_balancers,
             hollow_connections: part.hollow_connections,
             hollow_probes_per_second: part.hollow_probes_per_second,
             probe_price: 0.0,
@@ -304,7 +308,7 @@
     };
     Fixed {
         real_balancers: Some(plan.real),
-        hollow_balancers: Some(plan.hollow),
+        simulated_balancers: Some(plan.simulated),
         probe_price: Some(plan.probe_price),
         killed,
         replaced,
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -8,7 +8,7 @@
 use super::table::{kinds, points};
 
 /// What is drawn of each part.
-const MODULE_FIGURES: [&str; 5] = [
+const DECISION_FIGURES: [&str; 5] = [
     "place_p50_us",
     "place_p99_us",
     "place_us_per_flow",
@@ -123,8 +123,8 @@
 type Series = (String, Vec<(f64, f64)>);
 
 fn series(lines: &[Line], kind: (Part, Varied)) -> Vec<Series> {
-    let names: &[&str] = if kind.0 == Part::Module {
-        &MODULE_FIGURES
+    let names: &[&str] = if kind.0 == Part::Decisions {
+        &DECISION_FIGURES
     } else {
         &SOCKET_FIGURES
     };
--- a/crates/testbed/src/scale/scenario.rs
+++ b/crates/testbed/src/scale/scenario.rs
@@ -14,12 +14,17 @@
 pub struct ScaleScenario {
     /// The name of the run in all its lines.
     pub name: String,
+    /// What all random draws of the run come from.
     #[serde(default)]
     pub seed: u64,
+    /// What the run may take.
     #[serde(default)]
     pub limits: LimitKeys,
-    pub module: Option<ModulePart>,
+    /// Measures the policy and the flow table alone.
+    pub module: Option<DecisionsPart>,
+    /// Measures a fleet on sockets.
     pub sockets: Option<SocketPart>,
+    /// Measures storms on a fleet on sockets.
     pub storm: Option<StormPart>,
 }
 
@@ -27,7 +32,9 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitKeys {
+    /// Memory of all processes together, in MB.
     pub memory_mb: u64,
+    /// Processes, this one included.
     pub processes: u64,
     /// Of each process; the system's limit where this is larger or left out.
     pub descriptors: Option<u64>,
@@ -47,12 +54,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counts {
+    /// Servers on the endpoint list.
     pub servers: u64,
-    /// All balancers that share the servers, real and hollow.
+    /// All balancers that share the servers, real and simulated.
     pub balancers: u64,
     /// Own connections of each real balancer.
     pub connections: u64,
+    /// Groups of connections.
     pub groups: u64,
+    /// Changes of the endpoint list a second.
     #[serde(default)]
     pub changes_per_second: f64,
 }
@@ -75,10 +85,15 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sizes {
+    /// Servers on the endpoint list.
     pub servers: Vec<f64>,
+    /// Balancers that share the servers.
     pub balancers: Vec<f64>,
+    /// Own connections of each real balancer.
     pub connections: Vec<f64>,
+    /// Groups of connections.
     pub groups: Vec<f64>,
+    /// Changes of the endpoint list a second.
     pub changes_per_second: Vec<f64>,
 }
 
@@ -98,8 +113,10 @@
 /// The policy and the flow table alone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ModulePart {
+pub struct DecisionsPart {
+    /// The counts that don't grow meanwhile.
     pub fixed: Counts,
+    /// The sizes of those that grow.
     #[serde(default)]
     pub sizes: Sizes,
     /// Flows that are placed at each size.
@@ -114,24 +131,31 @@
     pub may_gossip: bool,
 }
 
-/// Real balancers beside hollow ones, on sockets.
+/// Real balancers beside simulated ones, on sockets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SocketPart {
+    /// The counts that don't grow meanwhile.
     pub fixed: Counts,
+    /// The sizes of those that grow.
     #[serde(default)]
     pub sizes: Sizes,
+    /// Real balancers.
     pub real_balancers: u64,
-    /// Hollow balancers are no more than this, also where more are told to share the servers.
+    /// Simulated balancers are no more than this, also where more are told to share the servers.
     pub hollow_limit: u64,
+    /// Connections of each simulated balancer.
     pub hollow_connections: u64,
-    /// Health checks a second of each hollow balancer.
+    /// Health checks a second of each simulated balancer.
     pub hollow_probes_per_second: f64,
+    /// What a health check costs, in flows.
     #[serde(default)]
     pub probe_price: f64,
     /// Mean life of a client's connection.
     pub connection_seconds: f64,
+    /// Seconds from the start until the measurement begins.
     pub settle_seconds: f64,
+    /// Seconds that are measured.
     pub measure_seconds: f64,
 }
 
@@ -139,15 +163,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StormPart {
+    /// The counts of the fleet.
     pub fixed: Counts,
+    /// Real balancers.
     pub real_balancers: u64,
+    /// Connections of each simulated balancer.
     pub hollow_connections: u64,
+    /// Health checks a second of each simulated balancer.
     pub hollow_probes_per_second: f64,
     /// Balancers that are killed in the first storm.
     pub killed: u64,
     /// Servers that are replaced in the second.
     pub replaced: u64,
+    /// Seconds from the start until the storm.
     pub settle_seconds: f64,
+    /// Seconds from the storm on that are measured.
     pub measure_seconds: f64,
 }
 
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -1,4 +1,4 @@
-//! Hollow servers: all in this process, each with an address of its own on loopback and one
+//! Simulated servers: all in this process, each with an address of its own on loopback and one
 //! listening socket for all. They answer health checks, take attempts, hold connections and count;
 //! they do no work. It owns the listener and what was counted.
 
@@ -21,7 +21,7 @@
 const LINE_LIMIT: usize = 4096 + 2;
 /// The loopback interface: what comes by any other is never accepted.
 const LOOPBACK: &[u8] = b"lo";
-/// Real balancers connect from this address, hollow ones each from one of their own.
+/// Real balancers connect from this address, simulated ones each from one of their own.
 pub const REAL_SOURCE: Ipv4Addr = Ipv4Addr::LOCALHOST;
 /// A server's load is its connections over this many times the mean.
 const CAPACITY_FACTOR: f64 = 4.0;
@@ -38,7 +38,7 @@
     Retry,
 }
 
-/// Traffic from real balancers, or from hollow ones.
+/// Traffic from real balancers, or from simulated ones.
 #[derive(Debug, Default)]
 pub struct Traffic {
     pub probes: AtomicU64,
@@ -57,7 +57,7 @@
 
 /// What attempts have come to.
 #[derive(Debug, Default)]
-struct Connects {
+struct AttemptCounts {
     by_cause: HashMap<Cause, u64>,
     /// For each server and second since the start.
     by_second: HashMap<(usize, u64), u64>,
@@ -70,9 +70,9 @@
     all: Vec<Server>,
     capacity: f64,
     began: Instant,
-    attempts: Mutex<Connects>,
+    attempts: Mutex<AttemptCounts>,
     pub from_real: Traffic,
-    pub from_hollow: Traffic,
+    pub from_simulated: Traffic,
 }
 
 impl Servers {
@@ -95,7 +95,7 @@
             began: Instant::now(),
             attempts: Mutex::default(),
             from_real: Traffic::default(),
-            from_hollow: Traffic::default(),
+            from_simulated: Traffic::default(),
         });
         let accepting = servers.clone();
         tokio::spawn(async move {
@@ -142,12 +142,12 @@
         self.all[server].connections.load(Relaxed)
     }
 
-    pub fn connects_by(&self, cause: Cause) -> u64 {
+    pub fn attempts_by(&self, cause: Cause) -> u64 {
         self.attempts().by_cause.get(&cause).copied().unwrap_or(0)
     }
 
     /// The most attempts that one of these servers was sent within a second from that moment on.
-    pub fn most_connects_in_a_second(&self, since: Instant, of: impl Fn(usize) -> bool) -> u64 {
+    pub fn most_attempts_in_a_second(&self, since: Instant, of: impl Fn(usize) -> bool) -> u64 {
         let first_second = since.duration_since(self.began).as_secs();
         let attempts = self.attempts();
         let later = attempts
@@ -157,7 +157,7 @@
         later.map(|(_, count)| *count).max().unwrap_or(0)
     }
 
-    fn attempts(&self) -> MutexGuard<'_, Connects> {
+    fn attempts(&self) -> MutexGuard<'_, AttemptCounts> {
         self.attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -167,7 +167,7 @@
         let traffic = if real {
             &self.from_real
         } else {
-            &self.from_hollow
+            &self.from_simulated
         };
         let mut gone = self.all[server].gone.subscribe();
         let _ = stream.set_nodelay(true);
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/simulated_balancer.rs
@@ -1,4 +1,4 @@
-//! Hollow balancers: what reaches others of a balancer, without its clients' lines. Each watches
+//! Simulated balancers: what reaches others of a balancer, without its clients' lines. Each watches
 //! the endpoint list by HTTP as the real one does, health checks servers in turn at a fixed rate,
 //! names servers to its clients (a random one that is listed), can be killed and started again.
 //! They share this process. It owns each one's connection to discovery and its copy of the endpoint
@@ -26,7 +26,7 @@
 const CALL_INTERVAL: Duration = Duration::from_millis(20);
 /// A health check that has brought nothing by then has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Hollow balancers connect from the addresses from here on.
+/// Simulated balancers connect from the addresses from here on.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 32, 0, 1]);
 
 /// A server as the endpoint list tells it.
@@ -54,8 +54,8 @@
     addresses: Vec<SocketAddr>,
 }
 
-/// One hollow balancer.
-pub struct HollowBalancer {
+/// One simulated balancer.
+pub struct SimulatedBalancer {
     source: Ipv4Addr,
     discovery: SocketAddr,
     probe_interval: Duration,
@@ -65,7 +65,7 @@
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
-impl HollowBalancer {
+impl SimulatedBalancer {
     /// Starts the one with that number.
     pub fn start(
         number: usize,
@@ -73,7 +73,7 @@
         probes_per_second: f64,
         seed: u64,
     ) -> Arc<Self> {
-        let balancer = Arc::new(HollowBalancer {
+        let balancer = Arc::new(SimulatedBalancer {
             source: Ipv4Addr::from_bits(FIRST_ADDRESS + number as u32),
             discovery,
             probe_interval: Duration::from_secs_f64(1.0 / probes_per_second.max(1e-3)),
@@ -86,7 +86,7 @@
         balancer
     }
 
-    /// Starts it again after [`HollowBalancer::kill`], from nothing.
+    /// Starts it again after [`SimulatedBalancer::kill`], from nothing.
     pub fn run(self: &Arc<Self>) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.push(tokio::spawn(self.clone().watch_list()));
@@ -177,7 +177,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .uniform();
-        // So that hollow balancers don't health check in step.
+        // So that simulated balancers don't health check in step.
         tokio::time::sleep(self.probe_interval.mul_f64(first)).await;
         let mut ticks = tokio::time::interval(self.probe_interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -28,7 +28,7 @@
     probe_bytes: u64,
     list_calls: u64,
     list_bytes: u64,
-    hollow_calls: u64,
+    simulated_calls: u64,
     attempts: u64,
     usage: Usage,
 }
@@ -42,7 +42,7 @@
             probe_bytes: servers.from_real.probe_bytes.load(Relaxed),
             list_calls: discovery.real_calls.calls.load(Relaxed),
             list_bytes: discovery.real_calls.bytes.load(Relaxed),
-            hollow_calls: discovery.hollow_calls.calls.load(Relaxed),
+            simulated_calls: discovery.simulated_calls.calls.load(Relaxed),
             attempts: servers.from_real.attempts.load(Relaxed),
             usage: fleet.usage(),
         }
@@ -110,7 +110,7 @@
     let of_each = |before: u64, after: u64| Some((after - before) as f64 / seconds / real);
     let probe_bytes = of_each(before.probe_bytes, after.probe_bytes);
     let list_bytes = of_each(before.list_bytes, after.list_bytes);
-    let calls = |counted: &Counted| (counted.list_calls + counted.hollow_calls) as f64;
+    let calls = |counted: &Counted| (counted.list_calls + counted.simulated_calls) as f64;
     let cpu_seconds = after.usage.cpu_seconds - before.usage.cpu_seconds;
     Figures {
         probes_per_second: of_each(before.probes, after.probes),
--- a/crates/testbed/src/scale/storms.rs
+++ b/crates/testbed/src/scale/storms.rs
@@ -34,11 +34,14 @@
 
 impl Counted {
     fn now(fleet: &Fleet) -> Self {
-        let (real, hollow) = (&fleet.discovery.real_calls, &fleet.discovery.hollow_calls);
+        let (real, simulated) = (
+            &fleet.discovery.real_calls,
+            &fleet.discovery.simulated_calls,
+        );
         Counted {
-            list_calls: real.calls.load(Relaxed) + hollow.calls.load(Relaxed),
-            list_bytes: real.bytes.load(Relaxed) + hollow.bytes.load(Relaxed),
-            causes: CAUSES.map(|cause| fleet.servers.connects_by(cause)),
+            list_calls: real.calls.load(Relaxed) + simulated.calls.load(Relaxed),
+            list_bytes: real.bytes.load(Relaxed) + simulated.bytes.load(Relaxed),
+            causes: CAUSES.map(|cause| fleet.servers.attempts_by(cause)),
             lost: fleet.clients.lost(),
         }
     }
@@ -79,8 +82,8 @@
     let lost = after.lost - before.lost;
     let [first, returning, retried] =
         [0, 1, 2].map(|at: usize| Some((after.causes[at] - before.causes[at]) as f64));
-    let most_connects = |of: &dyn Fn(usize) -> bool| {
-        Some(fleet.servers.most_connects_in_a_second(began, of) as f64)
+    let most_attempts = |of: &dyn Fn(usize) -> bool| {
+        Some(fleet.servers.most_attempts_in_a_second(began, of) as f64)
     };
     let is_new = |server: usize| new_servers.contains(&server);
     Ok(Figures {
@@ -94,8 +97,8 @@
         server_connections_mean: Some(mean),
         server_connections_max_before: Some(most_before),
         server_connections_max: Some(most),
-        server_connects_in_a_second_max: most_connects(&|_| true),
-        new_server_connects_in_a_second_max: most_connects(&is_new)
+        server_connects_in_a_second_max: most_attempts(&|_| true),
+        new_server_connects_in_a_second_max: most_attempts(&is_new)
             .filter(|_| !new_servers.is_empty()),
         placed_again_ms_p50: Some(p50),
         placed_again_ms_p99: Some(p99),
@@ -104,20 +107,20 @@
     })
 }
 
-/// Kills the same part of the real and of the hollow balancers at once, and starts them again a
+/// Kills the same part of the real and of the simulated balancers at once, and starts them again a
 /// little later.
 async fn kill_and_restart(fleet: &Fleet, part: &StormPart) -> Result<(), MeasurementError> {
     let share = part.killed as f64 / part.fixed.balancers as f64;
     let of_real = (share * fleet.real.len() as f64).round() as usize;
-    let of_hollow = (part.killed as usize)
+    let of_simulated = (part.killed as usize)
         .saturating_sub(of_real)
-        .min(fleet.hollow.len());
-    let (real, hollow) = (&fleet.real[..of_real], &fleet.hollow[..of_hollow]);
+        .min(fleet.simulated.len());
+    let (real, simulated) = (&fleet.real[..of_real], &fleet.simulated[..of_simulated]);
     real.iter().for_each(|balancer| balancer.kill());
-    hollow.iter().for_each(|balancer| balancer.kill());
+    simulated.iter().for_each(|balancer| balancer.kill());
     tokio::time::sleep(AWAY).await;
     real.iter().try_for_each(|balancer| balancer.spawn())?;
-    hollow.iter().for_each(|balancer| balancer.run());
+    simulated.iter().for_each(|balancer| balancer.run());
     for balancer in real {
         balancer.wait_until_ready().await?;
     }
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -382,12 +382,15 @@
     let run =
         StoredRun::parse(Path::new("run.jsonl"), &format!("{head}\n{point}\n{fit}\n")).unwrap();
     assert_eq!(
-        run.fit(Part::Module, Varied::Servers, "x")
+        run.fit(Part::Decisions, Varied::Servers, "x")
             .unwrap()
             .at(10.0),
         21.0
     );
-    assert_eq!(run.range(Part::Module, Varied::Servers), Some((60.0, 60.0)));
+    assert_eq!(
+        run.range(Part::Decisions, Varied::Servers),
+        Some((60.0, 60.0))
+    );
 }
 
 /// Guards against a line through all sizes that is under 0 at small ones, where the program's
@@ -410,7 +413,7 @@
             .into(),
     ];
     let run = StoredRun::parse(Path::new("run.jsonl"), &lines.join("\n")).unwrap();
-    let at = |count| run.at(Part::Module, Varied::Servers, "x", count);
+    let at = |count| run.at(Part::Decisions, Varied::Servers, "x", count);
     let cases = [
         (10.0, 2.0),
         (15.0, 3.0),
@@ -423,8 +426,8 @@
     for (count, expected) in cases {
         assert_eq!(at(count), Some(expected), "{count}");
     }
-    assert_eq!(run.at(Part::Module, Varied::Servers, "y", 15.0), None);
-    assert_eq!(run.at(Part::Module, Varied::Groups, "x", 15.0), None);
+    assert_eq!(run.at(Part::Decisions, Varied::Servers, "y", 15.0), None);
+    assert_eq!(run.at(Part::Decisions, Varied::Groups, "x", 15.0), None);
 }
 
 #[test]
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -13,7 +13,7 @@
 use nettlemux_testbed::scale::measurement::{
     self, Figures, Fixed, Line, LineWriter, Machine, Part, Varied,
 };
-use nettlemux_testbed::scale::scenario::{Counts, ModulePart, ScaleScenario, Sizes};
+use nettlemux_testbed::scale::scenario::{Counts, DecisionsPart, ScaleScenario, Sizes};
 use nettlemux_testbed::scale::{decisions, plot, table};
 
 #[global_allocator]
@@ -73,7 +73,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn module(servers: u64, balancers: u64, probe_price: f64) -> (Counts, ModulePart) {
+fn module(servers: u64, balancers: u64, probe_price: f64) -> (Counts, DecisionsPart) {
     let fixed = Counts {
         servers,
         balancers,
@@ -82,7 +82,7 @@
         changes_per_second: 0.0,
     };
     let sizes = Sizes::default();
-    let part = ModulePart {
+    let part = DecisionsPart {
         fixed,
         sizes,
         placements: 40,
@@ -141,7 +141,7 @@
         (LONG_LIST_PLACEMENTS, LONG_LIST_PLACEMENTS_PER_SECOND);
     decisions::measure(
         &counts,
-        &ModulePart {
+        &DecisionsPart {
             placements,
             placements_per_second,
             ..part
@@ -191,7 +191,7 @@
     let (counts, part) = module(servers, 4, 0.2);
     decisions::measure(
         &counts,
-        &ModulePart {
+        &DecisionsPart {
             placements_per_second,
             ..part
         },
@@ -246,7 +246,7 @@
         };
         let figures = decisions::measure(
             &counts,
-            &ModulePart {
+            &DecisionsPart {
                 placements: 200,
                 ..part
             },
@@ -742,3 +742,23 @@
     }
     assert!(plot::svg(&flat[..2]).is_ok());
 }
+
+/// The names that runs are stored under outlive the names in the code.
+#[test]
+fn stored_runs_are_read_and_written_as_they_were() {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale/run.jsonl");
+    let text = std::fs::read_to_string(file).unwrap();
+    let lines = measurement::read(&text).unwrap();
+    assert_eq!(lines.len(), text.lines().count());
+    for (line, stored) in lines.iter().zip(text.lines()) {
+        let stored: serde_json::Value = serde_json::from_str(stored).unwrap();
+        assert_eq!(serde_json::to_value(line).unwrap(), stored);
+    }
+    let has_simulated = |line: &Line| match line {
+        Line::Measurement { part, fixed, .. } if *part == Part::Sockets => {
+            fixed.simulated_balancers.is_some()
+        }
+        _ => false,
+    };
+    assert!(lines.iter().any(has_simulated));
+}
