--- a/crates/balancer/tests/testbed.rs
+++ b/crates/balancer/tests/testbed.rs
@@ -21,7 +21,7 @@
         path: program,
         args: args.iter().map(|arg| arg.to_string()).collect(),
     };
-    run(scenario, scenario.seed, &program, None, None).map_err(|error| error.to_string())
+    run(scenario, scenario.seed, &program, None, None)
 }
 
 /// Runs a scenario with the balancer. A run that is void, as the machine was too busy, is repeated.
