--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Those that may get an attempt: ready ones where a repeat can do no harm (rules 2 and 3), and
-    /// warming ones only within their budget (rule 4). Their utilization is worked out once for a
+    /// Those that may get an attempt: ready ones where a repeat can do no harm, and warming ones
+    /// only within their slow start budget. Their utilization is worked out once for a
     /// flow, as this is most of what a placement costs.
     fn permitted(&self, listed: Vec<&'a Server>) -> Vec<Candidate<'a>> {
         let may_attempt = |server: &&Server| {
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether an attempt may go to this server: only to a ready one, and only where a repeat can
-    /// do no harm (rules 2 and 3).
+    /// do no harm.
     pub(crate) fn may_attempt(
         &self,
         now: Time,
