--- a/crates/testbed/src/mutants.rs
+++ b/crates/testbed/src/mutants.rs
@@ -27,7 +27,7 @@
     SendsToDraining,
     /// Sends all flows to the server that started last.
     FloodsCold,
-    /// Ends connections without a word to the client.
+    /// Ends connections without announcing it to the client.
     CutsWithoutMove,
     /// Repeats flows that must not be repeated.
     RepeatsNonIdempotent,
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -204,7 +204,7 @@
             .collect();
         for id in open {
             // A balancer that shuts down gracefully still owes each flow an answer and each client
-            // a word.
+            // an announcement.
             if planned {
                 let (rule, what) = match self.flows[&id].answer {
                     None => (Rule::Lost, "unanswered"),
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -3,7 +3,7 @@
 //! [`simulate`] plays a scenario's model (servers, discovery, clients and faults) against simulated
 //! balancers. Their decisions come from a [`PolicyChoice`]: the policy, a baseline, or a balancer
 //! that breaks a rule on purpose. The simulation itself decides nothing: it delivers events between
-//! clients, balancers and servers, shows every observable fact to the rules' judge, and gathers the
+//! clients, balancers and servers, shows every observable fact to the rule checker, and gathers the
 //! figures. Events take effect in order of time, and at the same time in the order in which they
 //! were scheduled, so the same scenario, seed and decisions always give the same record.
 
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -10,7 +10,7 @@
 /// How a connection was closed, as the record has it.
 pub(super) struct Closure {
     pub(super) by: ClosedBy,
-    /// The client was told to move.
+    /// The server or balancer sent the client away.
     pub(super) client_notified: bool,
     /// The server still answered.
     pub(super) server_healthy: bool,
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -1,38 +1,28 @@
-//! Stand-in clients: each asks a balancer that the front end deals it, waits for its answer, sends
-//! a line now and then, and comes again when it is moved, rejected or cut off. It owns its socket,
-//! notes what reaches it, and believes no balancer's word that it can check.
+//! Stand-in clients: each asks a balancer that the front end deals it, and comes again when it is
+//! moved, rejected or cut off. It owns its socket and notes what reaches it; an open flow is
+//! [`ClientFlow`]'s.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_fleet_model::observation::{ClosedBy, FinalAnswer, Idempotency, Observation};
+use nettlemux_fleet_model::observation::Observation;
 use nettlemux_fleet_model::population::Client;
 use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{MS, SEC, Time};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-use super::shared_run::{Known, SharedRun};
+use super::client_flow::{ClientFlow, FlowOutcome};
+use super::run_state::FlowState;
+use super::shared_run::SharedRun;
 use super::span;
 
 /// A balancer's machine takes a connection by then or never.
 const DIAL: Duration = Duration::from_secs(1);
-/// How long past its deadline a client goes on listening: what comes then is late, or a second
-/// answer.
-const PATIENCE: Time = 300 * MS;
 /// One that was open before the run is waited for so long.
 const STANDING: Time = 40 * SEC;
-/// A balancer's process that has died is noticed by then: until it is, an end without a word isn't
-/// judged.
-const NOTICED: Duration = Duration::from_millis(400);
 /// Between the two pieces of a first line.
 const STUTTER: Duration = Duration::from_millis(50);
-/// Lines that wait for their answers at most.
-const LINES: usize = 64;
-
-type Lines = tokio::io::Lines<BufReader<OwnedReadHalf>>;
-
 /// New clients come for as long as the run lasts.
 pub async fn arrive(shared: Arc<SharedRun>) {
     let mut next = shared.now();
@@ -62,14 +52,6 @@
     tokio::spawn(live(shared.clone(), id, Some(server)));
 }
 
-/// What a try came to.
-enum TryOutcome {
-    /// When to try again; none: never.
-    Retry(Option<Time>),
-    /// The client has had what it wanted.
-    Done,
-}
-
 /// One client, from its coming to the end of what it wants.
 async fn live(shared: Arc<SharedRun>, id: u64, mut standing: Option<usize>) {
     loop {
@@ -78,15 +60,15 @@
             break;
         };
         match once(&shared, id, &client, standing.take()).await {
-            TryOutcome::Done => break,
-            TryOutcome::Retry(Some(wait)) => {
+            FlowOutcome::Done => break,
+            FlowOutcome::Retry(Some(wait)) => {
                 let left = client.ends.saturating_sub(shared.now());
                 tokio::time::sleep(span(wait.min(left))).await;
                 if wait >= left {
                     break;
                 }
             }
-            TryOutcome::Retry(None) => {
+            FlowOutcome::Retry(None) => {
                 // What it still wanted is lost, and counts until its end.
                 shared.lock().figures.clients_lost += 1;
                 tokio::time::sleep(span(client.ends.saturating_sub(shared.now()))).await;
@@ -102,16 +84,16 @@
     id: u64,
     client: &Client,
     standing: Option<usize>,
-) -> TryOutcome {
+) -> FlowOutcome {
     let dealt = {
         let inner = &mut *shared.lock();
         inner.front.pick_balancer(shared.now(), client.zone)
     };
-    let refused = || TryOutcome::Retry(Some(shared.lock().population.refused()));
+    let refused = || FlowOutcome::Retry(Some(shared.lock().population.refused()));
     let Some(balancer) = dealt else {
         return refused();
     };
-    let dial = TcpStream::connect(shared.balancer(balancer));
+    let dial = TcpStream::connect(shared.addresses.balancer(balancer));
     let Ok(Ok(stream)) = tokio::time::timeout(DIAL, dial).await else {
         return refused();
     };
@@ -122,7 +104,7 @@
         Some(_) => STANDING,
         None => seconds(shared.scenario.types[client.class].wait),
     };
-    let flow = shared.lock().number();
+    let flow = shared.lock().next_flow();
     let line = first_line(shared, (id, client), flow, wait, standing);
     let stutters =
         standing.is_none() && shared.lock().rng.uniform() < shared.scenario.clients.split_lines;
@@ -137,16 +119,16 @@
     let accepted_at;
     let idempotency = {
         let inner = &mut *shared.lock();
-        // It has died since it took the connection: nobody is there to take the line.
+        // It has died since it took the connection: no process is there to read the line.
         if !inner.alive[balancer] {
-            return TryOutcome::Retry(Some(inner.population.refused()));
+            return FlowOutcome::Retry(Some(inner.population.refused()));
         }
-        let known = Known {
+        let known = FlowState {
             client: id,
             balancer,
             server: standing,
             by_server: None,
-            tell: None,
+            signals: None,
         };
         inner.flows.insert(flow, known);
         let idempotency = inner.population.idempotency(id, &shared.scenario);
@@ -172,7 +154,7 @@
     };
     let came = match out.write_all(rest.as_bytes()).await {
         Ok(()) => {
-            let asked = Asked {
+            let asked = ClientFlow {
                 shared,
                 id,
                 flow,
@@ -225,217 +207,3 @@
     }
     line + "\r\n"
 }
-
-/// A flow that its client has asked for.
-struct Asked<'a> {
-    shared: &'a Arc<SharedRun>,
-    id: u64,
-    flow: u64,
-    idempotency: Idempotency,
-    accepted_at: Time,
-    wait: Time,
-    balancer: usize,
-}
-
-impl Asked<'_> {
-    /// Waits for the one final answer, and goes on from there.
-    async fn wait(
-        &self,
-        lines: &mut Lines,
-        out: &mut OwnedWriteHalf,
-        client: &Client,
-        standing: bool,
-    ) -> TryOutcome {
-        let shared = self.shared;
-        let patience = span(self.wait + PATIENCE);
-        let ends = match standing {
-            true => patience,
-            false => span(client.ends.saturating_sub(shared.now())),
-        };
-        let answer = tokio::select! {
-            answer = tokio::time::timeout(patience, lines.next_line()) => answer,
-            () = tokio::time::sleep(ends) => {
-                shared.observe(Observation::ClientLeft { at: shared.now(), flow: self.flow });
-                return TryOutcome::Done;
-            }
-        };
-        let Ok(Ok(Some(answer))) = answer else {
-            // Nothing, or an end without a word: lost, unless the balancer has died, which its end
-            // will tell.
-            shared.lock().figures.unanswered += u64::from(!self.balancer_gone().await);
-            let inner = &mut *shared.lock();
-            return TryOutcome::Retry(inner.population.failed(self.id, &shared.scenario));
-        };
-        let now = shared.now();
-        let (word, rest) = answer.split_once(' ').unwrap_or((&answer, ""));
-        let with = match word {
-            "UP" => FinalAnswer::Connected,
-            "BUSY" => FinalAnswer::Rejected,
-            _ => FinalAnswer::Failed,
-        };
-        if !standing {
-            let target = seconds(shared.scenario.types[client.class].target);
-            let mut inner = shared.lock();
-            inner
-                .figures
-                .answered(now, with, now - self.accepted_at, target);
-            inner.figures.of_client(now, client, with);
-            inner.observe(Observation::Answered {
-                at: now,
-                flow: self.flow,
-                answer: with,
-            });
-        }
-        match with {
-            FinalAnswer::Connected => {
-                {
-                    let mut inner = shared.lock();
-                    inner.population.connected(self.id);
-                    inner.standing += usize::from(standing);
-                }
-                self.open(lines, out, client).await
-            }
-            FinalAnswer::Rejected => {
-                self.second_answer(lines).await;
-                let retry_after = rest.trim().parse::<u64>().ok().map(|ms| ms * MS);
-                let inner = &mut *shared.lock();
-                TryOutcome::Retry(
-                    inner
-                        .population
-                        .rejected(self.id, retry_after, &shared.scenario),
-                )
-            }
-            FinalAnswer::Failed => {
-                self.second_answer(lines).await;
-                let inner = &mut *shared.lock();
-                TryOutcome::Retry(match self.idempotency {
-                    Idempotency::NonIdempotent if standing => None,
-                    _ => inner.population.failed(self.id, &shared.scenario),
-                })
-            }
-        }
-    }
-
-    /// Listens a little longer: nothing may come after the one answer.
-    async fn second_answer(&self, lines: &mut Lines) {
-        let more = tokio::time::timeout(Duration::from_millis(50), lines.next_line()).await;
-        if let Ok(Ok(Some(line))) = more {
-            let with = if line.starts_with("BUSY") {
-                FinalAnswer::Rejected
-            } else {
-                FinalAnswer::Failed
-            };
-            self.shared.observe(Observation::Answered {
-                at: self.shared.now(),
-                flow: self.flow,
-                answer: with,
-            });
-        }
-    }
-
-    async fn balancer_gone(&self) -> bool {
-        tokio::time::sleep(NOTICED).await;
-        !self.shared.lock().alive[self.balancer]
-    }
-
-    /// Sends a line now and then and looks at what comes back, until one side ends.
-    async fn open(
-        &self,
-        lines: &mut Lines,
-        out: &mut OwnedWriteHalf,
-        client: &Client,
-    ) -> TryOutcome {
-        let shared = self.shared;
-        let every = seconds(shared.scenario.clients.line_interval);
-        let target = seconds(shared.scenario.types[client.class].message_target);
-        let mut next = shared.now() + (every as f64 * shared.lock().rng.uniform()) as Time;
-        let mut waiting = std::collections::VecDeque::new();
-        let mut count = 0u64;
-        loop {
-            let now = shared.now();
-            if shared.begun() && now >= client.ends {
-                shared.observe(Observation::ConnectionClosed {
-                    at: now,
-                    flow: self.flow,
-                    by: ClosedBy::Client,
-                    client_notified: false,
-                    server_healthy: true,
-                });
-                return TryOutcome::Done;
-            }
-            let wake = if shared.begun() {
-                next.min(client.ends)
-            } else {
-                next
-            };
-            tokio::select! {
-                line = lines.next_line() => match line {
-                    Ok(Some(line)) if line == "MOVE" => {
-                        // Closed by the other side, soon; nothing more may be lost to us.
-                        let _ = tokio::time::timeout(Duration::from_millis(200), lines.next_line()).await;
-                        return self.ended(true).await;
-                    }
-                    Ok(Some(line)) if line.starts_with("ok ") => {
-                        let now = shared.now();
-                        if let Some(sent) = waiting.pop_front() {
-                            let took: Time = now - sent;
-                            let mut inner = shared.lock();
-                            inner.figures.message(now, took as f64 / 1e9, 1);
-                            if took <= target {
-                                inner.served += client.value * every as f64 / 1e9;
-                            }
-                        }
-                    }
-                    Ok(Some(line)) if line.starts_with("LOAD ") => {}
-                    Ok(Some(line)) => {
-                        // No server of ours made it.
-                        let with = if line.starts_with("UP") { FinalAnswer::Connected } else { FinalAnswer::Failed };
-                        shared.observe(Observation::Answered { at: shared.now(), flow: self.flow, answer: with });
-                    }
-                    Ok(None) | Err(_) => return self.ended(false).await,
-                },
-                () = tokio::time::sleep(span(wake.saturating_sub(now))) => {
-                    let now = shared.now();
-                    if now < next {
-                        continue;
-                    }
-                    next = now + every;
-                    count += 1;
-                    shared.lock().figures.steps += 1;
-                    if waiting.len() < LINES {
-                        waiting.push_back(now);
-                        let line = format!("m{count}\r\n");
-                        if out.write_all(line.as_bytes()).await.is_err() {
-                            return self.ended(false).await;
-                        }
-                    }
-                }
-            }
-        }
-    }
-
-    /// The connection has ended without the client's doing.
-    async fn ended(&self, told: bool) -> TryOutcome {
-        let shared = self.shared;
-        if told || !self.balancer_gone().await {
-            let mut inner = shared.lock();
-            let at = shared.now();
-            inner.broken(at, self.flow, told);
-        }
-        let inner = &mut *shared.lock();
-        let by_server = inner
-            .flows
-            .get(&self.flow)
-            .is_some_and(|known| known.by_server.is_some());
-        match (told, by_server) {
-            (true, false) => inner.figures.moves += 1,
-            (false, _) => inner.figures.lost += 1,
-            _ => {}
-        }
-        TryOutcome::Retry(
-            inner
-                .population
-                .reconnect_delay(shared.now(), self.id, told),
-        )
-    }
-}
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -19,7 +19,7 @@
 /// # Errors
 /// Its address can't be had.
 pub async fn start(shared: &Arc<SharedRun>, balancer: usize) -> Result<(), SocketRunError> {
-    let address = shared.discovery(balancer);
+    let address = shared.addresses.discovery(balancer);
     let listener = TcpListener::bind(address)
         .await
         .map_err(|source| SocketRunError::Listen { address, source })?;
--- a/crates/testbed/src/sockets/faulty.rs
+++ b/crates/testbed/src/sockets/faulty.rs
@@ -220,7 +220,7 @@
         }
         let draining =
             |server: &Server| self.is(Mutant::SendsToDraining) && server.state == "Terminating";
-        // Mischief goes where it must not whenever it can.
+        // A mutant goes where it must not whenever it can.
         if let Some(server) = held
             .0
             .values()
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -4,11 +4,14 @@
 //! owns the run's addresses, files and processes and gives them back at the end. A machine that
 //! can't keep up makes the run void, never a result.
 
+mod addresses;
 mod client;
+mod client_flow;
 mod discovery;
 mod error;
 pub mod faulty;
 mod processes;
+mod run_state;
 mod server;
 mod shared_run;
 
@@ -173,7 +176,7 @@
     })
 }
 
-/// Sets up the connections that stand at the start, paced so that nobody's queue overflows. Tells
+/// Sets up the connections that stand at the start, paced so that no queue overflows. Returns
 /// why the run is void where some can't be had.
 async fn stand(shared: &Arc<SharedRun>) -> Option<String> {
     let count = shared.scenario.clients.standing;
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -59,8 +59,8 @@
     shared: Arc<SharedRun>,
     program: Program,
     folder: PathBuf,
-    /// The folder is ours, to be removed.
-    ours: bool,
+    /// Whether the folder was made for the run and is removed with it.
+    owns_folder: bool,
     all: Vec<One>,
     /// Planned ends to come: when, who, and how long away.
     planned: Vec<(Time, usize, Time)>,
@@ -90,13 +90,13 @@
             let path = program.path.clone();
             return Err(SocketRunError::NoProgram { path });
         }
-        let (folder, ours) = match logs {
+        let (folder, owns_folder) = match logs {
             Some(folder) => (folder.to_path_buf(), false),
             None => {
                 let name = format!(
                     "nettlemux-testbed-{}-{}",
                     std::process::id(),
-                    shared.balancer(0).ip()
+                    shared.addresses.balancer(0).ip()
                 );
                 (std::env::temp_dir().join(name), true)
             }
@@ -113,7 +113,7 @@
             shared: shared.clone(),
             program: program.clone(),
             folder,
-            ours,
+            owns_folder,
             all: Vec::new(),
             planned: Vec::new(),
             died: Vec::new(),
@@ -133,8 +133,8 @@
             + 8 * shared.scenario.fleet.servers;
         let config = json!({
             "name": format!("b{b}"),
-            "listen": shared.balancer(b).to_string(),
-            "discovery": shared.discovery(b).to_string(),
+            "listen": shared.addresses.balancer(b).to_string(),
+            "discovery": shared.addresses.discovery(b).to_string(),
             "seed": format!("{:016x}", (b as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ scenario.seed ^ again),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets},
             "known": shared.list(b, None),
@@ -335,7 +335,7 @@
             let _ = one.child.wait();
             let _ = std::fs::remove_file(&one.config);
         }
-        if self.ours {
+        if self.owns_folder {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
@@ -351,7 +351,9 @@
 /// Whether a balancer answers PING, as the front end asks before it deals to one.
 async fn pings(shared: &SharedRun, b: usize) -> bool {
     let ask = async {
-        let mut stream = TcpStream::connect(shared.balancer(b)).await.ok()?;
+        let mut stream = TcpStream::connect(shared.addresses.balancer(b))
+            .await
+            .ok()?;
         stream.write_all(b"PING\r\n").await.ok()?;
         let mut answer = [0; 6];
         stream.read_exact(&mut answer).await.ok()?;
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -16,7 +16,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-use super::shared_run::{ServerSignal, SharedRun};
+use super::run_state::{RunState, ServerSignal};
+use super::shared_run::SharedRun;
 use super::span;
 
 /// Connections that may wait to be accepted.
@@ -39,7 +40,7 @@
                 return;
             }
         }
-        let Ok(listener) = bind(shared.server(server, zone)) else {
+        let Ok(listener) = bind(shared.addresses.server(server, zone)) else {
             tokio::time::sleep(AGAIN).await;
             continue;
         };
@@ -165,7 +166,7 @@
             inner.model.servers[self.server].detach(self.flow);
         }
         if let Some(known) = inner.flows.get_mut(&self.flow) {
-            known.tell = None;
+            known.signals = None;
         }
     }
 }
@@ -237,7 +238,7 @@
         .nth(1)
         .and_then(|id| u64::from_str_radix(id, 16).ok());
     let Some(flow) = flow.filter(|flow| shared.lock().flows.contains_key(flow)) else {
-        // No client of ours sent it.
+        // No stand-in client sent it.
         let _ = wire.say("SYNTAX\r\n").await;
         return;
     };
@@ -275,7 +276,7 @@
         };
         if let AttemptResponse::Accepted(_) = offer {
             if let Some(known) = inner.flows.get_mut(&flow) {
-                (known.server, known.tell, known.by_server) = (Some(server), Some(sender), None);
+                (known.server, known.signals, known.by_server) = (Some(server), Some(sender), None);
             }
             slot.seated = sit(&mut inner, flow, server);
         }
@@ -300,7 +301,7 @@
         AttemptResponse::Accepted(took) => {
             tokio::select! {
                 () = tokio::time::sleep(span(seconds(took))) => {}
-                // Given up by the balancer, by its end or a word too soon.
+                // Given up by the balancer: it has closed the connection or sent a line too soon.
                 _ = wire.line() => return,
                 tell = told.recv() => return match tell {
                     Some(ServerSignal::Silence) => wire.mute(shared, server).await,
@@ -324,7 +325,7 @@
     serve(shared, (server, zone), wire, &mut told, flow, way).await;
 }
 
-fn sit(inner: &mut super::shared_run::Inner, flow: u64, server: usize) -> bool {
+fn sit(inner: &mut RunState, flow: u64, server: usize) -> bool {
     let client = inner
         .flows
         .get(&flow)
--- a/crates/testbed/src/sockets/shared_run.rs
+++ b/crates/testbed/src/sockets/shared_run.rs
@@ -1,134 +1,41 @@
 //! What the stand-ins share: the model, the clients, the rule checker and the figures behind one
-//! lock that is never held while anybody waits, and how each server's life is told to its
-//! listeners. It owns the run's time and its block of loopback addresses.
+//! lock that is never held over a wait, and how each server's status reaches its listeners. It owns
+//! the run's time and its block of loopback addresses.
 
-use std::collections::HashMap;
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Instant, SystemTime};
 
-use nettlemux_fleet_model::front_end::FrontEnd;
-use nettlemux_fleet_model::model::{FleetEvent, FleetModel};
-use nettlemux_fleet_model::observation::{ClosedBy, Observation};
-use nettlemux_fleet_model::population::ClientPopulation;
-use nettlemux_fleet_model::rng::Rng;
+use nettlemux_fleet_model::model::FleetEvent;
+use nettlemux_fleet_model::observation::Observation;
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_fleet_model::server::ServerStatus;
-use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{EndpointState, MS, Time};
 use serde_json::{Value, json};
-use tokio::sync::{mpsc, watch};
+use tokio::sync::watch;
 
+use super::addresses::AddressBlock;
 use super::error::SocketRunError;
-use super::{FOREVER, SLACK, server};
-use crate::figures::{FigureCollector, Figures};
+use super::run_state::{RunState, ServerSignal};
+use super::server;
+use crate::figures::Figures;
 use crate::record::Writer;
-use crate::rules::{RuleChecker, Verdict};
+use crate::rules::Verdict;
 
-/// Ports of the run's addresses; above them one for each further 250 of a kind.
-const CLAIM: u16 = 17_999;
-const BALANCERS: u16 = 17_000;
-const DISCOVERY: u16 = 17_200;
-const SERVERS: u16 = 17_400;
-/// Addresses of one port.
-const MANY: usize = 250;
 /// How often the figures that walk all servers are taken.
 const SAMPLE: Time = 500 * MS;
 
-/// What a connection's stand-in at its server is told.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerSignal {
-    Reset,
-    /// Say and read nothing any more.
-    Silence,
-    Migrate,
-}
-
-/// What the stand-ins know of a flow.
-pub struct Known {
-    pub client: u64,
-    pub balancer: usize,
-    /// Where it is open, or an attempt is out.
-    pub server: Option<usize>,
-    /// Its server has ended it, and whether it had sent the client away.
-    pub by_server: Option<bool>,
-    pub tell: Option<mpsc::UnboundedSender<ServerSignal>>,
-}
-
-pub struct Inner {
-    pub model: FleetModel,
-    pub population: ClientPopulation,
-    pub front: FrontEnd,
-    pub figures: FigureCollector,
-    pub rng: Rng,
-    pub flows: HashMap<u64, Known>,
-    /// By balancer: the version of the endpoint list that it may see, and whether it runs.
-    pub visible: Vec<u64>,
-    pub alive: Vec<bool>,
-    pub standing: usize,
-    /// Worth of messages answered in time since the last tick.
-    pub served: f64,
-    next_flow: u64,
-    rules: Option<RuleChecker>,
-    record: Option<Writer>,
-    failed: Option<io::Error>,
-    statuses: Vec<watch::Sender<ServerStatus>>,
-    sampled: Time,
-}
-
-impl Inner {
-    pub fn observe(&mut self, seen: Observation) {
-        if let Some(rules) = &mut self.rules {
-            rules.observe(&seen);
-        }
-        if let Some(record) = &mut self.record
-            && let Err(e) = record.write(&seen)
-        {
-            self.failed.get_or_insert(e);
-        }
-    }
-
-    pub fn number(&mut self) -> u64 {
-        self.next_flow += 1;
-        self.next_flow
-    }
-
-    /// A client sees its connection end without having been told to move.
-    pub fn broken(&mut self, at: Time, flow: u64, told: bool) {
-        let Some(known) = self.flows.get(&flow) else {
-            return;
-        };
-        let zone = known.balancer % self.model.scenario.zones.number;
-        let server_healthy = known.server.is_some_and(|server| {
-            let one = &self.model.servers[server];
-            one.status == ServerStatus::Up && self.model.reaches(zone, one.zone)
-        });
-        let (by, told) = match known.by_server {
-            Some(told) => (ClosedBy::Server, told),
-            None => (ClosedBy::Balancer, told),
-        };
-        self.observe(Observation::ConnectionClosed {
-            at,
-            flow,
-            by,
-            client_notified: told,
-            server_healthy,
-        });
-    }
-}
-
 /// The run, shared by all its tasks.
 pub struct SharedRun {
     pub scenario: Scenario,
-    inner: Mutex<Inner>,
+    /// The addresses of its stand-ins and balancers.
+    pub addresses: AddressBlock,
+    state: Mutex<RunState>,
     origin: OnceLock<Instant>,
     /// The wall clock at the run's start, in milliseconds.
     unix: u64,
-    block: u8,
-    /// Rung when a balancer may see more of the endpoint list.
+    /// Notified when a balancer may see more of the endpoint list.
     pub news: watch::Sender<u64>,
-    _claim: TcpListener,
 }
 
 impl SharedRun {
@@ -137,43 +44,23 @@
         seed: u64,
         record: Option<Writer>,
     ) -> Result<Arc<Self>, SocketRunError> {
-        let (block, claim) = claim()?;
+        let addresses = AddressBlock::claim()?;
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        // Word takes its way: what is judged at its arrival may be so late.
-        let slack = SLACK + seconds(scenario.zones.between.max(scenario.zones.inside));
-        let inner = Inner {
-            population: ClientPopulation::new(seed),
-            front: FrontEnd::new(scenario.balancers.number, scenario.zones.number),
-            figures: FigureCollector::new(seconds(scenario.settle)),
-            rng: Rng::new(seed, 3),
-            flows: HashMap::new(),
-            visible: vec![1; scenario.balancers.number],
-            alive: vec![false; scenario.balancers.number],
-            standing: 0,
-            served: 0.0,
-            next_flow: 0,
-            rules: Some(RuleChecker::new(&scenario, slack)),
-            record,
-            failed: None,
-            statuses: Vec::new(),
-            sampled: 0,
-            model: FleetModel::new(scenario.clone(), seed),
-        };
+        let state = RunState::new(&scenario, seed, record);
         Ok(Arc::new(SharedRun {
-            inner: Mutex::new(inner),
+            state: Mutex::new(state),
             origin: OnceLock::new(),
             unix: unix.as_millis() as u64,
-            block,
             news: watch::Sender::new(0),
-            _claim: claim,
+            addresses,
             scenario,
         }))
     }
 
-    pub fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn lock(&self) -> MutexGuard<'_, RunState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Time since the run began; 0 before.
@@ -199,25 +86,6 @@
         self.lock().standing
     }
 
-    fn address(&self, third: usize, number: usize, port: u16) -> SocketAddr {
-        let ip = Ipv4Addr::new(127, self.block, third as u8, (1 + number % MANY) as u8);
-        SocketAddr::from((ip, port + (number / MANY) as u16))
-    }
-
-    pub fn balancer(&self, balancer: usize) -> SocketAddr {
-        self.address(250, balancer, BALANCERS)
-    }
-
-    pub fn discovery(&self, balancer: usize) -> SocketAddr {
-        self.address(251, balancer, DISCOVERY)
-    }
-
-    /// A server as balancers of that zone reach it: what comes over it is delayed by the way
-    /// between the zones.
-    pub fn server(&self, server: usize, zone: usize) -> SocketAddr {
-        self.address(1 + zone, server, SERVERS)
-    }
-
     pub fn zone(&self, balancer: usize) -> usize {
         balancer % self.scenario.zones.number
     }
@@ -312,8 +180,8 @@
                 if what != ServerSignal::Silence {
                     known.by_server = Some(what == ServerSignal::Migrate);
                 }
-                if let Some(tell) = &known.tell {
-                    let _ = tell.send(what);
+                if let Some(signals) = &known.signals {
+                    let _ = signals.send(what);
                 }
             }
         }
@@ -369,7 +237,7 @@
             });
             instances.push(json!({
                 "instanceId": format!("s{server}"),
-                "hostPort": self.server(server, zone).to_string(),
+                "hostPort": self.addresses.server(server, zone).to_string(),
                 "zone": format!("h{}", entry.zone),
                 "machineType": "m0",
                 "cell": entry.cell,
@@ -398,41 +266,11 @@
         }
     }
 
-    /// The run is over: figures and verdict.
+    /// Ends the run and returns its figures and verdict.
+    ///
+    /// # Errors
+    /// The record could not be written.
     pub fn finish(&self, end: Time, balancers: &[(f64, f64)]) -> io::Result<(Figures, Verdict)> {
-        let mut inner = self.lock();
-        let standing = inner
-            .model
-            .servers
-            .iter()
-            .map(|server| server.connections.len())
-            .sum();
-        let verdict = inner.rules.take().expect("finished once").finish(end);
-        let figures = std::mem::replace(&mut inner.figures, FigureCollector::new(FOREVER));
-        let mut figures = figures.finish(standing, &verdict);
-        let cpu = balancers.iter().map(|one| one.0).sum::<f64>() / balancers.len().max(1) as f64;
-        figures.0.insert("balancer_cpu", cpu);
-        figures.0.insert(
-            "balancer_mb",
-            balancers.iter().map(|one| one.1).fold(0.0, f64::max),
-        );
-        match (inner.failed.take(), inner.record.take()) {
-            (Some(e), _) => Err(e),
-            (None, Some(record)) => record.finish().map(|()| (figures, verdict)),
-            (None, None) => Ok((figures, verdict)),
-        }
-    }
-}
-
-/// A block of loopback addresses (127.BLOCK.0.0/16) that no other run holds: held by a listener for
-/// as long as the run lasts.
-fn claim() -> Result<(u8, TcpListener), SocketRunError> {
-    let first = std::process::id() % 250;
-    for k in 0..250 {
-        let block = (2 + (first + k) % 250) as u8;
-        if let Ok(listener) = TcpListener::bind((Ipv4Addr::new(127, block, 255, 1), CLAIM)) {
-            return Ok((block, listener));
-        }
+        self.lock().finish(end, balancers)
     }
-    Err(SocketRunError::NoFreeAddresses)
 }
