--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -22,7 +22,7 @@
 /// One that was open before the run is waited for so long.
 const STANDING: Time = 40 * SEC;
 /// Between the two pieces of a first line.
-const STUTTER: Duration = Duration::from_millis(50);
+const SPLIT_LINE_PAUSE: Duration = Duration::from_millis(50);
 /// New clients come for as long as the run lasts.
 pub async fn arrive(shared: Arc<SharedRun>) {
     let mut next = shared.now();
@@ -59,7 +59,7 @@
         let Some(client) = client.filter(|client| !client.gone) else {
             break;
         };
-        match once(&shared, id, &client, standing.take()).await {
+        match run_flow(&shared, id, &client, standing.take()).await {
             FlowOutcome::Done => break,
             FlowOutcome::Retry(Some(wait)) => {
                 let left = client.ends.saturating_sub(shared.now());
@@ -79,115 +79,151 @@
     shared.lock().population.remove(id);
 }
 
-async fn once(
+/// What a client opens a flow with.
+struct OpenRequest<'a> {
+    id: u64,
+    client: &'a Client,
+    flow: u64,
+    balancer: usize,
+    /// From the first line until the deadline.
+    wait: Time,
+    /// The server of a connection that stood before the run.
+    standing: Option<usize>,
+}
+
+/// Opens one flow of a client and sees it to its end.
+async fn run_flow(
     shared: &Arc<SharedRun>,
     id: u64,
     client: &Client,
     standing: Option<usize>,
 ) -> FlowOutcome {
-    let dealt = {
-        let inner = &mut *shared.lock();
-        inner.front.pick_balancer(shared.now(), client.zone)
-    };
     let refused = || FlowOutcome::Retry(Some(shared.lock().population.refused()));
-    let Some(balancer) = dealt else {
-        return refused();
-    };
-    let dial = TcpStream::connect(shared.addresses.balancer(balancer));
-    let Ok(Ok(stream)) = tokio::time::timeout(DIAL, dial).await else {
+    let Some((balancer, stream)) = dial(shared, client).await else {
         return refused();
     };
     let _ = stream.set_nodelay(true);
     let (read, mut out) = stream.into_split();
     let mut lines = BufReader::with_capacity(512, read).lines();
-    let wait = match standing {
-        Some(_) => STANDING,
-        None => seconds(shared.scenario.types[client.class].wait),
+    let request = OpenRequest {
+        id,
+        client,
+        flow: shared.lock().next_flow(),
+        balancer,
+        wait: match standing {
+            Some(_) => STANDING,
+            None => seconds(shared.scenario.types[client.class].wait),
+        },
+        standing,
     };
-    let flow = shared.lock().next_flow();
-    let line = first_line(shared, (id, client), flow, wait, standing);
-    let stutters =
+    let line = first_line(shared, &request);
+    let split =
         standing.is_none() && shared.lock().rng.uniform() < shared.scenario.clients.split_lines;
-    let (first, rest) = line.split_at(if stutters { line.len() / 2 } else { 0 });
-    if stutters {
+    let (first, rest) = line.split_at(if split { line.len() / 2 } else { 0 });
+    if split {
         // Its balancer may die meanwhile: nothing was asked of it then.
         if out.write_all(first.as_bytes()).await.is_err() {
             return refused();
         }
-        tokio::time::sleep(STUTTER).await;
+        tokio::time::sleep(SPLIT_LINE_PAUSE).await;
     }
-    let accepted_at;
-    let idempotency = {
-        let inner = &mut *shared.lock();
-        // It has died since it took the connection: no process is there to read the line.
-        if !inner.alive[balancer] {
-            return FlowOutcome::Retry(Some(inner.population.refused()));
-        }
-        let known = FlowState {
-            client: id,
-            balancer,
-            server: standing,
-            by_server: None,
-            signals: None,
-        };
-        inner.flows.insert(flow, known);
-        let idempotency = inner.population.idempotency(id, &shared.scenario);
-        accepted_at = shared.now();
-        if standing.is_none() {
-            inner.figures.flows += 1;
-            if client.reconnecting {
-                inner.figures.returned(accepted_at);
-            }
-            if client.told {
-                inner.figures.came_when_told(accepted_at);
-            }
-            let deadline = accepted_at + wait;
-            inner.observe(Observation::Accepted {
-                at: accepted_at,
-                balancer,
-                flow,
-                idempotency,
-                deadline,
-            });
-        }
-        idempotency
+    // The balancer may have died since it took the connection: no process is there to read the line.
+    let Some(flow) = accept_flow(shared, &request) else {
+        return refused();
     };
-    let came = match out.write_all(rest.as_bytes()).await {
+    let outcome = match out.write_all(rest.as_bytes()).await {
         Ok(()) => {
-            let asked = ClientFlow {
-                shared,
-                id,
-                flow,
-                idempotency,
-                accepted_at,
-                wait,
-                balancer,
-            };
-            asked
-                .wait(&mut lines, &mut out, client, standing.is_some())
+            flow.wait(&mut lines, &mut out, client, standing.is_some())
                 .await
         }
         Err(_) => {
-            // Never whole at the balancer: it has nothing to answer.
+            // Never complete at the balancer: it has nothing to answer.
             shared.observe(Observation::ClientLeft {
                 at: shared.now(),
-                flow,
+                flow: request.flow,
             });
             refused()
         }
     };
     drop((lines, out));
-    shared.lock().flows.remove(&flow);
-    came
+    shared.lock().flows.remove(&request.flow);
+    outcome
 }
 
-fn first_line(
-    shared: &SharedRun,
-    (id, client): (u64, &Client),
-    flow: u64,
-    wait: Time,
-    standing: Option<usize>,
-) -> String {
+/// Connects to the balancer that the front end deals; none where there is none or it refuses.
+async fn dial(shared: &SharedRun, client: &Client) -> Option<(usize, TcpStream)> {
+    let balancer = {
+        let state = &mut *shared.lock();
+        state.front.pick_balancer(shared.now(), client.zone)?
+    };
+    let connecting = TcpStream::connect(shared.addresses.balancer(balancer));
+    let stream = tokio::time::timeout(DIAL, connecting).await.ok()?.ok()?;
+    Some((balancer, stream))
+}
+
+/// Enters a flow as its first line is about to be complete; none where its balancer has died.
+fn accept_flow<'a>(
+    shared: &'a Arc<SharedRun>,
+    request: &OpenRequest<'_>,
+) -> Option<ClientFlow<'a>> {
+    let &OpenRequest {
+        id,
+        client,
+        flow,
+        balancer,
+        wait,
+        standing,
+    } = request;
+    let state = &mut *shared.lock();
+    if !state.alive[balancer] {
+        return None;
+    }
+    let known = FlowState {
+        client: id,
+        balancer,
+        server: standing,
+        by_server: None,
+        signals: None,
+    };
+    state.flows.insert(flow, known);
+    let idempotency = state.population.idempotency(id, &shared.scenario);
+    let accepted_at = shared.now();
+    if standing.is_none() {
+        state.figures.flows += 1;
+        if client.reconnecting {
+            state.figures.returned(accepted_at);
+        }
+        if client.told {
+            state.figures.came_when_told(accepted_at);
+        }
+        state.observe(Observation::Accepted {
+            at: accepted_at,
+            balancer,
+            flow,
+            idempotency,
+            deadline: accepted_at + wait,
+        });
+    }
+    Some(ClientFlow {
+        shared,
+        id,
+        flow,
+        idempotency,
+        accepted_at,
+        wait,
+        balancer,
+    })
+}
+
+fn first_line(shared: &SharedRun, request: &OpenRequest<'_>) -> String {
+    let &OpenRequest {
+        id,
+        client,
+        flow,
+        wait,
+        standing,
+        ..
+    } = request;
     let of = &shared.scenario.types[client.class];
     let mut line = format!("OPEN {flow:016x} {id:016x} c={},d={}", of.name, wait / MS);
     if let Some(group) = client.group {
