--- a/crates/balancer/tests/deploy.rs
+++ b/crates/balancer/tests/deploy.rs
@@ -1,18 +1,36 @@
 //! What the platform asks of the deploy file and of the program that it starts.
 
 use std::fs;
+use std::path::Path;
+
+const REPOSITORY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
+
+/// Returns the deploy file.
+fn deploy_file() -> toml::Table {
+    let path = Path::new(REPOSITORY).join("deploy/balancer.toml");
+    fs::read_to_string(path).unwrap().parse().unwrap()
+}
+
+/// Guards against a file that is renamed or split and no longer counted as what it is.
+#[test]
+fn the_deploy_file_names_paths_that_exist() {
+    let file = deploy_file();
+    for list in ["policy", "node"] {
+        let paths = file[list].as_array().unwrap();
+        assert!(!paths.is_empty(), "{list}");
+        for path in paths {
+            let path = path.as_str().unwrap();
+            assert!(Path::new(REPOSITORY).join(path).exists(), "{list}: {path}");
+        }
+    }
+}
 
 /// Guards against a start that the fleet's platform refuses: a shell that stays, further processes,
 /// fronts or gossip between balancers, and a program that is not linked dynamically against the C
 /// library.
 #[test]
 fn the_balancer_starts_as_one_dynamically_linked_process() {
-    let text = fs::read_to_string(concat!(
-        env!("CARGO_MANIFEST_DIR"),
-        "/../../deploy/balancer.toml"
-    ))
-    .unwrap();
-    let file: toml::Table = text.parse().unwrap();
+    let file = deploy_file();
     let run = file["run"].as_str().unwrap();
     assert_eq!(
         run.strip_prefix("exec "),
