--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: which flows may use the last of the capacity, and how the others are answered.
+//! Load shedding: decides which flows may use the last of the capacity, and how the others are
+//! answered.
 
 use nanorand::{Rng, WyRand};
 
@@ -7,23 +8,24 @@
 use crate::traffic_classes::TrafficClasses;
 use crate::types::{DeduplicationScope, Flow, Idempotency, Placement, SEC, Time};
 
-/// Utilization that only flows with priority may use.
+/// Utilization beyond the limits for all flows that only flows with priority may use.
 const PRIORITY_UTILIZATION: f64 = 0.16;
-/// A tenant is over its quota from this many times it.
+/// A tenant is over its quota if it holds more than this multiple of the quota.
 const QUOTA_TOLERANCE: f64 = 1.25;
-/// The longest Retry-After while attempts are not limited below their start.
+/// The longest Retry-After while there is no congestion, i.e. while the limit of attempts in flight
+/// is not below its initial value.
 const UNCONGESTED_RETRY_AFTER_MAX: Time = SEC;
-/// The shortest Retry-After is this part of the longest.
+/// The longest Retry-After divided by this number is the shortest.
 const RETRY_AFTER_MIN_DIVISOR: Time = 8;
 
-/// Tenants' quotas, and the Retry-After of rejected clients.
+/// Quotas of the tenants, and the Retry-After of rejected clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SheddingConfig {
-    /// Each tenant's quota as a fraction of all connections, by the tenant's index.
+    /// Each tenant's quota as a fraction of all own connections, by the tenant's index.
     pub tenant_quotas: Vec<f64>,
-    /// Part of its priority weight that a flow of a tenant over its quota keeps.
+    /// Fraction of its priority weight that a flow keeps if its tenant is over the quota.
     pub surplus_weight: f64,
-    /// The longest Retry-After in nanoseconds, where clients may be sent any.
+    /// The longest Retry-After in nanoseconds; `None` if clients are not sent one.
     pub retry_after_max: Option<Time>,
 }
 
@@ -37,7 +39,7 @@
     }
 }
 
-/// Judges priority, and answers flows that are given up.
+/// Decides on the priority of flows, and answers flows that are given up.
 pub(crate) struct LoadShedding {
     config: SheddingConfig,
 }
@@ -47,7 +49,7 @@
         LoadShedding { config }
     }
 
-    /// Utilization that this flow may use beyond the limits for all.
+    /// Returns the utilization by which the flow may exceed the limits that apply to all flows.
     pub(crate) fn priority_utilization(
         &self,
         flow: &Flow,
@@ -61,8 +63,8 @@
         }
     }
 
-    /// Whether the flow brings at least as much priority weight for its load as own connections
-    /// do on the whole; where no loads are reported all do.
+    /// Whether the flow brings at least as much priority weight for its load as own connections do
+    /// on average. If no loads are reported, every flow has priority.
     fn has_priority(
         &self,
         flow: &Flow,
@@ -76,17 +78,17 @@
         }
         let own_class = connections.loads.get(&flow.class).copied();
         let LoadTotal { count, sum } = own_class.unwrap_or_default();
-        let kept = if self.is_over_quota(flow, connections) {
+        let kept_fraction = if self.is_over_quota(flow, connections) {
             self.config.surplus_weight
         } else {
             1.0
         };
-        let own_weight = classes.of(flow).priority_weight * kept;
-        // Compared crosswise: without reported loads all are alike.
+        let own_weight = classes.of(flow).priority_weight * kept_fraction;
+        // The ratios are compared by cross-multiplication: without reported loads both sides are 0.
         own_weight * count * load >= weight * sum
     }
 
-    /// Whether the flow's tenant is well over its quota of own connections.
+    /// Whether the flow's tenant holds well over its quota of own connections.
     fn is_over_quota(&self, flow: &Flow, connections: &ConnectionTable) -> bool {
         let held = connections
             .by_tenant
@@ -98,9 +100,9 @@
         held > QUOTA_TOLERANCE * quota * connections.own.len() as f64
     }
 
-    /// Answers a flow that is given up: rejected where the client may safely retry within
-    /// `resend_time_left`, else failed. Guards against a client that is sent back when servers have
-    /// forgotten what it asked for.
+    /// Answers a flow that is given up: rejects it if the client may safely retry within
+    /// `resend_time_left`, otherwise fails it. Guards against a client that is told to retry after
+    /// servers have forgotten its first attempt.
     pub(crate) fn reject_or_fail(
         &self,
         flow: &Flow,
@@ -120,8 +122,8 @@
             Idempotency::Deduplicated { .. } if resend_time_left == 0 => return Placement::Fail,
             _ => {}
         }
-        // Spread, lest clients rejected together retry together; under congestion as late as
-        // settings allow.
+        // Spread at random, so that clients that are rejected together do not retry together. Under
+        // congestion the upper bound is the longest that the settings allow.
         let retry_after = self.config.retry_after_max.map(|longest| {
             let longest = if concurrency.is_congested() {
                 longest
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -1,10 +1,10 @@
-//! The plain values that the policy is asked with and answers with.
+//! The plain values that go into and come out of the policy.
 
 pub use nettlemux_candidates::ServerId;
 
-/// Whole nanoseconds: a moment on the caller's clock, or a span.
+/// A point in time on the caller's clock, or a duration, in whole nanoseconds.
 pub type Time = u64;
-/// A flow, by the number that the caller gives it.
+/// Identifies a flow; the number is assigned by the caller.
 pub type FlowId = u64;
 
 /// Nanoseconds in a millisecond.
@@ -12,19 +12,20 @@
 /// Nanoseconds in a second.
 pub const SEC: Time = 1_000 * MS;
 
-/// Which servers drop repeats of a deduplicated flow: those that share this with the first one.
+/// The servers that drop repeats of a deduplicated flow: those that have this in common with the
+/// server of the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers drop each other's repeats.
     All,
-    /// Servers of one zone do.
+    /// Servers of the same zone drop each other's repeats.
     Zone,
-    /// Servers of one cell do.
+    /// Servers of the same cell drop each other's repeats.
     Cell,
 }
 
 impl DeduplicationScope {
-    /// Whether these two drop each other's repeats.
+    /// Whether these two servers drop each other's repeats.
     pub fn same(self, one: &Endpoint, other: &Endpoint) -> bool {
         match self {
             DeduplicationScope::All => true,
@@ -34,34 +35,35 @@
     }
 }
 
-/// What a repeated attempt of a flow does.
+/// The effect of a repeated attempt of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It does no harm.
+    /// A repeat does no harm.
     Idempotent,
-    /// Servers drop it, as long as they remember the first attempt.
+    /// Servers drop a repeat for as long as they remember the first attempt.
     Deduplicated {
-        /// The servers that remember it.
+        /// The servers that remember the first attempt.
         scope: DeduplicationScope,
-        /// How long they remember it, in nanoseconds from the attempt that may have run.
+        /// How long these servers remember it, in nanoseconds from the attempt that may have been
+        /// executed.
         window: Time,
     },
-    /// It takes effect again.
+    /// A repeat takes effect again.
     NonIdempotent,
 }
 
-/// What flows of one class are owed, and what may be done with them.
+/// The objective, priority and idempotency of the flows of one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficClass {
     /// Nanoseconds within which a flow should be connected.
     pub latency_objective: Time,
-    /// Value of a flow, compared with that of other classes.
+    /// Value of a flow relative to flows of other classes.
     pub priority_weight: f64,
-    /// What a repeated attempt does.
+    /// The effect of a repeated attempt.
     pub idempotency: Idempotency,
 }
 
-/// One attempt that was already made for a flow.
+/// An attempt that was already made for a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
     /// Where it went.
@@ -70,11 +72,11 @@
     pub at: Time,
     /// Whether it is still in flight.
     pub in_flight: bool,
-    /// Whether it is known not to have run.
+    /// Whether it is known that the server did not execute the attempt.
     pub known_unexecuted: bool,
 }
 
-/// A flow that the caller holds and that awaits an answer.
+/// A flow that the caller holds and that has not been answered yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Flow {
     /// The flow's number.
@@ -83,20 +85,22 @@
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// Flows of one group cost a server their common work once.
+    /// The flow's group: a server does the common work of a group once, however many of its flows
+    /// it serves.
     pub group: Option<String>,
-    /// Whether the client's connection broke or was migrated: it returns with the load that it had.
+    /// Whether the client's connection broke or was migrated. Such a client returns with the load
+    /// that it had before.
     pub reconnecting: bool,
     /// When the balancer accepted it.
     pub accepted_at: Time,
-    /// When it has to be answered.
+    /// Time by which it has to be answered.
     pub deadline: Time,
-    /// Attempts already made, in their order.
+    /// Attempts made so far, in their order.
     pub attempts: Vec<Attempt>,
 }
 
 impl Flow {
-    /// Whether any of its attempts may have run.
+    /// Whether any of the flow's attempts may have been executed.
     pub fn may_have_executed(&self) -> bool {
         self.attempts
             .iter()
@@ -104,58 +108,58 @@
     }
 }
 
-/// What the endpoint list says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes flows.
+    /// The server accepts flows.
     Ready,
-    /// It takes no new flows and will stop.
+    /// The server accepts no new flows and will stop.
     Draining,
-    /// It is not listed any more.
+    /// The server is no longer listed.
     #[default]
     Removed,
 }
 
-/// A server, as listed.
+/// A server as described in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
     /// The server's number.
     pub server_id: ServerId,
-    /// The zone in which it stands.
+    /// The zone in which it runs.
     pub zone: u64,
-    /// Its kind of machine: servers of one kind have the same capacity.
+    /// Its kind of machine; servers of the same kind have the same capacity.
     pub machine: u64,
-    /// The cell that it belongs to.
+    /// The cell to which it belongs.
     pub cell: u64,
-    /// Whether it takes flows.
+    /// Whether it accepts flows.
     pub state: EndpointState,
-    /// Its part in the rotation, compared with other servers'.
+    /// Its weight in the rotation, relative to the other servers.
     pub weight: f64,
-    /// When it last started; 0 is long ago.
+    /// When it last started; 0 means long ago.
     pub started: Time,
 }
 
-/// What a server reports of its load.
+/// A server's report of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Load over capacity; 1 is full.
+    /// Load divided by capacity; 1 means full.
     pub utilization: Option<f64>,
-    /// Connections that it holds.
+    /// Number of connections that it holds.
     pub connections: Option<f64>,
 }
 
-/// A gossip message: this server holds connections of the group with that number.
+/// A gossip message: the server holds connections of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupPlacement {
-    /// The group's number: part of the hash of its name.
+    /// The group's number: part of the hash of the group's name.
     pub group: u16,
-    /// The server that holds connections of it.
+    /// The server that holds connections of the group.
     pub server_id: ServerId,
 }
 
 impl GroupPlacement {
-    /// Encodes the message: the group, and the server without leading zeros. It is short, as every
-    /// receiver pays for each byte.
+    /// Encodes the message as the group number followed by the server's number without leading
+    /// zeros. The encoding is short because every receiver pays for each byte.
     pub fn to_bytes(self) -> Vec<u8> {
         let server_id = self.server_id.to_be_bytes();
         let zeros = server_id.iter().take_while(|byte| **byte == 0).count();
@@ -163,7 +167,7 @@
         [&group[..], &server_id[zeros..]].concat()
     }
 
-    /// Decodes a message; none where these bytes are no such message.
+    /// Decodes a message; returns `None` if the bytes are not a valid message.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let (group, server_id) = bytes.split_first_chunk::<2>()?;
         if server_id.len() > size_of::<ServerId>() || server_id.first() == Some(&0) {
@@ -177,29 +181,29 @@
     }
 }
 
-/// How an attempt, or the connection that it became, has ended.
+/// How an attempt, or the connection that it became, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It ended in the ordinary way.
+    /// It ended normally.
     Done,
     /// The server answered with an error.
     Error,
     /// The server answered that it is overloaded.
     Overloaded,
-    /// The server's answer did not come in time.
+    /// The server did not answer in time.
     TimedOut,
-    /// No connection to the server could be made.
+    /// No connection to the server could be established.
     Unreachable,
     /// The connection broke after the attempt was sent.
     ConnectionLost,
-    /// The balancer or the client ended it.
+    /// The balancer or the client cancelled it.
     Cancelled,
-    /// It was not sent within its time.
+    /// It was not sent within the time allowed for sending.
     NotSent,
 }
 
 impl AttemptEnd {
-    /// Whether an attempt that ends so counts as a failure of its server.
+    /// Whether an attempt that ends in this way counts as a failure of its server.
     pub fn is_server_failure(self) -> bool {
         match self {
             AttemptEnd::Error
@@ -212,28 +216,28 @@
     }
 }
 
-/// What has come of an earlier answer.
+/// An event that the caller reports to the policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PolicyEvent<'a> {
     /// A server has accepted the attempt.
     Connected {
-        /// The flow that is connected now.
+        /// The flow that is now connected.
         flow: FlowId,
         /// Nanoseconds from the attempt to the server's answer.
         took: Time,
     },
     /// An attempt, or the connection that it became, has ended.
     AttemptEnded {
-        /// The flow that it was made for.
+        /// The flow for which the attempt was made.
         flow: FlowId,
         /// Where it went.
         server_id: ServerId,
         /// How it ended.
         end: AttemptEnd,
-        /// The flow, where it still awaits an answer.
+        /// The flow, if it has not been answered yet.
         unanswered: Option<&'a Flow>,
     },
-    /// The client went away.
+    /// The client left.
     ClientLeft {
         /// Its flow.
         flow: FlowId,
@@ -242,9 +246,9 @@
     HealthChecked {
         /// The server that was checked.
         server_id: ServerId,
-        /// Whether the server answered as it should.
+        /// Whether the server answered as expected.
         passed: bool,
-        /// What it reported; nothing where it did not answer.
+        /// The load that the server reported; empty if the server did not answer.
         report: LoadReport,
     },
     /// The time that [`Policy::time_to_next_timer`](crate::Policy::time_to_next_timer) returned
@@ -252,37 +256,38 @@
     TimerExpired,
 }
 
-/// Where a flow goes.
+/// The decision about a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// To this server.
+    /// The flow goes to this server.
     Forward {
         /// The server.
         server_id: ServerId,
-        /// How long the server's answer is waited for, in nanoseconds.
+        /// How long to wait for the server's answer, in nanoseconds.
         timeout: Time,
-        /// The attempt is made only if its last byte is written within this span.
+        /// The attempt is made only if its last byte is written within this time, in nanoseconds.
         send_within: Time,
     },
     /// The flow stays queued and is placed again when the policy's timer expires.
     Wait,
-    /// The flow is rejected: a repeat can do no harm.
+    /// The flow is rejected; the client can repeat it without harm.
     Reject {
-        /// How long the client has to wait before it tries again, where it may be sent one.
+        /// How long the client has to wait before it retries; `None` if clients are not sent a
+        /// Retry-After.
         retry_after: Option<Time>,
     },
-    /// The flow fails: an attempt may have run.
+    /// The flow fails: an attempt may have been executed.
     Fail,
 }
 
-/// What to do after an event.
+/// The actions that follow from an event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
-    /// Where the flow goes that the event left unanswered.
+    /// Where the flow goes that the event left without an answer.
     pub placement: Option<Placement>,
-    /// Servers whose health is to be checked.
+    /// Servers to check.
     pub health_checks: Vec<ServerId>,
-    /// Own connections whose clients are notified to move.
+    /// Own connections whose clients are to be notified to move.
     pub migrate: Vec<FlowId>,
     /// Flows whose attempt in flight is to be cancelled.
     pub cancel: Vec<FlowId>,
