--- a/crates/policy/src/connections.rs
+++ b/crates/policy/src/connections.rs
@@ -1,4 +1,4 @@
-//! Own connections and attempts in flight: an index, which decides nothing.
+//! Own connections and attempts in flight: an index that makes no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,9 +14,10 @@
     pub(crate) is_connected: bool,
     /// Whether its client has been notified to move.
     pub(crate) is_migrating: bool,
-    /// The load that its client or server last reported for it.
+    /// The load that the client or server last reported for it.
     pub(crate) load: Option<f64>,
-    /// The server's utilization over its connections, at the first report after it was placed.
+    /// The server's utilization divided by its number of connections, from the first report after
+    /// the connection was placed.
     pub(crate) estimated_load: Option<f64>,
 }
 
@@ -26,14 +27,14 @@
     pub(crate) since: Time,
 }
 
-/// How many connections reported a load, and the sum of these loads.
+/// The number of connections with a reported load, and the sum of these loads.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LoadTotal {
     pub(crate) count: f64,
     pub(crate) sum: f64,
 }
 
-/// Own connections and attempts in flight, indexed by what placement asks of them.
+/// Own connections and attempts in flight, indexed by the keys that placement needs.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     pub(crate) own: BTreeMap<FlowId, OwnConnection>,
@@ -46,7 +47,7 @@
 }
 
 impl ConnectionTable {
-    /// Records an attempt that goes out now.
+    /// Records an attempt that is sent now.
     pub(crate) fn record_attempt(&mut self, now: Time, flow: &Flow, server_id: ServerId) {
         self.insert(flow, server_id);
         let attempt = InFlightAttempt {
@@ -56,13 +57,13 @@
         self.in_flight.insert(flow.id, attempt);
     }
 
-    /// Records a connection that is established already.
+    /// Records a connection that is already established.
     pub(crate) fn record_connection(&mut self, flow: &Flow, server_id: ServerId) {
         self.insert(flow, server_id);
         self.mark_connected(flow.id);
     }
 
-    /// Puts in an entry that is not connected, in place of any earlier one of the flow.
+    /// Inserts an entry that is not connected, replacing any earlier entry of the flow.
     fn insert(&mut self, flow: &Flow, server_id: ServerId) {
         self.remove(flow.id);
         *self.by_tenant.entry(flow.tenant).or_default() += 1;
@@ -84,7 +85,7 @@
         self.own.insert(flow.id, own);
     }
 
-    /// Notes the load that is reported for a connection.
+    /// Records the load that was reported for a connection.
     pub(crate) fn update_load(&mut self, flow: FlowId, load: f64) {
         let Some(own) = self.own.get_mut(&flow) else {
             return;
@@ -94,7 +95,7 @@
         total.sum += load - own.load.replace(load).unwrap_or(0.0);
     }
 
-    /// Gives the connections of a server that have no estimate this one.
+    /// Sets this load estimate for the connections of a server that have none yet.
     pub(crate) fn estimate_loads(&mut self, server_id: ServerId, estimate: Option<f64>) {
         for flow in self.by_server.get(&server_id).into_iter().flatten() {
             let own = self.own.get_mut(flow).expect("by_server lists own flows");
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Marks an attempt as connected and returns its server, if it was in flight.
+    /// Marks an attempt as connected. Returns its server if the attempt was in flight.
     pub(crate) fn mark_connected(&mut self, flow: FlowId) -> Option<ServerId> {
         let own = self.own.get_mut(&flow).filter(|own| !own.is_connected)?;
         own.is_connected = true;
@@ -110,7 +111,7 @@
         Some(own.server_id)
     }
 
-    /// Marks a connection as one whose client has been notified to move.
+    /// Marks a connection whose client has been notified to move.
     pub(crate) fn mark_migrating(&mut self, flow: FlowId) {
         let own = self.own.get_mut(&flow);
         own.expect("only own connections migrate").is_migrating = true;
@@ -142,18 +143,19 @@
         Some(own)
     }
 
-    /// Own connections and attempts at this server.
+    /// Returns the number of own connections and attempts at this server.
     pub(crate) fn count_at(&self, server_id: ServerId) -> f64 {
         self.by_server.get(&server_id).map_or(0, BTreeSet::len) as f64
     }
 
-    /// Own connections and attempts at each server that holds some of this flow's group.
+    /// Returns the number of own connections and attempts of the flow's group at each server that
+    /// has any.
     pub(crate) fn group_holders(&self, flow: &Flow) -> Option<&BTreeMap<ServerId, usize>> {
         self.by_group.get(flow.group.as_ref()?)
     }
 }
 
-/// Counts one less, and drops the entry when none is left.
+/// Decrements the count, and removes the entry when it reaches 0.
 fn decrement<K: Ord>(counts: &mut BTreeMap<K, usize>, key: &K) {
     if let Some(count) = counts.get_mut(key) {
         *count -= 1;
--- a/crates/policy/src/connections/tests.rs
+++ b/crates/policy/src/connections/tests.rs
@@ -15,12 +15,16 @@
     table.record_attempt(5, &flow(1, 0, "a"), 51);
     assert_eq!(table.in_flight[&1].since, 5);
     assert_eq!(table.mark_connected(1), Some(51));
-    assert_eq!(table.mark_connected(1), None, "only once");
+    assert_eq!(
+        table.mark_connected(1),
+        None,
+        "a second call finds nothing in flight"
+    );
     assert!(table.in_flight.is_empty() && table.own[&1].is_connected);
 }
 
 #[test]
-fn a_further_attempt_takes_the_place_of_the_one_before() {
+fn a_further_attempt_of_a_flow_replaces_the_earlier_one() {
     let mut table = ConnectionTable::default();
     table.record_attempt(5, &flow(1, 0, "a"), 51);
     table.record_attempt(6, &flow(1, 0, "a"), 52);
@@ -29,7 +33,7 @@
 }
 
 #[test]
-fn indexes_are_empty_when_all_is_removed() {
+fn indexes_are_empty_after_all_connections_are_removed() {
     let mut table = ConnectionTable::default();
     table.record_connection(&flow(1, 0, "a"), 51);
     table.record_attempt(5, &flow(2, 3, "b"), 51);
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -1,11 +1,11 @@
-//! What is known of all servers and own connections at one moment: what most decisions look at.
+//! A snapshot of all servers and own connections at one moment, which most decisions are based on.
 
 use crate::connections::ConnectionTable;
 use crate::endpoints::{Endpoints, Server};
 use crate::recent_connections::RecentConnections;
 use crate::types::Time;
 
-/// The servers and own connections as they are at a moment.
+/// The servers and own connections at one moment.
 #[derive(Clone, Copy)]
 pub(crate) struct FleetView<'a> {
     pub(crate) now: Time,
@@ -17,17 +17,17 @@
 }
 
 impl FleetView<'_> {
-    /// The server's utilization, where its last report still counts.
+    /// Returns the server's utilization, or `None` if its last report no longer counts.
     pub(crate) fn utilization(&self, server: &Server) -> Option<f64> {
         server.load.utilization(self.now, self.report_lifetime)
     }
 
-    /// Own connections and attempts at this server.
+    /// Returns the number of own connections and attempts at this server.
     pub(crate) fn own_connections(&self, server: &Server) -> f64 {
         self.connections.count_at(server.endpoint.server_id)
     }
 
-    /// Whether the balancer has started lately, and from nothing.
+    /// Whether the balancer started recently and without connections.
     pub(crate) fn has_started_empty(&self) -> bool {
         self.recent_connections
             .has_started_empty(self.now, self.connections)
--- a/crates/policy/src/group_affinity.rs
+++ b/crates/policy/src/group_affinity.rs
@@ -1,4 +1,5 @@
-//! Where a flow's group is held, and where it is at home while nobody holds it.
+//! Group affinity: the servers that hold a flow's group, and the group's home server while no
+//! server holds it.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +9,17 @@
 use crate::gossip::{Gossip, group_number};
 use crate::types::{Flow, ServerId, Time};
 
-/// What is known of the flow's group. Guards against servers that drop what they hold since more
-/// and more is placed on them, and, as holders of the group take more, against common work that is
-/// paid for on every server.
+/// The known holders and the home server of the flow's group.
+///
+/// Guards against servers that drop their connections because more and more flows are placed on
+/// them. Holders of the group accept more of its flows than other servers do, which also guards
+/// against paying for the group's common work on every server.
 pub(crate) struct GroupAffinity<'a> {
     now: Time,
     hash: u64,
     gossip: &'a Gossip,
     own_holders: Option<&'a BTreeMap<ServerId, usize>>,
-    /// Whether the flow has a group that nobody holds, as far as is known.
+    /// Whether the flow has a group that no server is known to hold.
     is_unplaced: bool,
     /// Whether other balancers have announced placements of the group.
     is_announced: bool,
@@ -41,16 +44,16 @@
         }
     }
 
-    /// Gives a group that nobody holds its home: the first of these servers in the group's order.
-    /// Guards against many balancers that each hold few of a group and spread it: they agree on
-    /// the order.
+    /// Selects the home of a group that no server holds: the first of these servers in the group's
+    /// order. Guards against many balancers that each hold few connections of a group and spread
+    /// them over many servers: all balancers agree on the order.
     pub(crate) fn choose_home(&mut self, servers: impl Iterator<Item = ServerId>) {
         if self.is_unplaced {
             self.home = servers.min_by_key(|server_id| self.rank(*server_id));
         }
     }
 
-    /// Whether the server is the group's home.
+    /// Whether the server is the group's home server.
     pub(crate) fn is_home(&self, server_id: ServerId) -> bool {
         self.home == Some(server_id)
     }
@@ -60,8 +63,8 @@
         self.is_announced
     }
 
-    /// Whether the server holds the group: as announced where balancers gossip, else by own
-    /// connections.
+    /// Whether the server holds the group: according to announcements if balancers gossip,
+    /// otherwise according to own connections.
     pub(crate) fn holds(&self, server_id: ServerId) -> bool {
         if self.gossip.is_enabled() {
             let group = group_number(self.hash);
@@ -72,7 +75,8 @@
         }
     }
 
-    /// The server's place in the group's order of servers, the same at all balancers.
+    /// Returns the server's rank in the group's order of servers, which is the same at all
+    /// balancers (rendezvous hashing).
     pub(crate) fn rank(&self, server_id: ServerId) -> u64 {
         hash(self.hash ^ server_id)
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions of a balancer for long-lived connections: where a flow goes, what follows from each
-//! event, and how long to wait for the next.
+//! Decisions of a load balancer for long-lived connections: where a flow goes, which actions follow
+//! from each event, and how long to wait for the next event.
 //!
-//! The package owns all that is decided about flows and servers: one module for each decision, each
-//! with its state, its constants and its configuration, held by [`Policy`]. It must never do I/O,
-//! read a clock, start a thread or depend on the order of a hash map: the same calls under the same
-//! seed give the same decisions. The design is `docs/design.md`.
+//! This crate makes all decisions about flows and servers. Each kind of decision has a module with
+//! its state, constants and configuration; [`Policy`] holds them together. The crate must never do
+//! I/O, read a clock, start a thread or depend on the order of a hash map: with the same seed, the
+//! same calls lead to the same decisions. The design is described in `docs/design.md`.
 //!
 //! ```
 //! use nettlemux_policy::*;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,30 +1,31 @@
-//! Outlier ejection: which servers are passed over after failures, for how long, and the way back.
+//! Outlier ejection: which servers are avoided after failures, for how long, and what ends it.
 
 use std::collections::VecDeque;
 
 use crate::types::{MS, Time};
 
-/// Ejection after the first failed attempt is twice this; it doubles with each further failure.
+/// Half of the ejection time after the first failed attempt. The ejection time doubles with each
+/// further failure.
 const EJECTION_BACKOFF_BASE: Time = 500 * MS;
-/// Failures after which the ejection time grows no further.
+/// Number of failures after which the ejection time no longer grows.
 const EJECTION_DOUBLINGS_MAX: usize = 4;
-/// Failed health checks in a row after which a server counts as unresponsive.
+/// Number of consecutive failed health checks after which a server may count as unresponsive.
 const FAILED_CHECKS_MIN: usize = 2;
-/// Failures of each kind that are kept.
+/// Maximum number of failures of each kind that are kept.
 const FAILURES_MAX: usize = 8;
 
 /// The failures of one server.
 #[derive(Default)]
 pub(crate) struct OutlierState {
-    /// Failed attempts since the last that connected.
+    /// Failed attempts since the last attempt that connected.
     failed_attempts: VecDeque<Time>,
-    /// Failed health checks since the last that passed.
+    /// Failed health checks since the last one that passed.
     failed_checks: VecDeque<Time>,
     last_connected_at: Time,
 }
 
 impl OutlierState {
-    /// Whether the server may be placed on: neither ejected nor unresponsive.
+    /// Whether flows may be placed on the server: it is neither ejected nor unresponsive.
     pub(crate) fn is_healthy(&self, now: Time) -> bool {
         !self.is_ejected(now) && !self.is_unresponsive()
     }
@@ -36,30 +37,31 @@
         })
     }
 
-    /// Whether health checks fail and no flow connects. Guards against a broken path of health
-    /// checks, which alone is no sign of a fault.
+    /// Whether health checks fail and no flow has connected since the first of these failures.
+    /// Guards against a broken network path of the health checks, which alone is no sign that the
+    /// server is faulty.
     fn is_unresponsive(&self) -> bool {
         self.failed_checks.len() >= FAILED_CHECKS_MIN
             && self.last_connected_at < self.failed_checks[0]
     }
 
-    /// Notes that an attempt connected, which ends an ejection.
+    /// Records that an attempt connected, which ends an ejection.
     pub(crate) fn record_connected(&mut self, now: Time) {
         self.failed_attempts.clear();
         self.last_connected_at = now;
     }
 
-    /// Notes that an attempt failed.
+    /// Records that an attempt failed.
     pub(crate) fn record_failed_attempt(&mut self, now: Time) {
         push_bounded(&mut self.failed_attempts, now);
     }
 
-    /// Notes that a health check passed.
+    /// Records that a health check passed.
     pub(crate) fn record_passed_check(&mut self) {
         self.failed_checks.clear();
     }
 
-    /// Notes that a health check failed.
+    /// Records that a health check failed.
     pub(crate) fn record_failed_check(&mut self, now: Time) {
         push_bounded(&mut self.failed_checks, now);
     }
--- a/crates/policy/src/outlier/tests.rs
+++ b/crates/policy/src/outlier/tests.rs
@@ -2,7 +2,7 @@
 use crate::types::SEC;
 
 #[test]
-fn ejection_doubles_with_each_failure_up_to_eight_seconds() {
+fn the_ejection_time_doubles_with_each_failure_up_to_eight_seconds() {
     let mut state = OutlierState::default();
     for seconds in [1, 2, 4, 8, 8, 8] {
         state.record_failed_attempt(100 * SEC);
--- a/crates/policy/src/recent_connections.rs
+++ b/crates/policy/src/recent_connections.rs
@@ -1,11 +1,11 @@
-//! Connections established lately, by which the usual rate is known.
+//! Recently established connections, from which the usual connection rate is derived.
 
 use std::collections::VecDeque;
 
 use crate::connections::ConnectionTable;
 use crate::types::{SEC, ServerId, Time};
 
-/// Span over which the usual rate is counted.
+/// Time window over which the usual connection rate is counted.
 pub(crate) const RATE_WINDOW: Time = 20 * SEC;
 
 /// A connection established with a warm server.
@@ -14,7 +14,8 @@
     server_id: ServerId,
 }
 
-/// Connections established with warm servers in the last [`RATE_WINDOW`], and when counting began.
+/// Connections established with warm servers within the last [`RATE_WINDOW`], and the time at which
+/// counting began.
 #[derive(Default)]
 pub(crate) struct RecentConnections {
     established: VecDeque<Established>,
@@ -22,7 +23,7 @@
 }
 
 impl RecentConnections {
-    /// Begins counting, the first time it is called.
+    /// Begins counting on the first call.
     pub(crate) fn start(&mut self, now: Time) {
         self.started_at.get_or_insert(now);
     }
@@ -33,7 +34,7 @@
             .push_back(Established { at: now, server_id });
     }
 
-    /// Drops what is older than the window.
+    /// Removes connections that are older than the window.
     pub(crate) fn expire(&mut self, now: Time) {
         let expired = self
             .established
@@ -41,12 +42,13 @@
         self.established.drain(..expired);
     }
 
-    /// Connections counted, without a look at their age.
+    /// Returns the number of connections counted, including those that have expired since the last
+    /// call of [`Self::expire`].
     pub(crate) fn len(&self) -> usize {
         self.established.len()
     }
 
-    /// The servers of connections established within this span.
+    /// Returns the server of each connection established within this time span.
     pub(crate) fn servers_within(
         &self,
         now: Time,
@@ -58,19 +60,20 @@
             .map(|connection| connection.server_id)
     }
 
-    /// The span over which connections have been counted.
+    /// Returns the time span over which connections have been counted.
     pub(crate) fn counted_span(&self, now: Time) -> Time {
         now.saturating_sub(self.started_at.unwrap_or(now))
             .clamp(SEC, RATE_WINDOW)
     }
 
-    /// Whether the first window has not passed yet.
+    /// Whether the balancer has counted for less than one window.
     pub(crate) fn is_starting(&self, now: Time) -> bool {
         self.started_at
             .is_none_or(|started_at| now < started_at + RATE_WINDOW)
     }
 
-    /// Whether the balancer has started lately, and from nothing: all connections were made since.
+    /// Whether the balancer started recently and without connections: all own connections were made
+    /// since then.
     pub(crate) fn has_started_empty(&self, now: Time, connections: &ConnectionTable) -> bool {
         self.is_starting(now)
             && connections.own.len() <= self.established.len() + connections.in_flight.len()
--- a/crates/policy/src/rotation.rs
+++ b/crates/policy/src/rotation.rs
@@ -1,5 +1,5 @@
 //! Smooth weighted round robin, as in nginx: each turn adds each server's weight to its credit,
-//! takes the server with the most, and charges it the sum of weights.
+//! selects the server with the highest credit, and deducts the sum of all weights from it.
 
 use nanorand::{Rng, WyRand};
 use nettlemux_candidates::usable_weight;
@@ -7,18 +7,17 @@
 use crate::endpoints::{Endpoints, Server};
 use crate::types::ServerId;
 
-/// Draws the credit with which a server starts, so that balancers don't start in step.
+/// Draws a server's initial credit at random, so that balancers do not rotate in step.
 pub(crate) fn initial_credit(rng: &mut WyRand) -> f64 {
     rng.generate::<f64>()
 }
 
-/// The credit that a server has at the next turn.
+/// Returns the credit that a server has at the next turn.
 pub(crate) fn next_credit(server: &Server) -> f64 {
     server.rotation_credit + usable_weight(server.endpoint.weight)
 }
 
-/// Takes a turn among these servers and returns the one whose turn it is; none where there are
-/// none.
+/// Takes a turn among these servers and returns the selected one; `None` if there are no servers.
 pub(crate) fn take_turn(endpoints: &mut Endpoints, among: &[ServerId]) -> Option<ServerId> {
     let servers = &mut endpoints.servers;
     let mut total = 0.0;
--- a/crates/policy/src/traffic_classes.rs
+++ b/crates/policy/src/traffic_classes.rs
@@ -2,14 +2,15 @@
 
 use crate::types::{Flow, Idempotency, TrafficClass};
 
-/// What is assumed of a class that isn't known: nothing is owed to it, and nothing is repeated.
+/// Assumed for an unknown class: it has no latency objective and no priority, and its attempts are
+/// not repeated.
 const UNKNOWN_CLASS: TrafficClass = TrafficClass {
     latency_objective: 0,
     priority_weight: 0.0,
     idempotency: Idempotency::NonIdempotent,
 };
 
-/// The traffic classes that flows name by index.
+/// The traffic classes that flows refer to by index.
 pub(crate) struct TrafficClasses {
     classes: Vec<TrafficClass>,
 }
@@ -19,12 +20,12 @@
         TrafficClasses { classes }
     }
 
-    /// The class of this flow.
+    /// Returns the class of this flow.
     pub(crate) fn of(&self, flow: &Flow) -> TrafficClass {
         self.get(flow.class)
     }
 
-    /// The class with this index.
+    /// Returns the class with this index, or [`UNKNOWN_CLASS`].
     pub(crate) fn get(&self, class: usize) -> TrafficClass {
         self.classes.get(class).copied().unwrap_or(UNKNOWN_CLASS)
     }
