--- a/crates/policy/src/concurrency/tests.rs
+++ b/crates/policy/src/concurrency/tests.rs
@@ -2,7 +2,7 @@
 use crate::types::SEC;
 
 #[test]
-fn the_initial_limit_is_shared_by_all_balancers() {
+fn the_initial_limit_is_divided_among_all_balancers() {
     for (balancers, initial) in [(1.0, 8), (75.0, 8), (300.0, 2), (5000.0, 1)] {
         let limit = ConcurrencyLimit::new(balancers);
         assert!(!limit.is_reached(SEC, initial - 1), "{balancers} balancers");
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn it_is_halved_once_in_an_interval_and_is_congested_below_its_start() {
+fn the_limit_is_halved_once_per_interval_and_congested_below_its_initial_value() {
     let mut limit = ConcurrencyLimit::new(1.0);
     limit.decrease(SEC);
     limit.decrease(SEC + DECREASE_INTERVAL - 1);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn it_increases_by_one_a_round_above_the_threshold() {
+fn the_limit_increases_by_one_per_round_above_the_threshold() {
     let mut limit = ConcurrencyLimit::new(1.0);
     limit.decrease(SEC);
     (0..4).for_each(|_| limit.increase());
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn below_one_it_is_a_pause_of_four_seconds_at_most() {
+fn a_limit_below_one_pauses_attempts_for_at_most_four_seconds() {
     let mut limit = ConcurrencyLimit::new(1.0);
     let mut now = SEC;
     for _ in 0..50 {
@@ -41,11 +41,11 @@
 }
 
 #[test]
-fn other_settings_keep_the_limit_that_stands() {
+fn a_change_of_settings_keeps_the_current_limit() {
     let mut old = ConcurrencyLimit::new(1.0);
     old.decrease(SEC);
     let mut new = ConcurrencyLimit::new(300.0);
-    new.continue_from(old);
+    new.take_state_from(old);
     assert!(!new.is_reached(SEC, 3) && new.is_reached(SEC, 4));
-    assert!(!new.is_congested(), "the new start is 2");
+    assert!(!new.is_congested(), "the new initial limit is 2");
 }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list with what is known of each server, and the candidates of a long list: state,
-//! which decides nothing.
+//! The endpoint list with the known state of each server, and the candidates of a long list. This
+//! module holds state and makes no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +10,13 @@
 use crate::outlier::OutlierState;
 use crate::types::{Endpoint, EndpointState, Flow, ServerId, Time};
 
-/// How the endpoint list is had, and how much of it is looked at.
+/// How the endpoint list is obtained, and up to which length it is considered as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointConfig {
     /// Whether the list has to be polled; otherwise it is pushed.
     pub is_polled: bool,
-    /// Servers up to which the whole list is looked at for each flow; beyond, only candidates.
+    /// Number of servers up to which the whole list is considered for each flow. On a longer list
+    /// only candidates are considered.
     pub whole_list_max: usize,
 }
 
@@ -28,26 +29,26 @@
     }
 }
 
-/// When one server's health is checked.
+/// The health check times of one server.
 #[derive(Default)]
 pub(crate) struct HealthCheckTimes {
     pub(crate) next_at: Time,
-    /// When a flow, or the budget of a long list, last asked for a check.
+    /// When a flow, or the budget of a long list, last requested a check.
     pub(crate) requested_at: Time,
 }
 
-/// The slots in which one server's slow start is budgeted.
+/// The slots by which the slow start of one server is budgeted.
 #[derive(Default)]
 pub(crate) struct SlowStartSlots {
-    /// The last slot in which an attempt went out, and how many did.
+    /// The last slot in which an attempt was sent, and the number of attempts in that slot.
     pub(crate) last_slot: u64,
     pub(crate) attempts: u64,
-    /// Shifts where slots begin.
+    /// Shifts the beginning of the slots.
     pub(crate) offset: Time,
 }
 
-/// One server: its endpoint and what is known of it. What every flow looks at stands first and
-/// together.
+/// One server: its endpoint and its known state. The fields that are read for every flow come
+/// first, next to each other in memory.
 #[repr(C)]
 #[derive(Default)]
 pub(crate) struct Server {
@@ -57,12 +58,12 @@
     /// Its credit in the weighted round robin.
     pub(crate) rotation_credit: f64,
     pub(crate) health_check: HealthCheckTimes,
-    /// When own connections were last migrated off it because of its load.
+    /// When own connections were last migrated off it because it was overloaded.
     pub(crate) migrated_at: Option<Time>,
-    /// When it was last listed as ready, as of the update that says that it isn't.
+    /// When it was last listed as ready: the time of the update that ended this state.
     pub(crate) last_ready_at: Time,
     pub(crate) slow_start: SlowStartSlots,
-    /// When it last answered an attempt that it is overloaded.
+    /// When it last refused an attempt because it was overloaded.
     pub(crate) overloaded_at: Option<Time>,
 }
 
@@ -72,20 +73,21 @@
     }
 }
 
-/// The servers listed, and those of which connections are left.
+/// The listed servers, and unlisted servers that still have own connections.
 pub(crate) struct Endpoints {
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) draining: BTreeSet<ServerId>,
-    /// Candidates and budgets, where the list is too long to be looked at whole.
+    /// Candidates and budgets, if the list is too long to be considered as a whole.
     pub(crate) candidates: Option<CandidateSet>,
     whole_list_max: usize,
-    /// Sets this balancer's flows without a group apart from others'.
+    /// Makes the candidates of this balancer's flows without a group differ from those of other
+    /// balancers.
     salt: u64,
     next_poll_at: Option<Time>,
 }
 
 impl Endpoints {
-    /// An empty list.
+    /// Creates an empty list.
     pub(crate) fn new(config: &EndpointConfig, seed: u64) -> Self {
         Endpoints {
             servers: BTreeMap::new(),
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Keeps what was known under other settings.
-    pub(crate) fn continue_from(&mut self, old: Endpoints) {
+    /// Takes over the state of the policy that had the previous settings.
+    pub(crate) fn take_state_from(&mut self, old: Endpoints) {
         *self = Endpoints {
             whole_list_max: self.whole_list_max,
             next_poll_at: self.next_poll_at,
@@ -106,8 +108,8 @@
         };
     }
 
-    /// Takes in a watch event: changed entries, or all of them. `new_server` makes the state of a
-    /// server that was not known, and is called once for each entry.
+    /// Applies a watch event: changed entries, or all entries. `new_server` creates the state of a
+    /// server that is not known yet; it is called once for each entry.
     pub(crate) fn update(
         &mut self,
         now: Time,
@@ -121,7 +123,7 @@
             let new = new_server(entry);
             match self.servers.get_mut(&entry.server_id) {
                 Some(known) if known.endpoint.started == entry.started => known.endpoint = *entry,
-                // A restart under the same id: nothing measured holds any more.
+                // The server has restarted with the same id: no measurement is valid any more.
                 _ => drop(self.servers.insert(entry.server_id, new)),
             }
         }
@@ -137,7 +139,8 @@
         self.draining = draining.map(|server| server.endpoint.server_id).collect();
     }
 
-    /// Notes which servers were ready until now, also where a complete list tells of a drain.
+    /// Records which servers were ready until now, including those whose drain is learned from a
+    /// complete list.
     fn begin_update(&mut self, now: Time, is_complete: bool) {
         for server in self.servers.values_mut() {
             if server.is_ready() {
@@ -149,13 +152,13 @@
         }
     }
 
-    /// Keeps the candidates of a long list; a short one has none.
+    /// Updates the candidates of a long list; a short list has none.
     fn update_candidates(&mut self, entries: &[Endpoint], is_complete: bool) {
         let known = self.candidates.take();
         if self.servers.len() <= self.whole_list_max {
             return;
         }
-        let is_whole = is_complete || known.is_none();
+        let updates_all = is_complete || known.is_none();
         let mut candidates = known.unwrap_or_default();
         let mut update = |entry: &Endpoint| {
             if entry.state == EndpointState::Ready {
@@ -164,7 +167,7 @@
                 candidates.remove(entry.server_id);
             }
         };
-        if is_whole {
+        if updates_all {
             let servers = self.servers.values();
             servers.for_each(|server| update(&server.endpoint));
         } else {
@@ -173,46 +176,47 @@
         self.candidates = Some(candidates);
     }
 
-    /// Whether the list is too long to be looked at whole.
+    /// Whether the list is too long to be considered as a whole.
     pub(crate) fn is_long(&self) -> bool {
         self.candidates.is_some()
     }
 
-    /// Servers that a look at all of them meets at most.
-    pub(crate) fn looked_at_max(&self) -> usize {
+    /// Returns the number of servers that a scan of all servers visits at most.
+    pub(crate) fn scan_size(&self) -> usize {
         self.servers.len().min(self.whole_list_max)
     }
 
-    /// The first servers of the list, as many as are looked at whole.
+    /// Returns the first servers of the list, as many as a scan visits.
     pub(crate) fn first_servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.values().take(self.whole_list_max)
     }
 
-    /// Returns, on a long list, the key by which this flow's candidates are chosen.
+    /// Returns the key that selects this flow's candidates on a long list.
     pub(crate) fn candidate_key(&self, flow: &Flow) -> u64 {
         flow.group
             .as_ref()
             .map_or_else(|| hash(self.salt ^ flow.id), |group| hash_name(group))
     }
 
-    /// Whether the whole of a long list may be walked now, which then counts as done.
+    /// Whether the whole of a long list may be walked now. A permitted walk is charged to the
+    /// budget.
     pub(crate) fn may_walk_list(&mut self, now: Time) -> bool {
         self.candidates
             .as_mut()
             .is_some_and(|candidates| candidates.may_walk_list(now))
     }
 
-    /// Polls the list again at this time.
+    /// Schedules the next poll of the list.
     pub(crate) fn poll_at(&mut self, at: Time) {
         self.next_poll_at = Some(at);
     }
 
-    /// When the list is to be polled.
+    /// When the list has to be polled next.
     pub(crate) fn next_poll_at(&self) -> Option<Time> {
         self.next_poll_at
     }
 
-    /// Whether the list is to be polled now, which then counts as done.
+    /// Whether the list has to be polled now. A poll that is due is marked as done.
     pub(crate) fn take_due_poll(&mut self, now: Time) -> bool {
         self.next_poll_at.take_if(|at| *at <= now).is_some()
     }
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -1,5 +1,6 @@
-//! Gossip: which servers hold a group's connections, as balancers announce to one another, and what
-//! is due to be announced. It is an index with a token bucket, and chooses no server.
+//! Gossip: which servers hold a group's connections according to the announcements of other
+//! balancers, and which placements have to be announced. An index with a token bucket, which
+//! selects no server.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +12,12 @@
 
 /// Time after which a placement is announced again.
 const REPEAT_AFTER: Time = 20 * SEC;
-/// Time for which an announced placement holds.
+/// Time for which an announced placement remains valid.
 const LIFETIME: Time = 2 * REPEAT_AFTER;
-/// Messages that a balancer receives in a second at most. Guards against hundreds of balancers
-/// that announce each placement in a storm.
+/// Maximum number of messages that a balancer receives per second. Guards against a message storm
+/// when hundreds of balancers announce each placement.
 const RECEIVED_PER_SECOND: f64 = 30.0;
-/// Messages that may be saved up.
+/// Maximum number of messages that may be saved up.
 const TOKENS_MAX: f64 = 2.0;
 
 /// Whether balancers exchange messages.
@@ -26,18 +27,19 @@
     pub enabled: bool,
 }
 
-/// The servers that hold each group, and when that was last announced.
+/// The servers that hold each group, and when each was last announced.
 pub(crate) struct Gossip {
     enabled: bool,
     balancers: f64,
     announced: BTreeMap<u16, BTreeMap<ServerId, Time>>,
-    /// Messages that may go out, as of `tokens_at`.
+    /// Number of messages that may be sent, as of `tokens_at`.
     tokens: f64,
     tokens_at: Time,
 }
 
 impl Gossip {
-    /// Nothing is known yet; so many balancers share what each can receive.
+    /// Creates an empty index. All `balancers` together share the rate of messages that each of
+    /// them can receive.
     pub(crate) fn new(config: &GossipConfig, balancers: f64) -> Self {
         Gossip {
             enabled: config.enabled,
@@ -48,8 +50,8 @@
         }
     }
 
-    /// Keeps what was announced under other settings.
-    pub(crate) fn continue_from(&mut self, old: Gossip) {
+    /// Takes over the announcements of the policy that had the previous settings.
+    pub(crate) fn take_state_from(&mut self, old: Gossip) {
         *self = Gossip {
             enabled: self.enabled,
             balancers: self.balancers,
@@ -67,13 +69,13 @@
         self.announced.contains_key(&group)
     }
 
-    /// Whether the server holds the group, as last announced.
+    /// Whether the server holds the group according to its last announcement.
     pub(crate) fn holds(&self, now: Time, group: u16, server_id: ServerId) -> bool {
         self.announced_at(group, server_id)
             .is_some_and(|at| now < at + LIFETIME)
     }
 
-    /// Notes that the server holds the group, if it is listed and messages are exchanged.
+    /// Records that the server holds the group, if the server is listed and gossip is enabled.
     pub(crate) fn receive(&mut self, now: Time, placement: GroupPlacement, endpoints: &Endpoints) {
         if self.enabled && endpoints.servers.contains_key(&placement.server_id) {
             let servers = self.announced.entry(placement.group).or_default();
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Returns what the other balancers should know of this connection, if anything.
+    /// Returns the message that tells the other balancers of this connection, if one has to be
+    /// sent.
     pub(crate) fn announce(
         &mut self,
         now: Time,
@@ -113,7 +116,8 @@
         self.announced.get(&group)?.get(&server_id).copied()
     }
 
-    /// Drops what isn't announced again, so that groups that are no more take no room.
+    /// Removes announcements that were not repeated, so that groups that no longer exist take no
+    /// memory.
     fn expire(&mut self, now: Time) {
         self.announced
             .values_mut()
@@ -121,8 +125,8 @@
         self.announced.retain(|_, servers| !servers.is_empty());
     }
 
-    /// Takes a token for one message, where one is left: all balancers together send no more than
-    /// each can receive.
+    /// Takes a token for one message if there is one. The tokens keep all balancers together from
+    /// sending more than each of them can receive.
     fn take_token(&mut self, now: Time) -> bool {
         let elapsed = now.saturating_sub(self.tokens_at) as f64 / SEC as f64;
         let tokens = self.tokens + RECEIVED_PER_SECOND / self.balancers * elapsed;
@@ -134,7 +138,7 @@
     }
 }
 
-/// The number by which messages name a group, from its hash.
+/// The number that identifies a group in messages, derived from the hash of the group's name.
 pub(crate) fn group_number(hash: u64) -> u16 {
     hash as u16
 }
--- a/crates/policy/src/queue/tests.rs
+++ b/crates/policy/src/queue/tests.rs
@@ -24,18 +24,18 @@
 }
 
 #[test]
-fn queued_flows_are_placed_again_later_the_more_looks_that_takes() {
+fn the_recheck_interval_grows_with_the_number_of_evaluations() {
     let mut queue = FlowQueue::default();
-    assert_eq!(queue.recheck_at(T0, 10), None);
+    assert_eq!(queue.next_recheck_at(T0, 10), None);
     queue.add();
     for (servers, wait_ms) in [(10, 60), (600, 60), (1000, 100), (12_000, 120)] {
-        let at = queue.recheck_at(T0, servers);
+        let at = queue.next_recheck_at(T0, servers);
         assert_eq!(at, Some(T0 + wait_ms * MS), "{servers} servers");
     }
 }
 
 #[test]
-fn placement_is_futile_while_no_server_has_room_at_this_moment() {
+fn placement_is_futile_after_a_scan_at_the_same_moment_found_no_room() {
     let mut queue = FlowQueue::default();
     queue.record_least_utilization(T0, 0.7);
     for (now, reconnecting, utilization_max, is_futile) in [
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn placement_is_futile_for_flows_whose_reports_are_on_their_way() {
+fn placement_is_futile_for_queued_flows_until_their_reports_arrive() {
     let mut queue = FlowQueue::default();
     queue.add();
     queue.await_reports(T0);
     assert!(queue.is_placement_futile(T0 + MS, &flow(T0), 0.72));
     assert!(!queue.is_placement_futile(T0 + MS, &flow(T0 + MS), 0.72));
     assert!(!queue.is_placement_futile(T0 + QUEUE_RECHECK_INTERVAL, &flow(T0), 0.72));
-    queue.report_came();
+    queue.report_received();
     queue.recheck_soon(T0 + MS, 10);
     assert!(!queue.is_placement_futile(T0 + MS, &flow(T0), 0.72));
     assert_eq!(queue.recheck_after_report_at(), Some(T0 + 2 * MS));
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,20 +1,21 @@
-//! Whether a further attempt can do harm: idempotency, deduplication windows and deadlines.
+//! Retries: whether a further attempt can do harm, given idempotency, deduplication windows and
+//! deadlines.
 
 use crate::endpoints::Endpoints;
 use crate::types::{
     Attempt, DeduplicationScope, Endpoint, EndpointState, Flow, Idempotency, MS, Time,
 };
 
-/// Time that may pass between a decision and what follows from it. What servers remember only for
-/// a time has to be sent so much earlier.
+/// Longest time between a decision and the resulting write. An attempt that servers remember only
+/// for a limited time has to be decided earlier by this time.
 const SCHEDULING_DELAY_MAX: Time = 150 * MS;
 
-/// How many attempts a flow may have, and of what kind.
+/// How many attempts a flow may have, and under which conditions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryConfig {
-    /// Attempts of one flow at most; at least one is allowed.
+    /// Maximum number of attempts of one flow; at least one is always allowed.
     pub attempts_max: usize,
-    /// Time in nanoseconds before its deadline at which a flow is answered.
+    /// Time in nanoseconds before its deadline at which a flow has to be answered.
     pub deadline_margin: Time,
     /// Whether an attempt may be made while an earlier one is in flight.
     pub allow_hedging: bool,
@@ -33,7 +34,7 @@
     }
 }
 
-/// Judges whether a flow may have a further attempt, and where.
+/// Decides whether a flow may have a further attempt, and at which server.
 pub(crate) struct RetryPolicy {
     config: RetryConfig,
 }
@@ -43,31 +44,32 @@
         RetryPolicy { config }
     }
 
-    /// Whether an attempt is cancelled when its client leaves.
+    /// Whether an attempt in flight is cancelled when its client leaves.
     pub(crate) fn allows_cancellation(&self) -> bool {
         self.config.allow_cancellation
     }
 
-    /// Whether the flow has had all the attempts that it may have now.
+    /// Whether the flow has used up the attempts that it may have now.
     pub(crate) fn is_exhausted(&self, flow: &Flow) -> bool {
         let is_in_flight = flow.attempts.iter().any(|attempt| attempt.in_flight);
         let attempts_max = self.config.attempts_max.max(1);
         flow.attempts.len() >= attempts_max || is_in_flight && !self.config.allow_hedging
     }
 
-    /// Time that is left for an attempt until the flow has to be answered.
+    /// Returns the time that is left for an attempt until the flow has to be answered.
     pub(crate) fn time_left(&self, now: Time, flow: &Flow) -> Time {
         flow.deadline
             .saturating_sub(now + self.config.deadline_margin)
     }
 
-    /// Whether the flow can't be looked at again after this time.
-    pub(crate) fn is_due_within(&self, now: Time, flow: &Flow, wait: Time) -> bool {
+    /// Whether the flow has to be answered before `wait` has passed, so that it cannot be placed
+    /// again after the wait.
+    pub(crate) fn is_answer_due_within(&self, now: Time, flow: &Flow, wait: Time) -> bool {
         flow.deadline <= now + self.config.deadline_margin + wait
     }
 
-    /// Whether an attempt may go to this server: only to a ready one, and only where a repeat can
-    /// do no harm.
+    /// Whether an attempt may go to this server: the server has to be ready, and a repeat there
+    /// must do no harm.
     pub(crate) fn may_attempt(
         &self,
         now: Time,
@@ -94,8 +96,9 @@
         }
     }
 
-    /// Time until which an attempt may still be sent, less the way to the server. Guards against a
-    /// repeat that is placed in time and whose connection comes up late.
+    /// Returns the time within which an attempt may still be sent, less the delay on the way to the
+    /// server. Guards against a repeat that is placed in time but sent too late because its
+    /// connection is established late.
     pub(crate) fn resend_time_left(
         &self,
         now: Time,
@@ -107,8 +110,8 @@
     }
 }
 
-/// Until when an attempt may be sent: a deduplicated flow's while servers remember all attempts
-/// that may have executed.
+/// Returns the latest time at which an attempt may be sent. For a deduplicated flow this is the
+/// time until which servers remember all attempts that may have been executed.
 fn latest_send_time(flow: &Flow, idempotency: Idempotency) -> Time {
     let Idempotency::Deduplicated { window, .. } = idempotency else {
         return Time::MAX;
