--- a/crates/policy/src/load_reports/tests.rs
+++ b/crates/policy/src/load_reports/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn equal_reports_are_stuck_unless_they_are_of_an_idle_server() {
+fn identical_reports_count_as_stuck_unless_the_server_is_idle() {
     for (utilization, counts) in [(0.5, false), (0.0, true)] {
         let mut load = ServerLoad::default();
         for second in 0..REPORTS_MAX as Time {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_report_shows_attempts_that_are_older_than_its_delay() {
+fn attempts_older_than_the_report_delay_are_no_longer_counted_after_a_report() {
     let mut load = ServerLoad::default();
     load.record_attempt(T0);
     load.record_attempt(T0 + REPORT_DELAY);
@@ -59,16 +59,16 @@
     };
     let mut load = ServerLoad::default();
     load.record_attempt(T0);
-    assert_eq!(expected.of(&load, Some(0.5)), 0.875);
+    assert_eq!(expected.estimate(&load, Some(0.5)), 0.875);
     assert_eq!(
-        expected.of(&load, None),
+        expected.estimate(&load, None),
         0.25,
-        "the mean where none is known"
+        "the mean if no utilization is known"
     );
 }
 
 #[test]
-fn absurd_utilizations_are_not_plausible() {
+fn utilizations_outside_the_plausible_range_are_rejected() {
     for utilization in [f64::NAN, f64::INFINITY, -0.1, 100.0] {
         assert!(!is_plausible(utilization), "{utilization}");
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: which servers a flow may go to, as a chain of filters over candidates, and which of
-//! these take turns.
+//! Placement: selects the servers that a flow may go to. The candidates pass through a chain of
+//! filters, and the servers that remain take turns in the rotation.
 
 use std::collections::BTreeSet;
 
@@ -18,26 +18,28 @@
 use crate::slow_start::SlowStart;
 use crate::types::{Flow, ServerId, Time, TrafficClass};
 
-/// Nothing is placed on a server that is expected to be higher, but flows with priority: the gap
-/// under [`OVERLOAD_UTILIZATION`] keeps clients from being migrated soon.
+/// Flows without priority are placed only on servers whose expected utilization is below this
+/// limit. The gap to [`OVERLOAD_UTILIZATION`] keeps newly placed clients from being migrated soon.
 pub const PLACEMENT_UTILIZATION_MAX: f64 = 0.72;
-/// The same for servers new to the flow's group, which brings its common work with it.
+/// The same limit for flows without a group, and for servers that hold none of the flow's group: a
+/// server's first connection of a group adds the group's common work.
 pub const NEW_GROUP_UTILIZATION_MAX: f64 = 0.49;
-/// Connections for which the home server of a group keeps room under [`OVERLOAD_UTILIZATION`].
+/// Further connections for which a group's home server keeps room below [`OVERLOAD_UTILIZATION`].
 const HOME_RESERVED_CONNECTIONS: f64 = 4.0;
-/// A fresh connection counts as so many mean ones: it is set up, and may bring its group.
+/// A new connection is expected to add as much load as this many average connections: it has to be
+/// set up, and may bring its group's common work to the server.
 const NEW_CONNECTION_COST: f64 = 2.0;
-/// Servers among which a group without one chooses, where balancers gossip: with one choice only,
-/// servers fill that hold others' groups.
+/// Number of servers from which a group that no server holds takes the least utilized one, if
+/// balancers gossip. With only one choice, servers that hold other groups would fill up.
 const GROUP_CHOICES_WITH_GOSSIP: usize = 4;
-/// The same among the candidates of a long list, where a home may hold many groups.
+/// The same number among the candidates of a long list, where one home server may hold many groups.
 const GROUP_CHOICES_AMONG_CANDIDATES: usize = 2;
-/// The same on a list that is looked at whole.
+/// The same number if the whole list is considered.
 const GROUP_CHOICES: usize = 1;
-/// Servers that hold more than this many times the mean of own connections are passed over.
+/// Servers that hold more than this multiple of the mean number of own connections are avoided.
 const FAIR_SHARE_FACTOR: f64 = 1.5;
 
-/// A server that a flow may go to, and its utilization where it is known.
+/// A server that a flow may go to, and its utilization if that is known.
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     server: &'a Server,
@@ -50,33 +52,33 @@
     }
 }
 
-/// What a look at the candidates found.
+/// The result of filtering the candidates for one flow.
 pub(crate) struct Selection {
-    /// Servers of which a newer report is needed before the flow goes there.
+    /// Servers whose load report has to be renewed before the flow is placed.
     pub(crate) needs_report: Vec<ServerId>,
-    /// Servers that take turns.
+    /// Servers that take turns in the rotation for this flow.
     pub(crate) eligible: Vec<ServerId>,
-    /// The least utilization expected of any candidate.
+    /// The lowest expected utilization of all candidates.
     pub(crate) least_utilization: f64,
 }
 
-/// What is expected of the candidates as a whole.
+/// The load that is expected of the candidates as a whole.
 struct CandidateLoad {
-    /// Mean of own connections at a candidate.
+    /// Mean number of own connections per candidate.
     mean_own_connections: f64,
     expected: ExpectedUtilization,
 }
 
-/// One look for where a flow may go.
+/// The inputs for placing one flow.
 pub(crate) struct PlacementQuery<'a> {
     pub(crate) view: FleetView<'a>,
     pub(crate) flow: &'a Flow,
-    /// The servers to look at; all where there is none.
+    /// The servers to consider; all listed servers if `None`.
     pub(crate) scope: Option<&'a [ServerId]>,
     pub(crate) class: TrafficClass,
     pub(crate) zone: u64,
     pub(crate) balancers: f64,
-    /// Utilization that the flow may use beyond the limits for all.
+    /// Utilization by which the flow may exceed the limits that apply to all flows.
     pub(crate) priority_utilization: f64,
     pub(crate) health_checks: &'a HealthChecks,
     pub(crate) slow_start: &'a SlowStart,
@@ -85,28 +87,28 @@
 }
 
 impl<'a> PlacementQuery<'a> {
-    /// Looks for where the flow may go.
+    /// Filters the servers in scope and selects those that the flow may go to.
     pub(crate) fn select(&self) -> Selection {
-        let listed = self.listed();
-        let looked_at_fraction =
-            listed.len() as f64 / self.view.endpoints.servers.len().max(1) as f64;
-        let permitted = self.permitted(listed);
+        let servers = self.servers_in_scope();
+        let considered_fraction =
+            servers.len() as f64 / self.view.endpoints.servers.len().max(1) as f64;
+        let permitted = self.permitted(servers);
         let responsive = self.prefer_responsive(permitted);
-        let load = self.candidate_load(&responsive, looked_at_fraction);
+        let load = self.candidate_load(&responsive, considered_fraction);
         let affinity = self.group_affinity(&responsive);
-        let (open, least_utilization) = self.below_limit(responsive, &load, &affinity);
-        let preferred = self.prefer_balanced(open, &load);
+        let (below_limit, least_utilization) = self.below_limit(responsive, &load, &affinity);
+        let preferred = self.prefer_balanced(below_limit, &load);
         let preferred = self.prefer_local(preferred, &affinity);
-        let (needs_report, eligible) = self.take_choices(preferred, &load, &affinity);
+        let (needs_report, eligible) = self.choose_servers(preferred, &load, &affinity);
         Selection {
-            needs_report: self.with_outdated_report(&needs_report),
+            needs_report: self.filter_outdated_reports(&needs_report),
             eligible: eligible.iter().map(Candidate::id).collect(),
             least_utilization,
         }
     }
 
-    /// The servers of the scope, or all.
-    fn listed(&self) -> Vec<&'a Server> {
+    /// The listed servers in scope.
+    fn servers_in_scope(&self) -> Vec<&'a Server> {
         let servers = &self.view.endpoints.servers;
         match self.scope {
             None => servers.values().collect(),
@@ -114,10 +116,10 @@
         }
     }
 
-    /// Those that may get an attempt: ready ones where a repeat can do no harm, and warming ones
-    /// only within their slow start budget. Their utilization is worked out once for a
-    /// flow, as this is most of what a placement costs.
-    fn permitted(&self, listed: Vec<&'a Server>) -> Vec<Candidate<'a>> {
+    /// The servers that may receive an attempt: they are ready, a repeat there can do no harm, and
+    /// a warming-up server still has slow-start budget. Each server's utilization is computed only
+    /// once per flow, because this is most of the cost of a placement.
+    fn permitted(&self, servers: Vec<&'a Server>) -> Vec<Candidate<'a>> {
         let may_attempt = |server: &&Server| {
             let idempotency = self.class.idempotency;
             self.retry.may_attempt(
@@ -128,7 +130,7 @@
                 self.view.endpoints,
             )
         };
-        let permitted = listed
+        let permitted = servers
             .into_iter()
             .filter(may_attempt)
             .filter(|server| self.slow_start.admits(self.view.now, server));
@@ -139,8 +141,9 @@
         permitted.map(candidate).collect()
     }
 
-    /// Prefers healthy servers that were not tried yet. Guards against one that answers nothing and
-    /// soon holds all attempts that may be in flight.
+    /// Prefers healthy servers that the flow has not tried yet and that have no overdue attempt in
+    /// flight. Guards against a server that does not answer and soon holds all the attempts that
+    /// may be in flight.
     fn prefer_responsive(&self, permitted: Vec<Candidate<'a>>) -> Vec<Candidate<'a>> {
         let objective = self.class.latency_objective;
         let overdue: BTreeSet<ServerId> = self
@@ -163,10 +166,10 @@
         })
     }
 
-    /// Works out what is expected of the candidates between reports: what was placed lately counts
-    /// at once, and other balancers place as this one does on average. Guards against all filling
-    /// a server on one report.
-    fn candidate_load(&self, candidates: &[Candidate], looked_at_fraction: f64) -> CandidateLoad {
+    /// Estimates the candidates' load since their last reports. Own attempts made since then count
+    /// at once, and every other balancer is assumed to place as many flows as this one on average.
+    /// Guards against all balancers filling a server on the basis of the same report.
+    fn candidate_load(&self, candidates: &[Candidate], considered_fraction: f64) -> CandidateLoad {
         let number = candidates.len().max(1) as f64;
         let own_connections = if self.scope.is_some() {
             let counts = candidates
@@ -177,7 +180,7 @@
             self.view.connections.own.len() as f64
         };
         let mean_own_connections = own_connections / number;
-        let (mut sum, mut reports, mut recent_attempts, mut open) = (0.0, 0.0, 0, 0.0);
+        let (mut sum, mut reports, mut recent_attempts, mut servers_with_room) = (0.0, 0.0, 0, 0.0);
         for Candidate {
             server,
             utilization,
@@ -191,7 +194,7 @@
             let has_room =
                 utilization.is_some_and(|utilization| utilization < PLACEMENT_UTILIZATION_MAX);
             if has_room || self.is_excluding_report_outdated(server) {
-                open += 1.0;
+                servers_with_room += 1.0;
             }
         }
         let mean = sum / f64::max(reports, 1.0);
@@ -200,7 +203,11 @@
         let expected = ExpectedUtilization {
             mean,
             per_connection: NEW_CONNECTION_COST * mean / connections,
-            peer_attempts: self.peer_attempts(mean_recent_attempts, looked_at_fraction, open),
+            peer_attempts: self.peer_attempts(
+                mean_recent_attempts,
+                considered_fraction,
+                servers_with_room,
+            ),
         };
         CandidateLoad {
             mean_own_connections,
@@ -208,18 +215,21 @@
         }
     }
 
-    /// Attempts that other balancers are taken to have made at each server since its report. By
-    /// the usual rate where reports are few: guards against one own attempt that is taken for one
-    /// of each of hundreds of balancers. All go where there is room.
+    /// Estimates the attempts that other balancers have made at each server since its last report.
+    /// If reports are rare (gossip or on-demand checks), the estimate follows from the usual
+    /// connection rate, spread over the servers that have room. Otherwise it follows from this
+    /// balancer's own recent attempts; for clients that return after a restart it cancels these
+    /// out. Guards against counting one own attempt as one attempt by each of hundreds of
+    /// balancers.
     fn peer_attempts(
         &self,
         mean_recent_attempts: f64,
-        looked_at_fraction: f64,
-        open_servers: f64,
+        considered_fraction: f64,
+        servers_with_room: f64,
     ) -> f64 {
         let report_age = (REPORT_DELAY + PLACEMENT_REPORT_AGE_MAX) as f64 / RATE_WINDOW as f64;
-        let usual = report_age * looked_at_fraction * self.view.recent_connections.len() as f64
-            / f64::max(open_servers, 1.0);
+        let usual = report_age * considered_fraction * self.view.recent_connections.len() as f64
+            / f64::max(servers_with_room, 1.0);
         if self.gossip.is_enabled() || self.health_checks.is_on_demand() {
             (self.balancers - 1.0) * usual
         } else if self.is_returning_after_restart() {
@@ -229,14 +239,16 @@
         }
     }
 
-    /// Whether the client reconnects and this balancer has just restarted. Guards against a
-    /// balancer that rejects such clients, or puts all on the first server that shows room: they
-    /// bring no new load, the reports have it.
+    /// Whether the client reconnects to a balancer that started recently without any connections.
+    /// Such clients bring no new load: the load reports already include it. Guards against a
+    /// balancer that rejects these clients, or places all of them on the first server that shows
+    /// room.
     fn is_returning_after_restart(&self) -> bool {
         self.flow.reconnecting && self.view.has_started_empty()
     }
 
-    /// Where the flow's group is held, or is at home in the own zone.
+    /// Determines which servers hold the flow's group, or, if none does, its home server in the
+    /// balancer's own zone.
     fn group_affinity(&self, candidates: &[Candidate]) -> GroupAffinity<'a> {
         let mut affinity = GroupAffinity::new(&self.view, self.flow, self.gossip);
         let local = candidates
@@ -246,8 +258,8 @@
         affinity
     }
 
-    /// Keeps the servers that are expected below their limit, and returns the least utilization
-    /// expected of any.
+    /// Keeps the servers whose expected utilization is below their limit. Also returns the lowest
+    /// expected utilization of all candidates.
     fn below_limit(
         &self,
         mut candidates: Vec<Candidate<'a>>,
@@ -261,7 +273,7 @@
             let expected = if self.is_excluding_report_outdated(server) {
                 0.0
             } else {
-                load.expected.of(&server.load, candidate.utilization)
+                load.expected.estimate(&server.load, candidate.utilization)
             };
             least = least.min(expected);
             expected < OVERLOAD_UTILIZATION
@@ -270,7 +282,7 @@
         (candidates, least)
     }
 
-    /// The utilization under which this server takes the flow.
+    /// The expected utilization below which this server accepts the flow.
     fn utilization_max(
         &self,
         server: &Server,
@@ -289,7 +301,8 @@
             (OVERLOAD_UTILIZATION - reserved)
                 .clamp(NEW_GROUP_UTILIZATION_MAX, PLACEMENT_UTILIZATION_MAX)
         } else if affinity.is_announced() && self.view.connections.loads.is_empty() {
-            // Where no loads are reported no flow brings more for its load than the rest.
+            // Without reported connection loads no flow brings more priority weight for its load
+            // than the rest, so none gets the priority allowance.
             return NEW_GROUP_UTILIZATION_MAX;
         } else {
             NEW_GROUP_UTILIZATION_MAX
@@ -297,19 +310,20 @@
         OVERLOAD_UTILIZATION.min(self.priority_utilization + limit)
     }
 
-    /// Prefers servers that don't hold well over the mean of own connections.
+    /// Prefers servers whose number of own connections is not well above the mean.
     fn prefer_balanced(
         &self,
         candidates: Vec<Candidate<'a>>,
         load: &CandidateLoad,
     ) -> Vec<Candidate<'a>> {
-        // Guards against the few that one of hundreds of balancers holds being taken for too many.
+        // Guards against taking a few connections for too many: one of hundreds of balancers holds
+        // only a few at each server.
         let slack = if self.gossip.is_enabled() {
             SERVER_CONNECTIONS_MIN
         } else {
             1.0
         };
-        // Some servers are candidates more often than others: the rotation alone would give them
+        // Some servers are candidates more often than others. The rotation alone would give them
         // more flows.
         let factor = if self.flow.group.is_none() && self.scope.is_some() {
             1.0
@@ -322,9 +336,10 @@
         })
     }
 
-    /// Prefers servers in the own zone, then holders of the group. Holders come before the zone
-    /// where balancers gossip: a crossing is paid for once, a group's common work on each server
-    /// as long as it holds any.
+    /// Prefers servers in the balancer's own zone, and among these the servers that hold the flow's
+    /// group. If balancers gossip, holding the group takes precedence over the zone: crossing zones
+    /// is paid for once, but a group's common work is paid for on each server for as long as that
+    /// server holds any connection of the group.
     fn prefer_local(
         &self,
         mut candidates: Vec<Candidate<'a>>,
@@ -338,10 +353,11 @@
         prefer(candidates, holds)
     }
 
-    /// Returns the servers whose reports matter, and those that take turns: the server whose turn
-    /// it is and all, or, for a group that needs a server, the first few in the group's order and
-    /// the least utilized of them.
-    fn take_choices(
+    /// Returns the servers whose reports have to be current, and the servers that take turns. If
+    /// the flow has no group, or some candidate holds its group, these are the server whose turn is
+    /// next, and all candidates. Otherwise these are the first few servers in the group's order,
+    /// and the least utilized of them.
+    fn choose_servers(
         &self,
         mut candidates: Vec<Candidate<'a>>,
         load: &CandidateLoad,
@@ -356,7 +372,7 @@
                 .max_by(|a, b| credit(a).total_cmp(&credit(b)));
             return (next.into_iter().collect(), candidates);
         }
-        let choices = if self.gossip.is_enabled() {
+        let choice_count = if self.gossip.is_enabled() {
             GROUP_CHOICES_WITH_GOSSIP
         } else if self.scope.is_some() {
             GROUP_CHOICES_AMONG_CANDIDATES
@@ -364,10 +380,10 @@
             GROUP_CHOICES
         };
         candidates.sort_by_key(|candidate| affinity.rank(candidate.id()));
-        candidates.truncate(choices);
+        candidates.truncate(choice_count);
         let expected = |candidate: &Candidate| {
             load.expected
-                .of(&candidate.server.load, candidate.utilization)
+                .estimate(&candidate.server.load, candidate.utilization)
         };
         let least = candidates
             .iter()
@@ -376,8 +392,8 @@
         (candidates, least.into_iter().collect())
     }
 
-    /// Those that need a newer report before a flow goes there.
-    fn with_outdated_report(&self, candidates: &[Candidate]) -> Vec<ServerId> {
+    /// The candidates whose report has to be renewed before a flow is placed on them.
+    fn filter_outdated_reports(&self, candidates: &[Candidate]) -> Vec<ServerId> {
         candidates
             .iter()
             .filter(|candidate| self.is_outdated(candidate.server, PLACEMENT_REPORT_AGE_MAX))
@@ -390,7 +406,7 @@
         self.is_outdated(server, EXCLUDING_REPORT_AGE_MAX)
     }
 
-    /// Whether checks are made on demand and the last report is older than this.
+    /// Whether checks are made on demand and the server's last report is older than `age_max`.
     fn is_outdated(&self, server: &Server, age_max: Time) -> bool {
         self.health_checks.is_on_demand() && server.load.is_outdated(self.view.now, age_max)
     }
@@ -400,7 +416,7 @@
     }
 }
 
-/// Those that pass, or all of them where none does.
+/// Keeps the candidates that pass, or all candidates if none passes.
 fn prefer<'a>(
     mut candidates: Vec<Candidate<'a>>,
     passes: impl Fn(&Server) -> bool,
