--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -1,9 +1,10 @@
-//! Health checks: which server is checked when, within what checks may cost.
+//! Health checks: selects the servers to check, and limits the cost of the checks.
 //!
-//! A health check brings a load report. On a short list each server is checked in an interval
-//! between [`CHECK_INTERVAL_MIN`] and [`CHECK_INTERVAL_MAX`], as long as keeps checks within their
-//! part of the flows' value. Where that is too long, servers without own connections are checked
-//! on demand, when a flow may go there. On a long list a budget of bytes bounds the checks.
+//! A health check brings a load report. On a short list each server is checked at an interval
+//! between [`CHECK_INTERVAL_MIN`] and [`CHECK_INTERVAL_MAX`]. The interval is chosen such that
+//! checks cost at most a fixed fraction of the value of the flows. If this interval is too long,
+//! servers without own connections are checked on demand, when a flow may go there. On a long list
+//! a budget of bytes limits the checks.
 
 use std::collections::BTreeSet;
 
@@ -19,22 +20,25 @@
 pub const CHECK_INTERVAL_MIN: Time = 2 * SEC;
 /// The longest interval between two checks of a server.
 pub const CHECK_INTERVAL_MAX: Time = 10 * SEC;
-/// Part of the value of own flows that checks may cost.
+/// Fraction of the value of own flows that health checks may cost.
 const COST_FRACTION_MAX: f64 = 0.02;
-/// Where checks of all servers are affordable only further apart, they are made on demand.
+/// Health checks are made on demand if checks of all servers are affordable only at a longer
+/// interval than this.
 const ON_DEMAND_INTERVAL_MIN: Time = 3 * SEC;
-/// A check that was requested for a flow and has brought nothing for so long is lost.
+/// Time after which a check that was requested for a flow counts as lost if it has brought no
+/// result.
 const CHECK_TIMEOUT: Time = 150 * MS;
-/// A server under this utilization is checked half as often, unless checks are cheap.
+/// Servers below this utilization are checked half as often, unless checks are cheap.
 const LOW_UTILIZATION_MAX: f64 = 0.4;
 /// Interval between two batches of checks on a long list.
 const LONG_LIST_BATCH_INTERVAL: Time = 250 * MS;
-/// Checks that are due within this span go out together: each batch walks all servers.
+/// Checks that are due within this time go out in one batch, because each batch walks all servers.
 const BATCH_WINDOW: Time = 125 * MS;
-/// An adopted connection counts as a flow of the rate window: connections live for about three.
+/// Number of adopted connections that count as one flow in the rate window: connections live for
+/// about three rate windows.
 const ADOPTED_CONNECTIONS_PER_FLOW: usize = 3;
 
-/// Whether servers may be checked, and at what cost.
+/// Whether servers may be checked, and what a check costs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthCheckConfig {
     /// Whether servers may be checked at all.
@@ -43,14 +47,14 @@
     pub cost: f64,
 }
 
-/// Schedules health checks.
+/// Schedules the health checks.
 pub(crate) struct HealthChecks {
     enabled: bool,
     cost: f64,
     balancers: f64,
     interval: Time,
     is_on_demand: bool,
-    /// When the next server is due.
+    /// When the next health check is due.
     next_at: Option<Time>,
 }
 
@@ -66,8 +70,8 @@
         }
     }
 
-    /// Keeps the schedule that stood under other settings.
-    pub(crate) fn continue_from(&mut self, old: &HealthChecks) {
+    /// Takes over the schedule of the policy that had the previous settings.
+    pub(crate) fn take_state_from(&mut self, old: &HealthChecks) {
         self.interval = old.interval;
         self.is_on_demand = old.is_on_demand && self.enabled;
         self.next_at = old.next_at;
@@ -78,20 +82,20 @@
         self.is_on_demand
     }
 
-    /// When the next check is due.
+    /// When the next health check is due.
     pub(crate) fn next_at(&self) -> Option<Time> {
         self.next_at
     }
 
-    /// How long a report counts. Not until the next check has ended: it is put off for good while
-    /// checks fail.
+    /// How long a load report counts. This does not depend on when the next check ends, because
+    /// that time moves away indefinitely while checks fail.
     pub(crate) fn report_lifetime(&self) -> Time {
         report_lifetime(CHECK_INTERVAL_MAX.min(2 * self.interval))
     }
 
-    /// Takes in that the endpoint list has changed. Nothing that is due is put off: guards against
-    /// a list that changes many times a second and checks that never come due.
-    pub(crate) fn follow_list(&mut self, now: Time, endpoints: &Endpoints) {
+    /// Updates the schedule after the endpoint list has changed. A due time is never postponed.
+    /// Guards against a list that changes many times a second, so that checks never become due.
+    pub(crate) fn on_endpoints_changed(&mut self, now: Time, endpoints: &Endpoints) {
         if endpoints.is_long() {
             self.is_on_demand = self.enabled;
         }
@@ -99,7 +103,8 @@
         self.next_at = due.map(|due| self.next_at.map_or(due, |at| at.min(due)));
     }
 
-    /// Requests checks of the servers that a flow may go to, and returns whether any was needed.
+    /// Requests health checks of the servers that a flow may go to. Returns whether any check had
+    /// to be requested.
     pub(crate) fn request(
         &mut self,
         now: Time,
@@ -124,7 +129,7 @@
         is_requested
     }
 
-    /// Checks a server again soon whose check has failed.
+    /// Schedules the next check of a server whose check failed, within [`CHECK_INTERVAL_MIN`].
     pub(crate) fn retry_failed(&mut self, now: Time, times: &mut HealthCheckTimes) {
         times.next_at = times.next_at.min(now + CHECK_INTERVAL_MIN);
         self.next_at = self.next_at.map(|at| at.min(now + CHECK_INTERVAL_MIN));
@@ -151,8 +156,8 @@
         due
     }
 
-    /// Sets the interval by what is affordable now, and whether checks are made on demand. Returns
-    /// the affordable interval, which has no bounds.
+    /// Sets the check interval to what the current flows can pay for, and decides whether checks
+    /// are made on demand. Returns the affordable interval without bounds.
     fn update_interval(
         &mut self,
         now: Time,
@@ -161,21 +166,24 @@
         recent_connections: &RecentConnections,
     ) -> Time {
         let flows = self.expected_flows(now, endpoints, connections, recent_connections);
-        let for_all = self.affordable_interval(flows, endpoints.servers.len());
-        self.is_on_demand = self.enabled && for_all > ON_DEMAND_INTERVAL_MIN;
+        let interval_for_all = self.affordable_interval(flows, endpoints.servers.len());
+        self.is_on_demand = self.enabled && interval_for_all > ON_DEMAND_INTERVAL_MIN;
         let affordable = if self.is_on_demand {
             self.affordable_interval(flows, connections.by_server.len())
         } else {
-            for_all
+            interval_for_all
         };
         self.interval = affordable.clamp(CHECK_INTERVAL_MIN, CHECK_INTERVAL_MAX);
         affordable
     }
 
-    /// Own flows to expect in a rate window: those that connected in the last one. Until one has
-    /// passed, adopted connections tell; where there are none, this balancer's part of what
-    /// servers hold: guards against reports that stand for the longest interval, and hundreds of
-    /// balancers that each expect all flows.
+    /// Estimates the own flows of one rate window as the number of connections established in the
+    /// last window.
+    ///
+    /// Until the first window has passed, the number of adopted connections gives a lower bound. If
+    /// there are none, the bound is this balancer's share of the connections that servers are
+    /// assumed to hold. Guards against reports that stay in use for the longest interval, and
+    /// against hundreds of balancers that each expect all the flows.
     fn expected_flows(
         &self,
         now: Time,
@@ -187,21 +195,22 @@
         let expected = if !recent_connections.is_starting(now) {
             1
         } else if recent_connections.has_started_empty(now, connections) {
-            let servers_of_own = (endpoints.servers.len() as f64 / self.balancers).min(1.0);
-            (SERVER_CONNECTIONS_MIN * servers_of_own) as usize
+            let servers_per_balancer = (endpoints.servers.len() as f64 / self.balancers).min(1.0);
+            (SERVER_CONNECTIONS_MIN * servers_per_balancer) as usize
         } else {
             connections.own.len() / ADOPTED_CONNECTIONS_PER_FLOW
         };
         connected.max(expected).max(1)
     }
 
-    /// The interval at which checks of so many servers stay within their part of the flows' value.
+    /// Returns the interval at which checks of this many servers stay within their fraction of the
+    /// flows' value.
     fn affordable_interval(&self, flows: usize, servers: usize) -> Time {
         let checks = COST_FRACTION_MAX * flows as f64 / self.cost.max(f64::MIN_POSITIVE);
         (RATE_WINDOW as f64 * servers as f64 / checks) as Time
     }
 
-    /// All servers whose check is due.
+    /// Returns all servers whose check is due, and schedules their next check.
     fn take_scheduled(
         &self,
         now: Time,
@@ -215,12 +224,12 @@
                 continue;
             }
             let server_id = server.endpoint.server_id;
-            // Where checks are cheap a server of low utilization isn't spared: it may fill
-            // meanwhile.
+            // If checks are cheap, a server with low utilization is checked as often as the others:
+            // it may fill up between two checks.
             let utilization = server.load.last_utilization();
             let is_low = utilization.is_some_and(|utilization| utilization < LOW_UTILIZATION_MAX);
-            let is_spared = is_low && affordable > CHECK_INTERVAL_MIN / 2;
-            let intervals = if is_spared { 2 } else { 1 };
+            let is_checked_less_often = is_low && affordable > CHECK_INTERVAL_MIN / 2;
+            let intervals = if is_checked_less_often { 2 } else { 1 };
             let times = &mut server.health_check;
             times.next_at = now + CHECK_INTERVAL_MAX.min(intervals * self.interval);
             if !self.is_on_demand
@@ -233,7 +242,8 @@
         due
     }
 
-    /// When the next check is due, kept so that not every event walks all servers.
+    /// Computes when the next check is due. The result is stored so that not every event has to
+    /// walk all servers.
     fn next_due(&self, now: Time, endpoints: &Endpoints) -> Option<Time> {
         if !self.enabled {
             return None;
@@ -250,7 +260,8 @@
     }
 }
 
-/// Draws when a new server is first checked. Guards against all balancers checking it in step.
+/// Draws the time of a new server's first check. Guards against all balancers checking the server
+/// at the same time.
 pub(crate) fn initial_times(now: Time, rng: &mut WyRand) -> HealthCheckTimes {
     HealthCheckTimes {
         next_at: now + rng.generate_range(0..CHECK_INTERVAL_MIN),
@@ -258,7 +269,7 @@
     }
 }
 
-/// On a long list: as many servers as the budget allows.
+/// Returns the servers of a long list to check now: as many as the budget allows.
 fn take_budgeted(
     now: Time,
     endpoints: &mut Endpoints,
--- a/crates/policy/src/migration.rs
+++ b/crates/policy/src/migration.rs
@@ -1,8 +1,8 @@
-//! Migration: which own connections leave an overloaded or a draining server.
+//! Migration: selects the own connections that leave an overloaded or a draining server.
 //!
-//! Off an overloaded server the largest connections go until they cover this balancer's part of
-//! the excess, as in docs/design.md. Off a draining server connections go evenly while a
-//! replacement warms up.
+//! Off an overloaded server the largest connections are migrated until they cover this balancer's
+//! part of the excess load, as in docs/design.md. Off a draining server connections are migrated at
+//! an even rate while a replacement warms up.
 
 use nanorand::{Rng, WyRand};
 
@@ -13,35 +13,37 @@
 use crate::placement::NEW_GROUP_UTILIZATION_MAX;
 use crate::types::{FlowId, MS, SEC, ServerId, Time};
 
-/// Reports lag by their refresh and delay: one that comes sooner can't show the last migration.
-const SETTLING_TIME: Time = 2 * SEC;
-/// Time from the news of a drain to the first migration: servers that send their clients away
-/// themselves have begun to by then.
+/// Time after a migration off an overloaded server in which no further one starts. Reports lag by
+/// their refresh interval and delay, so a report that arrives earlier does not show the effect of
+/// the last migration.
+const MIGRATION_SETTLING_TIME: Time = 2 * SEC;
+/// Time from the notice of a drain to the first migration. Servers that disconnect their clients
+/// themselves have begun to do so by then.
 const DRAIN_DELAY: Time = 2 * SEC;
 /// Interval between two migrations off a draining server.
 const DRAIN_STEP_INTERVAL: Time = 60 * MS;
 
-/// Which connections may be migrated.
+/// Which own connections may be migrated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MigrationConfig {
-    /// Whether clients are migrated off a draining server before it goes. It ends once a draining
-    /// server turns out to send its clients away itself.
+    /// Whether clients are migrated off a draining server before it stops. This ends as soon as a
+    /// draining server turns out to disconnect its clients itself.
     pub off_draining: bool,
 }
 
-/// A connection to migrate off a draining server.
-pub(crate) struct DrainStep {
+/// The next connection to migrate off one draining server.
+pub(crate) struct DrainMigration {
     flow: FlowId,
-    /// The probability with which it goes now.
+    /// Probability that the connection is migrated in this step.
     probability: f64,
 }
 
-/// Decides migrations.
+/// Decides on migrations off draining servers.
 pub(crate) struct Migration {
     off_draining: bool,
-    /// Time over which a draining server's connections are spread.
-    drain_span: Time,
-    /// When to migrate the next connections off draining servers.
+    /// Time over which the migrations off a draining server are spread.
+    drain_duration: Time,
+    /// When the next migrations off draining servers are due.
     next_drain_step_at: Option<Time>,
 }
 
@@ -49,55 +51,59 @@
     pub(crate) fn new(config: &MigrationConfig, warm_up: Time) -> Self {
         Migration {
             off_draining: config.off_draining,
-            drain_span: warm_up.max(2 * DRAIN_DELAY),
+            drain_duration: warm_up.max(2 * DRAIN_DELAY),
             next_drain_step_at: None,
         }
     }
 
-    /// Keeps the schedule that stood under other settings.
-    pub(crate) fn continue_from(&mut self, old: &Migration) {
+    /// Takes over the schedule of the policy that had the previous settings.
+    pub(crate) fn take_state_from(&mut self, old: &Migration) {
         self.next_drain_step_at = old.next_drain_step_at;
     }
 
-    /// When the next connections are to leave draining servers.
+    /// When the next migrations off draining servers are due.
     pub(crate) fn next_drain_step_at(&self) -> Option<Time> {
         self.next_drain_step_at
     }
 
-    /// Notes that a client of a connection left that was not notified: draining servers send their
-    /// clients away themselves.
-    pub(crate) fn stop_migrating_off_draining(&mut self) {
+    /// Ends migrations off draining servers: a client left without being notified, so draining
+    /// servers disconnect their clients themselves.
+    pub(crate) fn stop_drain_migrations(&mut self) {
         self.off_draining = false;
     }
 
-    /// Schedules the first of these steps, after the endpoint list has changed.
-    pub(crate) fn schedule(&mut self, now: Time, steps: &[DrainStep]) {
-        if !steps.is_empty() {
+    /// Schedules the first of these migrations after the endpoint list has changed.
+    pub(crate) fn schedule(&mut self, now: Time, migrations: &[DrainMigration]) {
+        if !migrations.is_empty() {
             self.next_drain_step_at.get_or_insert(now + DRAIN_DELAY);
         }
     }
 
-    /// Whether the next step is due.
+    /// Whether the next step of migrations off draining servers is due.
     pub(crate) fn is_drain_step_due(&self, now: Time) -> bool {
         self.next_drain_step_at.is_some_and(|at| at <= now)
     }
 
-    /// Returns the connections of these steps that leave draining servers now.
-    pub(crate) fn take_drain_step(
+    /// Schedules the next step and returns the connections that leave draining servers in this one.
+    pub(crate) fn run_drain_step(
         &mut self,
         now: Time,
-        mut steps: Vec<DrainStep>,
+        mut migrations: Vec<DrainMigration>,
         rng: &mut WyRand,
     ) -> Vec<FlowId> {
-        self.next_drain_step_at = (!steps.is_empty()).then_some(now + DRAIN_STEP_INTERVAL);
-        steps.retain(|step| rng.generate::<f64>() < step.probability);
-        steps.into_iter().map(|step| step.flow).collect()
+        self.next_drain_step_at = (!migrations.is_empty()).then_some(now + DRAIN_STEP_INTERVAL);
+        migrations.retain(|migration| rng.generate::<f64>() < migration.probability);
+        migrations
+            .into_iter()
+            .map(|migration| migration.flow)
+            .collect()
     }
 
-    /// The next connection to migrate off each draining server. Guards against clients whose
-    /// server goes without notice, and against hundreds of balancers that migrate theirs at once.
-    /// A server that is removed keeps its connections: it was listed wrongly.
-    pub(crate) fn drain_steps(&self, view: &FleetView) -> Vec<DrainStep> {
+    /// Returns the next connection to migrate off each draining server. Guards against clients
+    /// whose server stops without notice, and against hundreds of balancers that migrate their
+    /// clients at once. A server that is removed from the list keeps its connections, because it
+    /// may have been delisted by mistake.
+    pub(crate) fn drain_migrations(&self, view: &FleetView) -> Vec<DrainMigration> {
         let endpoints = view.endpoints;
         if !self.off_draining || endpoints.draining.is_empty() {
             return Vec::new();
@@ -110,13 +116,18 @@
         let draining = endpoints.draining.iter();
         draining
             .filter_map(|server_id| endpoints.servers.get(server_id))
-            .filter_map(|server| self.drain_step(view, server, has_room))
+            .filter_map(|server| self.next_drain_migration(view, server, has_room))
             .collect()
     }
 
-    /// The next connection to migrate off this server, evenly spread over what is left of the
-    /// drain.
-    fn drain_step(&self, view: &FleetView, server: &Server, has_room: bool) -> Option<DrainStep> {
+    /// Returns the next connection to migrate off this server. Its probability spreads the
+    /// migrations evenly over the rest of the drain.
+    fn next_drain_migration(
+        &self,
+        view: &FleetView,
+        server: &Server,
+        has_room: bool,
+    ) -> Option<DrainMigration> {
         let (now, connections) = (view.now, view.connections);
         let flows = connections.by_server.get(&server.endpoint.server_id)?;
         let stays = |flow: &&FlowId| {
@@ -126,7 +137,7 @@
         let mut staying = flows.iter().filter(stays);
         let flow = *staying.next()?;
         let count = staying.count() + 1;
-        let time_left = (server.last_ready_at + self.drain_span)
+        let time_left = (server.last_ready_at + self.drain_duration)
             .saturating_sub(now)
             .max(DRAIN_STEP_INTERVAL);
         let is_due = has_room && now >= server.last_ready_at + DRAIN_DELAY;
@@ -135,13 +146,13 @@
         } else {
             0.0
         };
-        Some(DrainStep { flow, probability })
+        Some(DrainMigration { flow, probability })
     }
 }
 
-/// Returns the connections that leave this server because it is overloaded. Also when all servers
-/// are: placement then admits nobody, so that this sheds load and doesn't shuffle clients. Guards
-/// against a fleet held at full load that serves no message in time.
+/// Returns the connections to migrate off this server because it is overloaded. They are migrated
+/// even if all servers are overloaded: placement then admits no client, so load is shed and clients
+/// are not moved in circles. Guards against a fleet at full load that serves no message in time.
 pub(crate) fn migrate_off_overloaded(
     now: Time,
     report_lifetime: Time,
@@ -154,27 +165,28 @@
     };
     let is_settling = server
         .migrated_at
-        .is_some_and(|at| now < at + SETTLING_TIME);
+        .is_some_and(|at| now < at + MIGRATION_SETTLING_TIME);
     if utilization <= OVERLOAD_UTILIZATION || is_settling {
         return Vec::new();
     }
     let excess_fraction = (utilization - OVERLOAD_UTILIZATION) / utilization;
     let by_load = connections_by_load(server.endpoint.server_id, connections);
-    let migrating = cover_excess(&by_load, excess_fraction, rng);
+    let migrating = select_for_excess(&by_load, excess_fraction, rng);
     if !migrating.is_empty() {
         server.migrated_at = Some(now);
     }
     migrating
 }
 
-/// A connection and what is taken for its load.
+/// A connection and the load that it is assumed to cause.
 struct ConnectionLoad {
     flow: FlowId,
     load: f64,
 }
 
-/// The connections at this server, largest first: by reported loads where there are any, else by
-/// estimates. One without takes the mean.
+/// Returns the connections at this server, the largest load first. If any connection has a reported
+/// load, only reported loads count; otherwise estimated loads count. A connection without a load is
+/// assumed to have the mean of the others.
 fn connections_by_load(server_id: ServerId, connections: &ConnectionTable) -> Vec<ConnectionLoad> {
     let flows = connections.by_server.get(&server_id).into_iter().flatten();
     let own: Vec<(FlowId, &OwnConnection)> = flows
@@ -206,10 +218,15 @@
     by_load
 }
 
-/// The first connections that together cover this fraction of all loads. The one that goes past
-/// it migrates as often as it takes to meet it on average. Guards against several balancers that
-/// each round up: together they would empty the server.
-fn cover_excess(by_load: &[ConnectionLoad], excess_fraction: f64, rng: &mut WyRand) -> Vec<FlowId> {
+/// Returns the first connections that together cover this fraction of the total load. The
+/// connection that exceeds the fraction is included at random, with the probability that meets the
+/// fraction on average. Guards against several balancers that each round up and together empty the
+/// server.
+fn select_for_excess(
+    by_load: &[ConnectionLoad],
+    excess_fraction: f64,
+    rng: &mut WyRand,
+) -> Vec<FlowId> {
     let goal = excess_fraction * by_load.iter().map(|own| own.load).sum::<f64>();
     let mut covered = 0.0;
     let mut migrating = Vec::new();
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,5 +1,5 @@
-//! The decisions of one balancer, in the order in which a flow meets them. The modules beside it
-//! decide; [`Policy`] holds them and passes events on.
+//! The decisions of one balancer, in the order in which a flow meets them. The decisions are made
+//! in the other modules; [`Policy`] holds their state and passes events on to them.
 
 mod events;
 mod placing;
@@ -29,13 +29,16 @@
     TrafficClass,
 };
 
-/// A poll of the endpoint list that failed is repeated after this time, and up to twice it.
+/// Shortest time until a failed poll of the endpoint list is repeated; the longest is twice as
+/// long.
 const POLL_RETRY_INTERVAL: Time = SEC;
 
-/// The decisions of one balancer: a state machine asked with plain values and the caller's time.
+/// The decisions of one balancer: a state machine that is called with plain values and the caller's
+/// time.
 ///
-/// [`Policy::place`] says where a flow goes, [`Policy::on_event`] what to do about an event,
-/// [`Policy::time_to_next_timer`] how long to wait for the next one. The other calls bring news.
+/// [`Policy::place`] decides where a flow goes, [`Policy::on_event`] returns the actions that
+/// follow from an event, and [`Policy::time_to_next_timer`] tells how long to wait for the next
+/// event. The other methods pass information in.
 pub struct Policy {
     rng: WyRand,
     zone: u64,
@@ -55,8 +58,8 @@
 }
 
 impl Policy {
-    /// Returns the policy of a balancer that knows no servers yet. The same seed and the same calls
-    /// give the same decisions.
+    /// Creates the policy of a balancer that does not know any servers yet. The same seed and the
+    /// same calls lead to the same decisions.
     pub fn new(seed: u64, zone: u64, classes: Vec<TrafficClass>, config: PolicyConfig) -> Self {
         let balancers = config.balancers.max(1.0);
         Policy {
@@ -78,23 +81,23 @@
         }
     }
 
-    /// Goes on under the settings of `new`, which has to keep the indices of traffic classes and
-    /// tenants that flows in progress refer to.
+    /// Replaces the settings by those of `new`, which has to keep the indices of the traffic
+    /// classes and tenants that flows in progress refer to.
     pub fn apply_settings(&mut self, new: Policy) {
         let old = mem::replace(self, new);
         self.rng = old.rng;
         self.connections = old.connections;
         self.recent_connections = old.recent_connections;
-        self.concurrency.continue_from(old.concurrency);
-        self.queue = FlowQueue::continue_from(old.queue);
-        self.endpoints.continue_from(old.endpoints);
-        self.slow_start.continue_from(&old.slow_start);
-        self.health_checks.continue_from(&old.health_checks);
-        self.migration.continue_from(&old.migration);
-        self.gossip.continue_from(old.gossip);
+        self.concurrency.take_state_from(old.concurrency);
+        self.queue = FlowQueue::with_state_of(old.queue);
+        self.endpoints.take_state_from(old.endpoints);
+        self.slow_start.take_state_from(&old.slow_start);
+        self.health_checks.take_state_from(&old.health_checks);
+        self.migration.take_state_from(&old.migration);
+        self.gossip.take_state_from(old.gossip);
     }
 
-    /// Takes in a watch event of the endpoint list: changed entries, or all of them where the list
+    /// Applies a watch event of the endpoint list: the changed entries, or all entries if the list
     /// `is_complete`.
     pub fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         let (rng, slow_start) = (&mut self.rng, &mut self.slow_start);
@@ -111,30 +114,31 @@
         };
         self.endpoints
             .update(now, entries, is_complete, &self.connections, new_server);
-        let drain_steps = self.migration.drain_steps(&self.view(now));
-        self.migration.schedule(now, &drain_steps);
-        self.health_checks.follow_list(now, &self.endpoints);
+        let drain_migrations = self.migration.drain_migrations(&self.view(now));
+        self.migration.schedule(now, &drain_migrations);
+        self.health_checks
+            .on_endpoints_changed(now, &self.endpoints);
     }
 
-    /// Notes that the endpoint list could not be had; it is polled again after a while.
+    /// Records that the endpoint list could not be fetched, and schedules the next poll.
     pub fn endpoint_poll_failed(&mut self, now: Time) {
         let jitter = self.rng.generate_range(0..POLL_RETRY_INTERVAL);
         self.endpoints.poll_at(now + POLL_RETRY_INTERVAL + jitter);
     }
 
-    /// Adopts a connection that went through this balancer before it started.
+    /// Adopts a connection that existed before this balancer started.
     pub fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         self.connections.record_connection(flow, server_id);
     }
 
-    /// Notes a connection's present load, in any unit that is the same for all connections.
+    /// Records the current load of a connection, in any unit that is the same for all connections.
     pub fn update_connection_load(&mut self, flow: FlowId, load: f64) {
         if load.is_finite() && load >= 0.0 {
             self.connections.update_load(flow, load);
         }
     }
 
-    /// Takes in another balancer's message that a server holds connections of a group.
+    /// Processes another balancer's message that a server holds connections of a group.
     pub fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
         self.gossip.receive(now, placement, &self.endpoints);
     }
@@ -143,12 +147,12 @@
     pub fn place(&mut self, now: Time, flow: &Flow) -> Placement {
         self.recent_connections.start(now);
         let time_left = self.retry.time_left(now, flow);
-        // Guards against repeats while servers share a fault.
+        // Guards against repeated attempts while the servers share a fault.
         let is_unsafe_now = self.concurrency.is_congested() && flow.may_have_executed();
         if time_left == 0 || is_unsafe_now || self.retry.is_exhausted(flow) {
             return self.reject_or_fail(now, flow);
         }
-        // Guards against a storm of attempts that jams what all servers share (the store).
+        // Guards against a storm of attempts that overloads what all servers share (the store).
         let in_flight = self.connections.in_flight.len();
         if self.concurrency.is_reached(now, in_flight) {
             return self.queue_or_give_up(now, flow);
@@ -160,7 +164,7 @@
         if self.queue.is_placement_futile(now, flow, utilization_max) {
             return self.queue_or_give_up(now, flow);
         }
-        let selection = self.select(now, flow, priority_utilization);
+        let selection = self.select_servers(now, flow, priority_utilization);
         if self.request_reports(now, flow, time_left, &selection) {
             return Placement::Wait;
         }
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Returns what to do about this event.
+    /// Returns the actions that follow from this event.
     pub fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
         let mut actions = match event {
             PolicyEvent::Connected { flow, .. } => self.on_connected(now, flow),
@@ -204,13 +208,13 @@
         actions
     }
 
-    /// Returns how long to wait for the next event at most, until the timer expires; none where
+    /// Returns how long to wait for the next event at most, until the timer expires; `None` if
     /// nothing is due.
     pub fn time_to_next_timer(&self, now: Time) -> Option<Time> {
         let timers = [
             self.health_checks.next_at(),
             self.endpoints.next_poll_at(),
-            self.queue.recheck_at(now, self.endpoints.looked_at_max()),
+            self.queue.next_recheck_at(now, self.endpoints.scan_size()),
             self.migration.next_drain_step_at(),
             self.queue.recheck_after_report_at(),
         ];
@@ -221,7 +225,7 @@
             .map(|at| at.saturating_sub(now))
     }
 
-    /// The servers and own connections as they are now.
+    /// Returns the servers and own connections as they are now.
     fn view(&self, now: Time) -> FleetView<'_> {
         FleetView {
             now,
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -1,4 +1,4 @@
-//! What each event changes, and what follows from it.
+//! The state changes and actions that follow from each event.
 
 use super::Policy;
 use crate::load_reports::{OVERLOAD_UTILIZATION, is_plausible};
@@ -6,7 +6,7 @@
 use crate::types::{Actions, AttemptEnd, FlowId, LoadReport, ServerId, Time};
 
 impl Policy {
-    /// Adds what is due whatever the event was.
+    /// Adds the actions that are due, whichever event occurred.
     pub(super) fn add_due_actions(&mut self, now: Time, actions: &mut Actions) {
         actions.health_checks = self.health_checks.take_due(
             now,
@@ -15,8 +15,10 @@
             &self.recent_connections,
         );
         if self.migration.is_drain_step_due(now) {
-            let steps = self.migration.drain_steps(&self.view(now));
-            let leaving = self.migration.take_drain_step(now, steps, &mut self.rng);
+            let migrations = self.migration.drain_migrations(&self.view(now));
+            let leaving = self
+                .migration
+                .run_drain_step(now, migrations, &mut self.rng);
             actions.migrate.extend(leaving);
         }
         for flow in &actions.migrate {
@@ -25,7 +27,8 @@
         actions.poll_endpoints = self.endpoints.take_due_poll(now);
     }
 
-    /// A server has accepted an attempt: all that depends on its success counts it.
+    /// Handles an attempt that a server has accepted. Everything that depends on the attempt's
+    /// success is updated here.
     pub(super) fn on_connected(&mut self, now: Time, flow: FlowId) -> Actions {
         let Some(server_id) = self.connections.mark_connected(flow) else {
             return Actions::default();
@@ -47,7 +50,8 @@
         }
     }
 
-    /// An attempt or connection has ended: failures count against its server, or all.
+    /// Handles the end of an attempt or connection. A failure counts against the server, or against
+    /// all servers if it is the sign of a shared fault.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Time,
@@ -57,14 +61,15 @@
     ) {
         let own = self.connections.remove(flow);
         let was_in_flight = own.as_ref().is_some_and(|own| !own.is_connected);
-        let left_unasked = own.is_some_and(|own| own.is_connected && !own.is_migrating);
-        if end == AttemptEnd::Cancelled && left_unasked {
-            self.migration.stop_migrating_off_draining();
+        let left_without_notice = own.is_some_and(|own| own.is_connected && !own.is_migrating);
+        if end == AttemptEnd::Cancelled && left_without_notice {
+            self.migration.stop_drain_migrations();
         }
         let Some(server) = self.endpoints.servers.get_mut(&server_id) else {
             return;
         };
-        // Healthy servers that fail or are late are the sign of a fault that they share.
+        // A healthy server that fails or answers late is the sign of a fault that the servers
+        // share.
         let is_shared_fault = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Error);
         if is_shared_fault && server.outlier.is_healthy(now) {
             self.concurrency.decrease(now);
@@ -81,7 +86,7 @@
         }
     }
 
-    /// A client has left: its attempt in flight is cancelled where that is allowed.
+    /// Handles a client that has left: its attempt in flight is cancelled if that is allowed.
     pub(super) fn on_client_left(&self, flow: FlowId) -> Actions {
         let own = self.connections.own.get(&flow);
         let is_in_flight = own.is_some_and(|own| !own.is_connected);
@@ -92,7 +97,8 @@
         }
     }
 
-    /// Takes in a health check's result, and returns the connections to migrate off the server.
+    /// Processes the result of a health check, and returns the connections to migrate off the
+    /// server.
     pub(super) fn on_health_checked(
         &mut self,
         now: Time,
@@ -100,9 +106,9 @@
         passed: bool,
         report: LoadReport,
     ) -> Vec<FlowId> {
-        self.queue.report_came();
+        self.queue.report_received();
         if self.health_checks.is_on_demand() {
-            self.queue.recheck_soon(now, self.endpoints.looked_at_max());
+            self.queue.recheck_soon(now, self.endpoints.scan_size());
         }
         let Some(server) = self.endpoints.servers.get_mut(&server_id) else {
             return Vec::new();
--- a/crates/policy/src/policy/placing.rs
+++ b/crates/policy/src/policy/placing.rs
@@ -9,9 +9,9 @@
 use crate::types::{Flow, Placement, ServerId, Time};
 
 impl Policy {
-    /// Looks for servers: among the flow's candidates, then among further ones, then, within a
-    /// budget, in the whole list. Guards against a flow whose candidates are all away or full.
-    pub(super) fn select(
+    /// Selects servers among the flow's candidates, then among further candidates, then, within a
+    /// budget, in the whole list. Guards against a flow whose candidates are all gone or full.
+    pub(super) fn select_servers(
         &mut self,
         now: Time,
         flow: &Flow,
@@ -33,20 +33,20 @@
             let further = self.candidates(flow, ZoneReach::AllZones);
             selection = select(further.as_deref());
         }
-        let is_whole = selection.eligible.is_empty() && self.endpoints.may_walk_list(now);
-        if is_whole {
+        let walks_list = selection.eligible.is_empty() && self.endpoints.may_walk_list(now);
+        if walks_list {
             selection = self.query(now, flow, priority_utilization, None).select();
         }
         let is_returning = flow.reconnecting && self.view(now).has_started_empty();
-        let is_first = flow.attempts.is_empty() && !is_returning;
-        if is_first && (is_whole || !self.endpoints.is_long()) {
+        let is_first_attempt = flow.attempts.is_empty() && !is_returning;
+        if is_first_attempt && (walks_list || !self.endpoints.is_long()) {
             self.queue
                 .record_least_utilization(now, selection.least_utilization);
         }
         selection
     }
 
-    /// One look for where this flow may go.
+    /// Returns the inputs for placing this flow.
     fn query<'a>(
         &'a self,
         now: Time,
@@ -69,8 +69,9 @@
         }
     }
 
-    /// On a long list the servers that this flow may go to: candidates of its group and own
-    /// holders of it, or its own candidates. None where the list is looked at whole.
+    /// Returns the servers of a long list that this flow may go to: the candidates of its group and
+    /// the servers with own connections of the group, or, without a group, the flow's own
+    /// candidates. Returns `None` if the whole list is considered.
     fn candidates(&self, flow: &Flow, zones: ZoneReach) -> Option<Vec<ServerId>> {
         let candidates = self.endpoints.candidates.as_ref()?;
         let holders = self.connections.group_holders(flow).into_iter().flatten();
@@ -78,8 +79,9 @@
         Some(candidates.scope(key, self.zone, zones, holders))
     }
 
-    /// Queues the flow until the servers that it may go to have reported, where their reports are
-    /// too old and there is time. When many flows wait the reports that there are must do.
+    /// Queues the flow until the servers that it may go to have reported, if their reports are too
+    /// old and there is time. Returns whether the flow was queued. If too many flows are waiting,
+    /// the flow is placed by the reports at hand.
     pub(super) fn request_reports(
         &mut self,
         now: Time,
@@ -108,8 +110,8 @@
         true
     }
 
-    /// Sends the flow to this server. It may take all the time that is left: an attempt that is
-    /// given up has cost the store its call all the same.
+    /// Sends the flow to this server. The attempt may use all the time that is left, because giving
+    /// it up early saves nothing: it has cost the store a call all the same.
     pub(super) fn forward(
         &mut self,
         now: Time,
@@ -129,12 +131,13 @@
         }
     }
 
-    /// Queues the flow while its latency objective may still be met and few wait, else gives it up.
+    /// Queues the flow while its latency objective can still be met and few flows wait; otherwise
+    /// gives the flow up.
     pub(super) fn queue_or_give_up(&mut self, now: Time, flow: &Flow) -> Placement {
         let waited = now.saturating_sub(flow.accepted_at);
-        // Guards against a flow that is placed again only when its time has run out.
-        let recheck_interval = self.queue.recheck_interval(self.endpoints.looked_at_max());
-        if self.retry.is_due_within(now, flow, recheck_interval)
+        // Guards against a flow that is placed again only after its deadline.
+        let recheck_interval = self.queue.recheck_interval(self.endpoints.scan_size());
+        if self.retry.is_answer_due_within(now, flow, recheck_interval)
             || waited >= self.classes.of(flow).latency_objective
             || self.queue.is_full(&self.concurrency)
         {
@@ -144,7 +147,7 @@
         Placement::Wait
     }
 
-    /// Gives the flow up.
+    /// Gives the flow up: rejects or fails it.
     pub(super) fn reject_or_fail(&mut self, now: Time, flow: &Flow) -> Placement {
         let resend_time_left = self.resend_time_left(now, flow);
         self.shedding.reject_or_fail(
@@ -156,7 +159,7 @@
         )
     }
 
-    /// Time until which an attempt of this flow may still be sent.
+    /// Returns the time within which an attempt of this flow may still be sent.
     fn resend_time_left(&self, now: Time, flow: &Flow) -> Time {
         let idempotency = self.classes.of(flow).idempotency;
         self.retry.resend_time_left(now, flow, idempotency)
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,8 +1,8 @@
-//! Slow start: how many attempts a warming server may get from this balancer.
+//! Slow start: how many attempts this balancer may send to a server that is warming up.
 //!
-//! The budget of a slot is the ramp rate of the server's kind of machine times its present
-//! fraction of capacity. Nothing is saved up: the sum over all balancers stays the sum of their
-//! rates at any moment.
+//! The budget of a time slot is the ramp rate of the server's kind of machine times the fraction of
+//! its capacity that the server has at that moment. Unused budget is not carried over, so at any
+//! moment all balancers together send at most the sum of their rates.
 
 use std::collections::BTreeMap;
 
@@ -13,33 +13,36 @@
 use crate::fleet_view::FleetView;
 use crate::types::{SEC, Time};
 
-/// Span for which a budget is drawn: longer ones add up in a window, shorter ones meet few flows.
+/// Length of the slots that have a budget each. The budgets of longer slots would add up within the
+/// overload window; shorter slots would see few flows.
 const SLOT: Time = SEC;
-/// Slots' offsets are drawn from this range.
+/// Range from which the offset of a server's slots is drawn.
 const SLOT_OFFSET_RANGE: Time = SEC << 20;
-/// Times that a server may be filled over its warm-up.
+/// Number of times that a server may be filled during its warm-up.
 const FILLS_PER_WARM_UP: f64 = 4.0;
-/// Ramp rates of a long list are worked out once in this interval.
+/// Interval between two computations of the ramp rates on a long list.
 const RAMP_RATE_INTERVAL: Time = SEC;
-/// Bounds of the mean utilization by which held connections are scaled to what fills a server.
+/// Bounds of the mean utilization that scales the connections held to the number that fills a
+/// server.
 const FILLED_UTILIZATION_MIN: f64 = 0.25;
 const FILLED_UTILIZATION_MAX: f64 = 1.0;
-/// Part of the rate at which warm servers connected that a warming one may get.
+/// Fraction of the rate at which warm servers accept connections that a server may get while it
+/// warms up.
 const CONNECT_RATE_FRACTION: f64 = 0.5;
 
-/// For each kind of machine what a warm server takes, in attempts for each nanosecond.
+/// Ramp rates by kind of machine: attempts per nanosecond that one warm server accepts.
 pub(crate) type RampRates = BTreeMap<u64, f64>;
 
-/// How a server warms up, and what it can't stand meanwhile.
+/// How servers warm up, and which load makes a server fail meanwhile.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStartConfig {
-    /// Fraction of its capacity that a server has when it starts.
+    /// Fraction of its full capacity that a server has when it starts.
     pub initial_capacity_fraction: f64,
-    /// Time in nanoseconds until it has all of it.
+    /// Time in nanoseconds from the start of a server until it has its full capacity.
     pub warm_up: Time,
-    /// Multiple of its present capacity at which it falls.
+    /// Load, as a multiple of its present capacity, at which a warming-up server fails.
     pub overload_multiple: f64,
-    /// Window in nanoseconds over which that multiple is counted.
+    /// Window in nanoseconds over which this load is counted.
     pub overload_window: Time,
 }
 
@@ -54,23 +57,23 @@
     }
 }
 
-/// Warm servers of one kind of machine.
+/// Totals of the warm servers of one kind of machine.
 #[derive(Default)]
 struct WarmServers {
     count: f64,
     own_connections: f64,
-    /// Own attempts that connected, weighted, for each nanosecond.
+    /// Own attempts that connected, in attempts per nanosecond, times [`CONNECT_RATE_FRACTION`].
     connect_rate: f64,
-    /// Whether one of them refused an attempt lately.
+    /// Whether one of these servers refused an attempt recently.
     is_refusing: bool,
 }
 
-/// Budgets attempts to warming servers.
+/// Limits the attempts to servers that are warming up.
 pub(crate) struct SlowStart {
     config: SlowStartConfig,
-    /// Multiple of the ramp rate that a server may get in a slot.
+    /// Multiple of the ramp rate that a server with full capacity may get in a slot.
     budget_multiple: f64,
-    /// When the last of the servers is warm.
+    /// When the last of the listed servers has warmed up.
     all_warm_at: Time,
     ramp_rates: RampRates,
     ramp_rates_at: Time,
@@ -88,19 +91,19 @@
         }
     }
 
-    /// Keeps what was known under other settings.
-    pub(crate) fn continue_from(&mut self, old: &SlowStart) {
+    /// Takes over the state of the policy that had the previous settings.
+    pub(crate) fn take_state_from(&mut self, old: &SlowStart) {
         self.all_warm_at = old.all_warm_at;
     }
 
-    /// Notes when a server started; 0 is long ago.
+    /// Records when a server started; 0 means long ago.
     pub(crate) fn record_start(&mut self, started: Time) {
         if started > 0 {
             self.all_warm_at = self.all_warm_at.max(started + self.config.warm_up);
         }
     }
 
-    /// The fraction of its capacity that a server has at least.
+    /// Returns the fraction of its full capacity that the server has at least.
     pub(crate) fn capacity_fraction(&self, now: Time, server: &Server) -> f64 {
         let SlowStartConfig {
             initial_capacity_fraction: initial,
@@ -120,14 +123,15 @@
         self.capacity_fraction(now, server) >= 1.0
     }
 
-    /// Whether the server is warm, or may still get an attempt in this slot.
+    /// Whether the server is warm, or may get a further attempt in the current slot.
     pub(crate) fn admits(&self, now: Time, server: &Server) -> bool {
         self.is_warm(now, server) || self.attempts_left(now, server) > 0
     }
 
-    /// Attempts that may still go to a warming server in this slot: on average what the ramp rate
-    /// gives, rounded up or down by a draw that stands for the slot. Guards against hundreds of
-    /// balancers that each saved one attempt and spend it at once.
+    /// Returns how many further attempts the server may get in the current slot. The budget follows
+    /// the ramp rate on average: it is rounded up or down by a pseudo-random value that is fixed
+    /// for the slot. Guards against hundreds of balancers that each save up one attempt and send it
+    /// at the same moment.
     fn attempts_left(&self, now: Time, server: &Server) -> u64 {
         let machine = server.endpoint.machine;
         let rate = self.ramp_rates.get(&machine).copied().unwrap_or(0.0);
@@ -139,8 +143,8 @@
         ((mean + draw) as u64).saturating_sub(attempts_in(slots, slot))
     }
 
-    /// Returns the ramp rates of this moment, where they are due: on a long list only once in an
-    /// interval, as they take a walk over all servers.
+    /// Returns new ramp rates if they are due. On a long list they are due only once in
+    /// [`RAMP_RATE_INTERVAL`], because computing them walks all servers.
     pub(crate) fn due_ramp_rates(&self, view: &FleetView) -> Option<RampRates> {
         if view.endpoints.is_long() && view.now < self.ramp_rates_at + RAMP_RATE_INTERVAL {
             None
@@ -151,17 +155,21 @@
         }
     }
 
-    /// Budgets by these ramp rates from now on.
+    /// Sets the ramp rates that apply from now on.
     pub(crate) fn set_ramp_rates(&mut self, now: Time, ramp_rates: RampRates) {
         self.ramp_rates_at = now;
         self.ramp_rates = ramp_rates;
     }
 
-    /// For each kind of machine what a warm server takes: half of what connected lately, or what
-    /// fills a server over its warm-up, as each of hundreds of balancers connects too few. What is
-    /// sent doesn't count: it would rise in a storm. Where one refuses, the lower of both counts:
-    /// guards against a jam in which the few warm servers take and drop the same clients again and
-    /// again, and all turn to the warming ones.
+    /// Computes the ramp rate of each kind of machine: the higher of the connect rate (half the
+    /// rate at which attempts connected recently) and the fill rate (fills a server
+    /// [`FILLS_PER_WARM_UP`] times during its warm-up). The fill rate is needed because each of
+    /// hundreds of balancers establishes too few connections. Attempts that were only sent do not
+    /// count, because their number rises in a storm.
+    ///
+    /// If a warm server refuses attempts, the lower of the two rates applies. Guards against a jam
+    /// in which the few warm servers repeatedly accept and drop the same clients, and all of these
+    /// turn to the servers that are warming up.
     fn ramp_rates(&self, view: &FleetView) -> RampRates {
         let (mut machines, utilization) = self.warm_servers(view);
         self.add_connect_rates(&mut machines, view);
@@ -172,7 +180,8 @@
         machines.into_iter().map(rate).collect()
     }
 
-    /// The warm servers of each kind of machine, and the mean utilization of them all.
+    /// Returns the totals of the warm servers of each kind of machine, and the mean utilization of
+    /// all warm servers.
     fn warm_servers(&self, view: &FleetView) -> (BTreeMap<u64, WarmServers>, f64) {
         let span = view.recent_connections.counted_span(view.now);
         let mut machines: BTreeMap<u64, WarmServers> = BTreeMap::new();
@@ -198,7 +207,7 @@
         (machines, utilization)
     }
 
-    /// Adds the rate at which attempts connected lately to these servers.
+    /// Adds the rate at which attempts connected recently to these servers.
     fn add_connect_rates(&self, machines: &mut BTreeMap<u64, WarmServers>, view: &FleetView) {
         let span = view.recent_connections.counted_span(view.now);
         for server_id in view.recent_connections.servers_within(view.now, span) {
@@ -214,7 +223,7 @@
         server.is_ready() && self.is_warm(now, server)
     }
 
-    /// What one of these warm servers takes, in attempts for each nanosecond.
+    /// Returns the attempts per nanosecond that one of these warm servers accepts.
     fn ramp_rate(&self, warm: &WarmServers, in_flight: f64, utilization: f64) -> f64 {
         let fill_time = self.config.warm_up.max(SEC) as f64 / FILLS_PER_WARM_UP;
         let fill_rate = (warm.own_connections - in_flight).max(0.0) / utilization / fill_time;
@@ -227,7 +236,8 @@
     }
 }
 
-/// Draws where a server's slots begin: balancers don't agree on who goes first.
+/// Draws the offset of a server's slots, so that balancers do not send their first attempts at the
+/// same time.
 pub(crate) fn initial_slots(rng: &mut WyRand) -> SlowStartSlots {
     SlowStartSlots {
         offset: rng.generate_range(0..SLOT_OFFSET_RANGE),
@@ -235,7 +245,7 @@
     }
 }
 
-/// Counts an attempt in the slot of this moment.
+/// Counts an attempt in the current slot.
 pub(crate) fn record_attempt(slots: &mut SlowStartSlots, now: Time) {
     let slot = current_slot(slots, now);
     slots.attempts = attempts_in(slots, slot) + 1;
