--- a/crates/policy/src/concurrency.rs
+++ b/crates/policy/src/concurrency.rs
@@ -8,10 +8,10 @@
 const INITIAL_LIMIT_OF_ALL_BALANCERS: f64 = 600.0;
 /// Lower bound of the limit. One attempt in sixteen intervals still notices a recovery before
 /// clients give up for good.
-const LIMIT_MIN: f64 = 1.0 / 16.0;
+const CONCURRENCY_LIMIT_MIN: f64 = 1.0 / 16.0;
 /// The limit decreases at most once in this interval, because attempts that are made together fail
 /// together.
-const DECREASE_INTERVAL: Time = 250 * MS;
+const LIMIT_DECREASE_INTERVAL: Time = 250 * MS;
 
 /// The limit of attempts in flight. It increases when attempts connect. It decreases when healthy
 /// servers fail or answer late, which is the sign of a fault that the servers share.
@@ -20,7 +20,7 @@
     initial: f64,
     limit: f64,
     /// Below this value the limit increases by one for each attempt that connects; from here on it
-    /// increases by one per round of attempts.
+    /// increases by one per round of attempts, as in TCP congestion control.
     slow_start_threshold: f64,
     decreased_at: Time,
 }
@@ -46,7 +46,7 @@
     /// Whether no further attempt may be sent. A limit below one permits one attempt in `1 / limit`
     /// intervals.
     pub(crate) fn is_reached(&self, now: Time, in_flight: usize) -> bool {
-        let pause = (DECREASE_INTERVAL as f64 / self.limit) as Time;
+        let pause = (LIMIT_DECREASE_INTERVAL as f64 / self.limit) as Time;
         in_flight as f64 >= self.at_least_one()
             || self.limit < 1.0 && now < self.decreased_at + pause
     }
@@ -70,10 +70,10 @@
         };
     }
 
-    /// Halves the limit, at most once in [`DECREASE_INTERVAL`].
+    /// Halves the limit, at most once in [`LIMIT_DECREASE_INTERVAL`].
     pub(crate) fn decrease(&mut self, now: Time) {
-        if now >= self.decreased_at + DECREASE_INTERVAL {
-            self.limit = (self.limit / 2.0).max(LIMIT_MIN);
+        if now >= self.decreased_at + LIMIT_DECREASE_INTERVAL {
+            self.limit = (self.limit / 2.0).max(CONCURRENCY_LIMIT_MIN);
             (self.slow_start_threshold, self.decreased_at) = (self.limit, now);
         }
     }
--- a/crates/policy/src/concurrency/tests.rs
+++ b/crates/policy/src/concurrency/tests.rs
@@ -14,9 +14,9 @@
 fn the_limit_is_halved_once_per_interval_and_congested_below_its_initial_value() {
     let mut limit = ConcurrencyLimit::new(1.0);
     limit.decrease(SEC);
-    limit.decrease(SEC + DECREASE_INTERVAL - 1);
+    limit.decrease(SEC + LIMIT_DECREASE_INTERVAL - 1);
     assert!(limit.is_congested() && limit.is_reached(SEC, 4) && !limit.is_reached(SEC, 3));
-    limit.decrease(SEC + DECREASE_INTERVAL);
+    limit.decrease(SEC + LIMIT_DECREASE_INTERVAL);
     assert!(limit.is_reached(SEC, 2) && !limit.is_reached(SEC, 1));
 }
 
@@ -33,7 +33,7 @@
     let mut limit = ConcurrencyLimit::new(1.0);
     let mut now = SEC;
     for _ in 0..50 {
-        now += DECREASE_INTERVAL;
+        now += LIMIT_DECREASE_INTERVAL;
         limit.decrease(now);
     }
     assert!(limit.is_reached(now + 4 * SEC - 1, 0));
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -28,8 +28,8 @@
     }
 
     /// Whether the balancer started recently and without connections.
-    pub(crate) fn has_started_empty(&self) -> bool {
+    pub(crate) fn recently_started_empty(&self) -> bool {
         self.recent_connections
-            .has_started_empty(self.now, self.connections)
+            .recently_started_empty(self.now, self.connections)
     }
 }
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -13,12 +13,12 @@
 /// Time after which a placement is announced again.
 const REPEAT_AFTER: Time = 20 * SEC;
 /// Time for which an announced placement remains valid.
-const LIFETIME: Time = 2 * REPEAT_AFTER;
+const ANNOUNCEMENT_LIFETIME: Time = 2 * REPEAT_AFTER;
 /// Maximum number of messages that a balancer receives per second. Guards against a message storm
 /// when hundreds of balancers announce each placement.
 const RECEIVED_PER_SECOND: f64 = 30.0;
 /// Maximum number of messages that may be saved up.
-const TOKENS_MAX: f64 = 2.0;
+const MESSAGE_TOKENS_MAX: f64 = 2.0;
 
 /// Whether balancers exchange messages.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -65,14 +65,14 @@
     }
 
     /// Whether any placement of the group was announced.
-    pub(crate) fn knows(&self, group: u16) -> bool {
+    pub(crate) fn has_announced(&self, group: u16) -> bool {
         self.announced.contains_key(&group)
     }
 
     /// Whether the server holds the group according to its last announcement.
     pub(crate) fn holds(&self, now: Time, group: u16, server_id: ServerId) -> bool {
         self.announced_at(group, server_id)
-            .is_some_and(|at| now < at + LIFETIME)
+            .is_some_and(|at| now < at + ANNOUNCEMENT_LIFETIME)
     }
 
     /// Records that the server holds the group, if the server is listed and gossip is enabled.
@@ -121,7 +121,7 @@
     fn expire(&mut self, now: Time) {
         self.announced
             .values_mut()
-            .for_each(|servers| servers.retain(|_, at| now < *at + LIFETIME));
+            .for_each(|servers| servers.retain(|_, at| now < *at + ANNOUNCEMENT_LIFETIME));
         self.announced.retain(|_, servers| !servers.is_empty());
     }
 
@@ -130,7 +130,7 @@
     fn take_token(&mut self, now: Time) -> bool {
         let elapsed = now.saturating_sub(self.tokens_at) as f64 / SEC as f64;
         let tokens = self.tokens + RECEIVED_PER_SECOND / self.balancers * elapsed;
-        let tokens = tokens.min(TOKENS_MAX);
+        let tokens = tokens.min(MESSAGE_TOKENS_MAX);
         let may_send = tokens >= 1.0;
         self.tokens = if may_send { tokens - 1.0 } else { tokens };
         self.tokens_at = now;
--- a/crates/policy/src/group_affinity.rs
+++ b/crates/policy/src/group_affinity.rs
@@ -32,7 +32,7 @@
         let hash = group.map_or(0, |group| hash_name(group));
         let own_holders = view.connections.group_holders(flow);
         let is_announced =
-            gossip.is_enabled() && group.is_some() && gossip.knows(group_number(hash));
+            gossip.is_enabled() && group.is_some() && gossip.has_announced(group_number(hash));
         GroupAffinity {
             now: view.now,
             hash,
--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -27,13 +27,13 @@
 const ON_DEMAND_INTERVAL_MIN: Time = 3 * SEC;
 /// Time after which a check that was requested for a flow counts as lost if it has brought no
 /// result.
-const CHECK_TIMEOUT: Time = 150 * MS;
+const REQUESTED_CHECK_TIMEOUT: Time = 150 * MS;
 /// Servers below this utilization are checked half as often, unless checks are cheap.
 const LOW_UTILIZATION_MAX: f64 = 0.4;
 /// Interval between two batches of checks on a long list.
 const LONG_LIST_BATCH_INTERVAL: Time = 250 * MS;
 /// Checks that are due within this time go out in one batch, because each batch walks all servers.
-const BATCH_WINDOW: Time = 125 * MS;
+const CHECK_BATCH_WINDOW: Time = 125 * MS;
 /// Number of adopted connections that count as one flow in the rate window: connections live for
 /// about three rate windows.
 const ADOPTED_CONNECTIONS_PER_FLOW: usize = 3;
@@ -117,7 +117,7 @@
             let times = &mut server
                 .expect("only listed servers are selected")
                 .health_check;
-            if times.requested_at + CHECK_TIMEOUT < now {
+            if times.requested_at + REQUESTED_CHECK_TIMEOUT < now {
                 (times.requested_at, times.next_at) = (now, now);
                 self.next_at = Some(now);
                 is_requested = true;
@@ -192,9 +192,9 @@
         recent_connections: &RecentConnections,
     ) -> usize {
         let connected = recent_connections.servers_within(now, RATE_WINDOW).count();
-        let expected = if !recent_connections.is_starting(now) {
+        let expected = if !recent_connections.is_in_first_window(now) {
             1
-        } else if recent_connections.has_started_empty(now, connections) {
+        } else if recent_connections.recently_started_empty(now, connections) {
             let servers_per_balancer = (endpoints.servers.len() as f64 / self.balancers).min(1.0);
             (SERVER_CONNECTIONS_MIN * servers_per_balancer) as usize
         } else {
@@ -234,7 +234,7 @@
             times.next_at = now + CHECK_INTERVAL_MAX.min(intervals * self.interval);
             if !self.is_on_demand
                 || connections.by_server.contains_key(&server_id)
-                || now < times.requested_at + CHECK_TIMEOUT
+                || now < times.requested_at + REQUESTED_CHECK_TIMEOUT
             {
                 due.push(server_id);
             }
@@ -256,7 +256,7 @@
             .filter(|server| server.is_ready())
             .map(|server| server.health_check.next_at)
             .min()
-            .map(|at| at.max(now + BATCH_WINDOW))
+            .map(|at| at.max(now + CHECK_BATCH_WINDOW))
     }
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,6 +6,18 @@
 //! I/O, read a clock, start a thread or depend on the order of a hash map: with the same seed, the
 //! same calls lead to the same decisions. The design is described in `docs/design.md`.
 //!
+//! Terms that the modules share:
+//!
+//! - A *flow* is a client's request that awaits an answer. An *attempt* sends it to a server. An
+//!   attempt that the server accepts becomes a connection.
+//! - *Own connections* go through this balancer. Those that existed before the balancer started are
+//!   *adopted*.
+//! - Flows of one *group* share common work, which a server does once for the group. A server
+//!   *holds* a group while it has connections of the group. A group that no server holds has a
+//!   *home server*.
+//! - A *long list* is an endpoint list of more than [`EndpointConfig::whole_list_max`] servers. For
+//!   each flow only some of its servers, the *candidates*, are considered.
+//!
 //! ```
 //! use nettlemux_policy::*;
 //!
--- a/crates/policy/src/load_reports.rs
+++ b/crates/policy/src/load_reports.rs
@@ -22,7 +22,7 @@
 /// Time for which a report still counts after the next health check is due.
 const REPORT_GRACE_PERIOD: Time = 5 * SEC;
 /// Number of reports kept for each server.
-const REPORTS_MAX: usize = 8;
+const REPORTS_KEPT_MAX: usize = 8;
 /// Range of plausible utilizations: a report of any other value counts as broken.
 const PLAUSIBLE_UTILIZATION: Range<f64> = 0.0..100.0;
 
@@ -36,10 +36,11 @@
 /// The known load of one server.
 #[derive(Default)]
 pub(crate) struct ServerLoad {
-    /// Own attempts that the last report cannot include yet, oldest first.
+    /// Own attempts that the last report does not reflect yet because of [`REPORT_DELAY`], oldest
+    /// first.
     recent_attempts: VecDeque<Time>,
     /// Reports, newest first.
-    reports: ArrayVec<Sample, REPORTS_MAX>,
+    reports: ArrayVec<Sample, REPORTS_KEPT_MAX>,
     /// When a health check last ended, whatever it brought.
     checked_at: Time,
 }
@@ -76,7 +77,7 @@
         !is_recent && self.checked_at + PLACEMENT_REPORT_AGE_MAX <= now
     }
 
-    /// Returns the number of own attempts that the last report cannot include yet.
+    /// Returns the number of own attempts that the last report does not reflect yet.
     pub(crate) fn recent_attempts(&self) -> usize {
         self.recent_attempts.len()
     }
@@ -103,7 +104,7 @@
 
     /// Records a load report.
     pub(crate) fn record_report(&mut self, now: Time, utilization: f64) {
-        self.reports.truncate(REPORTS_MAX - 1);
+        self.reports.truncate(REPORTS_KEPT_MAX - 1);
         let sample = Sample {
             at: now,
             utilization,
--- a/crates/policy/src/load_reports/tests.rs
+++ b/crates/policy/src/load_reports/tests.rs
@@ -17,11 +17,11 @@
 fn identical_reports_count_as_stuck_unless_the_server_is_idle() {
     for (utilization, counts) in [(0.5, false), (0.0, true)] {
         let mut load = ServerLoad::default();
-        for second in 0..REPORTS_MAX as Time {
+        for second in 0..REPORTS_KEPT_MAX as Time {
             assert!(second == 0 || load.utilization(T0 + second * SEC, LIFETIME).is_some());
             load.record_report(T0 + second * SEC, utilization);
         }
-        let now = T0 + REPORTS_MAX as Time * SEC;
+        let now = T0 + REPORTS_KEPT_MAX as Time * SEC;
         assert_eq!(load.utilization(now, LIFETIME).is_some(), counts);
         load.record_report(now, 0.51);
         assert_eq!(load.utilization(now, LIFETIME), Some(0.51));
--- a/crates/policy/src/migration.rs
+++ b/crates/policy/src/migration.rs
@@ -13,9 +13,9 @@
 use crate::placement::NEW_GROUP_UTILIZATION_MAX;
 use crate::types::{FlowId, MS, SEC, ServerId, Time};
 
-/// Time after a migration off an overloaded server in which no further one starts. Reports lag by
-/// their refresh interval and delay, so a report that arrives earlier does not show the effect of
-/// the last migration.
+/// Time after a migration off an overloaded server in which no further one off the same server
+/// starts. Reports lag by their refresh interval and delay, so a report that arrives earlier does
+/// not show the effect of the last migration.
 const MIGRATION_SETTLING_TIME: Time = 2 * SEC;
 /// Time from the notice of a drain to the first migration. Servers that disconnect their clients
 /// themselves have begun to do so by then.
@@ -121,7 +121,8 @@
     }
 
     /// Returns the next connection to migrate off this server. Its probability spreads the
-    /// migrations evenly over the rest of the drain.
+    /// migrations evenly over the rest of the drain; it is 0 before [`DRAIN_DELAY`] has passed, and
+    /// while no server has room.
     fn next_drain_migration(
         &self,
         view: &FleetView,
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -10,9 +10,9 @@
 /// Number of failures after which the ejection time no longer grows.
 const EJECTION_DOUBLINGS_MAX: usize = 4;
 /// Number of consecutive failed health checks after which a server may count as unresponsive.
-const FAILED_CHECKS_MIN: usize = 2;
+const UNRESPONSIVE_FAILED_CHECKS_MIN: usize = 2;
 /// Maximum number of failures of each kind that are kept.
-const FAILURES_MAX: usize = 8;
+const FAILURES_KEPT_MAX: usize = 8;
 
 /// The failures of one server.
 #[derive(Default)]
@@ -41,7 +41,7 @@
     /// Guards against a broken network path of the health checks, which alone is no sign that the
     /// server is faulty.
     fn is_unresponsive(&self) -> bool {
-        self.failed_checks.len() >= FAILED_CHECKS_MIN
+        self.failed_checks.len() >= UNRESPONSIVE_FAILED_CHECKS_MIN
             && self.last_connected_at < self.failed_checks[0]
     }
 
@@ -69,7 +69,7 @@
 
 fn push_bounded(failures: &mut VecDeque<Time>, at: Time) {
     failures.push_back(at);
-    failures.drain(..failures.len().saturating_sub(FAILURES_MAX));
+    failures.drain(..failures.len().saturating_sub(FAILURES_KEPT_MAX));
 }
 
 #[cfg(test)]
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -244,7 +244,7 @@
     /// balancer that rejects these clients, or places all of them on the first server that shows
     /// room.
     fn is_returning_after_restart(&self) -> bool {
-        self.flow.reconnecting && self.view.has_started_empty()
+        self.flow.reconnecting && self.view.recently_started_empty()
     }
 
     /// Determines which servers hold the flow's group, or, if none does, its home server in the
@@ -271,6 +271,7 @@
         candidates.retain(|candidate| {
             let server = candidate.server;
             let expected = if self.is_excluding_report_outdated(server) {
+                // Counts as empty, so that the server can be selected and is checked again.
                 0.0
             } else {
                 load.expected.estimate(&server.load, candidate.utilization)
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -31,7 +31,7 @@
 
 /// Shortest time until a failed poll of the endpoint list is repeated; the longest is twice as
 /// long.
-const POLL_RETRY_INTERVAL: Time = SEC;
+const POLL_RETRY_INTERVAL_MIN: Time = SEC;
 
 /// The decisions of one balancer: a state machine that is called with plain values and the caller's
 /// time.
@@ -122,8 +122,9 @@
 
     /// Records that the endpoint list could not be fetched, and schedules the next poll.
     pub fn endpoint_poll_failed(&mut self, now: Time) {
-        let jitter = self.rng.generate_range(0..POLL_RETRY_INTERVAL);
-        self.endpoints.poll_at(now + POLL_RETRY_INTERVAL + jitter);
+        let jitter = self.rng.generate_range(0..POLL_RETRY_INTERVAL_MIN);
+        self.endpoints
+            .poll_at(now + POLL_RETRY_INTERVAL_MIN + jitter);
     }
 
     /// Adopts a connection that existed before this balancer started.
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Handles the end of an attempt or connection. A failure counts against the server, or against
-    /// all servers if it is the sign of a shared fault.
+    /// Handles the end of an attempt or connection. A failure counts against the server. If it is
+    /// the sign of a fault that servers share, it also lowers the limit of attempts in flight.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Time,
--- a/crates/policy/src/policy/placing.rs
+++ b/crates/policy/src/policy/placing.rs
@@ -37,7 +37,7 @@
         if walks_list {
             selection = self.query(now, flow, priority_utilization, None).select();
         }
-        let is_returning = flow.reconnecting && self.view(now).has_started_empty();
+        let is_returning = flow.reconnecting && self.view(now).recently_started_empty();
         let is_first_attempt = flow.attempts.is_empty() && !is_returning;
         if is_first_attempt && (walks_list || !self.endpoints.is_long()) {
             self.queue
--- a/crates/policy/src/recent_connections.rs
+++ b/crates/policy/src/recent_connections.rs
@@ -67,15 +67,15 @@
     }
 
     /// Whether the balancer has counted for less than one window.
-    pub(crate) fn is_starting(&self, now: Time) -> bool {
+    pub(crate) fn is_in_first_window(&self, now: Time) -> bool {
         self.started_at
             .is_none_or(|started_at| now < started_at + RATE_WINDOW)
     }
 
     /// Whether the balancer started recently and without connections: all own connections were made
     /// since then.
-    pub(crate) fn has_started_empty(&self, now: Time, connections: &ConnectionTable) -> bool {
-        self.is_starting(now)
+    pub(crate) fn recently_started_empty(&self, now: Time, connections: &ConnectionTable) -> bool {
+        self.is_in_first_window(now)
             && connections.own.len() <= self.established.len() + connections.in_flight.len()
     }
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -15,7 +15,7 @@
 
 /// Length of the slots that have a budget each. The budgets of longer slots would add up within the
 /// overload window; shorter slots would see few flows.
-const SLOT: Time = SEC;
+const BUDGET_SLOT: Time = SEC;
 /// Range from which the offset of a server's slots is drawn.
 const SLOT_OFFSET_RANGE: Time = SEC << 20;
 /// Number of times that a server may be filled during its warm-up.
@@ -52,7 +52,7 @@
             initial_capacity_fraction: 0.1,
             warm_up: 30 * SEC,
             overload_multiple: 2.0,
-            overload_window: SLOT,
+            overload_window: BUDGET_SLOT,
         }
     }
 }
@@ -83,7 +83,8 @@
     pub(crate) fn new(config: SlowStartConfig) -> Self {
         let window = config.overload_window;
         SlowStart {
-            budget_multiple: config.overload_multiple * window as f64 / (window + SLOT) as f64,
+            budget_multiple: config.overload_multiple * window as f64
+                / (window + BUDGET_SLOT) as f64,
             config,
             all_warm_at: 0,
             ramp_rates: RampRates::new(),
@@ -136,7 +137,7 @@
         let machine = server.endpoint.machine;
         let rate = self.ramp_rates.get(&machine).copied().unwrap_or(0.0);
         let capacity_fraction = self.capacity_fraction(now, server);
-        let mean = self.budget_multiple * capacity_fraction * rate * SLOT as f64;
+        let mean = self.budget_multiple * capacity_fraction * rate * BUDGET_SLOT as f64;
         let slots = &server.slow_start;
         let slot = current_slot(slots, now);
         let draw = hash(slots.offset ^ slot) as f64 / u64::MAX as f64;
@@ -253,7 +254,7 @@
 }
 
 fn current_slot(slots: &SlowStartSlots, now: Time) -> u64 {
-    (now + slots.offset) / SLOT
+    (now + slots.offset) / BUDGET_SLOT
 }
 
 fn attempts_in(slots: &SlowStartSlots, slot: u64) -> u64 {
