--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,22 @@
-//! Decisions of a balancer for long-lived connections: where a flow goes, what follows from each
-//! event, and how long to wait for the next.
+//! Decisions of a load balancer for long-lived connections: where a flow goes, which actions follow
+//! from each event, and how long to wait for the next event.
 //!
-//! The package owns all that is decided about flows and servers: one module for each decision, each
-//! with its state, its constants and its configuration, held by [`Policy`]. It must never do I/O,
-//! read a clock, start a thread or depend on the order of a hash map: the same calls under the same
-//! seed give the same decisions. The design is `docs/design.md`.
+//! This crate makes all decisions about flows and servers. Each kind of decision has a module with
+//! its state, constants and configuration; [`Policy`] holds them together. The crate must never do
+//! I/O, read a clock, start a thread or depend on the order of a hash map: with the same seed, the
+//! same calls lead to the same decisions. The design is described in `docs/design.md`.
+//!
+//! Terms that the modules share:
+//!
+//! - A *flow* is a client's request that awaits an answer. An *attempt* sends it to a server. An
+//!   attempt that the server accepts becomes a connection.
+//! - *Own connections* go through this balancer. Those that existed before the balancer started are
+//!   *adopted*.
+//! - Flows of one *group* share common work, which a server does once for the group. A server
+//!   *holds* a group while it has connections of the group. A group that no server holds has a
+//!   *home server*.
+//! - A *long list* is an endpoint list of more than [`EndpointConfig::whole_list_max`] servers. For
+//!   each flow only some of its servers, the *candidates*, are considered.
 //!
 //! ```
 //! use nettlemux_policy::*;
