--- a/crates/flow-table/src/attempt.rs
+++ b/crates/flow-table/src/attempt.rs
@@ -1,8 +1,8 @@
-//! What becomes of an attempt.
+//! The end of an attempt, as reported to the flow table.
 
 use nettlemux_policy::{AttemptEnd, FlowId, LoadReport, ServerId};
 
-/// The end of an attempt, or of the connection that it became.
+/// The end of an attempt, or of the connection that the attempt established.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndedAttempt {
     /// The flow that the attempt was made for.
@@ -11,10 +11,10 @@
     pub number: usize,
     /// The server that the attempt went to.
     pub server_id: ServerId,
-    /// How the attempt has ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// Whether the attempt is known not to have run.
+    /// Whether it is known that the server did not execute the attempt.
     pub known_unexecuted: bool,
-    /// The load report that came with the server's answer; empty where none came.
+    /// The load report in the server's answer; empty if there was none.
     pub report: LoadReport,
 }
--- a/crates/flow-table/src/command.rs
+++ b/crates/flow-table/src/command.rs
@@ -1,8 +1,9 @@
-//! The commands that a flow table gives to whatever carries flows out.
+//! The commands that a flow table issues to its caller, which does the I/O.
 
 use nettlemux_policy::{FlowId, GroupPlacement, ServerId, Time};
 
-/// A command to carry out. Commands are carried out in the order in which they are given.
+/// A command for the caller of the flow table. Commands are executed in the order in which they
+/// are issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyCommand {
     /// Start an attempt of a flow.
@@ -15,18 +16,18 @@
         number: usize,
         /// How long to wait for the server's answer, in nanoseconds from now.
         timeout: Time,
-        /// The span from now, in nanoseconds, within which the attempt's last byte is written; past
-        /// it the attempt is not made.
+        /// The time limit for writing the attempt's last byte, in nanoseconds from now. After it,
+        /// the attempt is not made.
         send_within: Time,
     },
-    /// Answer the client that its flow is rejected: none of its attempts can have run.
+    /// Tell the client that its flow is rejected: no server can have executed any of its attempts.
     Reject {
         /// The flow.
         flow: FlowId,
-        /// The Retry-After that is sent to the client, in nanoseconds; `None` where none is.
+        /// The Retry-After to send to the client, in nanoseconds; `None` if none is sent.
         retry_after: Option<Time>,
     },
-    /// Answer the client that its flow has failed: an attempt may have run.
+    /// Tell the client that its flow has failed: a server may have executed an attempt.
     Fail {
         /// The flow.
         flow: FlowId,
@@ -36,7 +37,7 @@
         /// The flow that the connection belongs to.
         flow: FlowId,
     },
-    /// Stop waiting for an attempt whose client has left.
+    /// Stop waiting for an attempt whose client has disconnected.
     CancelAttempt {
         /// The flow.
         flow: FlowId,
--- a/crates/flow-table/src/identity.rs
+++ b/crates/flow-table/src/identity.rs
@@ -1,16 +1,17 @@
-//! The origin of a flow, as far as admission control distinguishes clients.
+//! The properties of a flow and its client that admission control uses.
 
 use nettlemux_policy::Time;
 
-/// The origin of a flow for admission control. The default stands in where there is none.
+/// The properties of a flow and its client that admission control uses. The default value is for
+/// callers without admission control.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientIdentity {
-    /// The tenant or client in whose queue the flow waits.
+    /// Identifies the tenant or client in whose fair queue the flow waits.
     pub key: u64,
-    /// The client, recognized when it comes back.
+    /// Identifies the client, so that it is recognized when it retries.
     pub client: u64,
-    /// Whether the client says that it has tried before.
+    /// Whether the client marks the flow as a retry.
     pub is_retry: bool,
-    /// When the flow's latency objective runs out, in nanoseconds of the caller's clock.
+    /// When the flow's latency objective expires, in nanoseconds of the caller's clock.
     pub latency_deadline: Time,
 }
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -1,14 +1,14 @@
-//! The flows of one balancer that await an answer or hold a connection.
+//! The flows of one balancer that are waiting for an answer or have an open connection.
 //!
-//! A [`FlowTable`] owns one load balancing policy, the flows that the policy was asked about, the
-//! admission control before it and the time of their next timer. It turns the policy's decisions
-//! into [`PolicyCommand`]s, in the order in which they are to be carried out. The balancer on
-//! sockets, the simulator's adapter and the testbed all keep their flows in one, so that none
-//! treats them differently.
+//! A [`FlowTable`] owns one load balancing policy, optional admission control in front of the
+//! policy, and the flows that either of them is handling. It reports when their next timer is due.
+//! It translates the policy's decisions into [`PolicyCommand`]s, in the order in which they must be
+//! executed. The balancer on sockets, the simulator's adapter and the testbed all use it, so that
+//! they all handle flows in the same way.
 //!
-//! The package has no I/O, clock, thread or randomness of its own. It must never decide anything:
-//! where a flow goes, whether it is retried and what is rejected is up to the policy and to
-//! admission control.
+//! This crate does no I/O and has no clock, threads or randomness of its own. It must not make
+//! decisions: the policy and admission control decide which server a flow is sent to, whether it is
+//! retried and whether it is rejected.
 
 #![warn(missing_docs)]
 
--- a/crates/flow-table/src/policy.rs
+++ b/crates/flow-table/src/policy.rs
@@ -4,36 +4,38 @@
     Actions, Endpoint, Flow, FlowId, GroupPlacement, Placement, Policy, PolicyEvent, ServerId, Time,
 };
 
-/// A load balancing policy. [`Policy`] is the one in service; the testbed compares others with it.
+/// A load balancing policy. Production uses [`Policy`]; the testbed compares other policies with it.
 ///
 /// All times are nanoseconds of the caller's clock.
 pub trait LoadBalancingPolicy {
-    /// Decides where a flow goes, given its attempts so far.
+    /// Decides how a flow proceeds, given its attempts so far.
     fn place(&mut self, now: Time, flow: &Flow) -> Placement;
 
-    /// Takes note of what has happened and returns the actions that follow from it.
+    /// Handles an event and returns the resulting actions.
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions;
 
-    /// Returns how long until [`PolicyEvent::TimerExpired`] is wanted at the latest, `None` where
-    /// nothing is scheduled.
+    /// Returns the time within which the policy must receive [`PolicyEvent::TimerExpired`], `None`
+    /// if nothing is scheduled.
     fn time_to_next_timer(&self, now: Time) -> Option<Time>;
 
-    /// Takes entries of the endpoint list: all of them where `is_complete`, else the changed ones.
+    /// Updates the endpoint list. `entries` is the whole list if `is_complete` is set, otherwise only
+    /// the changed entries.
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
 
-    /// Takes note that a poll of the endpoint list has failed.
+    /// Handles a failed poll of the endpoint list.
     fn endpoint_poll_failed(&mut self, now: Time);
 
-    /// Takes over a connection that was open before the balancer started.
+    /// Adds a connection that was open before the balancer started.
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId);
 
-    /// Takes the load that a connection puts on its server.
+    /// Updates the load that a connection puts on its server.
     fn update_connection_load(&mut self, flow: FlowId, load: f64);
 
-    /// Goes on under the settings of `new`. The default ignores them.
+    /// Replaces the settings by those of `new` and keeps the state. The default implementation does
+    /// nothing.
     fn apply_settings(&mut self, _new: Policy) {}
 
-    /// Takes a gossip message of another balancer. The default ignores it.
+    /// Handles a gossip message from another balancer. The default implementation does nothing.
     fn receive_gossip(&mut self, _now: Time, _placement: GroupPlacement) {}
 }
 
--- a/crates/flow-table/src/retry_after_hint.rs
+++ b/crates/flow-table/src/retry_after_hint.rs
@@ -1,10 +1,10 @@
-//! The Retry-After in the answer to a rejected flow.
+//! Whether rejected clients receive a Retry-After.
 
-/// Whether the answer to a flow that admission control rejects has a Retry-After.
+/// Whether the answer to a flow that admission control rejects contains a Retry-After.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfterHint {
-    /// The answer has one.
+    /// The answer contains a Retry-After.
     Sent,
-    /// The answer has none.
+    /// The answer contains no Retry-After.
     Withheld,
 }
--- a/crates/flow-table/src/table.rs
+++ b/crates/flow-table/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of flows, and the calls by which it learns what has happened.
+//! The flow table and the methods that report events to it.
 
 mod admission;
 mod commands;
@@ -21,20 +21,20 @@
 
 struct FlowEntry {
     flow: Flow,
-    /// The client still waits for its one answer.
+    /// Whether the client is still waiting for an answer. A client gets exactly one.
     awaits_answer: bool,
 }
 
-/// The flows of one balancer, and the policy that decides what becomes of them.
+/// The flows of one balancer and the policy that decides how they proceed.
 ///
-/// Calls that lead to commands append them to `commands`; what it holds already is kept. All times
-/// are nanoseconds of the caller's clock.
+/// Methods that issue commands append them to `commands` and keep the commands already in it. All
+/// times are nanoseconds of the caller's clock.
 pub struct FlowTable<P = Policy> {
     policy: P,
     flows: BTreeMap<FlowId, FlowEntry>,
     /// Flows that the policy could not place yet, in the order in which it is asked again.
-    queued: Vec<FlowId>,
-    /// Admission control before the policy, where there is one.
+    policy_queue: Vec<FlowId>,
+    /// Admission control in front of the policy; `None` if it is disabled.
     admission: Option<AdmissionController>,
     retry_after_hint: RetryAfterHint,
 }
@@ -45,19 +45,19 @@
         FlowTable {
             policy,
             flows: BTreeMap::new(),
-            queued: Vec::new(),
+            policy_queue: Vec::new(),
             admission: None,
             retry_after_hint: RetryAfterHint::Sent,
         }
     }
 
-    /// Lets the policy go on under the settings of `new`, with all flows that are in the table.
+    /// Replaces the settings of the policy by those of `new`. The flows in the table stay.
     pub fn apply_settings(&mut self, new: Policy) {
         self.policy.apply_settings(new);
     }
 
-    /// Returns how long until [`FlowTable::timer_expired`] is to be called at the latest, `None`
-    /// where nothing is scheduled.
+    /// Returns the time within which [`FlowTable::timer_expired`] must be called, `None` if nothing
+    /// is scheduled.
     pub fn time_to_next_timer(&self, now: Time) -> Option<Time> {
         let admission = self.admission.as_ref();
         let admission_poll = admission.and_then(|admission| admission.time_to_next_poll(now));
@@ -65,7 +65,7 @@
         policy_timer.into_iter().chain(admission_poll).min()
     }
 
-    /// Takes a new flow, which awaits an answer from now on.
+    /// Adds a new flow, whose client is waiting for an answer, and starts to admit and place it.
     pub fn accept(
         &mut self,
         now: Time,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes over a connection that was open at that server before the balancer started.
+    /// Adds a connection to `server_id` that was open before the balancer started.
     pub fn adopt_connection(&mut self, flow: Flow, server_id: ServerId) {
         self.policy.adopt_connection(&flow, server_id);
         let entry = FlowEntry {
@@ -99,8 +99,8 @@
         self.flows.insert(entry.flow.id, entry);
     }
 
-    /// Takes note that an attempt became a connection after `took` nanoseconds: the client has its
-    /// answer.
+    /// Handles an attempt that established a connection after `took` nanoseconds, which answers the
+    /// client.
     pub fn connected(
         &mut self,
         now: Time,
@@ -118,7 +118,7 @@
         self.admit_queued(now, commands);
     }
 
-    /// Takes note that an attempt, or the connection that it became, has ended.
+    /// Handles the end of an attempt, or of the connection that it established.
     pub fn attempt_ended(
         &mut self,
         now: Time,
@@ -128,8 +128,8 @@
         let EndedAttempt {
             flow, server_id, ..
         } = ended;
-        // A load report that came with an answer counts like that of a health check: it is the
-        // server's own.
+        // A load report in an answer comes from the server itself, so it is handled like the load
+        // report of a health check.
         if ended.report.utilization.is_some() {
             self.health_checked(now, server_id, true, ended.report, commands);
         }
@@ -155,13 +155,13 @@
         self.admit_queued(now, commands);
     }
 
-    /// Takes note that the client went away: it awaits no answer any more.
+    /// Handles a client that has disconnected and so no longer waits for an answer.
     pub fn client_left(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
         self.mark_answered(flow);
         if let Some(admission) = &mut self.admission
             && admission.is_queued(flow)
         {
-            // The policy has not been asked about it yet.
+            // The policy doesn't know the flow yet.
             return admission.flow_closed(flow);
         }
         let event = PolicyEvent::ClientLeft { flow };
@@ -169,7 +169,7 @@
         self.apply_actions(actions, commands);
     }
 
-    /// Takes the result of a health check, and the load report that came with it.
+    /// Handles the result of a health check and the load report that came with it.
     pub fn health_checked(
         &mut self,
         now: Time,
@@ -187,10 +187,11 @@
         self.apply_actions(actions, commands);
     }
 
-    /// Does what the timer was set for: queued flows are placed again, and waiting ones admitted.
+    /// Handles the timer: asks the policy again about the flows that it could not place, then admits
+    /// flows that wait in admission control.
     pub fn timer_expired(&mut self, now: Time, commands: &mut Vec<PolicyCommand>) {
         let actions = self.policy.on_event(now, PolicyEvent::TimerExpired);
-        for id in std::mem::take(&mut self.queued) {
+        for id in std::mem::take(&mut self.policy_queue) {
             self.place_unanswered(now, id, commands);
         }
         self.apply_actions(actions, commands);
@@ -200,40 +201,41 @@
         self.admit_queued(now, commands);
     }
 
-    /// Takes the load that a connection puts on its server.
+    /// Updates the load that a connection puts on its server.
     pub fn update_connection_load(&mut self, flow: FlowId, load: f64) {
         self.policy.update_connection_load(flow, load);
     }
 
-    /// Takes entries of the endpoint list: all of them where `is_complete`, else the changed ones.
+    /// Updates the endpoint list. `entries` is the whole list if `is_complete` is set, otherwise only
+    /// the changed entries.
     pub fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         self.policy.update_endpoints(now, entries, is_complete);
     }
 
-    /// Takes a gossip message of another balancer.
+    /// Handles a gossip message from another balancer.
     pub fn receive_gossip(&mut self, now: Time, placement: GroupPlacement) {
         self.policy.receive_gossip(now, placement);
     }
 
-    /// Takes note that a poll of the endpoint list has failed.
+    /// Handles a failed poll of the endpoint list.
     pub fn endpoint_poll_failed(&mut self, now: Time) {
         self.policy.endpoint_poll_failed(now);
     }
 
-    /// Takes note that the flow awaits no answer any more, without asking the policy.
+    /// Marks a flow as no longer waiting for an answer, without notifying the policy.
     pub fn mark_answered(&mut self, flow: FlowId) {
         if let Some(entry) = self.flows.get_mut(&flow) {
             entry.awaits_answer = false;
         }
     }
 
-    /// Fails a flow without asking the policy, which has failed on it.
+    /// Fails a flow without asking the policy, for a flow whose handling has panicked.
     pub fn fail(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
         self.apply_placement(now, flow, Placement::Fail, commands);
     }
 
     /// Limits the deadline of each unanswered flow to `at` and returns these flows. Admission
-    /// control rejects all that wait in it, and all that come later.
+    /// control rejects all flows that wait in it and all flows that arrive later.
     pub fn shorten_deadlines(
         &mut self,
         at: Time,
@@ -255,14 +257,16 @@
             .collect()
     }
 
-    /// Removes a flow that nothing more comes of; every flow ends by this one call.
+    /// Removes a flow for which no more events will be reported. Each flow must be removed by this
+    /// method in the end.
     pub fn remove(&mut self, now: Time, flow: FlowId, commands: &mut Vec<PolicyCommand>) {
         let entry = self.flows.remove(&flow);
         if let Some(admission) = &mut self.admission {
             admission.flow_closed(flow);
         }
-        // Guards against an attempt that was started just as the client left, or whose flow has
-        // panicked: nothing else reports its end, and the policy would count it as in flight.
+        // If an attempt was started just as the client disconnected, or the handling of the flow has
+        // panicked, nothing else reports the attempt's end. The policy would count it as in flight
+        // forever.
         let in_flight = entry.and_then(|entry| {
             let mut attempts = entry.flow.attempts.into_iter();
             attempts.find(|attempt| attempt.in_flight)
@@ -279,7 +283,7 @@
         }
     }
 
-    /// Returns whether the flow still awaits an answer.
+    /// Returns whether the flow is still waiting for an answer.
     pub fn awaits_answer(&self, flow: FlowId) -> bool {
         self.flows
             .get(&flow)
@@ -292,7 +296,7 @@
             .is_some_and(|flow| flow.attempts.iter().any(|attempt| attempt.in_flight))
     }
 
-    /// Returns the flow as it was accepted, with its attempts so far.
+    /// Returns the flow with its attempts so far, `None` if it isn't in the table.
     pub fn flow(&self, flow: FlowId) -> Option<&Flow> {
         self.flows.get(&flow).map(|entry| &entry.flow)
     }
--- a/crates/flow-table/src/table/admission.rs
+++ b/crates/flow-table/src/table/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control before the policy.
+//! Admission control in front of the policy.
 
 use nettlemux_admission::{
     AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest,
@@ -12,22 +12,23 @@
 use crate::retry_after_hint::RetryAfterHint;
 
 impl<P: LoadBalancingPolicy> FlowTable<P> {
-    /// Returns the table with admission control before the policy.
+    /// Adds admission control in front of the policy. `hint` says whether rejected clients receive a
+    /// Retry-After.
     pub fn with_admission(mut self, admission: AdmissionController, hint: RetryAfterHint) -> Self {
         self.admission = Some(admission);
         self.retry_after_hint = hint;
         self
     }
 
-    /// Changes the limits and weights of admission control, where there is one. Flows that wait in
-    /// it stay.
+    /// Changes the limits and weights of admission control, if there is one. Flows that wait in it
+    /// stay queued.
     pub fn apply_admission_config(&mut self, config: AdmissionConfig) {
         if let Some(admission) = &mut self.admission {
             admission.apply_config(config);
         }
     }
 
-    /// Returns the admission control before the policy, `None` where there is none.
+    /// Returns the admission control in front of the policy, `None` if it is disabled.
     pub fn admission(&self) -> Option<&AdmissionController> {
         self.admission.as_ref()
     }
@@ -56,10 +57,10 @@
         self.admit_queued(now, commands);
     }
 
-    /// Admits flows until the policy has queued as many as it may or none waits.
+    /// Admits flows until the policy's queue is full or no flow can be admitted.
     pub(super) fn admit_queued(&mut self, now: Time, commands: &mut Vec<PolicyCommand>) {
         while let Some(admission) = &mut self.admission {
-            admission.set_policy_queue(&self.queued);
+            admission.set_policy_queue(&self.policy_queue);
             let mut decisions = Vec::new();
             admission.next_decisions(now, &mut decisions);
             if decisions.is_empty() {
@@ -78,7 +79,7 @@
         for decision in decisions {
             match decision {
                 AdmissionDecision::Admit(flow) => self.place_unanswered(now, flow, commands),
-                // No attempt was made, so a retry is safe whatever the traffic class.
+                // No attempt was made, so the client can safely retry a flow of any traffic class.
                 AdmissionDecision::Reject {
                     flow, retry_after, ..
                 } => {
@@ -93,8 +94,9 @@
         }
     }
 
-    /// Returns the Retry-After for a flow that the policy rejects: where the client may be sent one
-    /// and admission control knows the flow, the time that the queue needs.
+    /// Returns the Retry-After for a flow that the policy rejects, `None` if `from_policy` is `None`.
+    /// If admission control knows the flow, its estimate, which includes the waiting time in its
+    /// queue, replaces that of the policy.
     pub(super) fn rejection_retry_after(
         &mut self,
         now: Time,
--- a/crates/flow-table/src/table/commands.rs
+++ b/crates/flow-table/src/table/commands.rs
@@ -1,4 +1,4 @@
-//! Turns the policy's decisions into commands.
+//! Translates the policy's decisions into commands.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -10,7 +10,7 @@
 use crate::policy::LoadBalancingPolicy;
 
 impl<P: LoadBalancingPolicy> FlowTable<P> {
-    /// Asks the policy about a flow, unless it awaits no answer any more.
+    /// Asks the policy to place a flow, unless the flow no longer waits for an answer.
     pub(super) fn place_unanswered(
         &mut self,
         now: Time,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Carries a placement over into the table and gives the command for it.
+    /// Applies a placement to the flow's entry and issues the command for it.
     pub(super) fn apply_placement(
         &mut self,
         now: Time,
@@ -56,7 +56,7 @@
                     send_within,
                 }
             }
-            Placement::Wait => return self.queued.push(id),
+            Placement::Wait => return self.policy_queue.push(id),
             Placement::Reject { retry_after } => {
                 entry.awaits_answer = false;
                 let retry_after = self.rejection_retry_after(now, id, retry_after);
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Gives the commands for a policy's actions; [`Actions::placement`] is left to the caller.
+    /// Issues the commands for a policy's actions. The caller handles [`Actions::placement`].
     pub(super) fn apply_actions(&self, actions: Actions, commands: &mut Vec<PolicyCommand>) {
         let health_checks = actions.health_checks.into_iter();
         commands.extend(health_checks.map(|server_id| PolicyCommand::CheckHealth { server_id }));
@@ -89,16 +89,16 @@
         commands.extend(actions.gossip.map(PolicyCommand::Gossip));
     }
 
-    /// The number of a flow's last attempt, 0 where none was made.
+    /// Returns the number of a flow's last attempt, 0 if none was made.
     fn last_attempt_number(&self, flow: FlowId) -> usize {
         self.flow(flow)
             .map_or(0, |flow: &Flow| flow.attempts.len().saturating_sub(1))
     }
 }
 
-/// Asks a policy where a flow goes; the flow fails where the policy panics. Guards against a fault
-/// in one decision that keeps its client waiting up to the deadline, and the other queued flows
-/// from being placed.
+/// Asks a policy to place a flow, and fails the flow if the policy panics. Without this, a bug in
+/// one decision would keep the flow's client waiting up to its deadline and would keep the other
+/// queued flows from being placed.
 pub(super) fn place_or_fail(
     policy: &mut impl LoadBalancingPolicy,
     now: Time,
--- a/crates/flow-table/src/table/tests.rs
+++ b/crates/flow-table/src/table/tests.rs
@@ -1,29 +1,30 @@
-//! Tests of the flow table under a scripted policy.
+//! Tests of the flow table with a scripted policy.
 
 use nettlemux_admission::{AdmissionConfig, AdmissionController};
 use nettlemux_policy::{Actions, Placement, PolicyEvent};
 
 use super::*;
 
-/// Answers with the placements of the test in turn, and records whether flows were unanswered.
+/// Returns the given placements one after the other. Records for each ended attempt whether its
+/// flow was still unanswered.
 #[derive(Default)]
 struct ScriptedPolicy {
     placements: Vec<Placement>,
-    awaits_answer: Vec<bool>,
-    /// The flow on which it panics.
+    unanswered_at_attempt_end: Vec<bool>,
+    /// The flow whose placement panics.
     panics_on: Option<FlowId>,
 }
 
 impl LoadBalancingPolicy for ScriptedPolicy {
     fn place(&mut self, _: Time, flow: &Flow) -> Placement {
-        assert_ne!(self.panics_on, Some(flow.id), "on purpose");
+        assert_ne!(self.panics_on, Some(flow.id), "panic intended by the test");
         self.placements.remove(0)
     }
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
         let mut actions = Actions::default();
         match event {
             PolicyEvent::AttemptEnded { unanswered, .. } => {
-                self.awaits_answer.push(unanswered.is_some());
+                self.unanswered_at_attempt_end.push(unanswered.is_some());
                 actions.placement = unanswered.map(|flow| self.place(now, flow));
             }
             PolicyEvent::ClientLeft { flow } => actions.cancel.push(flow),
@@ -50,7 +51,7 @@
     })
 }
 
-/// Accepts a flow that nothing is known of but its number.
+/// Accepts a flow with default values in all fields but its ID.
 fn accept(
     flow_table: &mut FlowTable<ScriptedPolicy>,
     now: Time,
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_flow_is_connected_again_and_answered_once() {
+fn flow_with_failed_attempts_is_retried_and_answered_once() {
     let mut flow_table = flow_table(&[
         Placement::Forward {
             server_id: 4,
@@ -142,7 +143,7 @@
             },
         ]
     );
-    // Guards against a second answer for a flow that has had its own.
+    // The end of an attempt after the answer must not lead to a second answer.
     flow_table.attempt_ended(
         4,
         EndedAttempt {
@@ -156,20 +157,23 @@
         &mut commands,
     );
     assert_eq!(
-        (commands.len(), flow_table.policy.awaits_answer.as_slice()),
+        (
+            commands.len(),
+            flow_table.policy.unanswered_at_attempt_end.as_slice()
+        ),
         (5, &[true, true, false][..])
     );
     flow_table.remove(5, 7, &mut commands);
     assert!(
-        flow_table.flows.is_empty() && flow_table.policy.awaits_answer.len() == 3,
-        "no attempt is in flight, so the policy is not notified"
+        flow_table.flows.is_empty() && flow_table.policy.unanswered_at_attempt_end.len() == 3,
+        "the policy is not notified if no attempt is in flight"
     );
 }
 
-/// Guards against an attempt that is started just as its client leaves and counts as in flight
-/// ever after.
+/// Guards against an attempt that counts as in flight forever. This happens if the client disconnects
+/// just as the attempt is started, so that nothing else reports the attempt's end.
 #[test]
-fn an_attempt_that_was_never_made_is_reported_when_its_flow_is_removed() {
+fn removing_a_flow_reports_its_unfinished_attempt_to_the_policy_once() {
     let mut flow_table = flow_table(&[Placement::Forward {
         server_id: 4,
         timeout: 9,
@@ -177,20 +181,20 @@
     }]);
     let mut commands = Vec::new();
     accept(&mut flow_table, 1, 1, &mut commands);
-    // The client leaves while the command to start the attempt is on its way.
+    // The client disconnects before the command to start the attempt is executed.
     flow_table.client_left(2, 1, &mut commands);
     flow_table.remove(3, 1, &mut commands);
     assert_eq!(
-        flow_table.policy.awaits_answer,
+        flow_table.policy.unanswered_at_attempt_end,
         [false],
-        "the policy is notified once that it is not in flight"
+        "the policy is told that the attempt has ended"
     );
     flow_table.remove(4, 1, &mut commands);
-    assert_eq!(flow_table.policy.awaits_answer, [false]);
+    assert_eq!(flow_table.policy.unanswered_at_attempt_end, [false]);
 }
 
 #[test]
-fn queued_flows_are_placed_again_unless_their_clients_have_left() {
+fn queued_flows_are_placed_when_the_timer_expires_unless_their_clients_have_left() {
     let mut flow_table = flow_table(&[
         Placement::Wait,
         Placement::Wait,
@@ -222,10 +226,10 @@
     assert_eq!(flow_table.flow(2).map(|f| f.deadline), Some(0));
 }
 
-/// Guards against a client that waits for its answer up to its deadline, and others that wait with
-/// it, since a decision has panicked.
+/// Guards against a panic in one placement that keeps this flow, and the other queued flows, waiting
+/// up to their deadlines.
 #[test]
-fn a_flow_on_which_the_policy_panics_fails_at_once_and_no_other() {
+fn policy_panic_fails_the_flow_being_placed_at_once_and_no_other() {
     let attempt = Placement::Forward {
         server_id: 4,
         timeout: 9,
@@ -257,10 +261,10 @@
     );
 }
 
-/// Guards against admission control that keeps a flow after its client has left or past the
-/// balancer's end, and against one that admits more flows than the policy can place.
+/// Guards against admission control that keeps a flow after its client has disconnected or after the
+/// balancer has shut down, and against admission of more flows than the policy can place.
 #[test]
-fn admission_admits_while_the_policy_places_and_answers_all_at_the_end() {
+fn flows_wait_in_admission_while_the_policy_queue_is_full_and_none_is_left_at_the_end() {
     let placements = [
         Placement::Wait,
         Placement::Wait,
@@ -305,12 +309,12 @@
             flow_table.admission().unwrap().queue_length()
         ),
         (&[][..], 3),
-        "the policy has queued two"
+        "the policy has queued two flows, the other three wait in admission control"
     );
     flow_table.client_left(1, 5, &mut commands);
     assert_eq!(flow_table.admission().unwrap().queue_length(), 2);
-    // One is placed and one queued again; so one more is admitted, and rejected by the policy with
-    // the Retry-After of admission control.
+    // The policy places flow 1 and queues flow 2 again, so flow 3 is admitted. The policy rejects it,
+    // and it gets the Retry-After of admission control.
     flow_table.timer_expired(2, &mut commands);
     assert!(
         matches!(
@@ -320,10 +324,10 @@
         "{commands:?}"
     );
     commands.clear();
-    let awaits_answer = flow_table.shorten_deadlines(4, &mut commands);
+    let unanswered = flow_table.shorten_deadlines(4, &mut commands);
     assert!(
-        awaits_answer.contains(&1) && awaits_answer.contains(&2) && !awaits_answer.contains(&5),
-        "{awaits_answer:?}"
+        unanswered.contains(&1) && unanswered.contains(&2) && !unanswered.contains(&5),
+        "{unanswered:?}"
     );
     (1..=5).for_each(|id| flow_table.remove(5, id, &mut commands));
     assert_eq!(flow_table.admission().unwrap().queue_length(), 0);
