--- a/crates/admission/benches/admission.rs
+++ b/crates/admission/benches/admission.rs
@@ -1,5 +1,5 @@
-//! The cost of a flow in admission control: one is submitted, one admitted and one closed, by the
-//! number of keys with flows that wait.
+//! The cost of a flow in admission control. Each iteration submits one flow, admits one and closes
+//! it. The parameter is the number of keys.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use nettlemux_admission::{
@@ -17,7 +17,7 @@
     }
 }
 
-fn admission(keys: u64) -> AdmissionController {
+fn admission_with_queued_flows(keys: u64) -> AdmissionController {
     let mut admission = AdmissionController::new(
         AdmissionConfig {
             queue_limit: 1 << 20,
@@ -25,7 +25,9 @@
         },
         1,
     );
-    // A service rate at which none of them is late.
+    // Sets the connection rate. The admission rate, which decides whether a flow is expected to be
+    // late, keeps its initial value of 10 flows per second. So with 100,000 keys only about 36,000
+    // flows are queued and the others are rejected.
     (0..2_000_000).for_each(|k| admission.flow_connected(k * SEC / 1_000_000));
     let mut decisions = Vec::new();
     (0..keys).for_each(|key| {
@@ -38,10 +40,10 @@
     admission
 }
 
-fn admit(c: &mut Criterion) {
+fn submit_admit_and_close(c: &mut Criterion) {
     let mut group = c.benchmark_group("a flow is submitted, one admitted, one closed");
     for keys in [10u64, 1_000, 100_000] {
-        let mut admission = admission(keys);
+        let mut admission = admission_with_queued_flows(keys);
         let mut flow = keys;
         group.bench_function(BenchmarkId::from_parameter(keys), |b| {
             b.iter_batched(
@@ -63,5 +65,5 @@
     group.finish();
 }
 
-criterion_group!(benches, admit);
+criterion_group!(benches, submit_admit_and_close);
 criterion_main!(benches);
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -1,36 +1,37 @@
-//! The limits of admission control.
+//! The configuration of admission control.
 
 use std::collections::BTreeMap;
 
 use nettlemux_policy::{SEC, Time};
 
-/// The least weight of a key, whatever the configuration says.
+/// The smallest weight of a key. Lower configured weights are raised to it.
 pub(crate) const WEIGHT_MIN: f64 = 1e-3;
 
 /// The limits and weights of an [`AdmissionController`](crate::AdmissionController).
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Flows that may wait at once.
+    /// The maximum number of queued flows.
     pub queue_limit: usize,
-    /// Flows of one key that may wait at once.
+    /// The maximum number of queued flows of one key.
     pub queue_limit_per_key: usize,
-    /// Flows that the policy may have queued before no other is admitted.
+    /// The length of the policy's queue from which on no flow is admitted.
     pub policy_queue_limit: usize,
-    /// New flows a second of one key; 0 is no limit.
+    /// The rate limit of each key, in new flows per second; 0 means no limit.
     pub rate: f64,
-    /// New flows of one key that may come at once, where there is a rate.
+    /// The burst size of each key, in new flows, if there is a rate limit.
     pub burst: f64,
-    /// Admitted flows of one key at once; 0 is no limit.
+    /// The maximum number of admitted flows of one key that are not closed; 0 means no limit.
     pub flow_limit_per_key: usize,
-    /// Retries of clients that each connected flow pays for; 0 is no retry budget.
+    /// How much each connected flow adds to the retry budget, in retries; 0 means that client
+    /// retries are not limited by a budget.
     pub retry_budget_ratio: f64,
-    /// Retries that the retry budget saves up at most.
+    /// The maximum of the retry budget, in retries.
     pub retry_budget_max: f64,
-    /// Slots in each of the fixed tables of rates and promises.
+    /// The number of slots in the table of retry reservations and in each row of the token buckets.
     pub table_size: usize,
     /// The longest Retry-After, in nanoseconds.
     pub max_retry_after: Time,
-    /// Weights of keys, where they aren't 1.
+    /// The weights of keys. A key that is not in the map has the weight 1.
     pub weights: BTreeMap<u64, f64>,
 }
 
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -11,33 +11,34 @@
 use crate::config::AdmissionConfig;
 use crate::decision::{AdmissionDecision, AdmissionRequest, RejectReason};
 use crate::fair_queue::{Arrival, FairQueues};
-use crate::retry_after::{RetryAfterPromises, RetryAfterSchedule};
+use crate::retry_after::{RetryAfterSchedule, RetryReservations};
 use crate::service_rate::ServiceRate;
 use crate::token_buckets::{RateLimit, TokenBuckets};
 
-/// How soon a controller with queued flows is asked again, whatever else happens.
+/// The longest interval between two polls of a controller that has queued flows.
 const POLL_INTERVAL_MAX: Time = 20 * MS;
 
-/// Admission control of one balancer. All times are nanoseconds of the caller's clock.
+/// The admission control of one balancer. All times are nanoseconds of the caller's clock.
 pub struct AdmissionController {
     config: AdmissionConfig,
     queues: FairQueues,
     queued: BTreeMap<FlowId, AdmissionRequest>,
-    /// The queued flows by the end of their latency objective.
+    /// The queued flows in the order in which their latency objectives expire.
     deadlines: BTreeSet<(Time, FlowId)>,
-    /// Flows that were admitted and aren't closed.
+    /// Admitted flows that are not closed.
     admitted: BTreeMap<FlowId, AdmittedFlow>,
+    /// The number of admitted flows of each key.
     admitted_by_key: BTreeMap<u64, usize>,
-    /// Flows that the policy has queued, by key.
+    /// The number of flows of each key that the policy has queued.
     policy_queue_by_key: BTreeMap<u64, usize>,
     token_buckets: TokenBuckets,
-    promises: RetryAfterPromises,
-    schedule: RetryAfterSchedule,
+    retry_reservations: RetryReservations,
+    retry_schedule: RetryAfterSchedule,
     /// The rate at which flows are admitted.
     admission_rate: ServiceRate,
-    /// The rate at which flows are connected.
+    /// The rate at which admitted flows are connected.
     connection_rate: ServiceRate,
-    /// Retries that may be admitted.
+    /// The number of client retries that may be admitted.
     retry_budget: f64,
     is_shutting_down: bool,
     rng: WyRand,
@@ -50,7 +51,7 @@
 }
 
 impl AdmissionController {
-    /// Returns a controller without flows. `seed` is that of its random draws and hashes.
+    /// Returns a controller without flows. `seed` determines its random numbers and hashes.
     pub fn new(config: AdmissionConfig, seed: u64) -> Self {
         let mut rng = WyRand::new_seed(seed);
         let hash_seed = rng.generate::<u64>();
@@ -62,8 +63,8 @@
             admitted_by_key: BTreeMap::new(),
             policy_queue_by_key: BTreeMap::new(),
             token_buckets: TokenBuckets::new(config.table_size, hash_seed),
-            promises: RetryAfterPromises::new(config.table_size, hash_seed),
-            schedule: RetryAfterSchedule::new(config.max_retry_after),
+            retry_reservations: RetryReservations::new(config.table_size, hash_seed),
+            retry_schedule: RetryAfterSchedule::new(config.max_retry_after),
             admission_rate: ServiceRate::default(),
             connection_rate: ServiceRate::default(),
             retry_budget: config.retry_budget_max,
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Changes the limits and weights, but not the sizes of tables and the longest Retry-After.
-    /// Queued flows stay, also those over a lowered limit.
+    /// Changes the limits and weights, but not the table sizes and the longest Retry-After. Queued
+    /// flows stay queued, even if they exceed a lowered limit.
     pub fn apply_config(&mut self, config: AdmissionConfig) {
         self.queues.set_weights(|key| config.weight(key));
         self.retry_budget = self.retry_budget.min(config.retry_budget_max);
@@ -85,28 +86,28 @@
         };
     }
 
-    /// Returns whether the flow waits to be admitted.
+    /// Returns whether the flow is waiting to be admitted.
     pub fn is_queued(&self, flow: FlowId) -> bool {
         self.queued.contains_key(&flow)
     }
 
-    /// Returns how many flows wait to be admitted.
+    /// Returns the number of flows that are waiting to be admitted.
     pub fn queue_length(&self) -> usize {
         self.queued.len()
     }
 
-    /// Queues a flow, or rejects it at once by a decision that is appended to `decisions`.
-    /// [`AdmissionController::next_decisions`] is to be called next.
+    /// Queues a flow, or rejects it at once by appending a decision to `decisions`. The caller must
+    /// call [`AdmissionController::next_decisions`] next.
     pub fn submit(
         &mut self,
         now: Time,
         request: AdmissionRequest,
         decisions: &mut Vec<AdmissionDecision>,
     ) {
-        let arrival = if self.promises.redeem(now, request.client) {
+        let arrival = if self.retry_reservations.claim(now, request.client) {
             Arrival::AtRetryAfter
         } else {
-            Arrival::New
+            Arrival::Regular
         };
         match self.reject_reason(now, &request, arrival) {
             Some(reason) => self.reject(now, request, reason, decisions),
@@ -124,18 +125,19 @@
         if exceeded.is_some() {
             return exceeded;
         }
-        if arrival == Arrival::New && self.counts_as_retry(request) {
+        if arrival == Arrival::Regular && self.counts_as_retry(request) {
             self.retry_budget -= 1.0;
         }
-        // Rejected at once where it can't be admitted in time: queued it would only be late.
+        // A flow that can't be admitted in time is rejected at once. If it were queued, it would
+        // only be rejected later.
         let needed = self.time_until_served(request.key, self.admission_rate.per_second());
-        let is_late = self.queued.len() > self.config.policy_queue_limit
+        let would_be_late = self.queued.len() > self.config.policy_queue_limit
             && now + needed > request.latency_deadline;
-        is_late.then_some(RejectReason::DeadlineExceeded)
+        would_be_late.then_some(RejectReason::DeadlineExceeded)
     }
 
-    /// The first limit that the flow exceeds. Takes a token of its key's rate where it comes to
-    /// that.
+    /// Returns the first limit that the flow exceeds. Takes a token of the key if the check reaches
+    /// the rate limit.
     fn exceeded_limit(
         &mut self,
         now: Time,
@@ -150,8 +152,9 @@
         if flow_limit > 0 && admitted >= flow_limit {
             return Some(RejectReason::FlowLimit);
         }
-        // A client that comes back at its Retry-After has paid already.
-        if arrival == Arrival::New {
+        // A client that retries at the end of its Retry-After has already waited. Neither the rate
+        // limit nor the retry budget applies to it.
+        if arrival == Arrival::Regular {
             let limit = RateLimit {
                 rate: self.config.rate,
                 burst: self.config.burst,
@@ -168,7 +171,7 @@
         is_full.then_some(RejectReason::QueueFull)
     }
 
-    /// Whether the flow is a retry, and retries have a budget.
+    /// Returns whether the flow is a retry and there is a retry budget.
     fn counts_as_retry(&self, request: &AdmissionRequest) -> bool {
         request.is_retry && self.config.retry_budget_ratio > 0.0
     }
@@ -181,16 +184,16 @@
         self.queued.insert(flow, request);
     }
 
-    /// How long it takes until one more flow of the key is served, at that rate.
+    /// Returns the time until one more flow of the key is served if flows are served at this rate.
     fn time_until_served(&self, key: u64, flows_per_second: f64) -> Time {
         let flows = self.queues.flows_until_served(key, self.config.weight(key));
         (flows / flows_per_second * SEC as f64) as Time
     }
 
-    /// Appends to `decisions` the rejection of each flow whose latency objective has run out, and
-    /// the admission of at most one flow. The caller asks the policy about that one, passes its
-    /// queue to [`AdmissionController::set_policy_queue`] and calls again, until nothing is
-    /// decided.
+    /// Appends to `decisions` the rejection of each flow whose latency objective has expired, and
+    /// the admission of at most one flow. The caller asks the policy to place the admitted flow,
+    /// passes the policy's queue to [`AdmissionController::set_policy_queue`] and calls this method
+    /// again, until it makes no decision.
     pub fn next_decisions(&mut self, now: Time, decisions: &mut Vec<AdmissionDecision>) {
         self.reject_expired(now, decisions);
         if let Some(request) = self.pop_admissible() {
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Rejects the flows whose latency objective has run out, and at a shutdown all of them.
+    /// Rejects the flows whose latency objective has expired, or all flows during a shutdown.
     fn reject_expired(&mut self, now: Time, decisions: &mut Vec<AdmissionDecision>) {
         let reason = if self.is_shutting_down {
             RejectReason::ShuttingDown
@@ -221,15 +224,16 @@
         }
     }
 
-    /// Takes the next flow out of the queue, if the policy's queue is short enough.
+    /// Removes and returns the next flow that may be admitted, `None` if there is none or the
+    /// policy's queue is full.
     fn pop_admissible(&mut self) -> Option<AdmissionRequest> {
         let limit = self.config.policy_queue_limit;
         let policy_queue = &self.policy_queue_by_key;
         if policy_queue.values().sum::<usize>() >= limit {
             return None;
         }
-        // No key may have more than half of the policy's queue: guards against flows that can't be
-        // placed and keep out others that could.
+        // No key may take more than half of the policy's queue. Otherwise flows of one key that
+        // can't be placed would keep out flows of other keys that could be placed.
         let limit_per_key = limit.div_ceil(2);
         let eligible = |key: u64| {
             policy_queue
@@ -242,13 +246,14 @@
         Some(request)
     }
 
-    /// Returns when the first latency objective of a queued flow runs out.
+    /// Returns the time when the first latency objective of a queued flow expires, `None` if no
+    /// flow is queued.
     pub fn next_deadline(&self) -> Option<Time> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Returns how long until [`AdmissionController::next_decisions`] is to be called at the
-    /// latest, `None` where no flow is queued.
+    /// Returns the time within which [`AdmissionController::next_decisions`] must be called, `None`
+    /// if no flow is queued.
     pub fn time_to_next_poll(&self, now: Time) -> Option<Time> {
         let deadline = self.next_deadline()?;
         Some(deadline.saturating_sub(now).min(POLL_INTERVAL_MAX))
@@ -271,9 +276,10 @@
         let AdmissionRequest {
             flow, key, client, ..
         } = request;
-        // Beside what the queue needs: a key over its rate waits for its next token, one with as
-        // many flows as it may for the end of one, of which nothing is known.
-        let least = match reason {
+        // The lower bound that applies in addition to the waiting time in the queue. A key over its
+        // rate limit waits for its next token. A key at its flow limit waits until one of its flows
+        // is closed. When that happens is unknown, so it gets the longest Retry-After.
+        let minimum = match reason {
             RejectReason::RateLimited => {
                 self.token_buckets
                     .time_to_next_token(now, key, self.config.rate)
@@ -281,7 +287,7 @@
             RejectReason::FlowLimit => self.config.max_retry_after,
             _ => 0,
         };
-        let retry_after = self.schedule_retry_after(now, key, client, least);
+        let retry_after = self.schedule_retry_after(now, key, client, minimum);
         decisions.push(AdmissionDecision::Reject {
             flow,
             reason,
@@ -289,28 +295,30 @@
         });
     }
 
-    /// Returns a Retry-After for a client that is rejected, and remembers it: not shorter than the
-    /// queue needs, at a time for which few others are scheduled.
-    fn schedule_retry_after(&mut self, now: Time, key: u64, client: u64, least: Time) -> Time {
-        // A flow that is admitted and finds no server is not served: the lower rate counts.
+    /// Returns a Retry-After for a rejected client and records a reservation for it. It covers the
+    /// waiting time in the queue, up to the limits of the schedule, and ends when few other retries
+    /// are scheduled.
+    fn schedule_retry_after(&mut self, now: Time, key: u64, client: u64, minimum: Time) -> Time {
+        // An admitted flow for which there is no server is not served, so the lower of the two
+        // rates is used.
         let rate = self
             .connection_rate
             .per_second()
             .min(self.admission_rate.per_second());
-        let needed = self.time_until_served(key, rate).max(least);
-        let retry_after = self.schedule.schedule(now, needed, &mut self.rng);
-        self.promises.record(now + retry_after, client);
+        let needed = self.time_until_served(key, rate).max(minimum);
+        let retry_after = self.retry_schedule.schedule(now, needed, &mut self.rng);
+        self.retry_reservations.record(now + retry_after, client);
         retry_after
     }
 
     /// Returns a Retry-After for a flow that was admitted and then rejected by the policy, `None`
-    /// where the flow isn't known.
+    /// if the flow is not an admitted flow.
     pub fn retry_after_for(&mut self, now: Time, flow: FlowId) -> Option<Time> {
         let AdmittedFlow { key, client } = *self.admitted.get(&flow)?;
         Some(self.schedule_retry_after(now, key, client, 0))
     }
 
-    /// Takes the flows that the policy has queued now.
+    /// Sets the flows that are in the policy's queue.
     pub fn set_policy_queue(&mut self, flows: &[FlowId]) {
         self.policy_queue_by_key.clear();
         for flow in flows.iter().filter_map(|flow| self.admitted.get(flow)) {
@@ -318,21 +326,21 @@
         }
     }
 
-    /// Takes note that an admitted flow was connected.
+    /// Records that an admitted flow was connected.
     pub fn flow_connected(&mut self, now: Time) {
         self.connection_rate.record(now);
-        let earned = self.retry_budget + self.config.retry_budget_ratio;
-        self.retry_budget = earned.min(self.config.retry_budget_max);
+        let replenished = self.retry_budget + self.config.retry_budget_ratio;
+        self.retry_budget = replenished.min(self.config.retry_budget_max);
     }
 
-    /// Lets the service rates decay over the time that has passed.
+    /// Applies the decay of the service rates since the last update.
     pub fn decay_service_rates(&mut self, now: Time) {
         self.admission_rate.decay(now);
         self.connection_rate.decay(now);
     }
 
-    /// Forgets a flow whose client has left, or of which nothing more comes; every flow ends by
-    /// this one call.
+    /// Removes a flow whose client has disconnected or that has ended. Each flow must be removed by
+    /// this method in the end.
     pub fn flow_closed(&mut self, flow: FlowId) {
         self.dequeue(flow);
         if let Some(AdmittedFlow { key, .. }) = self.admitted.remove(&flow)
@@ -345,7 +353,7 @@
         }
     }
 
-    /// Rejects from now on each flow that is queued or comes.
+    /// Starts the shutdown: from now on all queued flows and all new flows are rejected.
     pub fn shut_down(&mut self) {
         self.is_shutting_down = true;
     }
--- a/crates/admission/src/controller/tests.rs
+++ b/crates/admission/src/controller/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// Fills the policy's queue with flows of other keys.
+/// Fills the policy's queue with flows of keys that the tests don't use otherwise.
 fn fill_policy_queue(admission: &mut AdmissionController) {
     let flows = [9001, 9002, 9003, 9004];
     flows.iter().for_each(|flow| {
@@ -28,6 +28,7 @@
     admission.set_policy_queue(&flows);
 }
 
+/// Submits a flow and returns the reason and Retry-After of its rejection, `None` if it is queued.
 fn submit(
     admission: &mut AdmissionController,
     now: Time,
@@ -45,24 +46,24 @@
     })
 }
 
-fn decide(admission: &mut AdmissionController, now: Time) -> Vec<AdmissionDecision> {
+fn next_decisions(admission: &mut AdmissionController, now: Time) -> Vec<AdmissionDecision> {
     let mut decisions = Vec::new();
     admission.next_decisions(now, &mut decisions);
     decisions
 }
 
-/// A controller whose service rates are known.
-fn with_service_rate(config: AdmissionConfig, per_second: u64) -> AdmissionController {
+/// Returns a controller whose service rates have settled at `flows_per_second`.
+fn with_service_rate(config: AdmissionConfig, flows_per_second: u64) -> AdmissionController {
     let mut admission = AdmissionController::new(config, 7);
-    for k in 0..20 * per_second {
-        admission.flow_connected(k * SEC / per_second);
-        admission.admission_rate.record(k * SEC / per_second);
+    for k in 0..20 * flows_per_second {
+        admission.flow_connected(k * SEC / flows_per_second);
+        admission.admission_rate.record(k * SEC / flows_per_second);
     }
     admission
 }
 
 #[test]
-fn flows_are_admitted_by_the_weights_of_keys_however_many_one_sends() {
+fn flows_are_admitted_in_proportion_to_key_weights_regardless_of_queue_lengths() {
     let config = AdmissionConfig {
         weights: BTreeMap::from([(3, 2.0)]),
         ..AdmissionConfig::default()
@@ -72,7 +73,7 @@
     assert_eq!(submit(&mut admission, 0, request(100, 2)), None);
     (200..204).for_each(|flow| assert_eq!(submit(&mut admission, 0, request(flow, 3)), None));
     let admitted: Vec<FlowId> = (0..8)
-        .flat_map(|_| decide(&mut admission, 0))
+        .flat_map(|_| next_decisions(&mut admission, 0))
         .map(|decision| match decision {
             AdmissionDecision::Admit(flow) => flow,
             other => panic!("{other:?}"),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn none_is_admitted_while_the_policy_queue_is_full_and_none_waits_past_its_objective() {
+fn full_policy_queue_blocks_admission_and_expired_flows_are_rejected() {
     let mut admission = AdmissionController::new(AdmissionConfig::default(), 1);
     fill_policy_queue(&mut admission);
     assert_eq!(
@@ -97,11 +98,11 @@
         None
     );
     assert_eq!(
-        (decide(&mut admission, 0), admission.next_deadline()),
+        (next_decisions(&mut admission, 0), admission.next_deadline()),
         (vec![], Some(SEC))
     );
     assert!(matches!(
-        decide(&mut admission, SEC)[..],
+        next_decisions(&mut admission, SEC)[..],
         [AdmissionDecision::Reject {
             flow: 1,
             reason: RejectReason::DeadlineExceeded,
@@ -113,20 +114,29 @@
         (0, None)
     );
     admission.set_policy_queue(&[]);
-    assert_eq!(decide(&mut admission, SEC), []);
-    // One key's flows that can't be placed take half of the policy's queue, and another's are
-    // still admitted.
+    assert_eq!(next_decisions(&mut admission, SEC), []);
+    // Flows of one key that can't be placed take only half of the policy's queue. Flows of another
+    // key are still admitted.
     (10..13).for_each(|flow| assert_eq!(submit(&mut admission, SEC, request(flow, 1)), None));
-    assert_eq!(decide(&mut admission, SEC), [AdmissionDecision::Admit(10)]);
-    assert_eq!(decide(&mut admission, SEC), [AdmissionDecision::Admit(11)]);
+    assert_eq!(
+        next_decisions(&mut admission, SEC),
+        [AdmissionDecision::Admit(10)]
+    );
+    assert_eq!(
+        next_decisions(&mut admission, SEC),
+        [AdmissionDecision::Admit(11)]
+    );
     admission.set_policy_queue(&[10, 11]);
-    assert_eq!(decide(&mut admission, SEC), []);
+    assert_eq!(next_decisions(&mut admission, SEC), []);
     assert_eq!(submit(&mut admission, SEC, request(20, 2)), None);
-    assert_eq!(decide(&mut admission, SEC), [AdmissionDecision::Admit(20)]);
+    assert_eq!(
+        next_decisions(&mut admission, SEC),
+        [AdmissionDecision::Admit(20)]
+    );
 }
 
 #[test]
-fn what_cannot_be_in_time_is_rejected_at_once_with_a_retry_after_no_shorter_than_needed() {
+fn flow_that_cannot_be_admitted_in_time_is_rejected_at_once_with_sufficient_retry_after() {
     let mut admission = with_service_rate(
         AdmissionConfig {
             queue_limit_per_key: 500,
@@ -147,7 +157,7 @@
             },
         ));
     }
-    // At 20 a second about 20 can be in time.
+    // At 20 flows per second, about 20 flows can be admitted within their latency objective of 1 s.
     assert!(
         (15..25).contains(&admission.queue_length()),
         "{}",
@@ -161,7 +171,7 @@
                 && *wait <= 2 * SEC),
         "{rejected:?}"
     );
-    // Another key is served next.
+    // A flow of another key is served next, so it is in time.
     assert_eq!(
         submit(
             &mut admission,
@@ -176,7 +186,7 @@
 }
 
 #[test]
-fn limits_hold_by_key() {
+fn rate_limit_and_flow_limit_apply_to_each_key_separately() {
     let config = AdmissionConfig {
         rate: 2.0,
         burst: 3.0,
@@ -198,15 +208,15 @@
         reasons(&mut admission, SEC, 10),
         [None, None, rate, rate, rate]
     );
-    // The next token comes after half a second, and the Retry-After is not shorter.
+    // The next token is available after half a second, and the Retry-After is not shorter.
     assert!(submit(&mut admission, SEC, request(98, 9)).is_some_and(|(_, wait)| wait >= 490 * MS));
     assert_eq!(
         submit(&mut admission, SEC, request(99, 8)),
         None,
-        "another key"
+        "the limits of another key are not reached"
     );
-    // Five are admitted: the key has as many as it may, until one is closed.
-    while !decide(&mut admission, SEC).is_empty() {}
+    // Five flows are admitted. The key is at its flow limit until one of them is closed.
+    while !next_decisions(&mut admission, SEC).is_empty() {}
     assert_eq!(
         reasons(&mut admission, 9 * SEC, 20)[0],
         Some(RejectReason::FlowLimit)
@@ -216,7 +226,7 @@
 }
 
 #[test]
-fn retries_are_paid_for_by_connected_flows() {
+fn retries_are_rejected_until_connected_flows_replenish_the_retry_budget() {
     let mut admission = AdmissionController::new(
         AdmissionConfig {
             retry_budget_ratio: 0.5,
@@ -238,7 +248,7 @@
     assert_eq!(
         submit(&mut admission, 0, request(4, 4)),
         None,
-        "a first attempt"
+        "a flow that is not a retry needs no budget"
     );
     admission.flow_connected(0);
     admission.flow_connected(0);
@@ -246,7 +256,7 @@
 }
 
 #[test]
-fn a_client_back_at_its_retry_after_goes_before_new_ones_and_an_early_one_does_not() {
+fn client_that_retries_at_its_retry_after_precedes_new_clients_but_an_early_one_does_not() {
     for (early, first) in [(false, 2), (true, 1)] {
         let mut admission = with_service_rate(
             AdmissionConfig {
@@ -270,7 +280,7 @@
         assert_eq!(reason, RejectReason::QueueFull);
         admission.flow_closed(0);
         let back_at = if early { now + wait / 3 } else { now + wait };
-        // A new client was there a moment before.
+        // A new client submits its flow just before.
         assert_eq!(submit(&mut admission, back_at, request(1, 5)), None);
         assert_eq!(
             submit(
@@ -285,19 +295,20 @@
         );
         admission.set_policy_queue(&[]);
         assert_eq!(
-            decide(&mut admission, back_at),
+            next_decisions(&mut admission, back_at),
             [AdmissionDecision::Admit(first)],
-            "early {early}"
+            "client retries early: {early}"
         );
     }
 }
 
-/// Guards against memory that grows with the number of clients: 50,000 come, some hang up.
+/// Guards against memory that grows with the number of clients. 50,000 clients send a flow each,
+/// and some of them disconnect.
 #[test]
-fn memory_is_bounded_and_every_flow_is_decided_once() {
+fn queue_is_bounded_and_each_flow_is_decided_once_with_many_distinct_clients() {
     let mut admission = with_service_rate(AdmissionConfig::default(), 100);
     let mut rng = WyRand::new_seed(3);
-    let (mut admitted, mut rejected, mut hung_up) = (0, 0, 0);
+    let (mut admitted, mut rejected, mut disconnected) = (0, 0, 0);
     let mut open_flows = Vec::new();
     for flow in 0..50_000u64 {
         let now = 20 * SEC + flow * MS / 10;
@@ -313,7 +324,7 @@
         );
         if rng.generate_range(0..10u32) == 0 && admission.is_queued(flow) {
             admission.flow_closed(flow);
-            hung_up += 1;
+            disconnected += 1;
         }
         if flow % 10 == 0 {
             admission.next_decisions(now, &mut decisions);
@@ -336,11 +347,14 @@
     admission.shut_down();
     let mut decisions = Vec::new();
     admission.next_decisions(60 * SEC, &mut decisions);
-    let left = decisions.len();
-    assert_eq!(admitted + rejected + hung_up + left, 50_000);
+    let rejected_at_shutdown = decisions.len();
+    assert_eq!(
+        admitted + rejected + disconnected + rejected_at_shutdown,
+        50_000
+    );
     assert!(
-        admitted > 4000 && rejected > 0 && hung_up > 0,
-        "{admitted} {rejected} {hung_up}"
+        admitted > 4000 && rejected > 0 && disconnected > 0,
+        "{admitted} admitted, {rejected} rejected, {disconnected} disconnected"
     );
     assert!(
         admission.queued.is_empty()
@@ -350,10 +364,10 @@
     assert!(admission.admitted.is_empty() && admission.admitted_by_key.is_empty());
 }
 
-/// Work conserving: while a flow waits and the policy has none queued, each call admits one; and no
-/// key starves.
+/// Checks that the queue is work-conserving: each call admits a flow if any flow is queued and the
+/// policy's queue is empty.
 #[test]
-fn each_call_admits_a_flow_while_any_waits_and_no_key_starves() {
+fn each_call_admits_a_flow_if_any_is_queued_and_no_key_starves() {
     let mut admission = AdmissionController::new(
         AdmissionConfig {
             queue_limit: 5000,
@@ -363,12 +377,12 @@
         1,
     );
     let mut rng = WyRand::new_seed(5);
-    let mut last = [0u64; 20];
+    let mut last_served_step = [0u64; 20];
     let mut flow = 0;
     for step in 0..5000u64 {
         for _ in 0..rng.generate_range(0..4u32) {
             flow += 1;
-            // Key 0 sends half of all.
+            // Key 0 sends at least half of all flows.
             let key = if rng.generate_range(0..2u32) == 0 {
                 0
             } else {
@@ -377,20 +391,23 @@
             let _ = submit(&mut admission, 0, request(flow * 32 + key, key));
         }
         let queued = admission.queue_length();
-        match decide(&mut admission, 0)[..] {
-            [AdmissionDecision::Admit(flow)] => last[(flow % 32) as usize] = step,
+        match next_decisions(&mut admission, 0)[..] {
+            [AdmissionDecision::Admit(flow)] => last_served_step[(flow % 32) as usize] = step,
             ref other => assert!(
                 queued == 0 && other.is_empty(),
                 "{other:?} with {queued} queued"
             ),
         }
     }
-    // Each key was served within the last few rounds.
-    assert!(last.iter().all(|at| *at + 100 > 5000), "{last:?}");
+    // Each key was served within the last 100 steps.
+    assert!(
+        last_served_step.iter().all(|step| *step + 100 > 5000),
+        "{last_served_step:?}"
+    );
 }
 
 #[test]
-fn weights_and_limits_change_while_it_is_full() {
+fn changed_weights_and_limits_apply_while_flows_are_queued_and_drop_none() {
     let mut admission = AdmissionController::new(AdmissionConfig::default(), 1);
     (0..40).for_each(|flow| assert_eq!(submit(&mut admission, 0, request(flow, flow % 2)), None));
     let weights = BTreeMap::from([(1, 3.0)]);
@@ -404,9 +421,12 @@
         submit(&mut admission, 0, request(99, 5)).map(|(reason, _)| reason),
         Some(RejectReason::QueueFull)
     );
-    let admitted = (0..16).flat_map(|_| decide(&mut admission, 0));
+    let admitted = (0..16).flat_map(|_| next_decisions(&mut admission, 0));
     let odd = admitted
         .filter(|decision| matches!(decision, AdmissionDecision::Admit(flow) if flow % 2 == 1))
         .count();
-    assert!((11..=13).contains(&odd), "{odd} of 16");
+    assert!(
+        (11..=13).contains(&odd),
+        "{odd} of 16 flows are of the key with weight 3"
+    );
 }
--- a/crates/admission/src/decision.rs
+++ b/crates/admission/src/decision.rs
@@ -1,52 +1,54 @@
-//! What admission control is asked, and what it answers.
+//! Admission requests and decisions.
 
 use nettlemux_policy::{FlowId, Time};
 
-/// A flow that asks to be admitted.
+/// A flow submitted to admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
     /// The flow.
     pub flow: FlowId,
-    /// The key in whose queue the flow waits.
+    /// The key in whose fair queue the flow waits.
     pub key: u64,
-    /// The client, recognized when it comes back; it isn't trusted beyond that.
+    /// Identifies the client, so that it is recognized when it retries. The value is not trusted
+    /// for anything else.
     pub client: u64,
-    /// Whether the client says that it has tried before.
+    /// Whether the client marks the flow as a retry.
     pub is_retry: bool,
-    /// When the flow's latency objective runs out, in nanoseconds of the caller's clock; it waits
-    /// no longer.
+    /// When the flow's latency objective expires, in nanoseconds of the caller's clock. A flow that
+    /// is still queued then is rejected.
     pub latency_deadline: Time,
 }
 
 /// Why a flow is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// The queue is full, or that of its key.
+    /// The total queue or the key's queue is full.
     QueueFull,
-    /// It can't be admitted, or wasn't, before its latency objective runs out.
+    /// The flow's latency objective has expired, or is expected to expire before the flow is
+    /// admitted.
     DeadlineExceeded,
-    /// Its key sends more flows than its rate.
+    /// The key is over its rate limit.
     RateLimited,
-    /// Its key has as many admitted flows as it may.
+    /// The key has reached its limit of admitted flows.
     FlowLimit,
-    /// The retry budget is used up.
+    /// The flow is a retry and the retry budget is exhausted.
     RetryBudgetExhausted,
-    /// The balancer shuts down.
+    /// The balancer is shutting down.
     ShuttingDown,
 }
 
-/// What becomes of a flow that asked to be admitted.
+/// The decision about a submitted flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The flow goes on to the policy.
+    /// The flow is passed to the policy.
     Admit(FlowId),
-    /// The flow is rejected; none of its attempts has been made.
+    /// The flow is rejected, and no attempt was made.
     Reject {
         /// The flow.
         flow: FlowId,
         /// Why it is rejected.
         reason: RejectReason,
-        /// The Retry-After for its client, in nanoseconds.
+        /// The Retry-After for the client, in nanoseconds.
         retry_after: Time,
     },
 }
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -1,5 +1,5 @@
-//! The Retry-After times of rejected clients, in tables of fixed size: a schedule that
-//! spreads them, and the promises by which a client that keeps to its time is recognized.
+//! The Retry-After times of rejected clients, in tables of fixed size: a schedule that spreads the
+//! retries over time, and reservations that recognize clients that retry on time.
 
 #[cfg(test)]
 mod tests;
@@ -9,58 +9,70 @@
 
 use crate::hashing::hash_number;
 
-/// How early a client may come back and still keeps its Retry-After: its clock may be stepped.
+/// How early a client may retry and still use its reservation. Allows for steps of the client's
+/// clock.
 const EARLY_TOLERANCE: Time = 20 * MS;
-/// How late a client may come back and still keeps its Retry-After: its way takes time.
+/// How late a client may retry and still use its reservation. Allows for network delay.
 const LATE_TOLERANCE: Time = SEC;
 
 /// The shortest Retry-After.
 const RETRY_AFTER_MIN: Time = MS;
 
 #[derive(Clone, Copy)]
-struct Promise {
-    /// Tells clients that share a slot apart.
+struct Reservation {
+    /// Distinguishes clients that share a slot.
     tag: u32,
-    /// When the client's Retry-After ends; 0 is an empty slot.
-    at: Time,
+    /// When the client's Retry-After ends; 0 marks an empty slot.
+    retry_at: Time,
 }
 
-const NO_PROMISE: Promise = Promise { tag: 0, at: 0 };
+const EMPTY_SLOT: Reservation = Reservation {
+    tag: 0,
+    retry_at: 0,
+};
 
-/// When the Retry-After of each client ends. Of two clients that share a slot, the last one
-/// is remembered.
-pub struct RetryAfterPromises {
-    slots: Vec<Promise>,
+/// The times at which the Retry-After of rejected clients ends. A client that retries at that time
+/// has priority over new clients. Of the clients that share a slot, only the last one keeps its
+/// reservation.
+pub struct RetryReservations {
+    slots: Vec<Reservation>,
     seed: u64,
 }
 
-impl RetryAfterPromises {
-    /// Returns an empty table of `size` slots, at least one.
+impl RetryReservations {
+    /// Returns an empty table of `size` slots, but at least one.
     pub fn new(size: usize, seed: u64) -> Self {
-        RetryAfterPromises {
-            slots: vec![NO_PROMISE; size.max(1)],
+        RetryReservations {
+            slots: vec![EMPTY_SLOT; size.max(1)],
             seed: seed.rotate_left(32),
         }
     }
 
-    /// Remembers that the Retry-After of a client ends at `at`.
-    pub fn record(&mut self, at: Time, client: u64) {
+    /// Records that the Retry-After of a client ends at `retry_at`.
+    pub fn record(&mut self, retry_at: Time, client: u64) {
         let hash = hash_number(self.seed, client);
         let slot = self.slot(hash);
-        self.slots[slot] = Promise { tag: tag(hash), at };
+        self.slots[slot] = Reservation {
+            tag: tag(hash),
+            retry_at,
+        };
     }
 
-    /// Returns whether a client comes back at the end of its Retry-After, and forgets it if so.
-    pub fn redeem(&mut self, now: Time, client: u64) -> bool {
+    /// Returns whether a client retries at the end of its Retry-After. If so, removes its
+    /// reservation.
+    pub fn claim(&mut self, now: Time, client: u64) -> bool {
         let hash = hash_number(self.seed, client);
         let slot = self.slot(hash);
-        let Promise { tag: known_tag, at } = self.slots[slot];
-        let is_known = known_tag == tag(hash) && at > 0;
-        let is_punctual = now + EARLY_TOLERANCE >= at && now <= at + LATE_TOLERANCE;
-        if is_known && is_punctual {
-            self.slots[slot] = NO_PROMISE;
+        let Reservation {
+            tag: reserved_tag,
+            retry_at,
+        } = self.slots[slot];
+        let is_reserved = reserved_tag == tag(hash) && retry_at > 0;
+        let is_on_time = now + EARLY_TOLERANCE >= retry_at && now <= retry_at + LATE_TOLERANCE;
+        if is_reserved && is_on_time {
+            self.slots[slot] = EMPTY_SLOT;
         }
-        is_known && is_punctual
+        is_reserved && is_on_time
     }
 
     fn slot(&self, hash: u64) -> usize {
@@ -72,15 +84,16 @@
     (hash >> 32) as u32
 }
 
-/// The length of a slice of the schedule, in nanoseconds.
-const SLICE: Time = 100 * MS;
+/// The duration of a time slice of the schedule, in nanoseconds.
+const SLICE_DURATION: Time = 100 * MS;
 
-/// How many clients are scheduled to come back in each slice of time, from now to the longest
+/// The number of retries that are scheduled for each time slice, from now to the longest
 /// Retry-After.
 pub struct RetryAfterSchedule {
-    /// A ring of counts, a slice's at its number modulo the length.
-    counts: Vec<u32>,
-    /// The number of the first slice that isn't over.
+    /// A ring buffer of retry counts. The index of a slice is its number modulo the buffer's
+    /// length.
+    retry_counts: Vec<u32>,
+    /// The number of the first slice that has not ended.
     first_slice: u64,
     max_retry_after: Time,
 }
@@ -88,52 +101,54 @@
 impl RetryAfterSchedule {
     /// Returns an empty schedule.
     pub fn new(max_retry_after: Time) -> Self {
-        let slices = (max_retry_after / SLICE).max(1) as usize + 1;
+        let slices = (max_retry_after / SLICE_DURATION).max(1) as usize + 1;
         RetryAfterSchedule {
-            counts: vec![0; slices],
+            retry_counts: vec![0; slices],
             first_slice: 0,
             max_retry_after,
         }
     }
 
-    /// Schedules one more return and returns the Retry-After for it, in nanoseconds: not below
-    /// `needed`, not above the longest, in the first of the slices with the fewest returns, at a
-    /// random moment of it. Where `needed` is above half of the longest, the later half is used.
+    /// Schedules a retry and returns its Retry-After, in nanoseconds. The retry is scheduled at a
+    /// random time within the slice that has the fewest retries, the first of them if there are
+    /// several. The Retry-After is at least `needed` and at most the longest Retry-After. If
+    /// `needed` is more than half of the longest, the later half is used, so that the retries can
+    /// still be spread.
     pub fn schedule(&mut self, now: Time, needed: Time, rng: &mut WyRand) -> Time {
-        self.clear_past_slices(now / SLICE);
-        let last = ((now + self.max_retry_after) / SLICE)
+        self.clear_past_slices(now / SLICE_DURATION);
+        let last = ((now + self.max_retry_after) / SLICE_DURATION)
             .saturating_sub(1)
             .max(self.first_slice);
-        let least = needed.min(self.max_retry_after / 2);
-        let first = ((now + least) / SLICE + 1).min(last);
-        let slice = self.emptiest_slice(first, last);
+        let minimum = needed.min(self.max_retry_after / 2);
+        let first = ((now + minimum) / SLICE_DURATION + 1).min(last);
+        let slice = self.least_loaded_slice(first, last);
         let index = self.index(slice);
-        self.counts[index] += 1;
-        let at = slice * SLICE + rng.generate_range(0..SLICE);
-        at.saturating_sub(now).clamp(
-            least.max(RETRY_AFTER_MIN),
+        self.retry_counts[index] += 1;
+        let retry_at = slice * SLICE_DURATION + rng.generate_range(0..SLICE_DURATION);
+        retry_at.saturating_sub(now).clamp(
+            minimum.max(RETRY_AFTER_MIN),
             self.max_retry_after.max(RETRY_AFTER_MIN),
         )
     }
 
     fn clear_past_slices(&mut self, current: u64) {
-        let slices = self.counts.len() as u64;
+        let slices = self.retry_counts.len() as u64;
         for slice in self.first_slice..current.min(self.first_slice + slices) {
             let index = self.index(slice);
-            self.counts[index] = 0;
+            self.retry_counts[index] = 0;
         }
         self.first_slice = current;
     }
 
-    /// The first of the slices with the fewest returns, so that no client waits longer than it
-    /// must.
-    fn emptiest_slice(&self, first: u64, last: u64) -> u64 {
+    /// Returns the first of the slices with the fewest retries. It is the first, so that no client
+    /// waits longer than necessary.
+    fn least_loaded_slice(&self, first: u64, last: u64) -> u64 {
         (first..=last)
-            .min_by_key(|slice| self.counts[self.index(*slice)])
+            .min_by_key(|slice| self.retry_counts[self.index(*slice)])
             .unwrap_or(last)
     }
 
     fn index(&self, slice: u64) -> usize {
-        (slice % self.counts.len() as u64) as usize
+        (slice % self.retry_counts.len() as u64) as usize
     }
 }
--- a/crates/admission/src/service_rate.rs
+++ b/crates/admission/src/service_rate.rs
@@ -5,16 +5,18 @@
 
 use nettlemux_policy::{SEC, Time};
 
-/// Time constants of the two averages, in seconds.
+/// The time constants of the two moving averages, in seconds.
 const TIME_CONSTANTS: [f64; 2] = [0.5, 4.0];
-/// The rate before any flow was served, in flows a second.
+/// The estimate before any flow was served, in flows per second.
 const INITIAL_RATE: f64 = 10.0;
-/// The least rate that is estimated, in flows a second: Retry-After times are bounded anyhow.
+/// The lowest estimate, in flows per second. A lower one makes no difference, as Retry-After times
+/// are bounded.
 const RATE_MIN: f64 = 0.1;
 
-/// An estimate of the rate at which flows are served: the lower of two exponentially weighted
-/// moving averages, a quick and a slow one. A tenfold fall shows within a second and a rise only
-/// after a while, since a Retry-After that follows from the estimate is a promise.
+/// An estimate of the rate at which flows are served: the lower of a fast and a slow exponentially
+/// weighted moving average. The estimate follows a tenfold fall within a second but a rise only
+/// slowly, because clients rely on the Retry-After derived from it, which is too short if the
+/// estimate is too high.
 #[derive(Default)]
 pub struct ServiceRate {
     averages: [f64; 2],
@@ -23,7 +25,7 @@
 }
 
 impl ServiceRate {
-    /// Counts a flow that was served.
+    /// Records a served flow.
     pub fn record(&mut self, now: Time) {
         if !self.has_samples {
             self.has_samples = true;
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Lets the averages decay over the time that has passed.
+    /// Applies the decay of the averages since the last update.
     pub fn decay(&mut self, now: Time) {
         let elapsed = now.saturating_sub(self.updated_at) as f64 / SEC as f64;
         self.updated_at = self.updated_at.max(now);
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Returns the estimate, in flows a second.
+    /// Returns the estimate, in flows per second.
     pub fn per_second(&self) -> f64 {
         if !self.has_samples {
             return INITIAL_RATE;
--- a/crates/admission/src/service_rate/tests.rs
+++ b/crates/admission/src/service_rate/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn a_fall_shows_at_once_and_a_rise_later() {
+fn estimate_falls_within_a_second_and_rises_more_slowly() {
     let mut rate = ServiceRate::default();
     assert_eq!(rate.per_second(), INITIAL_RATE);
     let serve = |rate: &mut ServiceRate, from: Time, seconds: u64, per_second: u64| {
@@ -23,7 +23,7 @@
     serve(&mut rate, 21 * SEC, 1, 50);
     rate.decay(22 * SEC + MS);
     assert!(rate.per_second() < 45.0, "{}", rate.per_second());
-    // Clocks that step back change nothing.
+    // A clock that steps back doesn't change the estimate.
     let before = rate.per_second();
     rate.decay(0);
     assert_eq!(rate.per_second(), before);
--- a/crates/admission/src/token_buckets.rs
+++ b/crates/admission/src/token_buckets.rs
@@ -7,15 +7,15 @@
 
 use crate::hashing::hash_number;
 
-/// The least rate that a wait is divided by.
+/// The lower bound of the rate in the computation of waiting times. Avoids a division by zero.
 const RATE_MIN: f64 = 1e-9;
 
 /// The rate of a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimit {
-    /// Tokens a second; 0 is no limit.
+    /// Tokens per second; 0 means no limit.
     pub rate: f64,
-    /// Tokens that a bucket holds at most.
+    /// The maximum number of tokens in a bucket.
     pub burst: f64,
 }
 
@@ -30,16 +30,16 @@
     refilled_at: 0,
 };
 
-/// Token buckets in two rows of slots with a hash each, as in a count-min sketch (Cormode and
-/// Muthukrishnan 2005): a key is over its rate only if both its buckets are empty, so that one that
-/// shares a single slot with a busy key loses nothing.
+/// Token buckets in two rows of slots with different hashes, as in a count-min sketch (Cormode and
+/// Muthukrishnan 2005). A key is over its rate limit only if both its buckets are empty, so that a
+/// key that shares only one of its slots with a busy key is not affected.
 pub struct TokenBuckets {
     rows: [Vec<Bucket>; 2],
     seeds: [u64; 2],
 }
 
 impl TokenBuckets {
-    /// Returns rows of `size` full buckets each, at least one.
+    /// Returns two rows of `size` full buckets each, but at least one.
     pub fn new(size: usize, seed: u64) -> Self {
         let row = vec![FULL_BUCKET; size.max(1)];
         TokenBuckets {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Takes a token of the key and returns whether there was one.
+    /// Takes a token of the key. Returns false if there is none.
     pub fn take(&mut self, now: Time, key: u64, limit: RateLimit) -> bool {
         if limit.rate <= 0.0 {
             return true;
@@ -69,15 +69,15 @@
         true
     }
 
-    /// Returns how long until the key has its next token, in nanoseconds. Its buckets must have
-    /// been refilled a moment ago by [`TokenBuckets::take`].
+    /// Returns the time until the key has its next token, in nanoseconds. The caller must have
+    /// called [`TokenBuckets::take`] for the key just before, which refills its buckets.
     pub fn time_to_next_token(&self, now: Time, key: u64, rate: f64) -> Time {
         let slots = self.slots(key);
         let wait = |row: usize| self.rows[row][slots[row]].time_to_next_token(now, rate);
         wait(0).min(wait(1))
     }
 
-    /// The key's slot in each row.
+    /// Returns the key's slot in each row.
     fn slots(&self, key: u64) -> [usize; 2] {
         [0, 1].map(|row| {
             let hash = hash_number(self.seeds[row], key);
--- a/crates/flow-table/src/policy.rs
+++ b/crates/flow-table/src/policy.rs
@@ -4,7 +4,8 @@
     Actions, Endpoint, Flow, FlowId, GroupPlacement, Placement, Policy, PolicyEvent, ServerId, Time,
 };
 
-/// A load balancing policy. Production uses [`Policy`]; the testbed compares other policies with it.
+/// A load balancing policy. Production uses [`Policy`]; the testbed compares other policies with
+/// it.
 ///
 /// All times are nanoseconds of the caller's clock.
 pub trait LoadBalancingPolicy {
@@ -18,8 +19,8 @@
     /// if nothing is scheduled.
     fn time_to_next_timer(&self, now: Time) -> Option<Time>;
 
-    /// Updates the endpoint list. `entries` is the whole list if `is_complete` is set, otherwise only
-    /// the changed entries.
+    /// Updates the endpoint list. `entries` is the whole list if `is_complete` is set, otherwise
+    /// only the changed entries.
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
 
     /// Handles a failed poll of the endpoint list.
--- a/crates/flow-table/src/table.rs
+++ b/crates/flow-table/src/table.rs
@@ -187,8 +187,8 @@
         self.apply_actions(actions, commands);
     }
 
-    /// Handles the timer: asks the policy again about the flows that it could not place, then admits
-    /// flows that wait in admission control.
+    /// Handles the timer: asks the policy again about the flows that it could not place, then
+    /// admits flows that wait in admission control.
     pub fn timer_expired(&mut self, now: Time, commands: &mut Vec<PolicyCommand>) {
         let actions = self.policy.on_event(now, PolicyEvent::TimerExpired);
         for id in std::mem::take(&mut self.policy_queue) {
@@ -206,8 +206,8 @@
         self.policy.update_connection_load(flow, load);
     }
 
-    /// Updates the endpoint list. `entries` is the whole list if `is_complete` is set, otherwise only
-    /// the changed entries.
+    /// Updates the endpoint list. `entries` is the whole list if `is_complete` is set, otherwise
+    /// only the changed entries.
     pub fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         self.policy.update_endpoints(now, entries, is_complete);
     }
@@ -264,9 +264,9 @@
         if let Some(admission) = &mut self.admission {
             admission.flow_closed(flow);
         }
-        // If an attempt was started just as the client disconnected, or the handling of the flow has
-        // panicked, nothing else reports the attempt's end. The policy would count it as in flight
-        // forever.
+        // If an attempt was started just as the client disconnected, or the handling of the flow
+        // has panicked, nothing else reports the attempt's end. The policy would count it as in
+        // flight forever.
         let in_flight = entry.and_then(|entry| {
             let mut attempts = entry.flow.attempts.into_iter();
             attempts.find(|attempt| attempt.in_flight)
--- a/crates/flow-table/src/table/admission.rs
+++ b/crates/flow-table/src/table/admission.rs
@@ -12,8 +12,8 @@
 use crate::retry_after_hint::RetryAfterHint;
 
 impl<P: LoadBalancingPolicy> FlowTable<P> {
-    /// Adds admission control in front of the policy. `hint` says whether rejected clients receive a
-    /// Retry-After.
+    /// Adds admission control in front of the policy. `hint` says whether rejected clients receive
+    /// a Retry-After.
     pub fn with_admission(mut self, admission: AdmissionController, hint: RetryAfterHint) -> Self {
         self.admission = Some(admission);
         self.retry_after_hint = hint;
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Returns the Retry-After for a flow that the policy rejects, `None` if `from_policy` is `None`.
-    /// If admission control knows the flow, its estimate, which includes the waiting time in its
-    /// queue, replaces that of the policy.
+    /// Returns the Retry-After for a flow that the policy rejects, `None` if `from_policy` is
+    /// `None`. If admission control knows the flow, its estimate, which includes the waiting time
+    /// in its queue, replaces that of the policy.
     pub(super) fn rejection_retry_after(
         &mut self,
         now: Time,
--- a/crates/flow-table/src/table/tests.rs
+++ b/crates/flow-table/src/table/tests.rs
@@ -170,8 +170,8 @@
     );
 }
 
-/// Guards against an attempt that counts as in flight forever. This happens if the client disconnects
-/// just as the attempt is started, so that nothing else reports the attempt's end.
+/// Guards against an attempt that counts as in flight forever. This happens if the client
+/// disconnects just as the attempt is started, so that nothing else reports the attempt's end.
 #[test]
 fn removing_a_flow_reports_its_unfinished_attempt_to_the_policy_once() {
     let mut flow_table = flow_table(&[Placement::Forward {
@@ -226,8 +226,8 @@
     assert_eq!(flow_table.flow(2).map(|f| f.deadline), Some(0));
 }
 
-/// Guards against a panic in one placement that keeps this flow, and the other queued flows, waiting
-/// up to their deadlines.
+/// Guards against a panic in one placement that keeps this flow, and the other queued flows,
+/// waiting up to their deadlines.
 #[test]
 fn policy_panic_fails_the_flow_being_placed_at_once_and_no_other() {
     let attempt = Placement::Forward {
@@ -261,8 +261,8 @@
     );
 }
 
-/// Guards against admission control that keeps a flow after its client has disconnected or after the
-/// balancer has shut down, and against admission of more flows than the policy can place.
+/// Guards against admission control that keeps a flow after its client has disconnected or after
+/// the balancer has shut down, and against admission of more flows than the policy can place.
 #[test]
 fn flows_wait_in_admission_while_the_policy_queue_is_full_and_none_is_left_at_the_end() {
     let placements = [
@@ -313,8 +313,8 @@
     );
     flow_table.client_left(1, 5, &mut commands);
     assert_eq!(flow_table.admission().unwrap().queue_length(), 2);
-    // The policy places flow 1 and queues flow 2 again, so flow 3 is admitted. The policy rejects it,
-    // and it gets the Retry-After of admission control.
+    // The policy places flow 1 and queues flow 2 again, so flow 3 is admitted. The policy rejects
+    // it, and it gets the Retry-After of admission control.
     flow_table.timer_expired(2, &mut commands);
     assert!(
         matches!(
