--- a/crates/adapter/src/balancer.rs
+++ b/crates/adapter/src/balancer.rs
@@ -1,4 +1,4 @@
-//! One simulated balancer: its flow table and its timer.
+//! A simulated balancer: its flow table and its timer.
 
 use nettlemux_flow_table::{ClientIdentity, EndedAttempt, FlowTable, PolicyCommand};
 use nettlemux_policy::{Flow, FlowId, MS, SEC, Time};
@@ -6,20 +6,20 @@
 
 use crate::wire::{self, EndpointUpdate, SimulatorEvent, WireError};
 
-/// How many batches before its client gives up a flow is answered.
+/// How long before its client gives up a flow must be answered, in batch intervals.
 const ANSWER_MARGIN_BATCHES: Time = 2;
-/// The shortest timer: it never expires in the batch in which it is set.
+/// The shortest timer. It never expires in the batch in which it is set.
 const TIMER_MIN: Time = MS;
-/// The longest timer that the wire takes.
+/// The longest timer that the simulator's protocol allows.
 const TIMER_MAX: Time = 3600 * SEC;
 
-/// A balancer that the simulator runs. All times are nanoseconds of the simulator's clock.
+/// One balancer of the simulator. All times are nanoseconds of the simulator's clock.
 pub struct SimulatedBalancer {
     flow_table: FlowTable,
-    load_reports: LoadReportFormat,
+    load_report_format: LoadReportFormat,
     /// The number of the timer that was set last.
     timer_number: u64,
-    /// When that timer expires, until it has.
+    /// When that timer expires; `None` if it has expired.
     timer_expires_at: Option<Time>,
 }
 
@@ -27,28 +27,28 @@
     /// Returns a balancer without flows.
     ///
     /// # Errors
-    /// Where a setting is missing or can't be read.
+    /// Returns an error if a setting is missing or invalid.
     pub fn new(seed: u64, settings: &Settings) -> Result<Self, WireError> {
         let margin = ANSWER_MARGIN_BATCHES * settings.batch_interval()?;
         let policy = settings.policy(seed, margin, DrainMigration::Disabled)?;
         Ok(SimulatedBalancer {
             flow_table: FlowTable::new(policy),
-            load_reports: settings.load_report_format(),
+            load_report_format: settings.load_report_format(),
             timer_number: 0,
             timer_expires_at: None,
         })
     }
 
-    /// Returns how the load reports of its servers are read.
+    /// Returns the format of the servers' load reports.
     pub fn load_report_format(&self) -> LoadReportFormat {
-        self.load_reports
+        self.load_report_format
     }
 
-    /// Handles an event and appends the commands that follow from it to `out`.
+    /// Handles an event and appends the resulting commands to `out`.
     pub fn handle(&mut self, now: Time, event: SimulatorEvent, out: &mut String) {
         let table = &mut self.flow_table;
         match event {
-            // The host removes balancers.
+            // The host handles this event.
             SimulatorEvent::Removed => {}
             SimulatorEvent::EndpointsUpdated(update) => self.update_endpoints(now, update),
             SimulatorEvent::FlowArrived(flow) => self.accept(now, flow, out),
@@ -79,7 +79,7 @@
                 table.health_checked(now, server_id, passed, report, &mut commands);
                 self.write_commands(commands, out);
             }
-            // A message of another version is ignored.
+            // A message of another protocol version is ignored.
             SimulatorEvent::GossipReceived { placement } => {
                 if let Some(placement) = placement {
                     table.receive_gossip(now, placement);
@@ -118,14 +118,14 @@
         let mut commands = Vec::new();
         self.flow_table.attempt_ended(now, attempt, &mut commands);
         self.write_commands(commands, out);
-        self.remove_if_over(flow);
+        self.remove_if_finished(flow);
     }
 
     fn client_left(&mut self, now: Time, flow: FlowId, out: &mut String) {
         let mut commands = Vec::new();
         self.flow_table.client_left(now, flow, &mut commands);
         self.write_commands(commands, out);
-        self.remove_if_over(flow);
+        self.remove_if_finished(flow);
     }
 
     fn timer_expired(&mut self, now: Time, number: u64, out: &mut String) {
@@ -137,7 +137,7 @@
         self.write_commands(commands, out);
     }
 
-    /// Sets a timer where the flow table wants one sooner than the one that is set.
+    /// Sets a timer if none is set or the flow table needs an earlier one.
     pub fn schedule_timer(&mut self, now: Time, out: &mut String) {
         let Some(wait) = self.flow_table.time_to_next_timer(now) else {
             return;
@@ -155,7 +155,7 @@
         for command in commands {
             match command {
                 PolicyCommand::Reject { flow, .. } | PolicyCommand::Fail { flow } => {
-                    self.remove_if_over(flow);
+                    self.remove_if_finished(flow);
                 }
                 PolicyCommand::CancelAttempt { flow, .. }
                     if !self.flow_table.has_attempt_in_flight(flow) =>
@@ -168,10 +168,10 @@
         }
     }
 
-    /// Removes a flow that awaits no answer and has no attempt in flight.
-    fn remove_if_over(&mut self, flow: FlowId) {
+    /// Removes a flow if its client isn't waiting for an answer and no attempt is in flight.
+    fn remove_if_finished(&mut self, flow: FlowId) {
         if !self.flow_table.awaits_answer(flow) && !self.flow_table.has_attempt_in_flight(flow) {
-            // No attempt is in flight, so there are no commands, whatever the time.
+            // As no attempt is in flight, no command is issued and the time is not used.
             self.flow_table.remove(0, flow, &mut Vec::new());
         }
     }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The balancers that the simulator runs, and the batches of events for them.
+//! The balancers of the simulator, and the handling of event batches for them.
 
 use std::collections::BTreeMap;
 use std::io::BufRead;
@@ -11,44 +11,46 @@
     WireProblem,
 };
 
-/// The balancers of one simulator, by their names.
+/// The balancers of one simulator.
 #[derive(Default)]
 pub struct SimulatorHost {
+    /// The balancers by name.
     balancers: BTreeMap<String, SimulatedBalancer>,
-    /// The endpoint tables that events refer to, by their numbers.
+    /// The endpoint tables that events refer to, by number.
     endpoint_tables: EndpointTables,
 }
 
-/// The events of one balancer within a batch.
-struct Selection {
-    balancer: String,
+/// The balancer that events are for, and the commands in reply to them.
+struct SelectedBalancer {
+    name: String,
     commands: String,
 }
 
 impl SimulatorHost {
-    /// Handles the rest of a batch and returns the reply to it.
+    /// Handles the lines of a batch after its first line and returns the reply to the batch.
     ///
     /// # Errors
-    /// Where the batch can't be read, or refers to what there is none of.
+    /// Returns an error if the batch can't be read, or refers to a balancer or an endpoint table
+    /// that doesn't exist.
     pub fn handle_batch<R: BufRead>(
         &mut self,
         now: Time,
         lines: &mut Lines<R>,
     ) -> Result<String, WireError> {
         let mut reply = String::new();
-        let mut selection: Option<Selection> = None;
+        let mut selected: Option<SelectedBalancer> = None;
         loop {
             let line = lines.expect_line(wire::BATCH_END)?;
             match BatchLine::parse(&line)? {
                 BatchLine::End => {
-                    self.finish_selection(now, selection, &mut reply);
+                    self.finish_reply_part(now, selected, &mut reply);
                     wire::write_batch_end(&mut reply);
                     return Ok(reply);
                 }
                 BatchLine::SelectBalancer(name) => {
-                    self.finish_selection(now, selection.take(), &mut reply);
-                    selection = Some(Selection {
-                        balancer: name.to_string(),
+                    self.finish_reply_part(now, selected.take(), &mut reply);
+                    selected = Some(SelectedBalancer {
+                        name: name.to_string(),
                         commands: String::new(),
                     });
                 }
@@ -57,10 +59,10 @@
                     self.endpoint_tables.insert(number, endpoints);
                 }
                 BatchLine::Event(event) => {
-                    let selection = selection.as_mut().ok_or_else(|| {
+                    let selected = selected.as_mut().ok_or_else(|| {
                         WireError::new("balancer", WireProblem::NoBalancerSelected)
                     })?;
-                    self.handle_event(now, event, selection)?;
+                    self.handle_event(now, event, selected)?;
                 }
             }
         }
@@ -70,9 +72,9 @@
         &mut self,
         now: Time,
         event: EventLine,
-        selection: &mut Selection,
+        selected: &mut SelectedBalancer,
     ) -> Result<(), WireError> {
-        let name = &selection.balancer;
+        let name = &selected.name;
         if event.creates_balancer() {
             let creation = event.parse_creation()?;
             let balancer = SimulatedBalancer::new(creation.seed, &creation.settings)?;
@@ -85,25 +87,30 @@
         })?;
         let event = event.parse(EventContext {
             now,
-            load_reports: balancer.load_report_format(),
+            load_report_format: balancer.load_report_format(),
             endpoint_tables: &self.endpoint_tables,
         })?;
         if matches!(event, SimulatorEvent::Removed) {
             self.balancers.remove(name);
             return Ok(());
         }
-        balancer.handle(now, event, &mut selection.commands);
+        balancer.handle(now, event, &mut selected.commands);
         Ok(())
     }
 
-    /// Ends a balancer's part of the reply.
-    fn finish_selection(&mut self, now: Time, selection: Option<Selection>, reply: &mut String) {
-        let Some(mut selection) = selection else {
+    /// Sets the timer of the selected balancer if needed and appends its commands to the reply.
+    fn finish_reply_part(
+        &mut self,
+        now: Time,
+        selected: Option<SelectedBalancer>,
+        reply: &mut String,
+    ) {
+        let Some(mut selected) = selected else {
             return;
         };
-        if let Some(balancer) = self.balancers.get_mut(&selection.balancer) {
-            balancer.schedule_timer(now, &mut selection.commands);
-            wire::write_balancer_commands(reply, &selection.balancer, &selection.commands);
+        if let Some(balancer) = self.balancers.get_mut(&selected.name) {
+            balancer.schedule_timer(now, &mut selected.commands);
+            wire::write_balancer_commands(reply, &selected.name, &selected.commands);
         }
     }
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Hosts balancers on the simulator's wire: batches of events on standard input, replies with
-//! commands on standard output.
+//! Runs the balancers of a simulator. Reads batches of events on standard input and writes replies
+//! with commands on standard output.
 //!
-//! The program owns the simulated balancers and the wire's names, which stand in `wire` and
-//! nowhere else. It must never decide anything: that is up to the load balancing policy.
+//! The program owns the simulated balancers and the names of the simulator's protocol, which occur
+//! only in the module `wire`. It must not make decisions: the load balancing policy makes them.
 
 #![warn(missing_docs)]
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Replies to each batch until the end of input.
+/// Reads batches and replies to each of them, until the end of input.
 fn serve<R: BufRead>(lines: &mut Lines<R>) -> Result<(), WireError> {
     let mut host = SimulatorHost::default();
     let mut stdout = io::stdout().lock();
@@ -40,7 +40,7 @@
         let written = stdout
             .write_all(reply.as_bytes())
             .and_then(|()| stdout.flush());
-        written.map_err(|e| WireError::new("reply", WireProblem::NotWritten(e)))?;
+        written.map_err(|e| WireError::new("reply", WireProblem::WriteFailed(e)))?;
     }
     Ok(())
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: its lines are read into events and written from commands here, and its
-//! names stand nowhere else.
+//! The simulator's protocol: parses lines into events and writes commands as lines. The names of
+//! the protocol occur only in this module.
 
 mod batch;
 mod command;
--- a/crates/adapter/src/wire/batch.rs
+++ b/crates/adapter/src/wire/batch.rs
@@ -12,13 +12,13 @@
 const BATCH_START: &str = "BEGIN_BATCH";
 /// The last line of a batch.
 pub const BATCH_END: &str = "END";
-/// The event by which a balancer is created.
+/// The event that creates a balancer.
 const CREATE: &str = "CREATE";
 
-/// Reads the first line of a batch and returns the time that it was sent at, in nanoseconds.
+/// Parses the first line of a batch and returns the time of the batch, in nanoseconds.
 ///
 /// # Errors
-/// Where the line is no start of a batch.
+/// Returns an error if the line is not the start of a batch.
 pub fn parse_batch_start(line: &str) -> Result<Time, WireError> {
     let mut fields = Fields::new(line);
     let word = fields.word("event")?;
@@ -33,15 +33,15 @@
 
 /// A line of a batch.
 pub enum BatchLine<'a> {
-    /// The batch ends.
+    /// The end of the batch.
     End,
-    /// The events that follow are for the balancer of this name.
+    /// The following events are for the balancer with this name.
     SelectBalancer(&'a str),
-    /// An endpoint table follows, one endpoint a line.
+    /// An endpoint table follows, with one endpoint per line.
     EndpointTable {
-        /// The table's number, by which events refer to it.
+        /// The number by which events refer to the table.
         number: u64,
-        /// The number of its endpoints.
+        /// The number of endpoints in the table.
         count: usize,
     },
     /// An event for the selected balancer.
@@ -49,10 +49,10 @@
 }
 
 impl<'a> BatchLine<'a> {
-    /// Reads a line of a batch; an event is read by [`EventLine::parse`].
+    /// Parses a line of a batch. The fields of an event are parsed by [`EventLine::parse`].
     ///
     /// # Errors
-    /// Where the line is malformed.
+    /// Returns an error if the line is malformed.
     pub fn parse(line: &'a str) -> Result<Self, WireError> {
         let mut fields = Fields::new(line);
         let parsed = match fields.word("event")? {
@@ -69,22 +69,22 @@
     }
 }
 
-/// An event whose fields haven't been read.
+/// An event whose fields have not been parsed.
 pub struct EventLine<'a> {
     name: &'a str,
     fields: Fields<'a>,
 }
 
 impl EventLine<'_> {
-    /// Returns whether this event creates the balancer that it is for.
+    /// Returns whether the event creates the selected balancer.
     pub fn creates_balancer(&self) -> bool {
         self.name == CREATE
     }
 
-    /// Reads the event that creates a balancer.
+    /// Parses the event that creates a balancer.
     ///
     /// # Errors
-    /// Where a field is malformed.
+    /// Returns an error if a field is malformed.
     pub fn parse_creation(mut self) -> Result<BalancerCreation, WireError> {
         Ok(BalancerCreation {
             seed: self.fields.required("prng")?,
@@ -92,15 +92,16 @@
         })
     }
 
-    /// Reads any other event.
+    /// Parses an event other than the one that creates a balancer.
     ///
     /// # Errors
-    /// Where the event is unknown, a field is malformed, or an endpoint table is missing.
+    /// Returns an error if the event is unknown, a field is malformed or an endpoint table doesn't
+    /// exist.
     pub fn parse<'a>(self, context: EventContext<'a>) -> Result<SimulatorEvent<'a>, WireError> {
         let EventLine { name, mut fields } = self;
         let EventContext {
             now,
-            load_reports,
+            load_report_format,
             endpoint_tables,
         } = context;
         let event = match name {
@@ -113,14 +114,14 @@
             "TAKEN_OVER" => event_fields::parse_adopted_connection(&mut fields)?,
             "FLOWING" => event_fields::parse_connected(&mut fields)?,
             "SIGNAL" => event_fields::parse_signal(&mut fields)?,
-            "RESULT" => event_fields::parse_attempt_end(&mut fields, &load_reports)?,
+            "RESULT" => event_fields::parse_attempt_end(&mut fields, &load_report_format)?,
             "LAPSED" => SimulatorEvent::ClientLeft {
                 flow: fields.required("ref")?,
             },
             "REMINDER" => SimulatorEvent::TimerExpired {
                 number: fields.required("ref")?,
             },
-            "PONG" => event_fields::parse_health_check(&mut fields, &load_reports)?,
+            "PONG" => event_fields::parse_health_check(&mut fields, &load_report_format)?,
             "MEMO" => event_fields::parse_gossip(&mut fields)?,
             other => {
                 let problem = WireProblem::UnknownEvent(other.to_string());
--- a/crates/adapter/src/wire/command.rs
+++ b/crates/adapter/src/wire/command.rs
@@ -1,4 +1,4 @@
-//! Commands as lines of the wire.
+//! The lines of a reply.
 
 use std::fmt::Write;
 
@@ -7,16 +7,16 @@
 
 use super::fields::MICROSECOND;
 
-/// The end of a reply.
+/// The last line of a reply.
 const REPLY_END: &str = "NEXT";
-/// The receivers of a gossip message: all other balancers.
+/// The number that addresses a gossip message to all other balancers.
 const ALL_BALANCERS: i32 = -1;
-/// The endpoint list that is polled.
+/// The number of the endpoint list that is polled.
 const ENDPOINT_LIST: u64 = 1;
 
 const STRING_WRITE: &str = "writing to a string can't fail";
 
-/// Appends the commands of one balancer to a reply, if there are any.
+/// Appends the commands of a balancer to a reply, unless there are none.
 pub fn write_balancer_commands(reply: &mut String, balancer: &str, commands: &str) {
     if !commands.is_empty() {
         write!(reply, "AS {balancer}\n{commands}").expect(STRING_WRITE);
@@ -28,7 +28,7 @@
     writeln!(reply, "{REPLY_END}").expect(STRING_WRITE);
 }
 
-/// Appends the command to set a timer, which expires after `wait` nanoseconds.
+/// Appends the command to set a timer that expires after `wait` nanoseconds.
 pub fn write_timer(out: &mut String, number: u64, wait: Time) {
     writeln!(out, "TIMER {number} {}", micros(wait)).expect(STRING_WRITE);
 }
--- a/crates/adapter/src/wire/endpoint.rs
+++ b/crates/adapter/src/wire/endpoint.rs
@@ -1,4 +1,4 @@
-//! Tables of endpoints.
+//! Endpoint tables.
 
 use std::io::BufRead;
 
@@ -8,13 +8,13 @@
 use super::fields::Fields;
 use super::lines::Lines;
 
-/// The first word of an endpoint's line.
+/// The first word of a line with an endpoint.
 const ENDPOINT: &str = "M";
 
-/// Reads the endpoints of a table, one a line.
+/// Reads the endpoints of a table, one per line.
 ///
 /// # Errors
-/// Where a line is no endpoint.
+/// Returns an error if the input ends or a line is not a valid endpoint.
 pub fn read_endpoints<R: BufRead>(
     lines: &mut Lines<R>,
     count: usize,
@@ -31,7 +31,7 @@
     let mut fields = Fields::new(line);
     let word = fields.word("entry")?;
     if word != ENDPOINT {
-        let problem = WireProblem::NotAnEndpoint(word.to_string());
+        let problem = WireProblem::InvalidEndpointLine(word.to_string());
         return Err(WireError::new("entry", problem));
     }
     let endpoint = Endpoint {
--- a/crates/adapter/src/wire/error.rs
+++ b/crates/adapter/src/wire/error.rs
@@ -1,29 +1,29 @@
-//! What can be wrong on the wire.
+//! The errors of the simulator's protocol.
 
 use std::io;
 
 use nettlemux_settings::SettingsError;
 use thiserror::Error;
 
-/// A fault on the wire, and the field that it is in.
+/// An error in the input or output, and the field that contains it.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A field can't be read, or refers to what there is none of.
+    /// A field is malformed, or refers to something that doesn't exist.
     #[error("field '{field}': {problem}")]
     Field {
-        /// The field's name.
+        /// The name of the field.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         #[source]
         problem: WireProblem,
     },
-    /// The settings or a load report can't be read.
+    /// The settings or a load report is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
 impl WireError {
-    /// Returns the error for a field.
+    /// Returns the error for the field of this name.
     pub fn new(field: &str, problem: WireProblem) -> Self {
         WireError::Field {
             field: field.to_string(),
@@ -36,60 +36,60 @@
 #[derive(Debug, Error)]
 pub enum WireProblem {
     /// The line ends before the field.
-    #[error("missing")]
+    #[error("missing, the line ends before it")]
     Missing,
-    /// There is nothing between two spaces.
-    #[error("empty")]
+    /// The field has no characters.
+    #[error("empty, expected a value")]
     Empty,
-    /// The value is `-`, and is needed.
-    #[error("absent")]
+    /// The value is `-`, which stands for an absent value, but the field is required.
+    #[error("absent ('-'), expected a value")]
     Absent,
-    /// The value has the wrong type.
-    #[error("can't read '{0}'")]
-    Unreadable(String),
-    /// A flag has another value.
-    #[error("'{0}' is neither 0 nor 1")]
-    NotAFlag(String),
-    /// The line goes on after its last field.
-    #[error("unexpected '{0}'")]
+    /// The value is not of the field's type.
+    #[error("invalid value '{0}'")]
+    InvalidValue(String),
+    /// A flag has an unknown value.
+    #[error("expected 0, 1 or '-', found '{0}'")]
+    InvalidFlag(String),
+    /// The line has text after its last field.
+    #[error("expected no more fields, found '{0}'")]
     TrailingText(String),
-    /// Bytes aren't written as hex digits.
-    #[error("'{0}' is no hex")]
-    NotHex(String),
-    /// An attempt has ended in an unknown way.
+    /// Bytes are not encoded as pairs of hex digits.
+    #[error("expected pairs of hex digits, found '{0}'")]
+    InvalidHex(String),
+    /// The outcome of an attempt or a health check is unknown.
     #[error("unknown outcome '{0}'")]
     UnknownOutcome(String),
-    /// A line of an endpoint table has another form.
-    #[error("'{0}' is no list entry")]
-    NotAnEndpoint(String),
-    /// An endpoint has an unknown state.
-    #[error("unknown state '{0}'")]
+    /// A line of an endpoint table has the wrong first word.
+    #[error("expected an endpoint that starts with 'M', found '{0}'")]
+    InvalidEndpointLine(String),
+    /// The state of an endpoint is unknown.
+    #[error("unknown endpoint state '{0}'")]
     UnknownEndpointState(String),
-    /// An update of the endpoint list has an unknown kind.
-    #[error("unknown kind of news '{0}'")]
+    /// The kind of an endpoint list update is unknown.
+    #[error("unknown kind of endpoint list update '{0}'")]
     UnknownEndpointUpdate(String),
-    /// There is no endpoint table of that number.
-    #[error("no list {0}")]
+    /// There is no endpoint table with this number.
+    #[error("no endpoint table with number {0}")]
     UnknownTable(u64),
     /// The event is unknown.
     #[error("unknown event '{0}'")]
     UnknownEvent(String),
-    /// A line stands outside of a batch.
-    #[error("'{0}' outside a batch")]
+    /// A line outside a batch is not the start of a batch.
+    #[error("expected BEGIN_BATCH, found '{0}'")]
     OutsideBatch(String),
-    /// An event comes before the balancer that it is for.
-    #[error("no ON before")]
+    /// No balancer was selected before an event.
+    #[error("expected an ON line before the first event of the batch")]
     NoBalancerSelected,
-    /// There is no balancer of that name.
-    #[error("'{0}' isn't running")]
+    /// There is no balancer with this name.
+    #[error("no balancer with name '{0}' is running")]
     BalancerNotRunning(String),
-    /// The input ends inside of a batch.
+    /// The input ends within a batch.
     #[error("input ends inside a batch")]
-    InputEnded,
-    /// The input can't be read.
-    #[error("can't be read: {0}")]
-    NotRead(#[source] io::Error),
-    /// The output can't be written.
-    #[error("can't be written: {0}")]
-    NotWritten(#[source] io::Error),
+    UnexpectedEndOfInput,
+    /// Reading the input failed.
+    #[error("reading the input failed: {0}")]
+    ReadFailed(#[source] io::Error),
+    /// Writing the output failed.
+    #[error("writing the output failed: {0}")]
+    WriteFailed(#[source] io::Error),
 }
--- a/crates/adapter/src/wire/event.rs
+++ b/crates/adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! The events of the simulator, in the terms of the other packages.
+//! The events of the simulator, in the terms of the other crates.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,25 @@
 use nettlemux_policy::{Endpoint, Flow, FlowId, GroupPlacement, LoadReport, ServerId, Time};
 use nettlemux_settings::{LoadReportFormat, Settings};
 
-/// What an event is read with.
+/// The context that is needed to parse an event.
 #[derive(Clone, Copy)]
 pub struct EventContext<'a> {
     /// The time of the batch, in nanoseconds.
     pub now: Time,
-    /// How the load reports of the balancer's servers are read.
-    pub load_reports: LoadReportFormat,
+    /// The format of the load reports of the balancer's servers.
+    pub load_report_format: LoadReportFormat,
     /// The endpoint tables that the event may refer to.
     pub endpoint_tables: &'a EndpointTables,
 }
 
-/// Endpoint tables, by their numbers.
+/// Endpoint tables by number.
 pub type EndpointTables = BTreeMap<u64, Vec<Endpoint>>;
 
 /// The event that creates a balancer.
 pub struct BalancerCreation {
-    /// The seed of the balancer's random draws.
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// The platform's settings.
+    /// The settings of the platform.
     pub settings: Settings,
 }
 
@@ -36,39 +36,39 @@
     EndpointsUpdated(EndpointUpdate<'a>),
     /// A client has sent a flow.
     FlowArrived(Flow),
-    /// The flow had a connection before the balancer was created.
+    /// The flow had a connection before the balancer was created, and the balancer adopts it.
     ConnectionAdopted {
         /// The flow.
         flow: Flow,
-        /// The server of its connection.
+        /// The server of the connection.
         server_id: ServerId,
     },
-    /// An attempt has become a connection.
+    /// An attempt has established a connection.
     Connected {
         /// The flow.
         flow: FlowId,
-        /// How long that took, in nanoseconds.
+        /// The duration of the attempt, in nanoseconds.
         took: Time,
     },
-    /// A connection puts this load on its server.
+    /// The load that a connection puts on its server was reported.
     ConnectionLoad {
         /// The flow.
         flow: FlowId,
         /// The load.
         load: f64,
     },
-    /// A server has signalled what isn't known here.
+    /// A server has sent a signal that the adapter doesn't know.
     UnknownSignal,
-    /// An attempt, or the connection that it became, has ended.
+    /// An attempt, or the connection that it established, has ended.
     AttemptEnded {
-        /// How it has ended.
+        /// How the attempt ended.
         outcome: EndedAttempt,
-        /// Whether the client has its answer by it.
+        /// Whether the client has been answered by it.
         is_answered: bool,
     },
-    /// The client went away.
+    /// The client is gone and no longer waits for an answer.
     ClientLeft {
-        /// Its flow.
+        /// The flow of the client.
         flow: FlowId,
     },
     /// A timer has expired.
@@ -76,23 +76,23 @@
         /// The timer's number.
         number: u64,
     },
-    /// A health check was answered, or was not.
+    /// A health check has ended, with or without an answer.
     HealthChecked {
         /// The server.
         server_id: ServerId,
-        /// Whether the server is healthy.
+        /// Whether the health check passed.
         passed: bool,
         /// The load report that came with the answer.
         report: LoadReport,
     },
     /// Another balancer has sent a gossip message.
     GossipReceived {
-        /// What it says; `None` where it isn't understood.
+        /// The content of the message; `None` if it can't be decoded.
         placement: Option<GroupPlacement>,
     },
 }
 
-/// A change of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointUpdate<'a> {
     /// The entries that have changed.
--- a/crates/adapter/src/wire/event_fields.rs
+++ b/crates/adapter/src/wire/event_fields.rs
@@ -1,4 +1,4 @@
-//! The fields of each event.
+//! Parsers for the fields of the events.
 
 use nettlemux_flow_table::EndedAttempt;
 use nettlemux_policy::{AttemptEnd, Flow, GroupPlacement, LoadReport, ServerId, Time};
@@ -8,7 +8,7 @@
 use super::event::{EndpointTables, EndpointUpdate, SimulatorEvent};
 use super::fields::{ABSENT, Fields};
 
-/// The topic of a connection's load, the one signal that is known.
+/// The topic of the signal that reports a connection's load. Other signals are not known.
 const LOAD_TOPIC: u64 = 1;
 
 pub(super) fn parse_endpoint_update<'a>(
@@ -103,7 +103,7 @@
 
 pub(super) fn parse_attempt_end(
     fields: &mut Fields,
-    load_reports: &LoadReportFormat,
+    load_report_format: &LoadReportFormat,
 ) -> Result<SimulatorEvent<'static>, WireError> {
     let flow = fields.required("ref")?;
     let number = fields.required("send-no")?;
@@ -111,7 +111,7 @@
     let end = parse_end(fields.word("reason")?)?;
     let _took = fields.time("time-taken")?;
     let is_answered = fields.flag("closed")?;
-    let report = parse_load_report(fields.word("report")?, load_reports)?;
+    let report = parse_load_report(fields.word("report")?, load_report_format)?;
     let outcome = EndedAttempt {
         flow,
         number,
@@ -128,12 +128,12 @@
 
 pub(super) fn parse_health_check(
     fields: &mut Fields,
-    load_reports: &LoadReportFormat,
+    load_report_format: &LoadReportFormat,
 ) -> Result<SimulatorEvent<'static>, WireError> {
     let _took = fields.time("time-taken")?;
     let server_id = fields.required("server")?;
     let passed = parse_end(fields.word("reason")?)? == AttemptEnd::Done;
-    let report = parse_load_report(fields.word("report")?, load_reports)?;
+    let report = parse_load_report(fields.word("report")?, load_report_format)?;
     Ok(SimulatorEvent::HealthChecked {
         server_id,
         passed,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Whether an attempt with this end is known not to have run.
+/// Returns whether an attempt that ended in this way is known not to have been executed.
 fn proves_unexecuted(end: AttemptEnd) -> bool {
     matches!(
         end,
@@ -173,7 +173,7 @@
     )
 }
 
-/// Reads a load report, which is empty where it is absent.
+/// Parses a load report; an absent one is empty.
 fn parse_load_report(word: &str, format: &LoadReportFormat) -> Result<LoadReport, WireError> {
     match word {
         ABSENT => Ok(LoadReport::default()),
@@ -181,13 +181,15 @@
     }
 }
 
-/// Reads bytes that are written as hex digits; there are none where they are absent.
+/// Decodes bytes from hex digits; an absent value has no bytes.
 fn parse_hex(text: &str) -> Result<Vec<u8>, WireError> {
     if text == ABSENT {
         return Ok(Vec::new());
     }
-    let bytes = text.is_ascii() && text.len().is_multiple_of(2);
+    let has_whole_bytes = text.is_ascii() && text.len().is_multiple_of(2);
     let pairs = (0..text.len() / 2).map(|i| u8::from_str_radix(&text[2 * i..2 * i + 2], 16).ok());
-    let bytes = bytes.then(|| pairs.collect::<Option<Vec<u8>>>()).flatten();
-    bytes.ok_or_else(|| WireError::new("content", WireProblem::NotHex(text.to_string())))
+    let bytes = has_whole_bytes
+        .then(|| pairs.collect::<Option<Vec<u8>>>())
+        .flatten();
+    bytes.ok_or_else(|| WireError::new("content", WireProblem::InvalidHex(text.to_string())))
 }
--- a/crates/adapter/tests/exchange.rs
+++ b/crates/adapter/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! A scripted exchange through the adapter as it is run, and its answers to malformed input.
+//! Runs the adapter as a process with scripted input, valid and malformed.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,7 +16,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end before it has read all of a malformed script.
+    // The adapter may exit before it has read all of a malformed script, which breaks the pipe.
     let _ = child
         .stdin
         .take()
@@ -25,17 +25,19 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn create(name: &str, conf: &str) -> String {
-    let conf = conf.replace('\n', " ");
+/// Returns a batch that creates a balancer with a ready server 51, a draining server 52 and an
+/// adopted connection to server 51.
+fn create_balancer(name: &str, settings: &str) -> String {
+    let settings = settings.replace('\n', " ");
     format!(
         "BEGIN_BATCH 1000000\nTABLE 0 2\nM 51 0 0 0 active 1 -\nM 52 0 0 0 leaving 1 -\nON {name}\n\
-         CREATE 9 {conf}\nVIEW stale_copy 1 0\nTAKEN_OVER 5 - 0 k 0 - 0 - 0 - 51\nEND\n"
+         CREATE 9 {settings}\nVIEW stale_copy 1 0\nTAKEN_OVER 5 - 0 k 0 - 0 - 0 - 51\nEND\n"
     )
 }
 
 #[test]
-fn a_flow_is_placed_retried_connected_and_ends() {
-    let script = create("balancer-0", CONF)
+fn unreachable_server_leads_to_a_retry_and_too_short_deadline_to_a_rejection() {
+    let script = create_balancer("balancer-0", CONF)
         + "BEGIN_BATCH 1002000\nON balancer-0\nKNOCK 7 0 0 k 1800000 - tpl/a 0 0 0\nEND\n\
            BEGIN_BATCH 1004000\nON balancer-0\nRESULT 7 0 51 no_route 900 0 -\nEND\n\
            BEGIN_BATCH 1006000\nON balancer-0\nFLOWING 7 1 51 1000\nSIGNAL 7 51 1 1 8000\nEND\n\
@@ -52,7 +54,7 @@
     let replies: Vec<&str> = text.split_inclusive("NEXT\n").collect();
     assert_eq!(replies.len(), 7, "{text}");
     assert!(replies[0].starts_with("AS balancer-0\nTIMER 1 "), "{text}");
-    // The draining server gets nothing; the attempt times out before the client gives up.
+    // The draining server gets no attempt. The attempt times out before the client's deadline.
     assert!(
         replies[1].starts_with("AS balancer-0\nSUBMIT_TO 7 51 1796000\n"),
         "{text}"
@@ -62,7 +64,7 @@
         "{text}"
     );
     assert_eq!(replies[3], "NEXT\n");
-    // Too little time is left: answered at once, with a Retry-After.
+    // Flow 8 has too little time left, so it is rejected at once, with a Retry-After.
     assert!(
         replies[4].contains("DECLINE 8 ") && !replies[4].contains("DECLINE 8 0\n"),
         "{text}"
@@ -71,42 +73,42 @@
 }
 
 #[test]
-fn a_report_that_comes_with_an_outcome_counts() {
-    let knocks: String = (1..9)
+fn load_report_in_an_attempt_result_triggers_migration_only_if_the_load_is_high() {
+    let new_flows: String = (1..9)
         .map(|i| format!("KNOCK {i} 0 0 k 1800000 - - 0 0 0\nFLOWING {i} 0 51 900\n"))
         .collect();
-    for (report, moves) in [
+    for (report, migrates) in [
         ("x0:2.5,busy:0.9", true),
         ("x0:0.3,busy:0.9", false),
         ("-", false),
     ] {
-        let script = create("balancer-0", CONF)
-            + &format!("BEGIN_BATCH 1002000\nON balancer-0\n{knocks}END\n")
+        let script = create_balancer("balancer-0", CONF)
+            + &format!("BEGIN_BATCH 1002000\nON balancer-0\n{new_flows}END\n")
             + &format!(
                 "BEGIN_BATCH 1004000\nON balancer-0\nRESULT 1 0 51 pass 90 1 {report}\nEND\n"
             );
         let text = String::from_utf8(run(&script).stdout).expect("text");
-        assert_eq!(text.contains("GO_AWAY"), moves, "{report}: {text}");
+        assert_eq!(text.contains("GO_AWAY"), migrates, "{report}: {text}");
     }
 }
 
 #[test]
-fn the_same_events_give_the_same_actions_in_company_and_alone() {
-    let knocks = |name: &str| {
-        let knocks: String = (0..30)
+fn balancer_issues_the_same_commands_alone_and_beside_another_balancer() {
+    let new_flows = |name: &str| {
+        let new_flows: String = (0..30)
             .map(|i| format!("KNOCK {i} 0 0 k 1800000 - - 0 0 0\n"))
             .collect();
-        format!("BEGIN_BATCH 1002000\nON {name}\n{knocks}END\n")
+        format!("BEGIN_BATCH 1002000\nON {name}\n{new_flows}END\n")
     };
-    let of = |name: &str| create(name, CONF) + &knocks(name);
+    let script = |name: &str| create_balancer(name, CONF) + &new_flows(name);
     let reply = |script: String| String::from_utf8(run(&script).stdout).expect("text");
-    let alone = reply(of("balancer-1"));
-    assert!(reply(of("balancer-0") + &of("balancer-1")).ends_with(&alone));
+    let alone = reply(script("balancer-1"));
+    assert!(reply(script("balancer-0") + &script("balancer-1")).ends_with(&alone));
 }
 
 #[test]
-fn malformed_input_is_named_by_line_and_field() {
-    let created = create("balancer-0", CONF);
+fn malformed_input_fails_with_an_error_that_names_line_and_field() {
+    let created = create_balancer("balancer-0", CONF);
     for (script, line, field) in [
         ("KNOCK 1\n".to_string(), 1, "event"),
         ("BEGIN_BATCH soon\nEND\n".into(), 1, "clock"),
@@ -116,14 +118,14 @@
             "balancer",
         ),
         ("BEGIN_BATCH 1\n".into(), 2, "END"),
-        (create("balancer-0", "[]"), 6, "conf"),
+        (create_balancer("balancer-0", "[]"), 6, "conf"),
         (
-            create("balancer-0", &CONF.replace("\"tick\":2000,", "")),
+            create_balancer("balancer-0", &CONF.replace("\"tick\":2000,", "")),
             6,
             "tick",
         ),
         (
-            create("balancer-0", &CONF.replace("free", "maybe")),
+            create_balancer("balancer-0", &CONF.replace("free", "maybe")),
             6,
             "repeat",
         ),
@@ -156,14 +158,17 @@
         let output = run(&script);
         let message = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{script}");
-        let start = format!("nettlemux-adapter: line {line}: field '{field}'");
-        assert!(message.starts_with(&start), "{message} is not {start}");
+        let expected = format!("nettlemux-adapter: line {line}: field '{field}'");
+        assert!(
+            message.starts_with(&expected),
+            "expected {expected}, found {message}"
+        );
     }
 }
 
 #[test]
-fn settings_without_the_number_of_balancers_will_do() {
-    let output = run(&create(
+fn settings_without_the_number_of_balancers_are_accepted() {
+    let output = run(&create_balancer(
         "balancer-0",
         &CONF.replace("\"replicas-of-me\":1,", ""),
     ));
