--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -136,8 +136,8 @@
         would_be_late.then_some(RejectReason::DeadlineExceeded)
     }
 
-    /// Returns the first limit that the flow exceeds. Takes a token of the key if the check reaches
-    /// the rate limit.
+    /// Returns the first limit that the flow exceeds. If the rate limit is checked, this takes a
+    /// token of the key.
     fn exceeded_limit(
         &mut self,
         now: Time,
@@ -276,9 +276,9 @@
         let AdmissionRequest {
             flow, key, client, ..
         } = request;
-        // The lower bound that applies in addition to the waiting time in the queue. A key over its
-        // rate limit waits for its next token. A key at its flow limit waits until one of its flows
-        // is closed. When that happens is unknown, so it gets the longest Retry-After.
+        // The lower bound of the Retry-After, even if the waiting time in the queue is shorter. A
+        // key over its rate limit waits for its next token. A key at its flow limit waits until one
+        // of its flows is closed. When that happens is unknown, so it gets the longest Retry-After.
         let minimum = match reason {
             RejectReason::RateLimited => {
                 self.token_buckets
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -112,8 +112,8 @@
     /// Schedules a retry and returns its Retry-After, in nanoseconds. The retry is scheduled at a
     /// random time within the slice that has the fewest retries, the first of them if there are
     /// several. The Retry-After is at least `needed` and at most the longest Retry-After. If
-    /// `needed` is more than half of the longest, the later half is used, so that the retries can
-    /// still be spread.
+    /// `needed` is more than half of the longest, half of the longest is the lower bound instead, so
+    /// that the retries can still be spread over the later half.
     pub fn schedule(&mut self, now: Time, needed: Time, rng: &mut WyRand) -> Time {
         self.clear_past_slices(now / SLICE_DURATION);
         let last = ((now + self.max_retry_after) / SLICE_DURATION)
