--- a/crates/dataplane/src/attempt.rs
+++ b/crates/dataplane/src/attempt.rs
@@ -1,7 +1,8 @@
 //! The fourth stage: makes one attempt. It dials the server, writes the client's first line and
-//! waits for the answer. It owns the server's socket until it hands it on, and closes it before the
-//! attempt is reported as ended. It must never write to a server that the endpoint list no longer
-//! calls ready, never write twice, and never retry: retries are the policy's decision.
+//! waits for the answer. It owns the server's socket. If the server accepts, it returns the socket;
+//! otherwise it closes the socket before the attempt is reported as ended. It must never write to a
+//! server that the endpoint list no longer calls ready, never write twice, and never retry: retries
+//! are the policy's decision.
 
 use std::io::{self, ErrorKind};
 
@@ -20,21 +21,21 @@
 pub struct ServerConnection {
     /// The server's socket.
     pub socket: Socket,
-    /// All that the server has sent, from its answer on, at the buffer's start.
+    /// The bytes that the server has sent so far. They start with its answer.
     pub received: Buffer,
-    /// Bytes of `received` that are in use.
+    /// Number of bytes in `received`.
     pub received_length: usize,
 }
 
-/// Why an attempt has brought no connection.
+/// Why an attempt produced no connection.
 pub enum AttemptFailure {
-    /// The attempt itself has ended.
+    /// The server didn't accept, couldn't be reached or wasn't tried.
     Ended(AttemptOutcome),
-    /// The client went away, and the attempt with it.
+    /// The client has left, which ended the attempt.
     ClientLeft(LineProgress),
 }
 
-/// How much of the client's first line a server may have got.
+/// How much of the client's first line the server may have received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineProgress {
     /// Its last byte was never written, so the server can't have acted on it.
@@ -46,25 +47,25 @@
 /// How a flow came to this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowOrigin {
-    /// A client asks for a connection.
+    /// A client has requested a connection.
     New,
-    /// The connection was open before this run and goes back to its server.
+    /// The connection was open before the balancer started and is reopened at the same server.
     Adopted,
 }
 
-/// What a wait inside an attempt was ended by.
+/// What ended a wait inside an attempt.
 enum Wakeup {
-    /// Something may have happened: the sockets are to be looked at.
+    /// Something may have happened: the sockets have to be checked.
     Progress,
     TimedOut,
-    /// The policy has cancelled the attempt, as its client is gone.
+    /// The policy has cancelled the attempt because its client has left.
     Cancelled,
 }
 
 /// Makes one attempt for a flow and waits until the server has accepted the client.
 ///
 /// # Errors
-/// How the attempt has ended where the server hasn't accepted.
+/// How the attempt has ended if the server hasn't accepted the client.
 pub fn run(
     dataplane: &Dataplane,
     flow: &mut FlowGuard,
@@ -78,8 +79,8 @@
         target,
         client_left: false,
     };
-    // Guards against an attempt that begins long after its client has left, where the worker has
-    // been busy since the command and nothing has been notified yet.
+    // Guards against an attempt that begins long after its client has left: if the worker has been
+    // busy since the command, the client's end has not been notified yet.
     attempt.check_client()?;
     let server = attempt.dial()?;
     attempt.wait_until_connected(&server)?;
@@ -98,11 +99,11 @@
 }
 
 impl Attempt<'_> {
-    /// Fails where the client has left. Up to its line's last byte an attempt has not been sent, so
-    /// whoever is gone by then needs none, whether or not the settings allow attempts to be
-    /// cancelled. Guards against a flow that is forwarded long after its client has left: while a
-    /// connection comes up late, or since the client's end came in one with its line and notified
-    /// nobody.
+    /// Fails if the client has left. An attempt counts as sent when the last byte of its line is
+    /// written; until then it can be dropped even if the settings don't allow attempts to be
+    /// cancelled. Guards against a flow that is forwarded long after its client has left. That
+    /// happens when the connection to the server takes long, or when the client's end arrived
+    /// together with its line and caused no notification of its own.
     fn check_client(&mut self) -> Result<(), AttemptFailure> {
         if self.has_client_left() {
             return Err(AttemptFailure::ClientLeft(LineProgress::Unsent));
@@ -110,11 +111,12 @@
         Ok(())
     }
 
-    /// Whether the client has left by now, also where nothing has been notified.
+    /// Returns whether the client has left. Reads the socket, so that it also sees an end that has
+    /// not been notified.
     fn has_client_left(&mut self) -> bool {
         if !self.client_left && self.flow.client_has_left() {
             self.client_left = true;
-            // Once the line is out the policy says whether the attempt is cancelled.
+            // After the line has been sent, the policy decides whether the attempt is cancelled.
             self.flow.record_client_left();
         }
         self.client_left
@@ -125,11 +127,16 @@
         let address = self.target.server.address;
         let server = Socket::dial(address, client.socket.permit(), client.mailbox.sender());
         server.map_err(|error| {
-            if concerns_server(&error) {
-                return unsent(AttemptEnd::Unreachable);
+            if is_server_error(&error) {
+                return failed_before_send(AttemptEnd::Unreachable);
             }
-            warn!(id = self.flow.id, server = self.target.server.name, %error, "can't connect");
-            unsent(AttemptEnd::NotSent)
+            warn!(
+                id = self.flow.id,
+                server = self.target.server.name,
+                %error,
+                "can't start a connection to the server because of a local error"
+            );
+            failed_before_send(AttemptEnd::NotSent)
         })
     }
 
@@ -141,14 +148,14 @@
             match server.is_connected() {
                 Ok(true) => return Ok(()),
                 Ok(false) => {}
-                Err(_) => return Err(unsent(AttemptEnd::Unreachable)),
+                Err(_) => return Err(failed_before_send(AttemptEnd::Unreachable)),
             }
-            self.wait_unsent(connect_by, Attempt::connect_timeout_end)?;
+            self.wait_before_send(connect_by, Attempt::connect_timeout_end)?;
         }
     }
 
-    /// What a connection that isn't up in time says: where its time was cut short so that a retry
-    /// can't be late, nothing of the server.
+    /// Returns how the attempt ends if the connection isn't established in time. A time limit that
+    /// was shortened so that a retry isn't late says nothing about the server.
     fn connect_timeout_end(&self) -> AttemptEnd {
         let is_cut_short = self.target.send_by < self.target.deadline;
         if is_cut_short && clock::now() >= self.target.send_by {
@@ -158,9 +165,9 @@
         }
     }
 
-    /// Waits while the line's last byte isn't written; `timeout_end` says how the attempt ends
-    /// where that takes too long.
-    fn wait_unsent(
+    /// Waits before the line's last byte is written. `timeout_end` returns how the attempt ends on a
+    /// timeout.
+    fn wait_before_send(
         &mut self,
         until: Time,
         timeout_end: impl FnOnce(&Self) -> AttemptEnd,
@@ -170,20 +177,21 @@
             Wakeup::Progress | Wakeup::Cancelled => {
                 Err(AttemptFailure::ClientLeft(LineProgress::Unsent))
             }
-            Wakeup::TimedOut => Err(unsent(timeout_end(self))),
+            Wakeup::TimedOut => Err(failed_before_send(timeout_end(self))),
         }
     }
 
-    /// Returns the line as it goes to the server, where it may still be sent. The endpoint list may
-    /// have changed since the command was given, and a retry that was in time may be late by now.
-    /// An adopted connection goes back to its server whatever the list says.
+    /// Returns the line in the form in which the server gets it, or fails if it may no longer be
+    /// sent: the endpoint list may have changed since the command was given, and a retry that was in
+    /// time may be late by now. An adopted connection is reopened at its server whatever the list
+    /// says.
     fn line_to_send(&self, line: &[u8], origin: FlowOrigin) -> Result<Vec<u8>, AttemptFailure> {
         match origin {
             FlowOrigin::Adopted => Ok([line, b"\r\n"].concat()),
             FlowOrigin::New
                 if !self.target.server.ready() || clock::now() >= self.target.send_by =>
             {
-                Err(unsent(AttemptEnd::NotSent))
+                Err(failed_before_send(AttemptEnd::NotSent))
             }
             FlowOrigin::New => {
                 let wait = self.target.deadline.saturating_sub(clock::now());
@@ -198,11 +206,11 @@
             server.rearm_notification();
             match server.write(&line[written..]) {
                 Ok(count) => written += count,
-                // Its last byte was never written.
-                Err(_) => return Err(unsent(AttemptEnd::Unreachable)),
+                // The line's last byte was not written.
+                Err(_) => return Err(failed_before_send(AttemptEnd::Unreachable)),
             }
             if written < line.len() {
-                self.wait_unsent(self.target.send_by, |_| AttemptEnd::Unreachable)?;
+                self.wait_before_send(self.target.send_by, |_| AttemptEnd::Unreachable)?;
             }
         }
         Ok(())
@@ -215,17 +223,18 @@
         loop {
             server.rearm_notification();
             match server.read(&mut received[length..]) {
-                Ok(Some(0)) | Err(_) => return Err(sent(AttemptEnd::ConnectionLost)),
+                Ok(Some(0)) | Err(_) => return Err(failed_after_send(AttemptEnd::ConnectionLost)),
                 Ok(Some(count)) => length += count,
                 Ok(None) if timed_out => {
-                    // Closed before the end is reported: it may serve nobody any more.
+                    // The socket is closed before the end is reported: from then on the server must
+                    // not serve this client.
                     drop(server);
-                    return Err(sent(AttemptEnd::TimedOut));
+                    return Err(failed_after_send(AttemptEnd::TimedOut));
                 }
                 Ok(None) => match self.wait(self.target.deadline) {
                     Wakeup::Progress => {}
-                    // Looked at once more: guards against an answer that has come and whose
-                    // notification comes after the timer's.
+                    // Reads once more: the answer may have arrived although its notification comes
+                    // after the timer's.
                     Wakeup::TimedOut => timed_out = true,
                     Wakeup::Cancelled => {
                         return Err(AttemptFailure::ClientLeft(LineProgress::Sent));
@@ -241,12 +250,12 @@
                 });
             }
             if length == received.len() {
-                return Err(sent(AttemptEnd::Error));
+                return Err(failed_after_send(AttemptEnd::Error));
             }
         }
     }
 
-    /// Fails unless the server has accepted and the client is still there.
+    /// Fails unless the server has accepted the client and the client hasn't left.
     fn check_answer(&self, answer: &[u8]) -> Result<(), AttemptFailure> {
         let report_format = self.dataplane.settings.current().report_format;
         match ServerAnswer::parse(answer, &report_format) {
@@ -279,19 +288,19 @@
     }
 }
 
-/// An attempt that ended before the line's last byte was written.
-fn unsent(end: AttemptEnd) -> AttemptFailure {
+/// Returns the failure of an attempt that ended before the line's last byte was written.
+fn failed_before_send(end: AttemptEnd) -> AttemptFailure {
     AttemptFailure::Ended(AttemptOutcome::unsent(end))
 }
 
-/// An attempt that ended without an answer after its line was written.
-fn sent(end: AttemptEnd) -> AttemptFailure {
+/// Returns the failure of an attempt whose line was written but whose server sent no usable answer.
+fn failed_after_send(end: AttemptEnd) -> AttemptFailure {
     AttemptFailure::Ended(AttemptOutcome::sent(end))
 }
 
-/// Whether a connection that could not be begun says something of its server. All other errors are
-/// this machine's: no descriptor, port, memory, route or permission.
-fn concerns_server(error: &io::Error) -> bool {
+/// Returns whether the error of a dial is about the server. All other errors are local to this
+/// machine: no descriptor, port, memory, route or permission.
+fn is_server_error(error: &io::Error) -> bool {
     use ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, TimedOut};
     matches!(
         error.kind(),
--- a/crates/dataplane/src/attempt/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! An attempt whose client has left before it begins.
+//! Attempts whose client has left before they begin.
 
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -31,19 +31,19 @@
     })
 }
 
-/// Makes an attempt for a flow whose client has done that before; whether nothing was sent, and
-/// whether the server was dialled.
-fn attempt_after(leave: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
-    let (front, server) = (
+/// Makes an attempt for a flow after its client has run `client_action`. Returns whether the
+/// attempt ended unsent because the client had left, and whether the server was dialled.
+fn attempt_after(client_action: impl FnOnce(&mut TcpStream)) -> (bool, bool) {
+    let (listener, server) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         TcpListener::bind("127.0.0.1:0").unwrap(),
     );
     server.set_nonblocking(true).unwrap();
-    let mut client = TcpStream::connect(front.local_addr().unwrap()).unwrap();
-    let stream = front.accept().unwrap().0;
+    let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let stream = listener.accept().unwrap().0;
     stream.set_nonblocking(true).unwrap();
-    leave(&mut client);
-    // Over loopback it is there once the call has returned; this is for slow machines.
+    client_action(&mut client);
+    // Loopback delivers before the call returns; the pause allows for slow machines.
     std::thread::sleep(Duration::from_millis(20));
     let address = server.local_addr().unwrap();
     let unsent = may::go!(move || {
@@ -97,26 +97,26 @@
     (unsent, dialled)
 }
 
-/// Its end has not been notified yet, as where the worker has been busy since. Guards against an
-/// attempt that begins long after the client has gone.
+/// Guards against an attempt that begins long after the client has left. The client's end has not
+/// been notified here, as when the worker has been busy since.
 #[test]
 fn a_server_is_not_dialled_for_a_client_that_has_left() {
-    assert_eq!(attempt_after(|_| {}), (false, true), "one that stays");
+    assert_eq!(attempt_after(|_| {}), (false, true), "client stays");
     assert_eq!(
         attempt_after(|client| client.shutdown(Shutdown::Both).unwrap()),
         (true, false),
-        "closed"
+        "client closes"
     );
     assert_eq!(
         attempt_after(|client| client.shutdown(Shutdown::Write).unwrap()),
         (true, false),
-        "half-closed"
+        "client half-closes"
     );
-    let more = |client: &mut TcpStream| client.write_all(b"hello\r\n").unwrap();
+    let send_more = |client: &mut TcpStream| client.write_all(b"hello\r\n").unwrap();
     assert_eq!(
-        attempt_after(more),
+        attempt_after(send_more),
         (true, false),
-        "goes on before it is served"
+        "client sends more before it is served"
     );
     let reset = |client: &mut TcpStream| {
         SockRef::from(&*client)
@@ -125,5 +125,5 @@
         let other = TcpListener::bind("127.0.0.1:0").unwrap();
         *client = TcpStream::connect(other.local_addr().unwrap()).unwrap();
     };
-    assert_eq!(attempt_after(reset), (true, false), "reset");
+    assert_eq!(attempt_after(reset), (true, false), "client resets");
 }
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -1,6 +1,7 @@
-//! The fifth stage: passes an open connection's lines on, both ways, until one side ends. It owns
-//! both sockets and gives them back when it returns. It must never change what passes, never cut a
-//! client off whose server still answers, and tell a client to move only between two lines.
+//! The fifth stage: forwards bytes between the client and the server of an open connection, in both
+//! directions, until one side closes. It owns both sockets and closes them before it returns. It
+//! must never change the data, never disconnect a client whose server still answers, and tell a
+//! client to move only between two lines.
 
 mod direction;
 
@@ -20,24 +21,25 @@
 
 use direction::{BrokenSide, Direction};
 
-/// After a client's line that brought nothing back for so long the server counts as silent. Clients
-/// send every 2 s and sound servers answer at once, so two lines in a row have gone unanswered; it
-/// must be noticed within 7 s.
+/// A server that sends nothing for this long after a client's line counts as silent. Clients send
+/// every 2 s and healthy servers answer at once, so two lines in a row have gone unanswered by then.
+/// A silent server must be detected within 7 s.
 const RESPONSE_TIMEOUT: Time = 5 * SEC;
-/// A client that has sent nothing for so long counts as gone, as clients send every 2 s. It is told
-/// to move, in case it isn't, and its descriptors are free again.
+/// A client that sends nothing for this long counts as gone, because clients send every 2 s. Its
+/// connection is closed, which frees its descriptors. It is told to move first, in case it is still
+/// there.
 const CLIENT_IDLE_TIMEOUT: Time = 30 * SEC;
-/// How long the other side may take to end once one has. A server's end must reach the client
-/// within 1 s.
+/// Time between the end of stream from one side and the close of the connection if the other side
+/// doesn't end. The end of stream from a server must reach the client within 1 s.
 const CLOSE_TIMEOUT: Time = 800 * MS;
-/// What a peer hasn't taken by then it won't take.
+/// A peer that accepts no bytes for this long counts as lost.
 const WRITE_STALL_TIMEOUT: Time = 7 * SEC;
-/// How soon a timer that could not be acted on is looked at again.
+/// Time until the next check of a timer that has expired but could not be acted on yet.
 const OVERDUE_TIMER_INTERVAL: Time = 50 * MS;
-/// How soon a direction that had its turn goes on.
+/// Time until the next turn if a direction has used up its turn and has more to forward.
 const NEXT_TURN_DELAY: Time = MS;
 
-/// Passes lines on between a flow's client and its server until their connection has ended.
+/// Forwards data between a flow's client and its server until their connection has ended.
 pub fn relay(
     dataplane: &Dataplane,
     mut flow: FlowGuard,
@@ -55,7 +57,7 @@
         target,
         flow: &mut flow,
         server: &server,
-        downstream: Direction::of_lines(received, received_length),
+        downstream: Direction::line_framed(received, received_length),
         upstream: Direction::default(),
         scanner: LineScanner::new(dataplane.settings.current().report_format),
         unanswered_since: None,
@@ -69,11 +71,12 @@
     }
 }
 
-/// Tells the client to move to another server, where it is between two lines, and closes both
-/// sockets, the server's first.
+/// Closes both sockets, the server's first. A client that is between two lines is first told to
+/// move to another server.
 fn migrate(flow: &FlowGuard, server: Socket, now: Time, between_lines: bool) {
     let deadline = now + LINGER_TIMEOUT;
-    // Where part of an overlong line has been passed on the client can't be told, only ended.
+    // A client that has received part of an overlong line can't be told to move: the reply would
+    // become part of that line. Its connection is only closed.
     if between_lines {
         let _ = flow.client.write(wire::REPLY_MIGRATE, deadline);
     }
@@ -84,18 +87,18 @@
 
 /// How a connection is closed.
 enum Close {
-    /// Both sockets, as they are.
+    /// Both sockets are closed at once.
     Now,
-    /// The client is told to move to another server.
+    /// The client is told to move to another server first.
     Migrate {
         now: Time,
-        /// No line of the server has been passed on in part.
+        /// The client has received no partial line.
         between_lines: bool,
     },
 }
 
-/// One open connection. Built where it is used and never moved: guards against copies on the stack
-/// of each connection.
+/// One open connection. It is built in place and never moved, so that the stack of each connection
+/// doesn't hold copies of it.
 struct Relay<'a> {
     dataplane: &'a Dataplane,
     target: &'a AttemptTarget,
@@ -105,20 +108,20 @@
     downstream: Direction,
     /// From the client to the server.
     upstream: Direction,
-    /// Follows the server's lines.
+    /// Parses the server's lines.
     scanner: LineScanner,
-    /// When the client sent the first line that nothing has come back for.
+    /// When the client sent the first line since the server last sent anything.
     unanswered_since: Option<Time>,
     /// When the client last sent something.
     client_active_at: Time,
     slowest_response: Time,
-    /// When the connection is closed although one side hasn't ended.
+    /// When the connection is closed even if one side hasn't ended.
     close_by: Option<Time>,
     end_reported: bool,
 }
 
 impl Relay<'_> {
-    /// Passes lines on until the connection is to be closed.
+    /// Forwards data until the connection is to be closed.
     fn run(&mut self) -> Close {
         loop {
             match self.turn() {
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Passes on what there is and checks all timers. Returns when the next one expires.
+    /// Forwards the available data and checks all timers. Returns the time of the next turn.
     fn turn(&mut self) -> ControlFlow<Close, Time> {
         self.flow.client.socket.rearm_notification();
         self.server.rearm_notification();
@@ -141,7 +144,7 @@
         ControlFlow::Continue(self.next_wakeup(now))
     }
 
-    /// Passes on what the server sends. Returns whether any of it has reached the client.
+    /// Forwards the server's data. Returns whether any of it was written to the client.
     fn pump_downstream(&mut self, now: Time) -> ControlFlow<Close, bool> {
         let client = &self.flow.client.socket;
         let mut load = None;
@@ -164,7 +167,7 @@
                 BrokenSide::Sender => AttemptEnd::ConnectionLost,
                 BrokenSide::Receiver => AttemptEnd::Done,
             });
-            // A reset is passed on as one.
+            // A reset by one side is forwarded to the other as a reset.
             self.flow.client.socket.reset();
             self.server.reset();
             return ControlFlow::Break(Close::Now);
@@ -172,7 +175,7 @@
         ControlFlow::Continue(server_sent)
     }
 
-    /// Passes on what the client sends.
+    /// Forwards the client's data.
     fn pump_upstream(&mut self, now: Time) -> ControlFlow<Close> {
         let client = &self.flow.client.socket;
         let buffers = &self.dataplane.buffers;
@@ -186,8 +189,8 @@
                 self.server.reset();
                 ControlFlow::Break(Close::Now)
             }
-            // Where the server has ended, its last lines have been passed on by now or are about to
-            // be read.
+            // If the server has ended, the connection stays open: the server's last lines have been
+            // forwarded or are still to be read.
             Err(BrokenSide::Receiver) if !self.downstream.sender_ended => {
                 self.report_end(AttemptEnd::ConnectionLost);
                 self.flow.client.socket.reset();
@@ -197,8 +200,8 @@
         }
     }
 
-    /// Reports the end of a side that has ended, and closes once both have or the other takes too
-    /// long.
+    /// Reports the end if one side has ended. Closes the connection when both sides have ended, or
+    /// when the other side takes too long to end.
     fn check_ends(&mut self, now: Time, server_sent: bool) -> ControlFlow<Close> {
         if self.downstream.sender_ended && self.downstream.end_forwarded {
             match self.scanner.last_end() {
@@ -219,7 +222,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Since when the side that has waited longest for its peer to take bytes waits.
+    /// Returns the start of the longer stall, or `None` if both peers accept bytes.
     fn stalled_since(&self) -> Option<Time> {
         let directions = [&self.downstream, &self.upstream];
         let stalls = directions.into_iter().filter_map(|d| d.stalled_since);
@@ -227,16 +230,16 @@
     }
 
     fn check_write_stall(&mut self, now: Time) -> ControlFlow<Close> {
-        let is_over = |since| since + WRITE_STALL_TIMEOUT <= now;
-        if self.stalled_since().is_some_and(is_over) {
+        let is_timed_out = |since| since + WRITE_STALL_TIMEOUT <= now;
+        if self.stalled_since().is_some_and(is_timed_out) {
             self.report_end(AttemptEnd::ConnectionLost);
             return ControlFlow::Break(Close::Now);
         }
         ControlFlow::Continue(())
     }
 
-    /// Closes with a migration where one side is silent, or where the policy wants it and no line
-    /// is cut by it.
+    /// Closes with a migration if one side is silent, or if the policy requests it and it would
+    /// split no line.
     fn check_migration(&mut self, now: Time) -> ControlFlow<Close> {
         let may_migrate = !self.upstream.sender_ended
             && !self.downstream.sender_ended
@@ -262,15 +265,15 @@
         })
     }
 
-    /// Whether the server leaves a line unanswered, or the client sends nothing.
+    /// Returns whether the server hasn't answered in time or the client is idle.
     fn is_silent(&self, now: Time) -> bool {
         let is_overdue = |since| since + RESPONSE_TIMEOUT <= now;
         self.unanswered_since.is_some_and(is_overdue)
             || self.client_active_at + CLIENT_IDLE_TIMEOUT <= now
     }
 
-    /// Whether the policy wants the client migrated and its server is between two lines, or the
-    /// wait for the rest of a line is over.
+    /// Returns whether the policy has requested a migration that can be done now: the client is
+    /// between two lines, and the server has begun no line, or the wait for the rest of it is over.
     fn is_migration_due(&self, now: Time) -> bool {
         let Some(migrate_by) = self.flow.migrate_by else {
             return false;
@@ -279,23 +282,27 @@
         self.scanner.is_between_lines() && line_is_whole
     }
 
-    /// When the next timer expires, or the next turn is due.
+    /// Returns when the next timer expires or the next turn is due.
     fn next_wakeup(&self, now: Time) -> Time {
         if self.downstream.has_more || self.upstream.has_more {
-            // Parked, not yielded: the worker looks at sockets only once no coroutine is ready to
-            // run.
+            // The coroutine parks for a moment. A yield would keep it ready to run, and the worker
+            // polls sockets only when no coroutine is ready.
             return now + NEXT_TURN_DELAY;
         }
-        let response_due = self.unanswered_since.map(|since| since + RESPONSE_TIMEOUT);
-        let stall_over = self
+        let response_deadline = self.unanswered_since.map(|since| since + RESPONSE_TIMEOUT);
+        let stall_deadline = self
             .stalled_since()
             .map(|since| since + WRITE_STALL_TIMEOUT);
-        let migration_due = self.flow.migrate_by.filter(|by| *by > now);
-        let client_idle = self.client_active_at + CLIENT_IDLE_TIMEOUT;
-        let timers = [self.close_by, response_due, stall_over, migration_due];
-        let next = timers.into_iter().flatten().fold(client_idle, Time::min);
-        // Guards against a coroutine that keeps the processor busy while a timer has expired and
-        // can't be acted on.
+        let migration_deadline = self.flow.migrate_by.filter(|by| *by > now);
+        let idle_deadline = self.client_active_at + CLIENT_IDLE_TIMEOUT;
+        let timers = [
+            self.close_by,
+            response_deadline,
+            stall_deadline,
+            migration_deadline,
+        ];
+        let next = timers.into_iter().flatten().fold(idle_deadline, Time::min);
+        // Guards against a busy loop while a timer has expired but can't be acted on yet.
         if next <= now {
             now + OVERDUE_TIMER_INTERVAL
         } else {
@@ -304,7 +311,7 @@
     }
 
     fn wait(&mut self, until: Time) {
-        // Anything else was meant for the attempt, or only ends the wait.
+        // Any other event was meant for the attempt or only wakes this coroutine.
         if let Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) =
             self.flow.client.mailbox.next(until)
         {
@@ -316,7 +323,7 @@
         self.report_end_with(end, LoadReport::default());
     }
 
-    /// Reports how the connection has ended, once.
+    /// Reports how the connection has ended. Only the first call has an effect.
     fn report_end_with(&mut self, end: AttemptEnd, report: LoadReport) {
         if self.end_reported {
             return;
--- a/crates/dataplane/src/relay/direction.rs
+++ b/crates/dataplane/src/relay/direction.rs
@@ -1,5 +1,5 @@
-//! One direction of an open connection: what has been read from one side and not yet been written
-//! to the other. It owns the buffer that holds this, and must never wait, nor change what passes.
+//! One direction of an open connection. It owns the buffer of the bytes that have been read from
+//! one side and not yet been written to the other. It must never wait and never change the data.
 
 use std::sync::Arc;
 
@@ -9,23 +9,23 @@
 use crate::clock;
 use crate::socket::Socket;
 
-/// Buffers that one side may pass on before others get their turn: guards against a flow that keeps
-/// the worker to itself while both its sides keep up.
+/// Buffers that a direction may forward in one turn. Guards against a flow that monopolizes its
+/// worker while its sender and its receiver are both fast.
 pub const BUFFERS_PER_TURN_MAX: usize = 16;
 
-/// What is passed on at once.
+/// The unit in which data is forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Framing {
-    /// Bytes as they come.
+    /// Bytes are forwarded as they arrive.
     #[default]
     Bytes,
-    /// Lines once they are whole. Guards against a peer that stops inside a line: nothing could be
-    /// sent between two lines any more, and whoever reads them would have to be cut off without a
-    /// word.
+    /// Lines are forwarded when they are complete. Guards against a sender that stops inside a
+    /// line: the balancer could insert no line of its own any more and would have to disconnect the
+    /// receiver without telling it why.
     Lines,
 }
 
-/// What waits in one direction, and how far it has come.
+/// The buffered data and the state of one direction.
 #[derive(Default)]
 pub struct Direction {
     buffer: Option<Buffer>,
@@ -36,17 +36,17 @@
     /// The buffer's bytes up to here have been read.
     filled: usize,
     framing: Framing,
-    /// Bytes have waited for the receiver since.
+    /// When the receiver stopped accepting bytes; `None` while it accepts them.
     pub stalled_since: Option<Time>,
-    /// The sender has ended.
+    /// The sender has ended its stream.
     pub sender_ended: bool,
-    /// The sender's end has been passed on.
+    /// The sender's end of stream has been forwarded.
     pub end_forwarded: bool,
-    /// Its turn was over before it had passed on all.
+    /// The last turn ended before all available data was forwarded.
     pub has_more: bool,
 }
 
-/// Which side has broken.
+/// The side whose connection has broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenSide {
     /// The side that is read from.
@@ -55,18 +55,18 @@
     Receiver,
 }
 
-/// Whether a call has done all that it could.
+/// Whether a read or a write could go ahead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Made,
-    /// The other side has to do something first.
+    /// The peer has to send data or to accept bytes first.
     Blocked,
 }
 
 impl Direction {
-    /// Returns a direction that passes on whole lines, and begins with a buffer's first `length`
-    /// bytes.
-    pub fn of_lines(buffer: Buffer, length: usize) -> Self {
+    /// Returns a direction that forwards whole lines and starts with the first `length` bytes of
+    /// `buffer`.
+    pub fn line_framed(buffer: Buffer, length: usize) -> Self {
         let mut direction = Direction {
             buffer: Some(buffer),
             filled: length,
@@ -77,10 +77,11 @@
         direction
     }
 
-    /// Passes on what there is, without waiting. `inspect` is shown what has been written.
+    /// Forwards the available data without waiting. Calls `inspect` with the bytes that have been
+    /// written.
     ///
     /// # Errors
-    /// The side that has broken.
+    /// The side whose connection has broken.
     pub fn pump(
         &mut self,
         sender: &Socket,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Passes the sender's end on, once.
+    /// Forwards the sender's end of stream, once.
     fn forward_end(&mut self, receiver: &Socket) {
         if !self.end_forwarded {
             receiver.end_sending();
@@ -118,14 +119,17 @@
         self.buffer = None;
     }
 
-    /// Writes what is writable; blocked where the receiver has no room for all of it.
+    /// Writes the writable bytes. [`Progress::Blocked`] if the receiver doesn't accept all of them.
     fn write(
         &mut self,
         receiver: &Socket,
         inspect: &mut impl FnMut(&[u8]),
     ) -> Result<Progress, BrokenSide> {
         while self.written < self.writable {
-            let buffer = self.buffer.as_ref().expect("it holds what is writable");
+            let buffer = self
+                .buffer
+                .as_ref()
+                .expect("the buffer holds the writable bytes");
             let count = receiver
                 .write(&buffer[self.written..self.writable])
                 .map_err(|_| BrokenSide::Receiver)?;
@@ -140,10 +144,11 @@
         Ok(Progress::Made)
     }
 
-    /// Reads what there is room for; blocked where the sender has sent nothing, not even its end.
+    /// Reads as much as fits into the buffer. [`Progress::Blocked`] if the sender has sent neither
+    /// data nor its end of stream.
     fn read(&mut self, sender: &Socket, buffers: &Arc<BufferPool>) -> Result<Progress, BrokenSide> {
         let buffer = self.buffer.get_or_insert_with(|| buffers.take());
-        // The part of a line that is held back begins the buffer.
+        // A partial line that is held back moves to the start of the buffer.
         buffer.copy_within(self.written..self.filled, 0);
         self.filled -= self.written;
         self.written = 0;
@@ -170,7 +175,8 @@
         }
     }
 
-    /// Finds how much may be written: whole lines, and what is longer than any line.
+    /// Sets how many bytes may be written. With line framing these are the whole lines, or the full
+    /// buffer if it holds no line end.
     fn mark_writable(&mut self) {
         let Some(buffer) = &self.buffer else { return };
         let last_end = buffer[..self.filled]
@@ -183,12 +189,12 @@
         };
     }
 
-    /// Whether a line has begun and isn't whole yet.
+    /// Returns whether the buffer holds the beginning of a line that isn't complete yet.
     pub fn holds_partial_line(&self) -> bool {
         self.writable < self.filled
     }
 
-    /// Whether all that may be written has been written.
+    /// Returns whether all writable bytes have been written.
     pub fn all_forwarded(&self) -> bool {
         self.written == self.writable
     }
--- a/crates/dataplane/src/relay/tests.rs
+++ b/crates/dataplane/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! What one direction passes on in one turn.
+//! Tests of how much one direction forwards in one turn.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,8 +9,8 @@
 use crate::connection::Connection;
 use crate::descriptors::DescriptorBudget;
 
-/// A stream and the socket at its other end.
-fn pair(descriptors: &std::sync::Arc<DescriptorBudget>) -> (TcpStream, Connection) {
+/// Returns a stream and the accepted connection at its other end.
+fn connected_pair(descriptors: &std::sync::Arc<DescriptorBudget>) -> (TcpStream, Connection) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let accepted = listener.accept().unwrap().0;
@@ -22,13 +22,14 @@
 }
 
 #[test]
-fn one_flow_does_not_keep_the_worker() {
-    let passed = may::go!(|| {
+fn a_turn_ends_after_its_buffers_and_the_rest_is_forwarded_in_later_turns() {
+    let forwarded = may::go!(|| {
         let (descriptors, buffers) = (DescriptorBudget::new(9), BufferPool::new());
-        let ((mut from, sender), (mut to, receiver)) = (pair(&descriptors), pair(&descriptors));
+        let ((mut from, sender), (mut to, receiver)) =
+            (connected_pair(&descriptors), connected_pair(&descriptors));
         from.write_all(&[b'x'; 24 * BUFFER_BYTES]).unwrap();
         let mut direction = Direction::default();
-        let mut passed = Vec::new();
+        let mut forwarded = Vec::new();
         for _ in 0..3 {
             let mut count = 0;
             direction
@@ -38,18 +39,18 @@
                 .unwrap();
             let mut read = vec![0; count];
             to.read_exact(&mut read).unwrap();
-            passed.push((count, direction.has_more));
+            forwarded.push((count, direction.has_more));
         }
-        passed
+        forwarded
     });
-    let passed = passed.join().unwrap();
+    let forwarded = forwarded.join().unwrap();
     assert!(
-        passed[0].0 <= BUFFERS_PER_TURN_MAX * BUFFER_BYTES && passed[0].1,
-        "{passed:?}"
+        forwarded[0].0 <= BUFFERS_PER_TURN_MAX * BUFFER_BYTES && forwarded[0].1,
+        "{forwarded:?}"
     );
     assert_eq!(
-        (passed.iter().map(|p| p.0).sum::<usize>(), passed[2].1),
+        (forwarded.iter().map(|p| p.0).sum::<usize>(), forwarded[2].1),
         (24 * BUFFER_BYTES, false),
-        "{passed:?}"
+        "{forwarded:?}"
     );
 }
