--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The dispatcher: the one coroutine that owns the flow table, and with it the load balancing
 //! policy and its timer. Other coroutines send it messages and get commands in return. It must
-//! never do I/O nor wait for anything but its mailbox, and it decides nothing itself: where flows
-//! go and what is retried, migrated or failed is the policy's decision.
+//! never do I/O, never wait for anything but its mailbox, and never decide itself: the policy
+//! decides where flows go and what is retried, migrated or failed.
 
 mod clients;
 mod commands;
@@ -32,14 +32,13 @@
 };
 
 /// Longest wait for a message while no timer is set.
-const IDLE_WAIT: Time = SEC;
-/// Time between two looks for a free descriptor while health checks wait for one.
+const IDLE_WAIT_MAX: Time = SEC;
+/// Time between two attempts to start the health checks that wait for a free descriptor.
 const DESCRIPTOR_RETRY_INTERVAL: Time = 10 * MS;
-/// Shortest time to the next timer. Guards against a timer that is due at once, again and again,
-/// and keeps the processor busy.
+/// Shortest time to the next timer. Guards against a busy loop if a timer is due at once each time.
 const TIMER_WAIT_MIN: Time = MS;
 
-/// Passes messages of flows and services to the policy, and its commands back.
+/// Passes messages from flows and services to the policy, and the policy's commands to them.
 pub struct Dispatcher {
     flow_table: FlowTable,
     messages: Mailbox<DispatcherMessage>,
@@ -48,13 +47,13 @@
     health_checker: HealthChecker,
     gossip: Option<Sender<GossipMessage>>,
     seed: u64,
-    margin: Time,
+    deadline_margin: Time,
     shutdown: GracefulShutdown,
-    /// The next time at which the policy's timer expires.
+    /// When the policy's timer expires next.
     next_timer: Option<Time>,
 }
 
-/// Whether the dispatcher goes on.
+/// Whether the dispatcher keeps running.
 #[derive(PartialEq)]
 enum ShutdownState {
     Running,
@@ -72,16 +71,16 @@
             health_checker: config.health_checker,
             gossip: config.gossip,
             seed: config.seed,
-            margin: config.margin,
+            deadline_margin: config.margin,
             shutdown: GracefulShutdown::new(config.answer_deadline, config.pending_connections),
             next_timer: None,
         }
     }
 
-    /// Reads messages until a graceful shutdown is complete. Runs in a coroutine of its own.
+    /// Handles messages until a graceful shutdown is complete. Runs in a coroutine of its own.
     ///
     /// # Errors
-    /// [`DispatcherError::ServiceFailed`] once a service has failed for good.
+    /// [`DispatcherError::ServiceFailed`] if a service has failed permanently.
     pub fn run(mut self) -> Result<(), DispatcherError> {
         loop {
             let message = self.next_message();
@@ -112,12 +111,12 @@
             .into_iter()
             .flatten()
             .min()
-            .unwrap_or(now + IDLE_WAIT);
+            .unwrap_or(now + IDLE_WAIT_MAX);
         self.messages.next(until)
     }
 
-    /// Handles a message and an expired timer; a panic fails the flow that the message is about.
-    /// Guards against a fault in one decision that ends every flow.
+    /// Handles a message and an expired timer. If that panics, the flow of the message is failed.
+    /// Guards against a bug in one policy decision that would end every flow.
     fn handle_or_fail(&mut self, message: Option<DispatcherMessage>) {
         let flow = match &message {
             Some(DispatcherMessage::PlaceFlow { flow, .. }) => Some(flow.id),
@@ -131,7 +130,7 @@
         error!(?flow, "policy decision panicked, failing its flow");
         if let Some(flow) = flow {
             let now = clock::now();
-            self.apply(now, |flow_table, commands| {
+            self.call_flow_table(now, |flow_table, commands| {
                 flow_table.fail(now, flow, commands)
             });
         }
@@ -144,7 +143,7 @@
         }
         if self.next_timer.is_some_and(|at| at <= now) {
             self.next_timer = None;
-            self.apply(now, |flow_table, commands| {
+            self.call_flow_table(now, |flow_table, commands| {
                 flow_table.timer_expired(now, commands)
             });
         }
@@ -167,15 +166,16 @@
             DispatcherMessage::ConnectionLoad { flow, load } => {
                 self.flow_table.update_connection_load(flow, load)
             }
-            DispatcherMessage::ClientLeft { flow } => self.apply(now, |flow_table, commands| {
-                flow_table.client_left(now, flow, commands)
-            }),
+            DispatcherMessage::ClientLeft { flow } => self
+                .call_flow_table(now, |flow_table, commands| {
+                    flow_table.client_left(now, flow, commands)
+                }),
             DispatcherMessage::FlowClosed { flow } => self.flow_closed(now, flow),
             DispatcherMessage::HealthChecked {
                 server_id,
                 passed,
                 report,
-            } => self.apply(now, |flow_table, commands| {
+            } => self.call_flow_table(now, |flow_table, commands| {
                 flow_table.health_checked(now, server_id, passed, report, commands)
             }),
             DispatcherMessage::StoredEndpoints(entries) => {
@@ -192,7 +192,7 @@
                 self.flow_table.apply_admission_config(config)
             }
             DispatcherMessage::Terminate => self.terminate(now),
-            // It ends `run`.
+            // `run` returns on this message before it is handled here.
             DispatcherMessage::ServiceFailed(_) => {}
         }
     }
@@ -205,12 +205,13 @@
         mailbox: Sender<FlowEvent>,
     ) {
         self.clients.insert(flow.id, mailbox, None);
-        self.apply(now, |flow_table, commands| {
+        self.call_flow_table(now, |flow_table, commands| {
             flow_table.accept(now, flow, client, commands)
         });
     }
 
-    /// Answers a connection that was open at `server_name` before the balancer started.
+    /// Answers the request to reopen a connection that was open at `server_name` before the
+    /// balancer started.
     fn adopt_connection(&mut self, flow: Flow, server_name: &str, mailbox: Sender<FlowEvent>) {
         let server_id = self.servers.server_id(server_name);
         let command = match self.servers.get(server_id) {
@@ -236,7 +237,7 @@
         };
         match client.adoption.take() {
             Some(Adoption { flow, server_id }) => self.flow_table.adopt_connection(flow, server_id),
-            None => self.apply(now, |flow_table, commands| {
+            None => self.call_flow_table(now, |flow_table, commands| {
                 flow_table.connected(now, flow, elapsed, commands)
             }),
         }
@@ -246,13 +247,13 @@
         if !self.clients.contains(attempt.flow) {
             return;
         }
-        self.apply(now, |flow_table, commands| {
+        self.call_flow_table(now, |flow_table, commands| {
             flow_table.attempt_ended(now, attempt, commands)
         });
     }
 
     fn flow_closed(&mut self, now: Time, flow: FlowId) {
-        self.apply(now, |flow_table, commands| {
+        self.call_flow_table(now, |flow_table, commands| {
             flow_table.remove(now, flow, commands)
         });
         self.clients.remove(flow);
@@ -282,7 +283,8 @@
             .update_endpoints(now, &endpoints, scope == ListScope::Complete);
     }
 
-    /// Passes another balancer's message on; one about an unlisted server concerns nobody here.
+    /// Passes another balancer's message to the policy. A message about an unlisted server is
+    /// ignored.
     fn gossip_received(&mut self, now: Time, message: &GossipMessage) {
         if let Some(server_id) = self.servers.listed_server_id(&message.server) {
             let placement = GroupPlacement {
@@ -293,20 +295,21 @@
         }
     }
 
-    /// Applies new settings. Flows, attempts in flight and connections stay as they are.
+    /// Applies new settings. Flows, attempts in flight and connections are not changed.
     fn apply_settings(&mut self, settings: Settings) {
-        // The endpoint list may have named zones before the settings did.
+        // The endpoint list may have named zones that the settings name only now. The settings get
+        // the numbers that these zones already have.
         let settings = match settings.zone_name() {
             Some(name) => settings.with_zone(self.servers.zone_id(&name)),
             None => settings,
         };
-        match settings.policy(self.seed, self.margin, DrainMigration::Enabled) {
+        match settings.policy(self.seed, self.deadline_margin, DrainMigration::Enabled) {
             Ok(policy) => {
                 self.flow_table.apply_settings(policy);
                 self.shutdown
                     .reload(clock::now(), settings.flow_timeout_max());
             }
-            Err(error) => error!(%error, "settings not applied, keeping the previous ones"),
+            Err(error) => error!(%error, "new settings are invalid, keeping the previous ones"),
         }
     }
 
@@ -315,7 +318,7 @@
         self.shutdown.start(now);
     }
 
-    /// Does what is due of a graceful shutdown.
+    /// Runs the steps of a graceful shutdown that are due.
     fn continue_shutdown(&mut self) -> ShutdownState {
         let Some(progress) = self.shutdown.progress(clock::now()) else {
             return ShutdownState::Running;
@@ -336,21 +339,25 @@
         }
     }
 
-    /// Times out every attempt of a flow that is owed an answer.
+    /// Times out every attempt of a flow that has not been answered.
     fn time_out_unanswered(&mut self, now: Time) {
         let mut unanswered = Vec::new();
-        self.apply(now, |flow_table, commands| {
+        self.call_flow_table(now, |flow_table, commands| {
             unanswered = flow_table.shorten_deadlines(now, commands)
         });
         for flow in unanswered {
             self.clients.command(flow, FlowCommand::AttemptTimedOut);
         }
-        // The flow table doesn't know connections that are being adopted.
+        // The flow table doesn't contain connections that are being adopted.
         self.clients.time_out_adoptions();
     }
 
-    /// Calls the flow table and executes the commands that come of it.
-    fn apply(&mut self, now: Time, call: impl FnOnce(&mut FlowTable, &mut Vec<PolicyCommand>)) {
+    /// Calls the flow table and executes the commands that the call adds.
+    fn call_flow_table(
+        &mut self,
+        now: Time,
+        call: impl FnOnce(&mut FlowTable, &mut Vec<PolicyCommand>),
+    ) {
         let mut commands = Vec::new();
         call(&mut self.flow_table, &mut commands);
         let mut executor = CommandExecutor {
--- a/crates/dataplane/src/dispatcher/clients.rs
+++ b/crates/dataplane/src/dispatcher/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of the flows in progress and the way to their coroutines.
+//! The clients of the flows in progress, with the mailboxes of their coroutines.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::mailbox::Sender;
 use crate::messages::{FlowCommand, FlowEvent};
 
-/// A connection that was open before the balancer started and is not open again yet.
+/// A connection that was open before the balancer started and has not been reopened yet.
 pub(super) struct Adoption {
     pub flow: Flow,
     pub server_id: ServerId,
@@ -16,7 +16,7 @@
 /// The client of one flow.
 pub(super) struct Client {
     mailbox: Sender<FlowEvent>,
-    /// Set until the adopted connection is open again; none for new flows.
+    /// Set until the adopted connection is reopened; `None` for new flows.
     pub adoption: Option<Adoption>,
 }
 
@@ -27,12 +27,12 @@
 }
 
 impl ClientTable {
-    /// Adds the client of a flow; `adoption` for a connection from before the start.
+    /// Adds the client of a flow. `adoption` is set for a connection that was open before the start.
     pub fn insert(&mut self, flow: FlowId, mailbox: Sender<FlowEvent>, adoption: Option<Adoption>) {
         self.clients.insert(flow, Client { mailbox, adoption });
     }
 
-    /// Removes the client of a flow that is closed.
+    /// Removes the client of a closed flow.
     pub fn remove(&mut self, flow: FlowId) {
         self.clients.remove(&flow);
     }
@@ -57,12 +57,12 @@
         self.clients.is_empty()
     }
 
-    /// Returns the flows from the number `first` on, in order.
+    /// Returns the flows with a number of at least `first`, in order.
     pub fn flows_from(&self, first: FlowId) -> impl Iterator<Item = FlowId> {
         self.clients.range(first..).map(|(flow, _)| *flow)
     }
 
-    /// Sends a command to the flow's coroutine; a flow without a client is passed over.
+    /// Sends a command to the flow's coroutine. Does nothing if the flow has no client.
     pub fn command(&self, flow: FlowId, command: FlowCommand) {
         if let Some(client) = self.clients.get(&flow) {
             client.mailbox.send(FlowEvent::Command(command));
--- a/crates/dataplane/src/dispatcher/commands.rs
+++ b/crates/dataplane/src/dispatcher/commands.rs
@@ -1,5 +1,5 @@
-//! Execution of the policy's commands: each becomes a message to a flow's coroutine, a health check
-//! or a gossip message.
+//! Execution of the policy's commands. Each command becomes a message to a flow's coroutine, a
+//! health check or a gossip message.
 
 use nettlemux_flow_table::{FlowTable, PolicyCommand};
 use nettlemux_policy::{FlowId, GroupPlacement, SEC, ServerId, Time};
@@ -11,8 +11,7 @@
 use crate::mailbox::Sender;
 use crate::messages::{AttemptTarget, FlowCommand, GossipMessage};
 
-/// Time that a server has to end a line that it has begun before the migration of its client stops
-/// waiting for it.
+/// Time that a migration waits for the server to complete a line that it has begun.
 const LINE_TIMEOUT: Time = 5 * SEC;
 
 /// An attempt that the policy starts.
@@ -24,7 +23,7 @@
     send_by: Time,
 }
 
-/// Executes commands on the parts of the dispatcher that they concern.
+/// Executes commands on the parts of the dispatcher that they affect.
 pub(super) struct CommandExecutor<'a> {
     /// The time at which the policy gave the commands.
     pub now: Time,
@@ -32,12 +31,12 @@
     pub clients: &'a ClientTable,
     pub servers: &'a ServerDirectory,
     pub health_checker: &'a mut HealthChecker,
-    /// The way to the other balancers, where there is one.
+    /// Sends messages to the other balancers; `None` if no peers are configured.
     pub gossip: Option<&'a Sender<GossipMessage>>,
 }
 
 impl CommandExecutor<'_> {
-    /// Executes the commands in their order.
+    /// Executes the commands in order.
     pub fn execute_all(&mut self, commands: Vec<PolicyCommand>) {
         let migrations = commands
             .iter()
@@ -80,7 +79,7 @@
                 self.clients.command(flow, FlowCommand::CancelAttempt)
             }
             PolicyCommand::CheckHealth { server_id } => self.check_health(server_id),
-            // Discovery polls at all times.
+            // Nothing to do: discovery polls all the time.
             PolicyCommand::PollEndpoints => {}
             PolicyCommand::Gossip(placement) => self.gossip(placement),
         }
@@ -92,7 +91,8 @@
         let Some(server) = self.servers.get(server_id) else {
             warn!(
                 id = flow,
-                server_id, "policy chose an unlisted server, failing the flow"
+                server_id,
+                "policy chose a server that is not in the endpoint list, failing the flow"
             );
             self.flow_table.mark_answered(flow);
             self.clients.command(flow, FlowCommand::Fail);
--- a/crates/dataplane/src/dispatcher/config.rs
+++ b/crates/dataplane/src/dispatcher/config.rs
@@ -1,4 +1,4 @@
-//! The parts and settings that a dispatcher is made of.
+//! The configuration of a dispatcher.
 
 use std::sync::Arc;
 
@@ -11,26 +11,27 @@
 use crate::messages::{DispatcherMessage, GossipMessage};
 use crate::shutdown::AnswerDeadline;
 
-/// What a dispatcher is made of.
+/// The parts and settings that a dispatcher is built from.
 pub struct DispatcherConfig {
     /// The flows, and the policy that decides about them.
     pub flow_table: FlowTable,
     /// The messages that the dispatcher reads.
     pub messages: Mailbox<DispatcherMessage>,
-    /// The settings' zones, in their order.
+    /// The zones of the settings, in the order of the settings.
     pub zones: Vec<String>,
-    /// The settings' machine models, in their order.
+    /// The machine models of the settings, in the order of the settings.
     pub machines: Vec<String>,
     /// Checks the servers that the policy names.
     pub health_checker: HealthChecker,
-    /// The way to the other balancers, where there is one.
+    /// Sends messages to the other balancers; `None` if no peers are configured.
     pub gossip: Option<Sender<GossipMessage>>,
-    /// The seed of policies that are made of new settings.
+    /// The seed of policies that are built from new settings.
     pub seed: u64,
-    /// The time that policies made of new settings leave before a flow's deadline, in nanoseconds.
+    /// The time that policies built from new settings leave before a flow's deadline, in
+    /// nanoseconds.
     pub margin: Time,
-    /// When the last answer is due once the balancer is told to end.
+    /// When the last answer is due after SIGTERM.
     pub answer_deadline: AnswerDeadline,
-    /// Connections that are no flow yet, or that are being closed.
+    /// The descriptors of connections that are not flows yet or are being closed.
     pub pending_connections: Arc<DescriptorBudget>,
 }
--- a/crates/dataplane/src/dispatcher/graceful_shutdown.rs
+++ b/crates/dataplane/src/dispatcher/graceful_shutdown.rs
@@ -1,6 +1,6 @@
-//! The order of a graceful shutdown: clients are migrated a batch at a time, those still owed an
-//! answer get one by the answer deadline, then the balancer ends. Keeps times only; the dispatcher
-//! sends what is due.
+//! The schedule of a graceful shutdown: clients are migrated in batches, clients that have not been
+//! answered get an answer by the answer deadline, then the balancer exits. This module only keeps
+//! the times; the dispatcher sends the commands that are due.
 
 use std::sync::Arc;
 
@@ -10,19 +10,20 @@
 use crate::descriptors::DescriptorBudget;
 use crate::shutdown::AnswerDeadline;
 
-/// Time after the answer deadline in which the last clients are migrated. SIGKILL comes 0.7 s after
-/// that deadline at the earliest.
+/// Time after the answer deadline in which the last clients are migrated. SIGKILL comes at the
+/// earliest 0.7 s after that deadline.
 const LAST_MIGRATIONS_TIMEOUT: Time = 200 * MS;
-/// Time after the answer deadline at which the balancer ends in any case.
+/// Time after the answer deadline at which the balancer exits even if connections are open.
 const EXIT_TIMEOUT: Time = 500 * MS;
-/// Time after SIGTERM in which the front still sends new clients. Guards, where deadlines are
-/// short, against migrated clients that come straight back, and against an exit that leaves clients
-/// to a closed port.
+/// Time after SIGTERM in which new clients are still sent to this balancer. Matters if deadlines
+/// are short: guards against migrated clients that come straight back, and against an exit after
+/// which new clients find the port closed.
 const NEW_CLIENTS_TIMEOUT: Time = 400 * MS;
 /// Time between two batches of migrations, and between two checks for flows past the deadline.
 pub(super) const STEP_INTERVAL: Time = 50 * MS;
 
-/// How far a shutdown has come at one moment. Spans are counted from its start.
+/// The progress of a shutdown at one point in time. Durations are counted from the shutdown's
+/// start.
 pub(super) struct Progress {
     now: Time,
     started_at: Time,
@@ -32,12 +33,12 @@
 }
 
 impl Progress {
-    /// Returns the moment that this is the progress at.
+    /// Returns the time to which this progress applies.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Returns the time from which on a migration doesn't wait for the end of a line.
+    /// Returns the time after which a migration no longer waits for the end of a line.
     pub fn migration_deadline(&self) -> Time {
         self.started_at + self.migration_timeout
     }
@@ -46,11 +47,11 @@
 /// The state of a graceful shutdown, before and after its start.
 pub(super) struct GracefulShutdown {
     answer_deadline: AnswerDeadline,
-    /// Connections that are no flow yet, or that are being closed.
+    /// The descriptors of connections that are not flows yet or are being closed.
     pending_connections: Arc<DescriptorBudget>,
     started_at: Option<Time>,
     next_migrations_at: Time,
-    /// The first flow, in order, that has not been told to migrate.
+    /// The lowest number of a flow that has not been told to migrate.
     next_flow: FlowId,
     next_answer_check_at: Time,
     answer_deadline_passed: bool,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Starts the shutdown; one that has started goes on.
+    /// Starts the shutdown. Has no effect if it has already started.
     pub fn start(&mut self, now: Time) {
         self.started_at.get_or_insert(now);
         self.answer_deadline.terminate(now);
@@ -84,22 +85,22 @@
         self.started_at.is_some()
     }
 
-    /// Takes over the longest flow timeout of new settings.
+    /// Applies the longest flow timeout of new settings.
     pub fn reload(&mut self, now: Time, flow_timeout_max: Time) {
         self.answer_deadline.reload(now, flow_timeout_max);
     }
 
-    /// Returns whether all answers are due: a flow that waits is failed from then on.
+    /// Returns whether the answer deadline has passed. From then on a waiting flow is failed.
     pub fn answer_deadline_passed(&self) -> bool {
         self.answer_deadline_passed
     }
 
-    /// Returns how far the shutdown has come; none before its start.
+    /// Returns the progress of the shutdown; `None` before its start.
     pub fn progress(&self, now: Time) -> Option<Progress> {
         let started_at = self.started_at?;
         let answer_timeout = self.answer_deadline.timeout_at(now);
-        // Guards against clients that are migrated while the front still sends new ones, and would
-        // come straight back.
+        // Guards against migrations while new clients are still sent to this balancer: the migrated
+        // clients would come straight back.
         let migration_timeout = (answer_timeout + LAST_MIGRATIONS_TIMEOUT)
             .max(NEW_CLIENTS_TIMEOUT + LAST_MIGRATIONS_TIMEOUT / 2);
         Some(Progress {
@@ -111,17 +112,19 @@
         })
     }
 
-    /// Returns the flows to migrate now, each of them once and in order; empty between two batches.
+    /// Returns the flows to migrate now; empty between two batches. Each flow is returned once, in
+    /// order.
     ///
-    /// Migrations begin late, since the connections work and other balancers may be restarting too,
-    /// and are spread over the time left, so that clients don't reach the others all at once.
+    /// Migrations begin late because the connections still work and other balancers may be
+    /// restarting too. They are spread over the remaining time, so that the clients don't all
+    /// connect to the other balancers at once.
     pub fn next_migrations(&mut self, progress: &Progress, clients: &ClientTable) -> Vec<FlowId> {
         let first_at = (progress.answer_timeout / 2).max(NEW_CLIENTS_TIMEOUT);
         if progress.elapsed < first_at || progress.now < self.next_migrations_at {
             return Vec::new();
         }
-        // Guards against a batch for each message that the dispatcher reads: a migration causes
-        // messages, which would migrate all clients within milliseconds.
+        // Guards against a batch for each message that the dispatcher handles: migrations cause
+        // messages themselves, so all clients would be migrated within milliseconds.
         self.next_migrations_at = progress.now + STEP_INTERVAL;
         let time_left = progress.migration_timeout.saturating_sub(progress.elapsed);
         let batches_left = (time_left / STEP_INTERVAL).max(1) as usize;
@@ -136,10 +139,10 @@
         batch
     }
 
-    /// Returns whether flows that are owed an answer are to get one now.
+    /// Returns whether the flows that have not been answered have to be answered now.
     ///
-    /// It is due again at each step: guards against a flow that comes after the first check and is
-    /// still owed its answer at the end.
+    /// The check is due again at each step. Guards against a flow that arrives after the first check
+    /// and is still unanswered when the balancer exits.
     pub fn answer_check_is_due(&mut self, progress: &Progress) -> bool {
         let is_due = progress.elapsed >= progress.answer_timeout
             && progress.now >= self.next_answer_check_at;
@@ -150,7 +153,7 @@
         is_due
     }
 
-    /// Returns whether the balancer may end.
+    /// Returns whether the balancer may exit.
     pub fn is_complete(&self, progress: &Progress, clients: &ClientTable) -> bool {
         if progress.elapsed >= progress.answer_timeout + EXIT_TIMEOUT {
             return true;
--- a/crates/dataplane/src/dispatcher/name_table.rs
+++ b/crates/dataplane/src/dispatcher/name_table.rs
@@ -1,9 +1,9 @@
-//! Numbers for the names that the wire uses. The policy knows servers, zones, machine models and
-//! cells by number only.
+//! Numbers for the names that the wire uses. The policy identifies servers, zones, machine models
+//! and cells by number only.
 
 use std::collections::HashMap;
 
-/// Maps names to numbers, one number a name.
+/// Maps each name to a number of its own.
 #[derive(Default)]
 pub(super) struct NameTable {
     numbers: HashMap<String, u64>,
@@ -17,23 +17,24 @@
         }
     }
 
-    /// Returns the number of a name that has one.
+    /// Returns the number of a name; `None` if the name has none.
     pub fn get(&self, name: &str) -> Option<u64> {
         self.numbers.get(name).copied()
     }
 
-    /// Returns the number of `name`, numbered in order of arrival. For names whose numbers mean
-    /// nothing to other balancers.
+    /// Returns the number of `name`. A new name gets the next number in order of arrival. For names
+    /// whose numbers don't have to match those of other balancers.
     pub fn number_by_arrival(&mut self, name: &str) -> u64 {
         let next = self.numbers.len() as u64;
         *self.numbers.entry(name.to_string()).or_insert(next)
     }
 
-    /// Returns the number of `name`, computed from the name by FNV-1a (RFC 9923) and the next free
-    /// one on a collision.
+    /// Returns the number of `name`. A new name gets its FNV-1a hash (RFC 9923), or the next free
+    /// number on a collision.
     ///
-    /// Guards against balancers that learnt of the same servers in another order, after a restart
-    /// above all, and send a group's connections to other servers than the rest do.
+    /// Guards against different numbers for the same servers on different balancers. A balancer that
+    /// learnt of the servers in another order, as after a restart, would otherwise send a group's
+    /// connections to other servers than the other balancers do.
     pub fn number_by_hash(&mut self, name: &str) -> u64 {
         if let Some(known) = self.get(name) {
             return known;
--- a/crates/dataplane/src/dispatcher/server_directory.rs
+++ b/crates/dataplane/src/dispatcher/server_directory.rs
@@ -1,4 +1,4 @@
-//! The listed servers: their numbers, addresses and states as the endpoint list has them.
+//! The servers of the endpoint list: their numbers, addresses and states.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use crate::messages::{DiscoveredEndpoint, Server};
 use crate::start_times::StartTimes;
 
-/// Whether an endpoint list names all servers.
+/// Whether an update of the endpoint list names all servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListScope {
-    /// A full snapshot: a server that it doesn't name is removed.
+    /// A full snapshot: servers that it doesn't name are removed.
     Complete,
-    /// Changes since the last list.
+    /// Only the changes since the last update.
     Changes,
 }
 
-/// The servers of the endpoint list and the numbers that the policy knows them by.
+/// The servers of the endpoint list and the numbers by which the policy identifies them.
 pub(super) struct ServerDirectory {
     servers: BTreeMap<ServerId, Arc<Server>>,
     server_ids: NameTable,
@@ -31,7 +31,8 @@
 }
 
 impl ServerDirectory {
-    /// Returns an empty directory that numbers `zones` and `machines` as the settings do.
+    /// Returns an empty directory. Zones and machine models get their numbers in the order of
+    /// `zones` and `machines`, as in the settings.
     pub fn new(zones: Vec<String>, machines: Vec<String>) -> Self {
         ServerDirectory {
             servers: BTreeMap::new(),
@@ -58,7 +59,7 @@
         self.server_ids.number_by_hash(name)
     }
 
-    /// Returns the number of a listed server by its name.
+    /// Returns the number of a server by its name; `None` if the server isn't listed.
     pub fn listed_server_id(&self, name: &str) -> Option<ServerId> {
         self.server_ids
             .get(name)
@@ -70,12 +71,13 @@
         self.zones.number_by_arrival(name)
     }
 
-    /// Notes that discovery has answered: a server that is new from now on started no earlier.
+    /// Records that discovery has answered. A server that is first listed after this call can't have
+    /// started before it.
     pub fn discovery_answered(&mut self) {
         self.start_times.begin_watch();
     }
 
-    /// Takes over an endpoint list and returns it with numbers in place of names.
+    /// Applies an update of the endpoint list. Returns it with numbers in place of names.
     pub fn update(
         &mut self,
         now: Time,
@@ -102,7 +104,7 @@
         endpoints
     }
 
-    /// Returns the entry as the policy reads it.
+    /// Converts an entry to the policy's form.
     fn endpoint(&mut self, now: Time, entry: &DiscoveredEndpoint) -> Endpoint {
         let server_id = self.server_id(&entry.name);
         Endpoint {
@@ -116,11 +118,11 @@
         }
     }
 
-    /// Adds a server, or takes over its state and address.
+    /// Adds a server or updates its state and address.
     fn update_server(&mut self, server_id: ServerId, entry: DiscoveredEndpoint) {
         let is_ready = entry.state == EndpointState::Ready;
         match self.servers.get(&server_id) {
-            // An entry without an address leaves the server where it was.
+            // An entry without an address doesn't change the server's address.
             Some(server) if server.address == entry.address || entry.address.port() == 0 => {
                 if server.ready.swap(is_ready, Ordering::AcqRel) != is_ready {
                     info!(server = server.name, state = ?entry.state, "endpoint state changed");
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Removes the servers that a complete list doesn't name.
+    /// Removes the servers that are not in a complete list.
     fn remove_unlisted(&mut self, listed: &[Endpoint]) {
         self.servers.retain(|server_id, server| {
             let is_listed = listed
