--- a/crates/dataplane/src/attempt/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -84,7 +84,7 @@
             b"OPEN 9b1f 7f3a c=chat,d=900",
             FlowOrigin::New,
         );
-        if flow.owes_answer() {
+        if flow.answer_pending() {
             flow.fail();
         }
         matches!(
--- a/crates/dataplane/src/flow_guard.rs
+++ b/crates/dataplane/src/flow_guard.rs
@@ -1,7 +1,7 @@
-//! The guard of one flow, from its admission to its end. It owns the client's connection, gives the
-//! client its one final answer, reports to the dispatcher what came of each attempt, and gives
-//! everything back when it is dropped. It must never answer twice, and never let a flow go without
-//! an answer.
+//! The guard of one flow, from its admission to its end. It owns the client's connection, sends the
+//! client its one final answer, reports the result of each attempt to the dispatcher, and releases
+//! everything when it is dropped. It must never answer twice and never drop a flow without an
+//! answer.
 
 use std::mem;
 use std::sync::Arc;
@@ -17,34 +17,33 @@
 use crate::messages::{AttemptOutcome, AttemptTarget, DispatcherMessage};
 use crate::wire;
 
-/// Bytes that are looked at of what a client sends before it is served.
-const EARLY_BYTES_MAX: usize = 256;
+/// Size of the read that detects data from a client that has to wait for its answer.
+const EARLY_READ_BYTES: usize = 256;
 
-/// One admitted flow. Where it is dropped while an answer is owed, the client is told that the flow
-/// has failed.
+/// One admitted flow. If it is dropped before the client was answered, the client is told that the
+/// flow has failed.
 pub struct FlowGuard {
     dataplane: Arc<Dataplane>,
     /// The flow's number.
     pub id: FlowId,
     /// The client's connection.
     pub client: Connection,
-    /// When the flow's first line had come.
+    /// When the flow's first line was complete.
     pub accepted_at: Time,
-    /// When the client has to have its answer.
+    /// When the client must have its answer.
     pub deadline: Time,
-    /// The client is to be migrated as soon as it is connected; until then a line that its server
-    /// has begun is waited for.
+    /// If set, the client is to be migrated as soon as it is connected. Until this time the
+    /// migration waits for the end of a line that the server has begun.
     pub migrate_by: Option<Time>,
-    owes_answer: bool,
-    /// What is still to be written of the answer to a client that has left, or has only ended its
-    /// sending.
+    answer_pending: bool,
+    /// The unwritten rest of the answer to a client that has closed or half-closed its connection.
     unwritten_answer: &'static [u8],
-    /// The client's own id, reserved until this is dropped.
+    /// The client's own id, reserved until the guard is dropped.
     _client_id: ClientId,
 }
 
 impl FlowGuard {
-    /// Takes over a flow that is owed an answer.
+    /// Returns the guard of a flow that has not been answered.
     pub fn new(
         dataplane: &Arc<Dataplane>,
         flow: &Flow,
@@ -58,29 +57,32 @@
             accepted_at: flow.accepted_at,
             deadline: flow.deadline,
             migrate_by: None,
-            owes_answer: true,
+            answer_pending: true,
             unwritten_answer: b"",
             _client_id: client_id,
         }
     }
 
-    /// Whether the client has gone away, or has sent more before it was served, where it has to
-    /// wait.
+    /// Returns whether the client has left. A client that sends more data counts as gone too, because
+    /// it has to wait until it is served.
     pub fn client_has_left(&mut self) -> bool {
         self.client.socket.rearm_notification();
-        match self.client.socket.read(&mut [0; EARLY_BYTES_MAX]) {
+        match self.client.socket.read(&mut [0; EARLY_READ_BYTES]) {
             Ok(None) => false,
             Ok(Some(0)) | Err(_) => true,
             Ok(Some(_)) => {
-                warn!(id = self.id, "client sends more before it is served");
+                warn!(
+                    id = self.id,
+                    "client sent data before its first line was answered"
+                );
                 true
             }
         }
     }
 
-    /// Whether the client still waits for an answer.
-    pub fn owes_answer(&self) -> bool {
-        self.owes_answer
+    /// Returns whether the client has not been answered yet.
+    pub fn answer_pending(&self) -> bool {
+        self.answer_pending
     }
 
     /// Sends a message to the dispatcher.
@@ -88,24 +90,24 @@
         self.dataplane.dispatcher.send(message);
     }
 
-    /// Records that a server has accepted the client: its answer is passed on, and none is owed any
-    /// more.
+    /// Records that a server has accepted the client. The server's answer is forwarded, so the
+    /// balancer sends none of its own.
     pub fn record_connected(&mut self, target: &AttemptTarget) {
-        self.owes_answer = false;
-        let took = clock::now().saturating_sub(self.accepted_at);
+        self.answer_pending = false;
+        let elapsed = clock::now().saturating_sub(self.accepted_at);
         debug!(
             id = self.id,
             server = target.server.name,
-            took_ms = took / MS,
+            took_ms = elapsed / MS,
             "flow connected"
         );
         self.notify_dispatcher(DispatcherMessage::Connected {
             flow: self.id,
-            elapsed: took,
+            elapsed,
         });
     }
 
-    /// Records an attempt that brought no connection.
+    /// Logs and reports an attempt that produced no connection.
     pub fn record_attempt_ended(&self, target: &AttemptTarget, outcome: AttemptOutcome) {
         let left_ms = self.deadline.saturating_sub(clock::now()) / MS;
         info!(
@@ -119,7 +121,7 @@
         self.report_attempt_ended(target, outcome);
     }
 
-    /// Reports to the dispatcher how an attempt, or the connection that it brought, has ended.
+    /// Reports to the dispatcher how an attempt or the connection that it opened has ended.
     pub fn report_attempt_ended(&self, target: &AttemptTarget, outcome: AttemptOutcome) {
         self.notify_dispatcher(DispatcherMessage::AttemptEnded(EndedAttempt {
             flow: self.id,
@@ -131,8 +133,8 @@
         }));
     }
 
-    /// Answers that the flow is rejected, with the time after which the client may retry, where
-    /// there is one.
+    /// Answers that the flow is rejected. `retry_after` is the time after which the client may
+    /// retry.
     pub fn reject(&mut self, retry_after: Option<Time>) {
         info!(
             id = self.id,
@@ -149,30 +151,30 @@
     }
 
     fn answer(&mut self, line: &[u8]) {
-        self.owes_answer = false;
+        self.answer_pending = false;
         let deadline = clock::now() + LINGER_TIMEOUT;
         let _ = self.client.write(line, deadline);
         self.client.close_lingering(deadline);
     }
 
-    /// Records that the client has left, which is owed nothing more than a last answer.
+    /// Records that the client has left. Starts to send a last answer if it has not been answered.
     pub fn record_client_left(&mut self) {
         debug!(id = self.id, "client left");
-        if mem::take(&mut self.owes_answer) {
-            // Guards against a client that has only ended its sending and still waits: it can't be
-            // told from one that has closed, to which this does no harm.
+        if mem::take(&mut self.answer_pending) {
+            // A client that has half-closed its connection still waits for an answer. It can't be
+            // distinguished from a client that has closed, to which the answer does no harm.
             self.unwritten_answer = wire::REPLY_FAILED;
             self.continue_answer();
             self.notify_dispatcher(DispatcherMessage::ClientLeft { flow: self.id });
         }
     }
 
-    /// Writes what there is room for of the answer to a client that has left, without waiting.
+    /// Writes as much as possible of the answer to a client that has left, without waiting.
     pub fn continue_answer(&mut self) {
         if self.unwritten_answer.is_empty() {
             return;
         }
-        // A client that has closed takes nothing.
+        // A write error means that the client has closed: the rest is discarded.
         let written = self
             .client
             .socket
@@ -184,8 +186,8 @@
         }
     }
 
-    /// Writes the rest of the answer to a client that has left, and closes orderly: what it has
-    /// sent meanwhile must not reset the connection, and the answer with it.
+    /// Writes the rest of the answer to a client that has left and closes the connection gracefully.
+    /// Unread data from the client would otherwise cause a reset, which discards the answer.
     pub fn finish_answer(&mut self) {
         let deadline = clock::now() + LINGER_TIMEOUT;
         let rest = mem::take(&mut self.unwritten_answer);
@@ -196,9 +198,9 @@
 
 impl Drop for FlowGuard {
     fn drop(&mut self) {
-        // Guards against a flow that is lost in silence when its coroutine panics.
-        if self.owes_answer {
-            error!(id = self.id, "flow dropped without an answer; failed");
+        // Guards against a client that is never answered because the flow's coroutine panicked.
+        if self.answer_pending {
+            error!(id = self.id, "flow dropped without an answer, failing it");
             let _ = self.client.socket.write(wire::REPLY_FAILED);
             self.client.socket.end_sending();
         }
--- a/crates/dataplane/src/flow_guard/tests.rs
+++ b/crates/dataplane/src/flow_guard/tests.rs
@@ -1,4 +1,4 @@
-//! A flow whose coroutine panics.
+//! Test of a flow whose coroutine panics.
 
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
@@ -9,9 +9,10 @@
 use crate::descriptors::{DescriptorBudget, DescriptorBudgets};
 use crate::mailbox::Mailbox;
 
-/// Guards against a flow that is lost, and a dispatcher that keeps it, when its coroutine panics.
+/// Guards against a client that is never answered, and a dispatcher that keeps the flow, when the
+/// flow's coroutine panics.
 #[test]
-fn a_flow_that_panics_is_answered_and_given_back() {
+fn a_flow_whose_coroutine_panics_is_answered_and_its_resources_are_released() {
     let messages = Mailbox::new();
     let descriptors = DescriptorBudget::new(9);
     let dataplane = Arc::new(Dataplane {
@@ -31,7 +32,7 @@
     stream.set_nonblocking(true).unwrap();
     let permit = descriptors.try_acquire().unwrap();
     let client_id = dataplane.client_ids.reserve("9b1f").unwrap();
-    // Guards against a flow that is opened under another's id, also once that has ended.
+    // Guards against a flow that reuses the client id of another flow, even of one that has ended.
     assert!(dataplane.client_ids.reserve("9b1f").is_none());
     let ids = dataplane.client_ids.clone();
     let flow = Flow {
@@ -62,7 +63,7 @@
     ));
     let until = clock::now() + 1000 * MS;
     while descriptors.in_use() > 0 {
-        assert!(clock::now() < until, "its descriptor is given back");
+        assert!(clock::now() < until, "descriptor not released within 1 s");
         std::thread::yield_now();
     }
 }
--- a/crates/dataplane/src/messages.rs
+++ b/crates/dataplane/src/messages.rs
@@ -1,6 +1,7 @@
-//! The messages between coroutines: to the dispatcher, its commands to flows, and the values in
-//! them. It owns nothing but the flag that says whether a server takes new attempts, and must never
-//! send, wait or decide. Times are nanoseconds of the balancer's clock ([`crate::clock`]).
+//! The messages between coroutines: the messages to the dispatcher, its commands to flows, and the
+//! values in them. This module owns only the flag that says whether a server accepts new attempts.
+//! It must never send, wait or decide. Times are nanoseconds of the balancer's clock
+//! ([`crate::clock`]).
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,22 +15,22 @@
 
 use crate::mailbox::Sender;
 
-/// What wakes a flow's coroutine.
+/// An event that wakes a flow's coroutine.
 pub enum FlowEvent {
     /// One of its sockets may be ready.
     SocketReady,
-    /// The dispatcher commands something.
+    /// The dispatcher has sent a command.
     Command(FlowCommand),
-    /// What the coroutine waits for is to be given up.
+    /// The coroutine must give up its current wait.
     Stop,
 }
 
 /// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// The server's name, which no other server has.
+    /// The server's unique name.
     pub name: String,
-    /// Where it listens; port 0 if the entry had no address.
+    /// The address that it listens on; port 0 if the entry had no address.
     pub address: SocketAddr,
     /// The name of its zone; empty if unknown.
     pub zone: String,
@@ -37,16 +38,16 @@
     pub machine: String,
     /// The name of its cell; empty if unknown.
     pub cell: String,
-    /// Whether it takes new attempts, drains or is removed.
+    /// Whether it accepts new attempts, drains or is removed.
     pub state: EndpointState,
     /// Its share of attempts relative to other servers; 1 if the entry had none.
     pub weight: f64,
-    /// When it started, by discovery's clock in nanoseconds of Unix time; 0 if long ago.
+    /// When it started, in nanoseconds of Unix time by discovery's clock; 0 if long ago.
     pub started: Time,
 }
 
-/// A message between balancers: a server holds connections of a group. Names are those that all
-/// balancers know.
+/// A message between balancers: a server holds connections of a group. The group and the server are
+/// identified as on all balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipMessage {
     /// The group's number.
@@ -55,19 +56,19 @@
     pub server: String,
 }
 
-/// A service that the balancer can't do without.
+/// A service that the balancer can't run without.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
     /// Watches the endpoint list.
     Discovery,
     /// Accepts clients' connections.
     Listener,
-    /// Passes messages to the policy and its commands back.
+    /// Passes messages to the policy and the policy's commands to flows.
     Dispatcher,
 }
 
 impl Service {
-    /// Returns the name that logs and errors have for the service.
+    /// Returns the service's name in logs and errors.
     pub fn name(self) -> &'static str {
         match self {
             Service::Discovery => "discovery",
@@ -85,22 +86,22 @@
 
 /// A message to the dispatcher.
 pub enum DispatcherMessage {
-    /// A new flow is to be placed.
+    /// A new flow has to be placed.
     PlaceFlow {
-        /// The flow, owed an answer from now on.
+        /// The flow. It must be answered by its deadline.
         flow: Flow,
         /// Its client, for admission control.
         client: ClientIdentity,
-        /// Where its coroutine gets its commands.
+        /// Receives the commands to its coroutine.
         mailbox: Sender<FlowEvent>,
     },
-    /// A connection that was open before the balancer started is to be opened again.
+    /// A connection that was open before the balancer started has to be reopened.
     AdoptConnection {
         /// The flow of that connection.
         flow: Flow,
-        /// The name of the server that it was open at.
+        /// The name of the server at which it was open.
         server_name: String,
-        /// Where its coroutine gets its commands.
+        /// Receives the commands to its coroutine.
         mailbox: Sender<FlowEvent>,
     },
     /// An attempt has succeeded.
@@ -110,13 +111,13 @@
         /// Time since the flow was accepted, in nanoseconds.
         elapsed: Time,
     },
-    /// An attempt has failed, or the connection that it made has ended.
+    /// An attempt has failed, or the connection that it opened has ended.
     AttemptEnded(EndedAttempt),
-    /// A server has reported what load a connection causes.
+    /// A server has reported the load that a connection causes.
     ConnectionLoad {
         /// The connection's flow.
         flow: FlowId,
-        /// The load, as the server reports it.
+        /// The load as reported by the server.
         load: f64,
     },
     /// The client has left before its flow was answered.
@@ -124,7 +125,7 @@
         /// The client's flow.
         flow: FlowId,
     },
-    /// The flow's coroutine has ended: no message follows about this flow.
+    /// The flow's coroutine has ended. No further message about this flow follows.
     FlowClosed {
         /// The flow that has ended.
         flow: FlowId,
@@ -135,7 +136,7 @@
         server_id: ServerId,
         /// Whether the server passed.
         passed: bool,
-        /// The load report in its answer; empty where there was none.
+        /// The load report in its answer; empty if there was none.
         report: LoadReport,
     },
     /// The complete endpoint list of the balancer's configuration, which may be out of date.
@@ -144,20 +145,21 @@
     EndpointsUpdated {
         /// The servers that the answer names.
         entries: Vec<DiscoveredEndpoint>,
-        /// Whether the answer names all servers, in place of those that have changed.
+        /// Whether the answer names all servers; otherwise it names only those that have changed.
         is_complete: bool,
     },
-    /// Discovery has failed to answer after it had answered, or from the start.
+    /// Discovery has failed to answer: after an earlier answer, or without any answer since the
+    /// start.
     EndpointPollFailed,
     /// Another balancer has sent a gossip message.
     GossipReceived(GossipMessage),
-    /// New settings apply from now on.
+    /// Replaces the settings.
     ApplySettings(Box<Settings>),
-    /// New limits and weights of admission control apply from now on.
+    /// Replaces the limits and weights of admission control.
     ApplyAdmission(AdmissionConfig),
-    /// The balancer is to shut down gracefully.
+    /// The balancer has to shut down gracefully.
     Terminate,
-    /// A service has failed for good.
+    /// A service has failed permanently.
     ServiceFailed(Service),
 }
 
@@ -167,52 +169,53 @@
     StartAttempt(AttemptTarget),
     /// Reject the flow.
     Reject {
-        /// The time after which the client may retry, in nanoseconds, if any.
+        /// The time after which the client may retry, in nanoseconds; `None` if no time is given.
         retry_after: Option<Time>,
     },
     /// Answer that the flow has failed.
     Fail,
-    /// The server that an adopted connection was open at is not listed.
+    /// The server at which an adopted connection was open is not listed.
     EndpointUnknown,
     /// Tell the client to reconnect elsewhere.
     Migrate {
-        /// Until then the client is told between two lines of the server, from then on also within
-        /// a line.
+        /// Until this time the client is told only between two lines of the server; afterwards the
+        /// rest of a line that the server has begun is no longer waited for.
         line_deadline: Time,
     },
-    /// Stop waiting for the attempt, as its client has left.
+    /// Stop waiting for the attempt because its client has left.
     CancelAttempt,
-    /// Stop waiting for the attempt, as its time is over.
+    /// Stop waiting for the attempt because its time is over.
     AttemptTimedOut,
 }
 
-/// The server of an attempt and the attempt's limits.
+/// The server of an attempt and the attempt's deadlines.
 pub struct AttemptTarget {
     /// The server's number.
     pub server_id: ServerId,
     /// The attempt's number within its flow, from 0.
     pub number: usize,
-    /// The server as it is listed now.
+    /// The server as listed.
     pub server: Arc<Server>,
-    /// The time until which the server's answer is waited for.
+    /// The deadline for the server's answer.
     pub deadline: Time,
-    /// The time by which the line has to be written whole; else the attempt is not made.
+    /// The deadline for writing the whole line. An attempt that misses it counts as not made.
     pub send_by: Time,
 }
 
-/// How an attempt that brought no connection has ended.
+/// How an attempt or its connection has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptOutcome {
-    /// What ended it.
+    /// The reason for the end.
     pub end: AttemptEnd,
-    /// Whether the server certainly did not run the request.
+    /// Whether it is certain that the server did not execute the request.
     pub known_unexecuted: bool,
-    /// The load report that came with the end; empty where none did.
+    /// The load report that came with the end; empty if there was none.
     pub report: LoadReport,
 }
 
 impl AttemptOutcome {
-    /// The outcome of an attempt whose line was never written whole, without a load report.
+    /// Returns the outcome of an attempt whose line was not completely written, without a load
+    /// report.
     pub fn unsent(end: AttemptEnd) -> Self {
         AttemptOutcome {
             end,
@@ -221,8 +224,8 @@
         }
     }
 
-    /// The outcome of an attempt whose line was written, which the server may have run, without a
-    /// load report.
+    /// Returns the outcome of an attempt whose line was written, so that the server may have
+    /// executed the request, without a load report.
     pub fn sent(end: AttemptEnd) -> Self {
         AttemptOutcome {
             end,
@@ -232,18 +235,18 @@
     }
 }
 
-/// A server as it is listed now. Shared with the coroutines that send to it, which read its state
-/// just before they do.
+/// A listed server. It is shared with the coroutines that send to it, which check its state just
+/// before they send.
 pub struct Server {
     /// The server's name.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     pub(crate) ready: AtomicBool,
 }
 
 impl Server {
-    /// Returns whether the server takes new attempts.
+    /// Returns whether the server accepts new attempts.
     pub fn ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
--- a/crates/dataplane/src/pipeline.rs
+++ b/crates/dataplane/src/pipeline.rs
@@ -1,5 +1,6 @@
-//! The stages that one admitted flow passes: route, attempt, relay, under its guard. It owns the
-//! order of the stages and nothing else; it must never decide what becomes of a flow.
+//! The pipeline of one admitted flow: the route, attempt and relay stages, run under the flow's
+//! guard. It owns the order of the stages and nothing else. It must never decide how a flow
+//! continues or ends.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -16,23 +17,24 @@
 use crate::relay::relay;
 use crate::route::{PlacementRequest, RouteDecision, wait_for_command};
 
-/// A flow that a front has admitted, with all that the stages need of it.
+/// A flow that a front has admitted, with the data that the stages need.
 pub struct AdmittedFlow {
     /// The flow.
     pub flow: Flow,
     /// The client as admission control knows it.
     pub identity: ClientIdentity,
-    /// The server that held the connection before the run, where it was open then.
+    /// The name of the server at which the connection was open before the balancer started; `None`
+    /// for a new connection.
     pub previous_server: Option<String>,
     /// The client's connection.
     pub client: Connection,
-    /// The first line as it came, without its end.
+    /// The first line as received, without its line end.
     pub line: Vec<u8>,
     /// The client's own id.
     pub client_id: ClientId,
 }
 
-/// Serves one flow, from its admission until its connection has ended.
+/// Serves one flow, from its admission to the end of its connection.
 pub fn serve(dataplane: &Arc<Dataplane>, admitted: AdmittedFlow) {
     let AdmittedFlow {
         flow,
@@ -58,14 +60,14 @@
             Ok(server) => return relay(dataplane, guard, &target, server),
             Err(failure) => failure,
         };
-        if after_failure(dataplane, &mut guard, &request, &target, failure).is_break() {
+        if handle_failure(dataplane, &mut guard, &request, &target, failure).is_break() {
             return;
         }
     }
 }
 
-/// Waits for the dispatcher's command: where the next attempt goes, unless the flow has got its
-/// answer.
+/// Waits for the dispatcher's command. Returns the target of the next attempt, or breaks if the flow
+/// has been answered.
 fn next_target(
     dataplane: &Dataplane,
     flow: &mut FlowGuard,
@@ -76,7 +78,7 @@
             RouteDecision::Command(FlowCommand::StartAttempt(target)) => {
                 return ControlFlow::Continue(target);
             }
-            // An adopted connection waits until its server is listed.
+            // An adopted connection asks again until its server is listed.
             RouteDecision::Command(FlowCommand::EndpointUnknown) => {
                 resend_or_fail(dataplane, flow, request)?;
             }
@@ -97,8 +99,8 @@
     }
 }
 
-/// Reports an attempt that brought no connection; breaks where the flow has ended with it.
-fn after_failure(
+/// Reports an attempt that produced no connection. Breaks if the flow has ended with it.
+fn handle_failure(
     dataplane: &Dataplane,
     flow: &mut FlowGuard,
     request: &PlacementRequest,
@@ -111,10 +113,10 @@
         }
         AttemptFailure::Ended(outcome) => {
             flow.record_attempt_ended(target, outcome);
-            if flow.owes_answer() {
+            if flow.answer_pending() {
                 return ControlFlow::Continue(());
             }
-            // The client left meanwhile, so no further command will come.
+            // The client has left meanwhile, so no further command will come.
             flow.finish_answer();
             ControlFlow::Break(())
         }
@@ -127,7 +129,8 @@
     }
 }
 
-/// Asks again for an adopted connection's server; the flow fails where there is no time left.
+/// Asks the dispatcher again for the server of an adopted connection. Fails the flow if its deadline
+/// has passed.
 fn resend_or_fail(
     dataplane: &Dataplane,
     flow: &mut FlowGuard,
@@ -140,7 +143,7 @@
     ControlFlow::Break(())
 }
 
-/// The outcome of an attempt that ended with its client.
+/// Returns the outcome of an attempt that ended because its client has left.
 fn cancelled_outcome(progress: LineProgress) -> AttemptOutcome {
     match progress {
         LineProgress::Unsent => AttemptOutcome::unsent(AttemptEnd::NotSent),
--- a/crates/dataplane/src/shutdown.rs
+++ b/crates/dataplane/src/shutdown.rs
@@ -1,26 +1,26 @@
-//! How long the last answer may take after SIGTERM. SIGKILL follows by the longest flow timeout of
-//! the deployment, which a reload may change just before or after SIGTERM. Which of the two
-//! timeouts counts isn't known then, so the shorter one does. It owns these timeouts, and must
-//! never read a clock.
+//! How long after SIGTERM the last answer may be sent. The time of SIGKILL depends on the longest
+//! flow timeout of the deployment, which a reload may change just before or after SIGTERM. It isn't
+//! known then whether the old or the new timeout applies, so the shorter one is used. This module
+//! owns these timeouts and must never read a clock.
 
 use nettlemux_policy::{SEC, Time};
 
-/// The longest wait for the last answer: SIGKILL comes 0.7 s after the longest flow timeout, and
-/// 0.7 s after this at the latest.
+/// The longest time after SIGTERM in which answers are sent. SIGKILL comes 0.7 s after the longest
+/// flow timeout, but no later than 0.7 s after this time.
 const ANSWER_TIMEOUT_MAX: Time = 3 * SEC;
-/// How long after its signal a new configuration counts as applied.
+/// Time after the signal for a reload until the new configuration counts as applied.
 const RELOAD_SETTLING_TIME: Time = 4 * SEC;
 
-/// When the last answer is due after SIGTERM.
+/// How long after SIGTERM the last answer is due.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerDeadline {
     current: Time,
     previous: Option<ReplacedTimeout>,
-    /// The timeout that held at SIGTERM, or a shorter one that a reload has brought since.
+    /// The timeout that applied at SIGTERM, or a shorter one from a later reload.
     after_termination: Option<Time>,
 }
 
-/// The timeout that held before the last reload.
+/// The timeout that applied before the last reload.
 #[derive(Clone, Copy, Debug)]
 struct ReplacedTimeout {
     timeout: Time,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Applies the longest flow timeout of other settings, which hold from now on.
+    /// Applies the longest flow timeout of new settings.
     pub fn reload(&mut self, now: Time, flow_timeout_max: Time) {
         let timeout = flow_timeout_max.min(ANSWER_TIMEOUT_MAX);
         self.previous = Some(ReplacedTimeout {
@@ -48,13 +48,13 @@
         self.after_termination = self.after_termination.map(|fixed| fixed.min(timeout));
     }
 
-    /// Notes SIGTERM; a further one changes nothing.
+    /// Records SIGTERM. Further calls have no effect.
     pub fn terminate(&mut self, now: Time) {
         self.after_termination = self.after_termination.or(Some(self.timeout_at(now)));
     }
 
-    /// Returns how long after SIGTERM the last answer is due: before SIGTERM, for one that came
-    /// now.
+    /// Returns how long after SIGTERM the last answer is due. Before SIGTERM, this is the timeout
+    /// that a SIGTERM at `now` would get.
     pub fn timeout_at(&self, now: Time) -> Time {
         if let Some(timeout) = self.after_termination {
             return timeout;
--- a/crates/dataplane/src/shutdown/tests.rs
+++ b/crates/dataplane/src/shutdown/tests.rs
@@ -1,27 +1,35 @@
-//! Reloads before, between and after two signals to terminate.
+//! Tests of reloads before, between and after two SIGTERMs.
 
 use super::*;
 
 #[test]
-fn the_shorter_of_two_deadlines_holds_where_a_reload_and_the_end_come_together() {
+fn a_reload_close_to_sigterm_leaves_the_shorter_of_both_timeouts() {
     enum Step {
         Reload(Time),
         Terminate,
     }
     use Step::{Reload, Terminate};
-    let last = RELOAD_SETTLING_TIME - 1;
+    let before_settled = RELOAD_SETTLING_TIME - 1;
     // The timeout at the start, the steps with their times, and how long after SIGTERM the last
     // answer is due.
     for (start, steps, due) in [
         (SEC, vec![(9, Terminate)], SEC),
         (9 * SEC, vec![(9, Terminate)], ANSWER_TIMEOUT_MAX),
-        (SEC, vec![(0, Reload(2 * SEC)), (last, Terminate)], SEC),
+        (
+            SEC,
+            vec![(0, Reload(2 * SEC)), (before_settled, Terminate)],
+            SEC,
+        ),
         (
             SEC,
             vec![(0, Reload(2 * SEC)), (RELOAD_SETTLING_TIME, Terminate)],
             2 * SEC,
         ),
-        (2 * SEC, vec![(0, Reload(SEC)), (last, Terminate)], SEC),
+        (
+            2 * SEC,
+            vec![(0, Reload(SEC)), (before_settled, Terminate)],
+            SEC,
+        ),
         (
             SEC,
             vec![(0, Terminate), (1, Reload(3 * SEC)), (2, Terminate)],
@@ -37,7 +45,7 @@
             vec![
                 (0, Reload(2 * SEC)),
                 (1, Reload(3 * SEC)),
-                (last, Terminate),
+                (before_settled, Terminate),
             ],
             SEC,
         ),
