--- a/crates/dataplane/src/buffers.rs
+++ b/crates/dataplane/src/buffers.rs
@@ -1,18 +1,18 @@
-//! The pool of line buffers. It owns the buffers that are not in use, and must never wait: where it
-//! is empty a new buffer is made.
+//! The pool of line buffers. It owns the buffers that are not in use. It must never wait: if it is
+//! empty, a new buffer is allocated.
 
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
 use crossbeam_queue::ArrayQueue;
 
-/// Bytes of each buffer: a line of 4 KiB and its CRLF.
+/// Size of each buffer: a line of 4 KiB and its CRLF.
 pub const BUFFER_BYTES: usize = 4096 + 2;
-/// Buffers that are kept while nobody uses them; most connections hold none, since lines go on as
-/// they come.
+/// Largest number of unused buffers in the pool. Few are needed: data is forwarded as it arrives, so
+/// most connections hold no buffer.
 const POOLED_BUFFERS_MAX: usize = 64;
 
-/// Buffers to use again.
+/// A pool of reusable buffers.
 pub struct BufferPool {
     free: ArrayQueue<Box<[u8; BUFFER_BYTES]>>,
 }
@@ -25,7 +25,7 @@
         })
     }
 
-    /// Takes a buffer, whose bytes are those of its last use.
+    /// Takes a buffer. It may hold the bytes of its last use.
     pub fn take(self: &Arc<Self>) -> Buffer {
         let bytes = self
             .free
@@ -38,7 +38,7 @@
     }
 }
 
-/// A buffer on loan, which goes back to its pool when it is dropped.
+/// A buffer that returns to its pool when it is dropped.
 pub struct Buffer {
     bytes: Option<Box<[u8; BUFFER_BYTES]>>,
     pool: Arc<BufferPool>,
--- a/crates/dataplane/src/buffers/tests.rs
+++ b/crates/dataplane/src/buffers/tests.rs
@@ -1,10 +1,10 @@
-//! Buffers that are given back.
+//! Test of buffers that return to the pool.
 
 use super::*;
 
 #[test]
-fn buffers_come_back() {
+fn a_dropped_buffer_is_reused() {
     let buffers = BufferPool::new();
-    let at = buffers.take().as_ptr();
-    assert_eq!(buffers.take().as_ptr(), at, "used again");
+    let address = buffers.take().as_ptr();
+    assert_eq!(buffers.take().as_ptr(), address, "same buffer");
 }
--- a/crates/dataplane/src/client_ids.rs
+++ b/crates/dataplane/src/client_ids.rs
@@ -1,14 +1,14 @@
-//! The clients' own ids that are in use, and those that lately were. It owns both sets, and must
-//! never decide what becomes of a flow whose id was used before.
+//! The clients' own ids: those in use and those of recently ended flows. It owns both sets and must
+//! never decide what happens to a flow whose id was used before.
 
 use std::collections::{HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Ids of ended flows that are remembered: an id is new with every connection, so one that comes
-/// again is another client's, also when its flow has just ended.
+/// Number of ids of ended flows that are remembered. Clients use a new id for every connection, so a
+/// repeated id belongs to another client, even if its flow has just ended.
 const ENDED_IDS_MAX: usize = 1024;
 
-/// The ids that can't be used again.
+/// The ids that can't be reserved.
 #[derive(Default)]
 pub struct ClientIds {
     known: Mutex<KnownIds>,
@@ -16,9 +16,9 @@
 
 #[derive(Default)]
 struct KnownIds {
-    /// Those in use and those that are remembered.
+    /// The ids in use and the ids of ended flows.
     all: HashSet<Arc<str>>,
-    /// Those that are remembered, the oldest first.
+    /// The ids of ended flows, the oldest first.
     ended: VecDeque<Arc<str>>,
 }
 
@@ -27,7 +27,7 @@
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reserves an id until its flow ends; none where it was reserved before.
+    /// Reserves an id until its flow ends. `None` if the id is in use or remembered.
     pub fn reserve(self: &Arc<Self>, id: &str) -> Option<ClientId> {
         let id: Arc<str> = id.into();
         self.known().all.insert(id.clone()).then(|| ClientId {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A reserved id, remembered as ended once it is dropped.
+/// A reserved id. When it is dropped, the id is remembered as that of an ended flow.
 pub struct ClientId {
     ids: Arc<ClientIds>,
     id: Arc<str>,
--- a/crates/dataplane/src/connection.rs
+++ b/crates/dataplane/src/connection.rs
@@ -1,6 +1,6 @@
-//! Conversations on one socket, one step after another. A [`Connection`] owns the socket and the
-//! mailbox at which the coroutine that uses it is notified. Its calls wait, each until a deadline
-//! at most; nothing here reads more of a protocol than the ends of its lines.
+//! Blocking-style I/O on one socket. A [`Connection`] owns the socket and the mailbox that notifies
+//! the coroutine that uses it. Its calls wait, each until a deadline at the latest. Nothing here
+//! knows more of a protocol than how its lines end.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -15,59 +15,59 @@
 use crate::socket::Socket;
 use crate::wire::{self, LineBounds};
 
-/// How long a peer that has its answer may take to close.
+/// Time that a peer has to close the connection after its answer was written.
 pub const LINGER_TIMEOUT: Time = SEC;
-/// Bytes that are read of what a peer sends after its answer.
+/// Largest number of bytes that are read from a peer after its answer was written.
 const LINGER_DRAIN_BYTES_MAX: usize = 64 << 10;
-/// Bytes that are read at once of them.
+/// Size of one read of these bytes.
 const LINGER_READ_BYTES: usize = 1024;
-/// How long a peer that sends more may take to read its answer before the reset: it reads while it
-/// sends.
+/// Time that a peer that sends more than [`LINGER_DRAIN_BYTES_MAX`] has to read its answer before
+/// the reset. Such a peer is expected to read while it sends.
 const LINGER_OVERFLOW_TIMEOUT: Time = 200 * MS;
 
-/// Why a call on a connection has ended without a result.
+/// Why a call on a connection has failed.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
     /// The call's deadline has passed.
-    #[error("nothing came in time")]
+    #[error("timed out waiting for the peer")]
     Deadline,
     /// The coroutine was told to stop waiting.
-    #[error("told to stop waiting")]
+    #[error("the wait was stopped")]
     Stopped,
     /// The peer has ended the connection.
-    #[error("the peer has ended the connection")]
+    #[error("the peer has closed the connection")]
     Closed,
-    /// A line doesn't fit its buffer.
-    #[error("an overlong line")]
+    /// A line doesn't fit into its buffer.
+    #[error("the line is longer than its buffer")]
     LineTooLong,
-    /// What came can't be used: why.
+    /// The received data is malformed. The text says why.
     #[error("{0}")]
     Malformed(String),
-    /// The system's error; a connection that was up has broken.
+    /// A system error: an established connection has broken.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
-/// One socket that a coroutine of its own talks over.
+/// A socket together with the mailbox of the coroutine that uses it.
 pub struct Connection {
-    /// Where the coroutine is notified.
+    /// Receives the coroutine's notifications.
     pub mailbox: Mailbox<FlowEvent>,
     /// The socket.
     pub socket: Socket,
 }
 
 impl Connection {
-    /// Takes over a stream that doesn't block.
+    /// Wraps a non-blocking stream.
     pub fn new(stream: TcpStream, permit: DescriptorPermit) -> Self {
         let mailbox = Mailbox::new();
         let socket = Socket::new(stream, permit, mailbox.sender());
         Connection { mailbox, socket }
     }
 
-    /// Connects to an address, and waits until the connection is up.
+    /// Connects to an address and waits until the connection is established.
     ///
     /// # Errors
-    /// It isn't up in time, or won't be.
+    /// The connection isn't established in time, or it has failed.
     pub fn dial(
         mailbox: Mailbox<FlowEvent>,
         address: SocketAddr,
@@ -90,18 +90,18 @@
         }
     }
 
-    /// Returns whether the connection stands and nothing unread has come on it. Guards against what
-    /// comes late on a connection that is reused, a second answer or the answer to a request that
-    /// was given up, and is read as the answer to the next request.
+    /// Returns whether the connection is open and has no unread data. Guards against late data on a
+    /// reused connection, such as a second answer or the answer to an abandoned request, which would
+    /// be read as the answer to the next request.
     pub fn is_idle(&self) -> bool {
         self.socket.rearm_notification();
         matches!(self.socket.read(&mut [0; 1]), Ok(None))
     }
 
-    /// Reads the next bytes and returns how many; 0 at the end.
+    /// Reads the next bytes and returns their number; 0 at the end of the stream.
     ///
     /// # Errors
-    /// Nothing came in time, or the connection has broken.
+    /// No data arrived in time, or the connection has broken.
     pub fn read(&self, buffer: &mut [u8], deadline: Time) -> Result<usize, ConnectionError> {
         loop {
             self.socket.rearm_notification();
@@ -115,7 +115,7 @@
     /// Writes all bytes.
     ///
     /// # Errors
-    /// There was no room for them in time, or the connection has broken.
+    /// The peer didn't accept all bytes in time, or the connection has broken.
     pub fn write(&self, mut bytes: &[u8], deadline: Time) -> Result<(), ConnectionError> {
         loop {
             self.socket.rearm_notification();
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Reads up to the end of a line; `filled` counts the buffer's bytes that have come.
+    /// Reads until the buffer holds a whole line. `filled` is the number of received bytes in the
+    /// buffer.
     ///
     /// # Errors
     /// The line wasn't complete in time or is too long, or the connection has ended.
@@ -151,9 +152,10 @@
         }
     }
 
-    /// Ends the sending and waits until the peer has closed: what was written must not be lost to a
-    /// reset, which a close with unread bytes causes. Guards against a peer that never stops
-    /// sending, too: so much is read and no more; then it has a moment to read the answer.
+    /// Shuts down the sending side and waits until the peer has closed. A close with unread data
+    /// would cause a reset, which could discard what was written. Guards also against a peer that
+    /// never stops sending: after `LINGER_DRAIN_BYTES_MAX` nothing more is read, and the peer has
+    /// `LINGER_OVERFLOW_TIMEOUT` to read the answer.
     pub fn close_lingering(&self, deadline: Time) {
         self.socket.end_sending();
         let mut rest = [0; LINGER_READ_BYTES];
--- a/crates/dataplane/src/connection/tests.rs
+++ b/crates/dataplane/src/connection/tests.rs
@@ -1,16 +1,22 @@
-//! What errors say in the log.
+//! Tests of the error texts.
 
 use super::*;
 
 #[test]
-fn each_error_says_what_has_ended_the_call() {
+fn each_error_says_why_the_call_failed() {
     let system = io::Error::from_raw_os_error(104);
     let system_text = system.to_string();
     for (error, text) in [
-        (ConnectionError::Deadline, "nothing came in time"),
-        (ConnectionError::Stopped, "told to stop waiting"),
-        (ConnectionError::Closed, "the peer has ended the connection"),
-        (ConnectionError::LineTooLong, "an overlong line"),
+        (ConnectionError::Deadline, "timed out waiting for the peer"),
+        (ConnectionError::Stopped, "the wait was stopped"),
+        (
+            ConnectionError::Closed,
+            "the peer has closed the connection",
+        ),
+        (
+            ConnectionError::LineTooLong,
+            "the line is longer than its buffer",
+        ),
         (ConnectionError::Malformed("no head".into()), "no head"),
         (ConnectionError::from(system), system_text.as_str()),
     ] {
--- a/crates/dataplane/src/dataplane.rs
+++ b/crates/dataplane/src/dataplane.rs
@@ -1,5 +1,5 @@
-//! What all flows share, whichever front they came by. It owns the flows' numbers, and must never
-//! decide what becomes of a flow.
+//! The state that all flows share, whichever front admitted them. It owns the flows' numbers and
+//! must never decide how a flow continues or ends.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,9 +13,9 @@
 use crate::messages::DispatcherMessage;
 use crate::runtime_settings::SharedSettings;
 
-/// What the stages of all flows use.
+/// The state that the stages of all flows use.
 pub struct Dataplane {
-    /// The way to the dispatcher.
+    /// Sends messages to the dispatcher.
     pub dispatcher: Sender<DispatcherMessage>,
     /// Line buffers.
     pub buffers: Arc<BufferPool>,
@@ -23,7 +23,7 @@
     pub budgets: DescriptorBudgets,
     /// The clients' own ids.
     pub client_ids: Arc<ClientIds>,
-    /// The settings that hold now.
+    /// The current settings.
     pub settings: Arc<SharedSettings>,
     /// The number of the next flow.
     pub next_flow: AtomicU64,
--- a/crates/dataplane/src/descriptors.rs
+++ b/crates/dataplane/src/descriptors.rs
@@ -1,34 +1,34 @@
-//! Descriptor budgets: how many sockets the process may open, and for what. It owns the counts of
-//! open sockets, and must never wait: where nothing is left it says so at once.
+//! Descriptor budgets: how many sockets the process may open for each purpose. It owns the counts of
+//! open sockets. It must never wait: if no permit is left, the call returns at once without one.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Descriptors outside all budgets: standard streams, the listener, the selector's two, the timer
-/// of timed waits, the signals' pair, and a few to spare.
+/// Descriptors outside all budgets: the standard streams, the listener, two of the selector, the
+/// timer of timed waits, the pair for signals, and a few spare ones.
 const STANDING_DESCRIPTORS: usize = 16;
-/// One in so many sockets is for health checks and discovery, but never fewer than
-/// [`CONTROL_DESCRIPTORS_MIN`].
+/// One in this many sockets is for health checks and discovery, but at least
+/// [`CONTROL_DESCRIPTORS_MIN`] sockets are.
 const SOCKETS_PER_CONTROL_DESCRIPTOR: usize = 16;
 const CONTROL_DESCRIPTORS_MIN: usize = 24;
-/// One in so many sockets is for pending connections, but never fewer than
-/// [`PENDING_DESCRIPTORS_MIN`].
+/// One in this many sockets is for pending connections, but at least [`PENDING_DESCRIPTORS_MIN`]
+/// sockets are.
 const SOCKETS_PER_PENDING_DESCRIPTOR: usize = 8;
 const PENDING_DESCRIPTORS_MIN: usize = 32;
 /// The client's socket and the server's.
 const DESCRIPTORS_PER_FLOW: usize = 2;
-/// Memory that the program takes without flows.
+/// Memory that the program uses without flows.
 const PROGRAM_BYTES: usize = 8 << 20;
-/// Memory of one flow at most: two stacks and two watchers' of two or three pages, a buffer each
-/// way, and what the dispatcher and the policy keep of it.
+/// Largest memory of one flow: two stacks and two watchers' stacks of two or three pages each, a
+/// buffer for each direction, and the flow's state in the dispatcher and the policy.
 const FLOW_BYTES_MAX: usize = 48 << 10;
-/// Coroutines of the process's own services, and their timers.
+/// Coroutines of the process's own services and their timers.
 const SERVICE_COROUTINES: usize = 32;
-/// Stacks that are mapped at the start: the system gives a process 65,530 mappings, and a stack
-/// with its guard takes two.
+/// Largest number of coroutine stacks that are mapped at the start. The system allows a process
+/// 65,530 mappings, and a stack with its guard page takes two.
 const COROUTINES_MAX: usize = 16 << 10;
 
-/// Counts permits to open sockets against a limit.
+/// A limited number of permits to open sockets.
 pub struct DescriptorBudget {
     limit: usize,
     in_use: AtomicUsize,
@@ -43,12 +43,12 @@
         })
     }
 
-    /// Takes a permit; none where all are in use.
+    /// Takes a permit; `None` if all are in use.
     pub fn try_acquire(self: &Arc<Self>) -> Option<DescriptorPermit> {
         self.try_acquire_leaving(0)
     }
 
-    /// Takes a permit where more than `reserve` are left.
+    /// Takes a permit; `None` unless more than `reserve` are left.
     pub fn try_acquire_leaving(self: &Arc<Self>, reserve: usize) -> Option<DescriptorPermit> {
         let one_more = |in_use| (in_use + reserve < self.limit).then_some(in_use + 1);
         let acquired = self
@@ -66,7 +66,7 @@
         self.in_use() + reserve < self.limit
     }
 
-    /// Returns the number of permits in all.
+    /// Returns the total number of permits.
     pub fn limit(&self) -> usize {
         self.limit
     }
@@ -87,31 +87,32 @@
     }
 }
 
-/// The permit to open one socket, or a flow's two. Its copies are one permit, given back when the
-/// last is dropped.
+/// The permit to open one socket, or the two sockets of a flow. Clones share one permit, which is
+/// released when the last clone is dropped.
 #[derive(Clone)]
 pub struct DescriptorPermit {
     _shared: Arc<SharedPermit>,
 }
 
-/// How the descriptors of the process are shared out, so that no kind can take another's.
+/// A separate descriptor budget for each purpose, so that no purpose can use up the descriptors of
+/// another.
 pub struct DescriptorBudgets {
-    /// Connections whose first line hasn't come, or that are being closed.
+    /// Connections whose first line isn't complete yet, or that are being closed.
     pub pending: Arc<DescriptorBudget>,
-    /// Flows, each with its client's socket and its server's.
+    /// Flows. One permit covers the client's socket and the server's.
     pub flows: Arc<DescriptorBudget>,
     /// Health checks and discovery.
     pub control: Arc<DescriptorBudget>,
 }
 
 impl DescriptorBudgets {
-    /// Shares out the sockets that the process may open, with no more flows than its memory in
-    /// bytes holds.
+    /// Divides the sockets that the process may open among the budgets. `memory_bytes` limits the
+    /// number of flows.
     pub fn new(sockets: usize, memory_bytes: usize) -> Self {
         let control = (sockets / SOCKETS_PER_CONTROL_DESCRIPTOR).max(CONTROL_DESCRIPTORS_MIN);
         let pending = (sockets / SOCKETS_PER_PENDING_DESCRIPTOR).max(PENDING_DESCRIPTORS_MIN);
-        // Clients hold up to a third, so their servers' side takes as much: the rest must carry all
-        // else.
+        // Clients hold up to a third of the sockets and their servers' side as many. Everything else
+        // must fit into the rest.
         let flows = (sockets - STANDING_DESCRIPTORS - control - pending) / DESCRIPTORS_PER_FLOW;
         let flows_in_memory = memory_bytes.saturating_sub(PROGRAM_BYTES) / FLOW_BYTES_MAX;
         DescriptorBudgets {
@@ -121,9 +122,9 @@
         }
     }
 
-    /// Returns how many coroutines there can be at a time, whose stacks are to be mapped at the
-    /// start: one for each pending connection, each flow and each health check, and a watcher for
-    /// each of their sockets.
+    /// Returns the largest number of coroutines that can exist at a time. Their stacks are mapped at
+    /// the start. There is one coroutine for each pending connection, flow and health check, and a
+    /// watcher for each of their sockets.
     pub fn coroutines(&self) -> usize {
         let of_pending = 2 * self.pending.limit();
         let of_flows = 3 * self.flows.limit();
--- a/crates/dataplane/src/descriptors/tests.rs
+++ b/crates/dataplane/src/descriptors/tests.rs
@@ -1,24 +1,24 @@
-//! Permits that are given back, and how descriptors are shared out.
+//! Tests of the release of permits and of how descriptors are divided among the budgets.
 
 use super::*;
 
 #[test]
-fn permits_are_given_back() {
+fn a_permit_is_released_when_its_last_clone_is_dropped() {
     let descriptors = DescriptorBudget::new(3);
     let first = descriptors.try_acquire().expect("room");
     let second = descriptors.try_acquire_leaving(1).expect("room");
     // Guards against flows that leave no descriptor for health checks and discovery.
     assert!(descriptors.try_acquire_leaving(1).is_none());
-    let _last = descriptors.try_acquire().expect("the spare one");
+    let _last = descriptors.try_acquire().expect("the reserved permit");
     assert!(descriptors.try_acquire().is_none());
     drop((first.clone(), second));
-    assert_eq!(descriptors.in_use(), 2, "copies are one permit");
+    assert_eq!(descriptors.in_use(), 2, "clones share one permit");
     drop(first);
     assert_eq!(descriptors.in_use(), 1);
 }
 
 #[test]
-fn small_limits_carry_a_third_of_flows_and_a_health_check_for_each_server() {
+fn small_limits_allow_a_third_as_many_flows_as_sockets_and_24_health_checks() {
     for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
         let budgets = DescriptorBudgets::new(sockets, memory_mb << 20);
         let all = budgets.pending.limit()
@@ -26,7 +26,7 @@
             + budgets.control.limit()
             + STANDING_DESCRIPTORS;
         assert!(all <= sockets, "{sockets}: {all}");
-        // Guards against fixed reserves, which at 256 left room for 72 flows.
+        // Guards against fixed reserves, which left room for only 72 flows at 256 sockets.
         assert!(
             budgets.flows.limit() * 3 >= sockets,
             "{sockets}: {} flows",
@@ -36,6 +36,6 @@
     }
     assert!(
         DescriptorBudgets::new(4096, 32 << 20).flows.limit() < 600,
-        "memory bounds them too"
+        "memory limits the flows too"
     );
 }
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -1,18 +1,19 @@
-//! The data plane: carries flows on sockets, whatever protocol their clients speak.
+//! The data plane: runs flows on sockets, whatever protocol their clients use.
 //!
 //! It owns the sockets, buffers and descriptors of all connections, the coroutines that serve them,
 //! and the one that runs the load balancing policy. It must never choose a server, a retry or a
 //! limit itself, read a configuration file, or know a client's protocol.
 //!
-//! The way through it: a front accepts a client and hands its flow to [`pipeline`], which asks the
-//! [`dispatcher`] where the flow goes, makes the attempt and relays lines until a side ends. The
-//! dispatcher owns the policy; other coroutines talk to it by the [`messages`] in its [`mailbox`].
-//! [`discovery`] brings it the endpoint list, [`health_check`] the servers' load reports and
-//! [`gossip`] what other balancers hold. [`wire`] reads and writes the servers' protocol. The
-//! [`supervisor`] restarts services that fail, [`shutdown`] says when the last answer is due,
-//! [`retry`] repeats steps of the start, and [`clock`] is the one clock of all.
+//! The path of a flow: a front accepts a client and passes its flow to [`pipeline`], which asks the
+//! [`dispatcher`] where the flow goes, makes the attempt and relays lines until one side ends. The
+//! dispatcher owns the policy. Other coroutines send it [`messages`] through its [`mailbox`].
+//! [`discovery`] sends it the endpoint list, [`health_check`] the servers' load reports, and
+//! [`gossip`] which server holds the connections of a group at other balancers. [`wire`] reads and
+//! writes the servers' protocol. The [`supervisor`] restarts services that fail, [`shutdown`]
+//! computes when the last answer is due, [`retry`] repeats steps of the start that have failed, and
+//! [`clock`] is the clock that all modules use.
 //!
-//! Modules use each other in one direction only, from the pipeline down to the clock.
+//! Dependencies between modules go in one direction only, from the pipeline down to the clock.
 
 #![warn(missing_docs)]
 
--- a/crates/dataplane/src/mailbox.rs
+++ b/crates/dataplane/src/mailbox.rs
@@ -1,9 +1,9 @@
-//! Mailboxes: queues that many senders fill and one coroutine reads, which waits for the next
+//! Mailboxes: queues with many senders and one reading coroutine. The reader waits for the next
 //! message until a deadline.
 //!
-//! A mailbox owns the messages that have not been read. It must never wait past its deadline, as
-//! the channels of `may` do: their timed receive begins anew with the whole time when it is woken a
-//! moment early, and a wait of under 1 ms never ends.
+//! A mailbox owns the unread messages. It must never wait past its deadline. The channels of `may`
+//! do: their timed receive starts again with the full timeout when it is woken slightly early, and
+//! a wait of under 1 ms never ends.
 
 use std::sync::{Arc, OnceLock};
 
@@ -13,19 +13,19 @@
 use crate::clock;
 use crate::timer::Waiter;
 
-/// What a mailbox and its senders share.
+/// The state that a mailbox and its senders share.
 struct Queue<T> {
     messages: SegQueue<T>,
-    /// The coroutine that reads, once it has asked for a message.
+    /// The reading coroutine. Set by its first call of [`Mailbox::next`].
     reader: OnceLock<Waiter>,
 }
 
-/// The end of the queue that is read, by one coroutine only.
+/// The receiving end of the queue. Only one coroutine may read it.
 pub struct Mailbox<T> {
     queue: Arc<Queue<T>>,
 }
 
-/// The end of the queue that messages are sent into; it may be cloned, and outlive the mailbox.
+/// The sending end of the queue. It can be cloned and may outlive the mailbox.
 pub struct Sender<T> {
     queue: Arc<Queue<T>>,
 }
@@ -39,8 +39,8 @@
 }
 
 impl<T> Sender<T> {
-    /// Queues a message and wakes the reader. It never waits; a message to a mailbox that has been
-    /// dropped is never read.
+    /// Queues a message and wakes the reader, without waiting. A message to a dropped mailbox is
+    /// never read.
     pub fn send(&self, message: T) {
         self.queue.messages.push(message);
         if let Some(reader) = self.queue.reader.get() {
@@ -73,12 +73,13 @@
         }
     }
 
-    /// Waits for the next message and returns it; none once the deadline has passed without one.
-    /// To be called from one coroutine only, the same each time: only the first caller is woken.
+    /// Waits for the next message and returns it; `None` if the deadline passes without one. Must
+    /// always be called from the same coroutine, because only the first caller is woken.
     pub fn next(&self, deadline: Time) -> Option<T> {
         let reader = self.queue.reader.get_or_init(Waiter::current);
         loop {
-            // A message is queued before its wake-up, so each wake-up is followed by a look.
+            // Senders queue a message before they wake the reader, so the queue is checked after
+            // each wake-up.
             if let Some(message) = self.queue.messages.pop() {
                 return Some(message);
             }
--- a/crates/dataplane/src/mailbox/tests.rs
+++ b/crates/dataplane/src/mailbox/tests.rs
@@ -1,4 +1,4 @@
-//! Waits that end in time, and messages that end them.
+//! Tests of waits that end at their deadline or on a message.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -12,20 +12,23 @@
 /// Longest time that a coroutine of these tests may take.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Returns what the coroutine returns. Guards against a wait that never ends and keeps the whole
-/// test run waiting.
+/// Waits for the coroutine and returns its result. Panics after [`JOIN_TIMEOUT`], so that a wait
+/// that never ends doesn't block the whole test run.
 fn join<T>(coroutine: JoinHandle<T>) -> T {
     let since = Instant::now();
     while !coroutine.is_done() {
-        assert!(since.elapsed() < JOIN_TIMEOUT, "a wait doesn't end");
+        assert!(
+            since.elapsed() < JOIN_TIMEOUT,
+            "wait did not end within 10 s"
+        );
         thread::sleep(Duration::from_millis(1));
     }
     coroutine.join().unwrap()
 }
 
 #[test]
-fn a_wait_ends_in_time_and_a_message_ends_it_at_once() {
-    // Guards against waits of under 1 ms that never end, and waits that take twice their time.
+fn a_wait_ends_at_its_deadline_or_at_once_on_a_message() {
+    // Guards against waits of under 1 ms that never end, and waits that take twice as long.
     for us in [1, 300, 1000, 1700, 30_000, 73_210] {
         let late = may::go!(move || {
             let until = clock::now() + us * 1000;
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -14,32 +14,33 @@
 use crate::messages::{DispatcherMessage, FlowCommand, FlowEvent};
 use crate::timer;
 
-/// How far past the deadline the dispatcher's command may come: later only where something is badly
-/// wrong.
+/// Time after the flow's deadline in which the dispatcher's command may still arrive. A later
+/// command means that the dispatcher is stuck.
 const COMMAND_GRACE: Time = 20 * MS;
-/// Between two requests for a connection that was open before the run.
+/// Time between two requests to reopen a connection that was open before the balancer started.
 const ADOPTION_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the wait for a command was ended by.
+/// What ended the wait for a command.
 pub enum RouteDecision {
     /// The dispatcher's command.
     Command(FlowCommand),
-    /// The client went away.
+    /// The client has left.
     ClientLeft,
 }
 
-/// A flow as the dispatcher is asked to place it.
+/// The request to the dispatcher to place a flow or to reopen its connection.
 pub struct PlacementRequest {
     /// The flow.
     pub flow: Flow,
     /// The client as admission control knows it.
     pub identity: ClientIdentity,
-    /// The server that held the connection before the run.
+    /// The name of the server at which the connection was open before the balancer started; `None`
+    /// for a new connection.
     pub previous_server: Option<String>,
 }
 
 impl PlacementRequest {
-    /// Asks the dispatcher, which answers at the flow's mailbox.
+    /// Sends the request to the dispatcher, which answers to the flow's mailbox.
     pub fn send(&self, dataplane: &Dataplane, flow: &FlowGuard) {
         let mailbox = flow.client.mailbox.sender();
         let message = match &self.previous_server {
@@ -57,7 +58,7 @@
         dataplane.dispatcher.send(message);
     }
 
-    /// Asks once more after a pause. Returns false where there is no time left.
+    /// Sends the request again after a pause. Returns false if the flow's deadline has passed.
     pub fn resend(&self, dataplane: &Dataplane, flow: &FlowGuard) -> bool {
         if clock::now() >= self.flow.deadline {
             return false;
@@ -70,8 +71,8 @@
 
 /// Waits for the dispatcher's command, until the flow's deadline.
 pub fn wait_for_command(flow: &mut FlowGuard) -> RouteDecision {
-    // Guards against a client whose end has come in one with its line, which notifies nobody, and
-    // who is waited for.
+    // Guards against a wait for a client whose end arrived together with its line: such an end
+    // causes no notification of its own.
     if flow.client_has_left() {
         return RouteDecision::ClientLeft;
     }
@@ -80,7 +81,7 @@
             Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) => {
                 flow.migrate_by = Some(line_deadline)
             }
-            // Of an attempt that has ended meanwhile.
+            // These are for an attempt that has ended meanwhile.
             Some(
                 FlowEvent::Command(FlowCommand::CancelAttempt | FlowCommand::AttemptTimedOut)
                 | FlowEvent::Stop,
@@ -92,8 +93,11 @@
                 }
             }
             None => {
-                // Guards against a flow without an answer where the dispatcher is stuck.
-                error!(id = flow.id, "no command from the dispatcher in time");
+                // Guards against a flow that is never answered because the dispatcher is stuck.
+                error!(
+                    id = flow.id,
+                    "dispatcher sent no command by the deadline, failing the flow"
+                );
                 return RouteDecision::Command(FlowCommand::Fail);
             }
         }
--- a/crates/dataplane/src/runtime_settings.rs
+++ b/crates/dataplane/src/runtime_settings.rs
@@ -1,5 +1,5 @@
-//! The platform's settings that the data plane reads itself, beside the policy's. It owns their
-//! current values, and must never read a file or decide when they change.
+//! The platform's settings that the data plane uses itself, besides the policy's settings. It owns
+//! their current values and must never read a file or decide when they change.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -9,37 +9,38 @@
 /// Settings that may change while the program runs.
 #[derive(Clone, Copy, Default)]
 pub struct RuntimeSettings {
-    /// How load reports are written.
+    /// The format of load reports.
     pub report_format: LoadReportFormat,
-    /// Servers report their load on request; where not, they are only asked whether they are alive.
+    /// Whether servers report their load on request. If not, health checks only ask whether they are
+    /// alive.
     pub load_reports_on_request: bool,
-    /// A connection to a server that isn't up by then counts as failed.
+    /// A connection to a server that isn't established within this time counts as failed.
     pub connect_timeout: Time,
-    /// The longest pause between two polls, where the endpoint list has to be polled from a service
-    /// that all balancers share.
+    /// The longest pause between two polls of the endpoint list; `None` if the list doesn't have to
+    /// be polled from a service that all balancers share.
     pub endpoint_poll_interval_max: Option<Time>,
 }
 
-/// The settings that hold now, replaced as a whole.
+/// The current settings, which are replaced as a whole.
 #[derive(Default)]
 pub struct SharedSettings {
     current: Mutex<RuntimeSettings>,
 }
 
 impl SharedSettings {
-    /// Returns settings that hold until they are replaced.
+    /// Returns shared settings with the given initial values.
     pub fn new(settings: RuntimeSettings) -> Arc<Self> {
         Arc::new(SharedSettings {
             current: Mutex::new(settings),
         })
     }
 
-    /// Returns the settings that hold now.
+    /// Returns the current settings.
     pub fn current(&self) -> RuntimeSettings {
         *self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what holds from now on.
+    /// Replaces the settings.
     pub fn replace(&self, settings: RuntimeSettings) {
         *self.current.lock().unwrap_or_else(PoisonError::into_inner) = settings;
     }
--- a/crates/dataplane/src/supervisor/tests.rs
+++ b/crates/dataplane/src/supervisor/tests.rs
@@ -1,4 +1,4 @@
-//! A service that panics in each of its runs.
+//! Test of a service that panics in each of its runs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,9 +9,9 @@
 use crate::clock;
 use crate::mailbox::Mailbox;
 
-/// Guards against a balancer that stays alive without its listener or its list.
+/// Guards against a balancer that keeps running without its listener or its endpoint list.
 #[test]
-fn a_service_that_panics_is_restarted_and_in_the_end_given_up() {
+fn a_service_that_panics_in_each_run_is_restarted_and_finally_reported_as_failed() {
     let messages = Mailbox::new();
     let (dispatcher, runs) = (messages.sender(), Arc::new(AtomicUsize::new(0)));
     let counted = runs.clone();
