--- a/crates/dataplane/src/attempt.rs
+++ b/crates/dataplane/src/attempt.rs
@@ -29,7 +29,7 @@
 
 /// Why an attempt produced no connection.
 pub enum AttemptFailure {
-    /// The server didn't accept, couldn't be reached or wasn't tried.
+    /// The attempt has failed, or it was not sent.
     Ended(AttemptOutcome),
     /// The client has left, which ended the attempt.
     ClientLeft(LineProgress),
@@ -189,7 +189,7 @@
         match origin {
             FlowOrigin::Adopted => Ok([line, b"\r\n"].concat()),
             FlowOrigin::New
-                if !self.target.server.ready() || clock::now() >= self.target.send_by =>
+                if !self.target.server.is_ready() || clock::now() >= self.target.send_by =>
             {
                 Err(failed_before_send(AttemptEnd::NotSent))
             }
--- a/crates/dataplane/src/connection.rs
+++ b/crates/dataplane/src/connection.rs
@@ -43,7 +43,7 @@
     /// The received data is malformed. The text says why.
     #[error("{0}")]
     Malformed(String),
-    /// A system error: an established connection has broken.
+    /// A system error: the connection has broken or couldn't be established.
     #[error(transparent)]
     System(#[from] io::Error),
 }
--- a/crates/dataplane/src/descriptors.rs
+++ b/crates/dataplane/src/descriptors.rs
@@ -19,7 +19,7 @@
 const DESCRIPTORS_PER_FLOW: usize = 2;
 /// Memory that the program uses without flows.
 const PROGRAM_BYTES: usize = 8 << 20;
-/// Largest memory of one flow: two stacks and two watchers' stacks of two or three pages each, a
+/// Memory of one flow at most: two stacks and two watchers' stacks of two or three pages each, a
 /// buffer for each direction, and the flow's state in the dispatcher and the policy.
 const FLOW_BYTES_MAX: usize = 48 << 10;
 /// Coroutines of the process's own services and their timers.
--- a/crates/dataplane/src/messages.rs
+++ b/crates/dataplane/src/messages.rs
@@ -198,7 +198,7 @@
     pub server: Arc<Server>,
     /// The deadline for the server's answer.
     pub deadline: Time,
-    /// The deadline for writing the whole line. An attempt that misses it counts as not made.
+    /// The deadline for writing the whole line. An attempt that misses it counts as not sent.
     pub send_by: Time,
 }
 
@@ -247,7 +247,7 @@
 
 impl Server {
     /// Returns whether the server accepts new attempts.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 }
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -1,7 +1,7 @@
 //! The fifth stage: forwards bytes between the client and the server of an open connection, in both
 //! directions, until one side closes. It owns both sockets and closes them before it returns. It
-//! must never change the data, never disconnect a client whose server still answers, and tell a
-//! client to move only between two lines.
+//! must never change the data, never disconnect a client whose server still answers, and never tell
+//! a client to move except between two lines.
 
 mod direction;
 
@@ -29,8 +29,8 @@
 /// connection is closed, which frees its descriptors. It is told to move first, in case it is still
 /// there.
 const CLIENT_IDLE_TIMEOUT: Time = 30 * SEC;
-/// Time between the end of stream from one side and the close of the connection if the other side
-/// doesn't end. The end of stream from a server must reach the client within 1 s.
+/// Time that the client has to end its stream after the server's end of stream was forwarded; then
+/// the connection is closed. A server's end must reach the client within 1 s.
 const CLOSE_TIMEOUT: Time = 800 * MS;
 /// A peer that accepts no bytes for this long counts as lost.
 const WRITE_STALL_TIMEOUT: Time = 7 * SEC;
