--- a/crates/dataplane/src/discovery.rs
+++ b/crates/dataplane/src/discovery.rs
@@ -1,11 +1,11 @@
-//! Discovery: one coroutine that watches the endpoint list at the platform's agent over HTTP/1.1
-//! and sends its updates to the dispatcher. It owns the connection to the agent and the version of
-//! the list. It must never judge a server, and never stop polling: an agent that is silent, refuses
-//! connections or sends what can't be read is polled again soon.
+//! Discovery: one coroutine watches the endpoint list at the platform's discovery agent over
+//! HTTP/1.1 and sends the updates to the dispatcher. This module owns the connection to the agent
+//! and the version of the list. It must never judge a server and never stop polling: if the agent
+//! is silent, refuses connections or sends an unreadable response, it is polled again soon.
 //!
-//! [`watch`](fn@watch) is the loop. Each turn is one poll (`poll`) at the agent's present address
-//! (`agent`), over HTTP (`http`); `list` reads the answer, and `backoff` says when the next poll
-//! follows one that failed.
+//! [`watch`](fn@watch) is the loop. Each iteration makes one poll (`poll`) of the agent's current
+//! address (`agent`) over HTTP (`http`). `list` parses the response body, and `backoff` computes
+//! the delay after a failed poll.
 
 mod agent;
 mod backoff;
--- a/crates/dataplane/src/discovery/agent.rs
+++ b/crates/dataplane/src/discovery/agent.rs
@@ -1,5 +1,6 @@
-//! The address of the discovery agent, which a reload may change at any time. It owns the address
-//! and the way to the coroutine that waits for an answer from there. It must never do I/O.
+//! The address of the discovery agent, which a configuration reload may change at any time. This
+//! module owns the address and the handle that stops a coroutine waiting for a response from it. It
+//! must never do I/O.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,24 +8,25 @@
 use crate::mailbox::Sender;
 use crate::messages::FlowEvent;
 
-/// The discovery agent, by its present address.
+/// The discovery agent's current address.
 pub struct Agent {
     current: Mutex<Location>,
 }
 
-/// An address of the agent, and which of its addresses it is.
+/// An address of the agent, with the revision that identifies it.
 #[derive(Clone)]
 pub(super) struct Location {
-    /// The address.
+    /// The agent's socket address.
     pub address: SocketAddr,
-    /// How often the address had been changed. An address that comes back has another revision.
+    /// The number of address changes before this one was set. An address that is set again later
+    /// gets another revision.
     pub revision: u64,
-    /// Notifies the coroutine that waits for the agent.
+    /// Sends events to the coroutine that waits for the agent.
     notifier: Option<Sender<FlowEvent>>,
 }
 
 impl Agent {
-    /// Creates an agent at an address.
+    /// Creates an agent with its first address.
     pub fn new(address: SocketAddr) -> Arc<Self> {
         Arc::new(Agent {
             current: Mutex::new(Location {
@@ -35,7 +37,7 @@
         })
     }
 
-    /// Sets another address, and stops a wait for an answer from the one before.
+    /// Sets a new address and stops a wait for a response from the previous one.
     pub fn set_address(&self, address: SocketAddr) {
         let mut current = self.current();
         current.address = address;
@@ -45,13 +47,13 @@
         }
     }
 
-    /// Returns the present address.
+    /// Returns the current address and its revision.
     pub(super) fn location(&self) -> Location {
         self.current().clone()
     }
 
-    /// Has `notifier` sent a stop when the address changes, in place of the one before. Returns
-    /// false if the address has changed since `location` was read.
+    /// Registers `notifier`, which replaces the previous one and is sent [`FlowEvent::Stop`] when
+    /// the address changes. Returns false if the address has changed since `location` was read.
     pub(super) fn notify_on_change(
         &self,
         notifier: Sender<FlowEvent>,
--- a/crates/dataplane/src/discovery/backoff.rs
+++ b/crates/dataplane/src/discovery/backoff.rs
@@ -1,47 +1,47 @@
-//! The backoff after a failed poll of discovery: exponential, with full jitter (Marc Brooker,
-//! "Exponential Backoff And Jitter", AWS Architecture Blog, 2015), from a base that is
-//! proportional to the time that the failed poll took. It owns the limits that keep the time until
-//! a change is known within [`CHANGE_KNOWN_AFTER_MAX`], and the random draws. It must never do I/O.
+//! The backoff after a failed discovery poll: exponential with full jitter (Marc Brooker,
+//! "Exponential Backoff And Jitter", AWS Architecture Blog, 2015). Its base is proportional to the
+//! duration of the failed poll. This module owns the random draws and the limits that make a change
+//! known within [`CHANGE_KNOWN_AFTER_MAX`]. It must never do I/O.
 
 use nanorand::{Rng, WyRand};
 use nettlemux_policy::{MS, SEC, Time};
 
-/// The shortest backoff. A watch goes on if the next poll comes within 200 ms.
+/// The shortest backoff. A watch ends if the next poll doesn't come within 200 ms.
 pub const BACKOFF_MIN: Time = 50 * MS;
-/// How long after discovery has a change and can be reached the balancer has to know it, whatever
-/// failed before.
+/// The time within which the balancer must know a change, from when discovery has the change and is
+/// reachable, whatever failed before.
 pub const CHANGE_KNOWN_AFTER_MAX: Time = 6 * SEC;
-/// The part of [`CHANGE_KNOWN_AFTER_MAX`] that is kept for timers that fire late and a busy
-/// processor.
+/// The part of [`CHANGE_KNOWN_AFTER_MAX`] that is reserved for late timers and a busy processor.
 const SCHEDULING_MARGIN: Time = 250 * MS;
-/// How long the answer to a poll that begins a watch is waited for where one service answers the
-/// polls of all balancers in turn. Guards against polls that are given up while they are queued and
-/// still answered: services reject them after 1 to 2.5 s. Such a poll isn't held, so this is all
-/// that it takes.
+/// The timeout of the first poll of a watch if one service answers the polls of all balancers one
+/// after another. Prevents the balancer from abandoning a poll that is still queued and that the
+/// service will still answer: services reject queued polls after 1 to 2.5 s. The agent doesn't hold
+/// such a poll, so this is the whole duration of the poll.
 pub const QUEUE_TIMEOUT: Time = 2650 * MS;
-/// The latest start of the next poll: counted from the answer where there was one, even a
-/// rejection, else from the start of the failed poll, since discovery may have been reachable
-/// again at any moment after that.
+/// The longest time until the next poll starts. It counts from the response to the failed poll, even
+/// if that was a rejection. If there was no response, it counts from the start of the failed poll,
+/// since discovery may have become reachable at any moment after that.
 pub const NEXT_POLL_AFTER_MAX: Time = CHANGE_KNOWN_AFTER_MAX - SCHEDULING_MARGIN - QUEUE_TIMEOUT;
-/// The backoff is drawn from up to this multiple of the time that the failed poll took, doubled for
-/// each failure before it: the queue was as long as that poll stood in it, and all that stood there
-/// poll again. Guards against a hundred balancers that poll again at once and keep the queue full
+/// The upper bound of the random backoff, as a multiple of the duration of the failed poll. It
+/// doubles with each earlier failure in a row. The duration measures the service's queue, and every
+/// balancer whose poll was in that queue polls again. Prevents a hundred balancers from polling
+/// again at the same time and keeping the queue full
 /// (docs/incidents/a-hundred-call-again-at-once.md).
 const BACKOFF_FACTOR: u64 = 4;
-/// Doublings after which every span has met its limit.
+/// The most doublings of the span; with more, every span exceeds its limit anyway.
 const DOUBLINGS_MAX: u32 = 16;
 
 /// How a poll failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// There was no response: refused, reset or silent.
+    /// There was no response: the connection was refused or reset, or the agent was silent.
     NoResponse,
-    /// There was a response: a rejection, or one that can't be read.
+    /// There was a response, but it was a rejection or unreadable.
     BadResponse,
 }
 
-/// Returns the longest backoff after a poll that failed and took so long, where the settings allow
-/// an interval of `poll_interval_max` between polls.
+/// Returns the longest backoff after a failed poll that took `poll_duration`. `poll_interval_max` is
+/// the longest interval between polls that the settings allow.
 pub fn backoff_limit(kind: FailureKind, poll_duration: Time, poll_interval_max: Time) -> Time {
     let limit = match kind {
         FailureKind::NoResponse => NEXT_POLL_AFTER_MAX.saturating_sub(poll_duration),
@@ -50,14 +50,13 @@
     limit.min(poll_interval_max).max(BACKOFF_MIN)
 }
 
-/// Draws the backoff after a poll that failed and took so long, of `limit` at most. `failures`
-/// counts the failed polls in a row before it.
+/// Draws a random backoff of at most `limit` after a failed poll that took `poll_duration`.
+/// `failures` is the number of failed polls in a row before it.
 pub fn draw_backoff(poll_duration: Time, failures: u32, limit: Time, rng: &mut WyRand) -> Time {
     let span = poll_duration.saturating_mul(BACKOFF_FACTOR << failures.min(DOUBLINGS_MAX));
     let longest = span.min(limit).max(BACKOFF_MIN);
     let mut draw = || rng.generate_range(BACKOFF_MIN..=longest);
-    // Where the limit keeps the span from growing the backoff still grows, by the later of two
-    // draws.
+    // If the limit caps the span, the later of two draws still lengthens the backoff on average.
     if failures > 0 && span > limit {
         draw().max(draw())
     } else {
--- a/crates/dataplane/src/discovery/backoff/tests.rs
+++ b/crates/dataplane/src/discovery/backoff/tests.rs
@@ -1,11 +1,11 @@
-//! The backoff after polls that failed, and a hundred balancers that share a service.
+//! The backoff after failed polls, for a single balancer and for a hundred that share one service.
 
 use std::collections::BTreeSet;
 
 use super::*;
 
 #[test]
-fn the_backoff_grows_while_a_shared_service_rejects_polls() {
+fn backoff_span_grows_with_poll_duration_and_failures_up_to_the_limit() {
     let mut rng = WyRand::new_seed(7);
     // The poll's duration, the failures before it, and the longest backoff that may be drawn.
     for (duration, failures, longest_allowed) in [
@@ -15,7 +15,8 @@
         (MS, 9, 2048 * MS),
         (Time::MAX, u32::MAX, 10 * SEC),
     ] {
-        // More draws than it takes to meet each tenth of the span by the later of two.
+        // Enough draws to hit the first and the last tenth of the span, also by the later of two
+        // draws.
         let drawn: Vec<Time> = (0..2000)
             .map(|_| draw_backoff(duration, failures, 10 * SEC, &mut rng))
             .collect();
@@ -25,7 +26,7 @@
             *shortest >= BACKOFF_MIN && *longest <= longest_allowed,
             "{duration}, {failures}: {shortest} to {longest}"
         );
-        // Spread over the whole span, not all at its end.
+        // The draws are spread over the whole span.
         assert!(
             longest_allowed == BACKOFF_MIN
                 || *shortest < longest_allowed / 10 && *longest > longest_allowed / 10 * 9,
@@ -34,9 +35,10 @@
     }
 }
 
-/// The longest time from a failed poll to the next answer is the backoff and the wait in the queue.
+/// The longest time from a failed poll to the next response is the backoff plus the time in the
+/// service's queue.
 #[test]
-fn the_next_poll_is_answered_before_a_change_has_to_be_known() {
+fn response_after_a_failed_poll_arrives_within_the_change_deadline() {
     let mut rng = WyRand::new_seed(11);
     for kind in [FailureKind::NoResponse, FailureKind::BadResponse] {
         for duration in [0, MS, 500 * MS, 1500 * MS, 2 * SEC, QUEUE_TIMEOUT] {
@@ -49,8 +51,8 @@
                     .map(|_| draw_backoff(duration, failures, limit, &mut rng))
                     .max()
                     .unwrap();
-                // Discovery may have been reachable again as soon as the failed poll had begun;
-                // where it answered, it was reachable at the answer.
+                // Without a response, discovery may have been reachable since the start of the
+                // failed poll. With one, it was reachable at the time of the response.
                 let reachable_for = if kind == FailureKind::NoResponse {
                     duration
                 } else {
@@ -66,7 +68,8 @@
     }
 }
 
-/// A poll of the shared service; polls are served in the order of their fields.
+/// A poll of the shared service. The service handles polls in the derived order: by arrival time,
+/// then by balancer.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SharedPoll {
     arrives_at: Time,
@@ -74,16 +77,16 @@
     failures: u32,
 }
 
-/// What became of the polls of a hundred balancers.
+/// The results of the polls of a hundred balancers.
 struct SharedPolls {
-    /// When each balancer was answered.
+    /// When each balancer got its response.
     answered_at: Vec<Time>,
-    /// The rejections of all polls.
+    /// The total number of rejected polls.
     rejections: usize,
 }
 
-/// Simulates a service with one queue, first come, first served, that rejects a poll which has
-/// waited for 2 s, at the cost of an answer. A hundred balancers poll it at once.
+/// Simulates a service with one first-in-first-out queue. It rejects a poll that has been queued for
+/// 2 s, and a rejection takes as long as a response. A hundred balancers poll it at the same time.
 fn poll_shared_service(answers_per_second: u64, rng: &mut WyRand) -> SharedPolls {
     let answer_time = SEC / answers_per_second;
     let wait_max = 2 * SEC;
@@ -118,11 +121,11 @@
     }
 }
 
-/// Guards against the incident of a hundred balancers that poll again at once, now that the backoff
-/// is bounded: a service that can answer all of them in time does, and a slower one still answers
-/// all of them.
+/// Guards against a hundred balancers that poll again at the same time and keep the service's queue
+/// full, which the upper bound of the backoff could bring back. A service that is fast enough must
+/// answer all of them in time, and a slower one must still answer all of them.
 #[test]
-fn a_hundred_in_one_queue_are_all_answered() {
+fn hundred_balancers_with_one_queue_all_get_a_response() {
     for seed in 0..50 {
         let mut rng = WyRand::new_seed(seed);
         let fast = poll_shared_service(30, &mut rng);
@@ -140,9 +143,10 @@
     }
 }
 
-/// The bounds add up, with a wait in the queue that is longer than the service's own limit.
+/// The longest backoff and the longest wait in the queue fit into [`CHANGE_KNOWN_AFTER_MAX`], and
+/// that wait is longer than the service's own limit of 2 s.
 #[test]
-fn the_queue_and_the_backoff_fit_into_the_time() {
+fn backoff_and_queue_timeout_fit_into_the_change_deadline() {
     const {
         assert!(
             NEXT_POLL_AFTER_MAX + QUEUE_TIMEOUT < CHANGE_KNOWN_AFTER_MAX && QUEUE_TIMEOUT > 2 * SEC
@@ -150,14 +154,14 @@
     };
 }
 
-/// Guards against polls that are given up while they are queued at the service: each is worked on
-/// all the same, so those behind it wait for nothing
+/// Guards against abandoning polls that are queued at the service: the service still processes each
+/// of them, so the polls behind it are delayed to no purpose
 /// (docs/incidents/a-hundred-call-again-at-once.md).
 #[test]
-fn no_call_is_given_up_that_a_service_would_answer() {
+fn queue_timeout_exceeds_the_longest_wait_of_an_answered_poll() {
     for wait_max in [SEC, 2 * SEC, 2500 * MS] {
-        // The last poll that is answered leaves the queue as late as this, and its answer takes a
-        // moment.
+        // The last poll that the service answers leaves the queue after `wait_max`; its response
+        // then takes up to 100 ms.
         assert!(wait_max + 100 * MS < QUEUE_TIMEOUT, "{wait_max}");
     }
 }
--- a/crates/dataplane/src/discovery/context.rs
+++ b/crates/dataplane/src/discovery/context.rs
@@ -1,5 +1,5 @@
-//! What the watch needs of the rest of the program. It owns nothing by itself, and must never
-//! decide anything.
+//! The dependencies of the discovery watch on the rest of the program. This module owns nothing
+//! itself and must never make a decision.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 use crate::descriptors::DescriptorBudget;
 use crate::runtime_settings::SharedSettings;
 
-/// What [`watch`](fn@super::watch) needs of the rest of the program.
+/// The dependencies of [`watch`](fn@super::watch).
 pub struct DiscoveryContext {
-    /// The agent that is polled.
+    /// The discovery agent to poll.
     pub agent: Arc<Agent>,
-    /// The settings that hold now; the longest interval between polls is read before each.
+    /// The current settings. The longest interval between polls is read before each poll.
     pub settings: Arc<SharedSettings>,
-    /// The seed of the backoff's random draws.
+    /// The seed of the random backoff.
     pub seed: u64,
-    /// The budget that the connection to the agent is opened from.
+    /// The descriptor budget for the connection to the agent.
     pub descriptors: Arc<DescriptorBudget>,
-    /// The pool of buffers that answers are read into.
+    /// The pool of the buffers that responses are read into.
     pub buffers: Arc<BufferPool>,
 }
--- a/crates/dataplane/src/discovery/http.rs
+++ b/crates/dataplane/src/discovery/http.rs
@@ -1,6 +1,7 @@
-//! A client of HTTP/1.1, as far as the agent needs one: one `GET` at a time, answered with a
-//! length, in chunks or up to the end of the connection. It owns nothing, and must never read past
-//! a response after which the connection is kept, nor without a bound.
+//! A minimal HTTP/1.1 client for the discovery agent: one `GET` at a time, whose response body is
+//! framed by its length, by chunks or by the end of the connection. This module owns no state. It
+//! must never read past the end of a response if the connection is kept, and must always bound
+//! what it reads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,14 +13,14 @@
 use crate::buffers::{Buffer, BufferPool};
 use crate::connection::{Connection, ConnectionError};
 
-/// The longest response. Guards against an endless one; 12,000 entries, indented by four, are
-/// 3.5 MB.
+/// The longest response. Bounds the memory that an endless response takes. 12,000 entries in JSON
+/// that is indented by four spaces are 3.5 MB.
 const RESPONSE_BYTES_MAX: usize = 4 << 20;
-/// Header fields that are read; more are an error.
+/// The most header fields of a response; more are an error.
 const HEADERS_MAX: usize = 32;
-/// The bytes of a chunk's end.
+/// The length of the line end after a chunk's data.
 const CHUNK_END_BYTES: usize = "\r\n".len();
-/// The only status of a response that is used.
+/// The only status whose response is accepted.
 const STATUS_OK: u16 = 200;
 
 /// A response with status 200.
@@ -30,65 +31,65 @@
     pub keep_alive: bool,
 }
 
-/// Why a request brought no response that can be used.
+/// Why a request got no usable response.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// The connection has ended, or the deadline has passed.
+    /// The connection ended, or the deadline passed.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    /// A response came that can't be used.
+    /// A response came but is not usable.
     #[error(transparent)]
     Response(#[from] ResponseError),
 }
 
-/// Why a response can't be used.
+/// Why a response is not usable.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// The head is no HTTP.
+    /// The response head is not valid HTTP.
     #[error(transparent)]
     Head(#[from] httparse::Error),
-    /// The status is another than 200.
-    #[error("answered {0}")]
+    /// The status is not 200.
+    #[error("expected HTTP status {STATUS_OK}, got {0}")]
     Status(u16),
-    /// The body comes in a transfer coding other than `chunked`.
-    #[error("unknown transfer coding '{0}'")]
+    /// The transfer coding is not `chunked`.
+    #[error("unsupported transfer coding '{0}', expected 'chunked'")]
     TransferCoding(String),
-    /// The content length is no number, or over [`RESPONSE_BYTES_MAX`].
-    #[error("no sane content length")]
+    /// The content length is not a number, or exceeds [`RESPONSE_BYTES_MAX`].
+    #[error("Content-Length is not a number of at most {RESPONSE_BYTES_MAX}")]
     ContentLength,
-    /// A chunk begins without its size.
-    #[error("a chunk has no size")]
+    /// A chunk doesn't begin with its size.
+    #[error("expected a chunk size at the start of a chunk")]
     NoChunkSize,
     /// A chunk is longer than [`RESPONSE_BYTES_MAX`].
-    #[error("a chunk is too long")]
+    #[error("chunk longer than {RESPONSE_BYTES_MAX} bytes")]
     ChunkTooLong,
     /// The response is longer than [`RESPONSE_BYTES_MAX`].
-    #[error("the answer is too long")]
+    #[error("response longer than {RESPONSE_BYTES_MAX} bytes")]
     TooLong,
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 enum Framing {
     Length(usize),
     Chunked,
     UntilClose,
 }
 
-/// What the head of a response says.
+/// The parsed head of a response.
 struct Head {
-    /// The head's own length: where the body begins.
+    /// The length of the head in bytes, which is the offset of the body.
     length: usize,
     framing: Framing,
     keep_alive: bool,
 }
 
-/// Where the size line of a chunk ends, and how long the chunk is.
+/// The offset of a chunk's data and the length of the data.
 struct ChunkHead {
     data_start: usize,
     data_length: usize,
 }
 
-/// Whether there is more to read.
+/// Whether the connection delivered bytes or has ended.
 #[derive(PartialEq)]
 enum Progress {
     More,
@@ -98,7 +99,7 @@
 /// Requests a path over an idle connection and reads the response.
 ///
 /// # Errors
-/// [`HttpError::Response`] if a response came and can't be used or isn't a 200, else
+/// [`HttpError::Response`] if a response came and isn't usable or isn't a 200, else
 /// [`HttpError::Connection`].
 pub fn get(
     connection: &Connection,
@@ -137,7 +138,7 @@
 struct ResponseReader<'a> {
     connection: &'a Connection,
     buffer: Buffer,
-    /// Bytes that have come and haven't been parsed.
+    /// Bytes that have been received but not yet parsed.
     unread: Vec<u8>,
     deadline: Time,
 }
@@ -154,7 +155,7 @@
 
     fn read_body(mut self, length: usize, keep_alive: bool) -> Result<Response, HttpError> {
         self.receive(length)?;
-        // Bytes past the body answer no request.
+        // Bytes past the body belong to no request, so the connection isn't used again.
         let keep_alive = keep_alive && self.unread.len() == length;
         self.unread.truncate(length);
         Ok(Response {
@@ -197,7 +198,7 @@
             let parsed =
                 httparse::parse_chunk_size(&self.unread).map_err(|_| ResponseError::NoChunkSize)?;
             match parsed {
-                // Checked before it is added to: guards against an overflow of the sum.
+                // Checked before it is added to an offset, so that the sum can't overflow.
                 Status::Complete((_, size)) if size > RESPONSE_BYTES_MAX as u64 => {
                     return Err(ResponseError::ChunkTooLong.into());
                 }
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Receives until `length` bytes are unread.
+    /// Receives until at least `length` bytes are unparsed.
     fn receive(&mut self, length: usize) -> Result<(), HttpError> {
         while self.unread.len() < length {
             self.receive_more()?;
@@ -220,7 +221,7 @@
         Ok(())
     }
 
-    /// Receives at least a byte; the end of the connection is an error.
+    /// Receives at least one byte; the end of the connection is an error.
     fn receive_more(&mut self) -> Result<(), HttpError> {
         match self.try_receive()? {
             Progress::More => Ok(()),
@@ -242,7 +243,7 @@
     }
 }
 
-/// Reads a head; none while it isn't complete.
+/// Parses a response head; `None` if it is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut response = httparse::Response::new(&mut headers);
@@ -265,7 +266,7 @@
     }))
 }
 
-/// Returns the first value of a header field, trimmed and in lower case.
+/// Returns the value of the first header field of that name, trimmed and in lower case.
 fn header_value(headers: &[httparse::Header], name: &str) -> Option<String> {
     let header = headers
         .iter()
--- a/crates/dataplane/src/discovery/http/tests.rs
+++ b/crates/dataplane/src/discovery/http/tests.rs
@@ -1,4 +1,4 @@
-//! Responses in each framing, whole, in pieces and cut short.
+//! Responses in each framing: complete, in pieces, truncated and malformed.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 use crate::clock;
 use crate::descriptors::DescriptorBudget;
 
-/// Reads a response that is written in these pieces, after which the connection ends.
+/// Reads a response that the peer writes in `pieces` before it closes the connection.
 fn read(pieces: Vec<Vec<u8>>) -> Result<Response, HttpError> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut agent = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -29,14 +29,14 @@
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 #[test]
-fn bodies_in_each_form_and_in_pieces() {
+fn body_is_read_in_each_framing_at_once_and_byte_by_byte() {
     for (text, body, keep_alive) in [
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlist".to_string(),
             "list",
             true,
         ),
-        // Bytes past the body answer no request.
+        // Bytes past the body belong to no request.
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlistHTTP".to_string(),
             "list",
@@ -56,8 +56,8 @@
             let at_once = pieces.len() == 1;
             let response = read(pieces).unwrap();
             assert_eq!(response.body, body.as_bytes(), "{text}");
-            // In pieces the bytes past the body may come after the response is read: the next
-            // request looks for them.
+            // If the response comes in pieces, the bytes past the body may arrive after it is read.
+            // The next request checks for them.
             let surplus_later = !at_once && text.ends_with("HTTP");
             assert!(
                 keep_alive || !response.keep_alive || surplus_later,
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn responses_that_are_cut_short_or_malformed_are_told_apart() {
+fn truncated_response_is_a_connection_error_and_malformed_one_a_response_error() {
     for cut in [
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nlist",
         "HTTP/1.1 200 OK\r\n",
@@ -86,9 +86,10 @@
     }
 }
 
-/// Guards against a response without end in small chunks, which takes memory until its deadline.
+/// Guards against an endless response in small chunks, which would take more and more memory until
+/// the deadline of the poll.
 #[test]
-fn chunks_without_end_are_not_read_to_their_end() {
+fn chunked_body_over_the_length_limit_is_a_response_error() {
     let chunk = [b"10000\r\n".as_slice(), &[b' '; 0x10000], b"\r\n"].concat();
     let mut pieces = vec![CHUNKED.as_bytes().to_vec()];
     pieces.extend(std::iter::repeat_n(chunk, RESPONSE_BYTES_MAX / 0x10000 + 8));
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn heads() {
+fn head_determines_whether_the_connection_is_kept() {
     assert!(
         parse_head(b"HTTP/1.1 200 OK\r\nContent-Le")
             .unwrap()
@@ -130,26 +131,35 @@
     }
 }
 
-/// The log shows these texts.
+/// Operators read these texts in the log.
 #[test]
-fn each_error_says_why_a_response_cannot_be_used() {
+fn response_error_text_states_the_fault() {
     let head = |rest: &str| format!("HTTP/1.1 200 OK\r\n{rest}\r\n\r\n");
     for (text, why) in [
-        ("HTTP/1.1 503 Busy\r\n\r\n".to_string(), "answered 503"),
+        (
+            "HTTP/1.1 503 Busy\r\n\r\n".to_string(),
+            "expected HTTP status 200, got 503",
+        ),
         ("SSH-2.0\r\n\r\n".to_string(), "invalid HTTP version"),
         (
             head("Transfer-Encoding: gzip"),
-            "unknown transfer coding 'gzip'",
+            "unsupported transfer coding 'gzip', expected 'chunked'",
+        ),
+        (
+            head("Content-Length: x"),
+            "Content-Length is not a number of at most 4194304",
+        ),
+        (
+            head("Content-Length: 4194305"),
+            "Content-Length is not a number of at most 4194304",
         ),
-        (head("Content-Length: x"), "no sane content length"),
-        (head("Content-Length: 4194305"), "no sane content length"),
     ] {
         let error = parse_head(text.as_bytes()).err().unwrap();
         assert_eq!(error.to_string(), why, "{text}");
     }
     for (chunk, why) in [
-        ("x\r\n", "a chunk has no size"),
-        ("400001\r\n", "a chunk is too long"),
+        ("x\r\n", "expected a chunk size at the start of a chunk"),
+        ("400001\r\n", "chunk longer than 4194304 bytes"),
     ] {
         let error = read(vec![format!("{CHUNKED}{chunk}").into()])
             .err()
--- a/crates/dataplane/src/discovery/list.rs
+++ b/crates/dataplane/src/discovery/list.rs
@@ -1,5 +1,6 @@
-//! The agent's wire: the path of the endpoint list, and the JSON of its updates. It owns
-//! nothing, and must never do I/O or judge a server. Names of the agent's wire end here.
+//! The wire format of the discovery agent: the path of the endpoint list and the JSON of its updates.
+//! This module owns no state and must never do I/O or judge a server. No other module knows the
+//! agent's wire names.
 
 use std::net::SocketAddr;
 
@@ -10,10 +11,10 @@
 
 use crate::messages::DiscoveredEndpoint;
 
-/// Where the agent serves the list.
+/// The path at which the agent serves the list.
 const LIST_PATH: &str = "/api/targets";
 
-/// Names of the members of an update, and of an entry in it.
+/// Names of the JSON members of an update and of its entries.
 mod key {
     /// The list's version.
     pub const VERSION: &str = "generation";
@@ -34,80 +35,80 @@
     pub const CELL: &str = "cell";
     /// Its state.
     pub const STATE: &str = "lifecycle";
-    /// Its weight; 1 where it has none.
+    /// Its weight; 1 if it is missing.
     pub const WEIGHT: &str = "weight";
-    /// When it started, in milliseconds of Unix time; 0 stands for long ago.
+    /// Its start in milliseconds of Unix time; 0 means long ago.
     pub const STARTED_MS: &str = "startedAtMs";
 }
 
 /// Values of [`key::STATE`].
 mod state {
-    /// It takes connections.
+    /// The server takes connections.
     pub const READY: &str = "Ready";
-    /// It takes no new connections.
+    /// The server takes no new connections.
     pub const DRAINING: &str = "Terminating";
-    /// It is no longer listed.
+    /// The server is no longer listed.
     pub const REMOVED: &str = "Gone";
 }
 
-/// How deep an update may be nested; entries lie at the third level. Guards against a parser that
-/// recurses past the end of a coroutine's stack, which ends the coroutine without a message: the
-/// parser's own limit of 128 levels is too high there.
+/// The deepest nesting of an update; its entries are at the third level. Prevents the recursive JSON
+/// parser from overflowing the coroutine's stack, which would end the coroutine without a message.
+/// The parser's own limit of 128 levels is too high for that stack.
 const NESTING_DEPTH_MAX: usize = 16;
 
-/// The address of an endpoint that is listed without one.
+/// The placeholder for the address of an endpoint that is listed without one.
 const UNKNOWN_ADDRESS: ([u8; 4], u16) = ([0, 0, 0, 0], 0);
 
-/// The latest start that an entry may have. Guards against an overflow in sums with a time.
+/// The latest start time of an entry. Prevents an overflow when a time is added to it.
 const START_TIME_MAX: Time = Time::MAX / 2;
 
-/// An update of the endpoint list: all entries, or those that have changed since a version.
+/// An update of the endpoint list: all entries, or the entries that changed since a version.
 #[derive(Debug, PartialEq)]
 pub struct ListUpdate {
-    /// The version that the list has with this update.
+    /// The version of the list after this update.
     pub version: u64,
     /// Whether the update is the complete list.
     pub is_complete: bool,
-    /// The entries; those that can't be read are left out.
+    /// The entries, without the unreadable ones.
     pub entries: Vec<DiscoveredEndpoint>,
 }
 
-/// Why a text or a value is no update of the endpoint list.
+/// Why a text or a JSON value is not an update of the endpoint list.
 #[derive(Debug, Error)]
 pub enum ListUpdateError {
-    /// It is nested deeper than any update.
-    #[error("the answer is nested too deep")]
+    /// The nesting is deeper than [`NESTING_DEPTH_MAX`].
+    #[error("endpoint list nested deeper than {NESTING_DEPTH_MAX} levels")]
     TooDeep,
-    /// It is no JSON.
+    /// The text is not JSON.
     #[error(transparent)]
     NotJson(#[from] serde_json::Error),
-    /// It has no version.
-    #[error("'generation' is no number")]
+    /// There is no version.
+    #[error("'generation' is missing or not an unsigned integer")]
     NoVersion,
-    /// It doesn't say whether it is the complete list.
-    #[error("'reset' is neither true nor false")]
+    /// There is no statement whether the update is the complete list.
+    #[error("'reset' is missing or not a boolean")]
     NoCompleteness,
-    /// It has no list of entries.
-    #[error("'instances' is no list")]
+    /// There is no list of entries.
+    #[error("'instances' is missing or not an array")]
     NoEntries,
 }
 
-/// Why an entry of the list can't be used.
+/// Why an entry of the list is not usable.
 #[derive(Debug, Error)]
 enum EntryError {
-    /// The state is none of the known ones.
-    #[error("{name}: 'lifecycle' is '{text}'")]
+    /// The state is unknown.
+    #[error("{name}: unknown 'lifecycle' value '{text}'")]
     UnknownState { name: String, text: String },
     /// A ready endpoint has no IP address with a port.
-    #[error("{name}: 'hostPort' is no address")]
+    #[error("{name}: 'hostPort' is not an IP address with a port")]
     NoAddress { name: String },
     /// The server has no name.
-    #[error("'instanceId' is missing")]
+    #[error("'instanceId' is missing or empty")]
     NoName,
 }
 
-/// Returns the path that requests the changes since a version, which the agent may hold for `hold`
-/// until there are any; without a version, the path that requests the complete list.
+/// Returns the path that requests the changes since `from_version`. The agent may hold that request
+/// for `hold` until there is a change. Without a version, the path requests the complete list.
 pub(super) fn request_path(from_version: Option<u64>, hold: Time) -> String {
     match from_version {
         Some(version) => format!("{LIST_PATH}?from={version}&hold_ms={}", hold / MS),
@@ -115,10 +116,10 @@
     }
 }
 
-/// Reads an update from the body of an HTTP response.
+/// Parses an update from the body of an HTTP response.
 ///
 /// # Errors
-/// The body is no JSON, or no update.
+/// The body is not JSON, is nested too deep, or is not an update.
 pub(super) fn parse_body(body: &[u8]) -> Result<ListUpdate, ListUpdateError> {
     if is_nested_deeper(body, NESTING_DEPTH_MAX) {
         return Err(ListUpdateError::TooDeep);
@@ -126,11 +127,11 @@
     parse_list_update(&serde_json::from_slice(body)?)
 }
 
-/// Reads an update. An entry that can't be read is skipped with a warning, as the others are still
-/// of use.
+/// Parses an update. An unreadable entry is skipped with a warning, since the other entries are still
+/// usable.
 ///
 /// # Errors
-/// The value is no update at all.
+/// The value is not an update.
 pub fn parse_list_update(value: &Value) -> Result<ListUpdate, ListUpdateError> {
     let version = value
         .get(key::VERSION)
@@ -189,8 +190,8 @@
     }
 }
 
-/// Reads the address. A server that is draining or removed may have lost its address with its
-/// process: guards against a drain that is missed for that.
+/// Parses the address. A draining or removed server may be listed without one, since its process may
+/// have ended; its entry is still accepted, so that the drain isn't missed.
 fn parse_address(
     value: &Value,
     name: &str,
@@ -220,7 +221,7 @@
     started_ms.saturating_mul(MS).min(START_TIME_MAX)
 }
 
-/// Returns a member as text: empty where it is missing or null, as JSON where it is another value.
+/// Returns a member as text: empty if it is missing or null, in JSON form if it is not a string.
 fn text(value: &Value, key: &str) -> String {
     match value.get(key) {
         Some(Value::String(text)) => text.clone(),
@@ -229,7 +230,7 @@
     }
 }
 
-/// Returns whether brackets outside of strings are nested deeper than `depth_max`.
+/// Returns whether brackets and braces outside of strings are nested deeper than `depth_max`.
 fn is_nested_deeper(json: &[u8], depth_max: usize) -> bool {
     let mut depth = 0_usize;
     let mut in_string = false;
--- a/crates/dataplane/src/discovery/list/tests.rs
+++ b/crates/dataplane/src/discovery/list/tests.rs
@@ -1,9 +1,9 @@
-//! The agent's updates and the path that requests them, in the words of its wire.
+//! The agent's updates and the path that requests them, in the agent's wire format.
 
 use super::*;
 
 #[test]
-fn answers_are_read_and_bad_entries_left_out() {
+fn update_is_parsed_without_its_unreadable_entries() {
     let text = r#"{"generation":41,"reset":true,"instances":[
         {"instanceId":"s-1","hostPort":"127.1.0.18:8081","zone":"a","machineType":"m2","cell":3,
          "lifecycle":"Ready","weight":1.5,"startedAtMs":1700000000123},
@@ -15,7 +15,7 @@
     assert_eq!(update.version, 41);
     assert!(update.is_complete);
     let [first, second, third] = &update.entries[..] else {
-        panic!("three entries are wanted: {update:?}");
+        panic!("expected three entries: {update:?}");
     };
     assert_eq!(first.name, "s-1");
     assert_eq!(first.cell, "3");
@@ -34,24 +34,34 @@
 }
 
 #[test]
-fn nesting_depth_is_found_without_recursion() {
+fn nesting_depth_counts_brackets_outside_of_strings() {
     assert!(is_nested_deeper(b"[[[", 2) && is_nested_deeper(br#"{"a":"]]]\"","b":[{"c":1}]}"#, 2));
     assert!(!is_nested_deeper(br#"[[1],["[[[[\\"],[2]]"#, 2) && !is_nested_deeper(b"]]][[", 2));
 }
 
-/// The configuration's error and the log show these texts; they name the members of the wire.
+/// Operators read these texts in configuration errors and in the log. The texts name the JSON
+/// members.
 #[test]
-fn each_error_names_the_member_at_fault() {
+fn error_text_names_the_invalid_member() {
     for (body, text) in [
-        ("[[[[[[[[[[[[[[[[[", "the answer is nested too deep"),
+        (
+            "[[[[[[[[[[[[[[[[[",
+            "endpoint list nested deeper than 16 levels",
+        ),
         ("{", "EOF while parsing an object at line 1 column 1"),
-        ("[]", "'generation' is no number"),
-        (r#"{"generation":-1}"#, "'generation' is no number"),
+        ("[]", "'generation' is missing or not an unsigned integer"),
+        (
+            r#"{"generation":-1}"#,
+            "'generation' is missing or not an unsigned integer",
+        ),
         (
             r#"{"generation":1,"reset":1}"#,
-            "'reset' is neither true nor false",
+            "'reset' is missing or not a boolean",
+        ),
+        (
+            r#"{"generation":1,"reset":true}"#,
+            "'instances' is missing or not an array",
         ),
-        (r#"{"generation":1,"reset":true}"#, "'instances' is no list"),
     ] {
         let error = parse_body(body.as_bytes()).unwrap_err();
         assert_eq!(error.to_string(), text, "{body}");
@@ -59,13 +69,16 @@
     for (entry, text) in [
         (
             r#"{"instanceId":"s-1","lifecycle":"Asleep"}"#,
-            "s-1: 'lifecycle' is 'Asleep'",
+            "s-1: unknown 'lifecycle' value 'Asleep'",
         ),
         (
             r#"{"instanceId":"s-1","lifecycle":"Ready","hostPort":"nowhere"}"#,
-            "s-1: 'hostPort' is no address",
+            "s-1: 'hostPort' is not an IP address with a port",
+        ),
+        (
+            r#"{"lifecycle":"Gone"}"#,
+            "'instanceId' is missing or empty",
         ),
-        (r#"{"lifecycle":"Gone"}"#, "'instanceId' is missing"),
     ] {
         let error = parse_entry(&serde_json::from_str(entry).unwrap()).unwrap_err();
         assert_eq!(error.to_string(), text, "{entry}");
@@ -73,7 +86,7 @@
 }
 
 #[test]
-fn changes_are_requested_since_a_version_and_the_complete_list_without_one() {
+fn request_path_has_the_version_and_the_hold_only_if_there_is_a_version() {
     assert_eq!(
         request_path(Some(41), 1000 * MS),
         "/api/targets?from=41&hold_ms=1000"
--- a/crates/dataplane/src/discovery/poll.rs
+++ b/crates/dataplane/src/discovery/poll.rs
@@ -1,5 +1,6 @@
-//! One poll of the agent, over a connection that is kept between polls. It owns that connection. It
-//! must never poll an address that the agent has left, nor wait past a poll's deadline.
+//! One poll of the agent, over a connection that is kept between polls. This module owns that
+//! connection. It must never poll an address that is no longer the agent's, and never wait past the
+//! deadline of a poll.
 
 use std::io::ErrorKind;
 
@@ -14,19 +15,20 @@
 use crate::connection::{Connection, ConnectionError};
 use crate::mailbox::Mailbox;
 
-/// What is requested of the agent, and how long its answer may take.
+/// The parameters of one poll.
 pub struct Poll {
-    /// When the poll begins.
+    /// When the poll starts.
     pub started_at: Time,
-    /// The version since which changes are requested; none requests the complete list.
+    /// The version since which changes are requested; `None` requests the complete list.
     pub from_version: Option<u64>,
     /// How long the agent may hold the request until there is a change.
     pub hold: Time,
-    /// When the poll is given up.
+    /// When the poll times out.
     pub deadline: Time,
-    /// Whether it requests the complete list because the agent may have been restarted.
+    /// Whether the poll requests the complete list because the agent may have been restarted.
     pub after_restart: bool,
-    /// The longest interval between polls that the settings allow; none where the agent is watched.
+    /// The longest interval between polls that the settings allow. `None` if the balancer watches an
+    /// agent that it doesn't share with other balancers.
     pub interval_max: Option<Time>,
 }
 
@@ -37,32 +39,32 @@
     }
 }
 
-/// Why a poll brought no update.
+/// Why a poll got no update.
 pub enum PollError {
-    /// The agent's address has changed meanwhile.
+    /// The agent's address changed during the poll.
     AddressChanged,
-    /// No descriptor is left for a connection.
+    /// No file descriptor is available for a connection.
     NoDescriptor,
-    /// The agent gave no answer that can be used.
+    /// The agent gave no usable response.
     Failed(PollFailure),
 }
 
-/// Why the agent gave no answer that can be used.
+/// Why the agent gave no usable response.
 #[derive(Debug, Error)]
 pub enum PollFailure {
-    /// There is no connection, or no response on it in time.
+    /// The connection failed, or there was no response by the deadline.
     #[error(transparent)]
     Connection(ConnectionError),
-    /// The response can't be used.
+    /// The response is not usable.
     #[error(transparent)]
     Response(ResponseError),
-    /// The response's body is no update.
+    /// The response body is not an update.
     #[error(transparent)]
     ListUpdate(ListUpdateError),
 }
 
 impl PollFailure {
-    /// Returns what the failure means for the time of the next poll.
+    /// Returns the kind of the failure, which determines when the next poll may start.
     pub fn kind(&self) -> FailureKind {
         match self {
             PollFailure::Connection(_) => FailureKind::NoResponse,
@@ -70,9 +72,9 @@
         }
     }
 
-    /// Returns whether the agent or its machine has ended the connection, or takes none: it may be
-    /// another process when it answers. The system reports a connection's end by many errors, and
-    /// a want of its own by few, so only these few are excluded.
+    /// Returns whether the agent or its machine ended the connection or refused it. The agent may
+    /// then be a new process when it responds again. The system reports the end of a connection by
+    /// many errors, but a shortage of local resources by few, so only those few are excluded.
     fn suggests_restart(&self) -> bool {
         match self {
             PollFailure::Connection(ConnectionError::Closed) => true,
@@ -88,7 +90,7 @@
 impl From<ConnectionError> for PollError {
     fn from(error: ConnectionError) -> Self {
         match error {
-            // Only a change of the agent's address stops a wait for it.
+            // Only a change of the agent's address stops a wait for the agent.
             ConnectionError::Stopped => PollError::AddressChanged,
             error => PollError::Failed(PollFailure::Connection(error)),
         }
@@ -110,13 +112,13 @@
     }
 }
 
-/// Polls the agent.
+/// Polls the agent and keeps the connection to it.
 pub struct AgentClient<'a> {
     context: &'a DiscoveryContext,
-    /// Kept from the last poll.
+    /// The connection of the last poll, if it may be reused.
     connection: Option<Connection>,
-    /// Whether the agent may have been restarted: its list may then be another under the very
-    /// version that is known, which nothing in its answers shows.
+    /// Whether the agent may have been restarted. Its list may then differ under the same version
+    /// number, which nothing in its responses shows.
     pub restart_suspected: bool,
 }
 
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Closes the connection that was kept.
+    /// Closes the kept connection.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
@@ -138,7 +140,7 @@
     /// Polls the agent once.
     ///
     /// # Errors
-    /// There is no update; no connection is kept then.
+    /// The poll got no update. The connection isn't kept then.
     pub fn poll(&mut self, location: &Location, poll: &Poll) -> Result<ListUpdate, PollError> {
         let result = self.request_update(location, poll);
         if let Err(PollError::Failed(failure)) = &result {
@@ -167,7 +169,7 @@
         Ok(update)
     }
 
-    /// Takes the connection that was kept if it is still of use, else opens another.
+    /// Takes the kept connection if it is still usable, else opens a new one.
     fn take_connection(
         &mut self,
         location: &Location,
@@ -176,8 +178,8 @@
         match self.connection.take() {
             Some(connection) if connection.is_idle() => Ok(connection),
             stale => {
-                // Guards against an agent that was restarted between two polls: the end of its
-                // connection shows here and nowhere else.
+                // An agent that restarted between two polls ended the kept connection. Only this
+                // check detects it.
                 self.restart_suspected |= stale.is_some();
                 drop(stale);
                 self.connect(location, deadline)
--- a/crates/dataplane/src/discovery/watch.rs
+++ b/crates/dataplane/src/discovery/watch.rs
@@ -1,5 +1,6 @@
-//! The loop of the watch: which poll is made next, and what becomes of its result. It owns the
-//! version of the endpoint list. It must never request changes since a version of another agent.
+//! The loop of the watch, which chooses the parameters of each poll and applies its result. It owns
+//! the version of the endpoint list. It must never request changes since a version that another
+//! agent has assigned.
 
 use std::mem;
 use std::time::Duration;
@@ -18,24 +19,25 @@
 use crate::messages::DispatcherMessage;
 use crate::timer;
 
-/// How long the agent may hold a poll. Short, since a silent agent shows only once a hold is over,
-/// and what it has withheld has to be known 2 s after that.
+/// How long the agent may hold a poll. Short, since a silent agent is noticed only when the hold is
+/// over, and the changes that it withheld must be known within 2 s after that.
 const WATCH_HOLD: Time = SEC;
-/// How long past its hold the answer to a poll is waited for.
+/// How long the balancer waits for the response to a poll after its hold is over.
 const ANSWER_TIMEOUT: Time = 500 * MS;
-/// Between two polls. Guards against an agent that answers at once and without end. Well under the
-/// 200 ms after which a watch has ended, and under the shortest time in which a drain has to be
-/// known.
+/// The shortest interval between the starts of two polls. Limits the poll rate if the agent always
+/// responds at once. Well below the 200 ms after which a watch ends, and below the shortest time
+/// within which a drain must be known.
 const POLL_INTERVAL_MIN: Time = 20 * MS;
-/// Between two complete lists that are requested because the agent may have been restarted: at
-/// least this, and at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each entry of the last one.
+/// The shortest interval between two complete lists that are requested because the agent may have
+/// been restarted. The interval is also at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each entry
+/// of the last complete list.
 const COMPLETE_LIST_INTERVAL_MIN: Time = 60 * SEC;
-/// An entry has some 164 bytes, so complete lists take 1 KB/s at most, half of what a balancer may
-/// spend on control traffic.
+/// The shortest interval between two such complete lists, for each entry. An entry has about 164
+/// bytes, so complete lists take at most 1 KB/s, half of a balancer's budget for control traffic.
 const COMPLETE_LIST_INTERVAL_PER_ENTRY: Time = 160 * MS;
 
-/// Watches the endpoint list and sends its updates to the dispatcher, from `known_version` on if
-/// that is given, else from a complete list. It doesn't return.
+/// Watches the endpoint list and sends its updates to the dispatcher. Starts with the changes since
+/// `known_version`, or with the complete list if that is `None`. Never returns.
 pub fn watch(
     known_version: Option<u64>,
     context: &DiscoveryContext,
@@ -52,17 +54,18 @@
     dispatcher: &'a Sender<DispatcherMessage>,
     rng: WyRand,
     client: AgentClient<'a>,
-    /// The version of the list that is known; none where the complete list is to be requested.
+    /// The known version of the list; `None` if the next poll requests the complete list.
     version: Option<u64>,
     /// The revision of the agent's address at the last poll.
     agent_revision: u64,
-    /// Polls that failed since the last that was answered.
+    /// The number of failed polls since the last successful one.
     failures: u32,
-    /// Whether the next poll begins a watch: it is the first, or the one before brought no update.
+    /// Whether the next poll starts a watch: it is the first poll, or the previous one failed or was
+    /// interrupted.
     begins_watch: bool,
-    /// Whether any poll has been answered.
+    /// Whether any poll has succeeded.
     has_been_answered: bool,
-    /// The earliest time of a complete list that is requested because the agent may have been
+    /// The earliest time at which a complete list may be requested because the agent may have been
     /// restarted.
     next_complete_list_at: Time,
 }
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Makes one poll, applies its result and sleeps until the next may be made.
+    /// Makes one poll, applies its result and sleeps until the next poll may start.
     fn poll_once(&mut self) {
         let location = self.context.agent.location();
         self.follow_agent(&location);
@@ -103,7 +106,7 @@
             }
             Err(PollError::AddressChanged) => {}
             Err(PollError::NoDescriptor) => {
-                warn!("no descriptor left for a poll of discovery");
+                warn!("no file descriptor available for a discovery poll");
                 sleep(BACKOFF_MIN);
             }
             Err(PollError::Failed(failure)) => {
@@ -113,8 +116,8 @@
         }
     }
 
-    /// Starts over if the agent's address has changed: another agent counts versions of its own, so
-    /// its complete list is requested. Until that comes the old list holds.
+    /// Restarts the watch if the agent's address has changed. Another agent has its own version
+    /// numbers, so its complete list is requested. The old list stays in use until that arrives.
     fn follow_agent(&mut self, location: &Location) {
         if location.revision == self.agent_revision {
             return;
@@ -131,13 +134,13 @@
         let started_at = clock::now();
         let interval_max = self.context.settings.current().endpoint_poll_interval_max;
         let is_shared = interval_max.is_some();
-        // Guards against a shared service whose queue is filled, once it is back, by complete lists
-        // for all balancers.
+        // A service that all balancers share is excluded: after it recovers, complete lists for all
+        // balancers would fill its queue.
         let after_restart =
             self.client.restart_suspected && !is_shared && started_at >= self.next_complete_list_at;
         let from_version = self.version.filter(|_| !after_restart);
-        // A poll that begins a watch there isn't held, so that its wait in the queue is all that it
-        // takes.
+        // The first poll of a watch at a shared service isn't held, so that it takes no longer than
+        // its wait in the service's queue.
         let is_queued = self.begins_watch && is_shared;
         let hold = if is_queued || from_version.is_none() {
             0
@@ -165,8 +168,8 @@
         }
         self.failures = 0;
         self.record_version(&update, poll);
-        // The first answer is passed on even if nothing has changed: it shows that the list is
-        // watched from then on.
+        // The first update goes to the dispatcher even if it is empty, since it shows that the list
+        // is watched from then on.
         let is_first = !mem::replace(&mut self.has_been_answered, true);
         if is_first || update.is_complete || !update.entries.is_empty() {
             self.dispatcher.send(DispatcherMessage::EndpointsUpdated {
@@ -181,8 +184,8 @@
         let is_complete = update.is_complete;
         let entries = update.entries.len();
         debug!(version, is_complete, entries, "endpoint list update");
-        // Guards against an agent that has restarted its versions: its changes under versions that
-        // count as known would never come.
+        // If the agent has restarted its version numbers, changes under numbers up to the known
+        // version would never arrive. The complete list is requested instead.
         let has_restarted_versions =
             !is_complete && poll.from_version.is_some_and(|from| version < from);
         self.version = (!has_restarted_versions).then_some(version);
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Records a failed poll; returns how long to wait before the next.
+    /// Records a failed poll and returns the backoff before the next one.
     fn record_failure(&mut self, failure: &PollFailure, poll: &Poll) -> Time {
         if self.failures == 0 {
             warn!(error = %failure, "discovery poll failed");
@@ -214,8 +217,8 @@
         backoff
     }
 
-    /// Returns the backoff: random where one service answers the polls of all balancers, else the
-    /// shortest.
+    /// Returns the backoff: random if one service answers the polls of all balancers, else
+    /// [`BACKOFF_MIN`].
     fn backoff(&mut self, failure: &PollFailure, duration: Time, poll: &Poll) -> Time {
         let Some(interval_max) = poll.interval_max else {
             return BACKOFF_MIN;
