--- a/crates/dataplane/src/discovery/backoff.rs
+++ b/crates/dataplane/src/discovery/backoff.rs
@@ -18,9 +18,9 @@
 /// service will still answer: services reject queued polls after 1 to 2.5 s. The agent doesn't hold
 /// such a poll, so this is the whole duration of the poll.
 pub const QUEUE_TIMEOUT: Time = 2650 * MS;
-/// The longest time until the next poll starts. It counts from the response to the failed poll, even
-/// if that was a rejection. If there was no response, it counts from the start of the failed poll,
-/// since discovery may have become reachable at any moment after that.
+/// The longest time until the next poll starts. It counts from the response to the failed poll,
+/// even if that was a rejection. If there was no response, it counts from the start of the failed
+/// poll, since discovery may have become reachable at any moment after that.
 pub const NEXT_POLL_AFTER_MAX: Time = CHANGE_KNOWN_AFTER_MAX - SCHEDULING_MARGIN - QUEUE_TIMEOUT;
 /// The upper bound of the random backoff, as a multiple of the duration of the failed poll. It
 /// doubles with each earlier failure in a row. The duration measures the service's queue, and every
@@ -40,8 +40,8 @@
     BadResponse,
 }
 
-/// Returns the longest backoff after a failed poll that took `poll_duration`. `poll_interval_max` is
-/// the longest interval between polls that the settings allow.
+/// Returns the longest backoff after a failed poll that took `poll_duration`. `poll_interval_max`
+/// is the longest interval between polls that the settings allow.
 pub fn backoff_limit(kind: FailureKind, poll_duration: Time, poll_interval_max: Time) -> Time {
     let limit = match kind {
         FailureKind::NoResponse => NEXT_POLL_AFTER_MAX.saturating_sub(poll_duration),
--- a/crates/dataplane/src/discovery/backoff/tests.rs
+++ b/crates/dataplane/src/discovery/backoff/tests.rs
@@ -85,8 +85,9 @@
     rejections: usize,
 }
 
-/// Simulates a service with one first-in-first-out queue. It rejects a poll that has been queued for
-/// 2 s, and a rejection takes as long as a response. A hundred balancers poll it at the same time.
+/// Simulates a service with one first-in-first-out queue. It rejects a poll that has been queued
+/// for 2 s, and a rejection takes as long as a response. A hundred balancers poll it at the same
+/// time.
 fn poll_shared_service(answers_per_second: u64, rng: &mut WyRand) -> SharedPolls {
     let answer_time = SEC / answers_per_second;
     let wait_max = 2 * SEC;
--- a/crates/dataplane/src/discovery/list.rs
+++ b/crates/dataplane/src/discovery/list.rs
@@ -1,6 +1,6 @@
-//! The wire format of the discovery agent: the path of the endpoint list and the JSON of its updates.
-//! This module owns no state and must never do I/O or judge a server. No other module knows the
-//! agent's wire names.
+//! The wire format of the discovery agent: the path of the endpoint list and the JSON of its
+//! updates. This module owns no state and must never do I/O or judge a server. No other module
+//! knows the agent's wire names.
 
 use std::net::SocketAddr;
 
@@ -51,9 +51,9 @@
     pub const REMOVED: &str = "Gone";
 }
 
-/// The deepest nesting of an update; its entries are at the third level. Prevents the recursive JSON
-/// parser from overflowing the coroutine's stack, which would end the coroutine without a message.
-/// The parser's own limit of 128 levels is too high for that stack.
+/// The deepest nesting of an update; its entries are at the third level. Prevents the recursive
+/// JSON parser from overflowing the coroutine's stack, which would end the coroutine without a
+/// message. The parser's own limit of 128 levels is too high for that stack.
 const NESTING_DEPTH_MAX: usize = 16;
 
 /// The placeholder for the address of an endpoint that is listed without one.
@@ -127,8 +127,8 @@
     parse_list_update(&serde_json::from_slice(body)?)
 }
 
-/// Parses an update. An unreadable entry is skipped with a warning, since the other entries are still
-/// usable.
+/// Parses an update. An unreadable entry is skipped with a warning, since the other entries are
+/// still usable.
 ///
 /// # Errors
 /// The value is not an update.
@@ -190,8 +190,8 @@
     }
 }
 
-/// Parses the address. A draining or removed server may be listed without one, since its process may
-/// have ended; its entry is still accepted, so that the drain isn't missed.
+/// Parses the address. A draining or removed server may be listed without one, since its process
+/// may have ended; its entry is still accepted, so that the drain isn't missed.
 fn parse_address(
     value: &Value,
     name: &str,
--- a/crates/dataplane/src/discovery/poll.rs
+++ b/crates/dataplane/src/discovery/poll.rs
@@ -27,8 +27,8 @@
     pub deadline: Time,
     /// Whether the poll requests the complete list because the agent may have been restarted.
     pub after_restart: bool,
-    /// The longest interval between polls that the settings allow. `None` if the balancer watches an
-    /// agent that it doesn't share with other balancers.
+    /// The longest interval between polls that the settings allow. `None` if the balancer watches
+    /// an agent that it doesn't share with other balancers.
     pub interval_max: Option<Time>,
 }
 
--- a/crates/dataplane/src/discovery/watch.rs
+++ b/crates/dataplane/src/discovery/watch.rs
@@ -29,8 +29,8 @@
 /// within which a drain must be known.
 const POLL_INTERVAL_MIN: Time = 20 * MS;
 /// The shortest interval between two complete lists that are requested because the agent may have
-/// been restarted. The interval is also at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each entry
-/// of the last complete list.
+/// been restarted. The interval is also at least [`COMPLETE_LIST_INTERVAL_PER_ENTRY`] for each
+/// entry of the last complete list.
 const COMPLETE_LIST_INTERVAL_MIN: Time = 60 * SEC;
 /// The shortest interval between two such complete lists, for each entry. An entry has about 164
 /// bytes, so complete lists take at most 1 KB/s, half of a balancer's budget for control traffic.
@@ -60,8 +60,8 @@
     agent_revision: u64,
     /// The number of failed polls since the last successful one.
     failures: u32,
-    /// Whether the next poll starts a watch: it is the first poll, or the previous one failed or was
-    /// interrupted.
+    /// Whether the next poll starts a watch: it is the first poll, or the previous one failed or
+    /// was interrupted.
     begins_watch: bool,
     /// Whether any poll has succeeded.
     has_been_answered: bool,
