--- a/crates/dataplane/src/health_check.rs
+++ b/crates/dataplane/src/health_check.rs
@@ -1,10 +1,11 @@
-//! Health checks: a request to a server for its load report or, where load reports aren't sent on
-//! request, for a sign of life.
+//! Health checks: a request to a server for its load report, or a ping if servers don't send load
+//! reports on request.
 //!
-//! This module owns the connections that servers are checked on. Each has a coroutine of its own,
-//! which tells the dispatcher what the server has answered and keeps the connection open for the
-//! next check where it may, since a new one costs the server work. Servers that no descriptor is
-//! left for wait in a queue. It must never check a server unasked, and never hold up a flow.
+//! This module owns the connections for health checks. Each connection has its own coroutine, which
+//! sends the result of a check to the dispatcher. It keeps the connection open for the next check
+//! if enough descriptors are available, since a new connection costs the server work. If no
+//! descriptor is available for a check, the check waits in a queue. This module must never check a
+//! server without a request from the dispatcher, and never delay a flow.
 
 mod checker;
 mod context;
--- a/crates/dataplane/src/health_check/checker.rs
+++ b/crates/dataplane/src/health_check/checker.rs
@@ -1,5 +1,5 @@
-//! The start and the end of health checks. It owns the queue of servers that wait for a
-//! descriptor, and must never do I/O itself.
+//! Starts health checks and closes the sessions of servers that are no longer listed. This module
+//! owns the queue of checks that wait for a descriptor, and must never do I/O itself.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use super::session::Session;
 use crate::messages::Server;
 
-/// Checks servers, each in a coroutine of its own.
+/// Runs health checks, with one coroutine for each server.
 pub struct HealthChecker {
     context: HealthCheckContext,
-    /// The way to the coroutine of each server that is being checked or whose connection is kept.
-    /// One that has ended stays here until the server's next check.
+    /// The request channel of the session of each server that is being checked or whose connection
+    /// is kept. The channel of an ended session stays here until the server's next check.
     sessions: BTreeMap<ServerId, RequestSender>,
-    /// Checks that no descriptor was left for, the oldest first; one for each server at most.
+    /// Checks that wait for a descriptor, oldest first; at most one for each server.
     queue: VecDeque<QueuedCheck>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl HealthChecker {
-    /// Returns a checker that checks nothing yet.
+    /// Returns a checker without any checks.
     pub fn new(context: HealthCheckContext) -> Self {
         HealthChecker {
             context,
@@ -37,18 +37,18 @@
         }
     }
 
-    /// Checks a server now, or once there is a descriptor.
+    /// Checks a server now, or as soon as a descriptor is available.
     pub fn check(&mut self, server_id: ServerId, server: Arc<Server>) {
-        if self.is_taken_by_session(server_id, &server) {
+        if self.send_to_session(server_id, &server) {
             return;
         }
         self.enqueue(server_id, server);
         self.start_queued();
     }
 
-    /// Starts the checks that wait, as far as there are descriptors. Guards against more servers
-    /// than descriptors, of which only the first would ever be checked, and against a stack for
-    /// each of them: one is held only while there is a connection.
+    /// Starts queued checks while descriptors are available. With more servers than descriptors,
+    /// the queue ensures that all servers are checked, not only the first ones. A waiting check has
+    /// no coroutine and so takes no stack; only a check with a connection has one.
     pub fn start_queued(&mut self) {
         while !self.queue.is_empty() {
             let Some(permit) = self.context.acquire_permit() else {
@@ -64,25 +64,25 @@
         }
     }
 
-    /// Returns whether a check waits for a descriptor.
+    /// Returns whether any check waits for a descriptor.
     pub fn has_queued(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Forgets servers that are no longer listed, and closes the connections kept to them.
+    /// Removes servers that are no longer listed, and closes the kept connections to them.
     pub fn retain_listed(&mut self, is_listed: impl Fn(ServerId) -> bool) {
         self.sessions.retain(|server_id, _| is_listed(*server_id));
         self.queue.retain(|queued| is_listed(queued.server_id));
     }
 
-    /// Asks the server's coroutine for a check; false where there is none.
-    fn is_taken_by_session(&self, server_id: ServerId, server: &Arc<Server>) -> bool {
+    /// Requests the check from the server's running session; returns false if there is none.
+    fn send_to_session(&self, server_id: ServerId, server: &Arc<Server>) -> bool {
         self.sessions
             .get(&server_id)
             .is_some_and(|session| session.send(server.clone()))
     }
 
-    /// Queues a check, in the place of the server's earlier one if that still waits.
+    /// Queues a check. If a check of the same server is already queued, updates that one in place.
     fn enqueue(&mut self, server_id: ServerId, server: Arc<Server>) {
         let queued = self
             .queue
--- a/crates/dataplane/src/health_check/context.rs
+++ b/crates/dataplane/src/health_check/context.rs
@@ -1,5 +1,5 @@
-//! What health checks share. It owns the health checks' part in the descriptor budget, and must
-//! never open a connection.
+//! The resources that all health checks share. This module decides how much of the descriptor
+//! budget health checks may use, and must never open a connection.
 
 use std::sync::Arc;
 
@@ -9,32 +9,34 @@
 use crate::messages::DispatcherMessage;
 use crate::runtime_settings::SharedSettings;
 
-/// Descriptors that health checks leave to discovery: its call, and the next when that is dropped.
+/// Descriptors that health checks leave to discovery: one for its current connection, and one for
+/// the next connection while the current one is being closed.
 const DISCOVERY_DESCRIPTORS: usize = 2;
-/// Descriptors, with those of discovery, that no connection is kept on between two checks.
+/// Free descriptors, including those for discovery, up to which no connection is kept between two
+/// checks.
 const UNKEPT_DESCRIPTORS: usize = 6;
 
-/// What all health checks use.
+/// The resources that all health checks share.
 #[derive(Clone)]
 pub struct HealthCheckContext {
-    /// The way to the dispatcher, which gets the answers.
+    /// Sends the results to the dispatcher.
     pub dispatcher: Sender<DispatcherMessage>,
     /// Permits to open sockets, shared with discovery.
     pub descriptors: Arc<DescriptorBudget>,
     /// Line buffers.
     pub buffers: Arc<BufferPool>,
-    /// The settings that hold now: what is requested, and the load reports' format.
+    /// The current settings, which select the request and the format of load reports.
     pub settings: Arc<SharedSettings>,
 }
 
 impl HealthCheckContext {
-    /// Takes a permit for a connection; none where those left are discovery's.
+    /// Takes a permit for a connection; `None` if only the descriptors for discovery are left.
     pub(super) fn acquire_permit(&self) -> Option<DescriptorPermit> {
         self.descriptors.try_acquire_leaving(DISCOVERY_DESCRIPTORS)
     }
 
-    /// Returns whether a connection may stay open until the next check. Guards against more servers
-    /// than descriptors: the last few are used in turn.
+    /// Returns whether a connection may stay open until the next check. The last few descriptors
+    /// are used in turn, since there may be more servers than descriptors.
     pub(super) fn may_keep_connection(&self) -> bool {
         self.descriptors.has_more_than(UNKEPT_DESCRIPTORS)
     }
--- a/crates/dataplane/src/health_check/exchange.rs
+++ b/crates/dataplane/src/health_check/exchange.rs
@@ -1,5 +1,5 @@
-//! One health check on a connection: the request and the server's answer. It must never open a
-//! connection or try again.
+//! One health check on a connection: the request and the server's answer. This module must never
+//! open a connection or retry.
 
 use nettlemux_policy::Time;
 use tracing::debug;
@@ -10,18 +10,18 @@
 use crate::runtime_settings::RuntimeSettings;
 use crate::wire::{self, HealthCheckAnswer};
 
-/// What one check has brought.
+/// The result of one check.
 pub(super) struct Exchange {
-    /// What the server has answered.
+    /// The server's answer.
     pub(super) answer: HealthCheckAnswer,
-    /// The connection, where nothing came after the answer.
+    /// The connection; `None` if the server sent more than the answer.
     pub(super) connection: Option<Connection>,
 }
 
-/// Sends a server the request for its health, and reads its answer.
+/// Sends the health check request to a server and reads the answer.
 ///
 /// # Errors
-/// No line has come by the deadline, or the connection has broken.
+/// No line arrived by the deadline, or the connection failed.
 pub(super) fn run(
     connection: Connection,
     server: &Server,
@@ -42,7 +42,7 @@
     })
 }
 
-/// Returns the line that asks for what the settings allow.
+/// Returns the request line, which depends on whether servers send load reports on request.
 fn request(settings: &RuntimeSettings) -> &'static [u8] {
     if settings.load_reports_on_request {
         wire::REQUEST_LOAD_REPORT
--- a/crates/dataplane/src/health_check/requests.rs
+++ b/crates/dataplane/src/health_check/requests.rs
@@ -1,5 +1,5 @@
-//! The way of requests to a server's session. A session that ends takes no more of them: each
-//! request is read, or its sender knows that another session is needed.
+//! The request channel of a server's session. A session that ends closes the channel first. So the
+//! session reads every request that was sent, or the sender learns that a new session is needed.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,23 +7,23 @@
 
 use crate::messages::Server;
 
-/// Whether the session still reads requests. Held while one is sent, and while the session finds
-/// that there is none and ends.
+/// Whether the session still reads requests. Locked while a request is sent, and while the session
+/// checks for a request and closes the channel if there is none.
 type IsOpen = Arc<Mutex<bool>>;
 
-/// The end at which checks are requested, each with the server as it is listed then.
+/// The sending end. Each request carries the server as it is listed at that time.
 pub(super) struct RequestSender {
     requests: Sender<Arc<Server>>,
     is_open: IsOpen,
 }
 
-/// The session's end.
+/// The receiving end, which belongs to the session.
 pub(super) struct RequestReceiver {
     requests: Receiver<Arc<Server>>,
     is_open: IsOpen,
 }
 
-/// Returns both ends.
+/// Creates a request channel.
 pub(super) fn request_channel() -> (RequestSender, RequestReceiver) {
     let (sender, receiver) = channel();
     let is_open = Arc::new(Mutex::new(true));
@@ -39,7 +39,7 @@
 }
 
 impl RequestSender {
-    /// Requests a check; false where the session has ended and won't make it.
+    /// Requests a check; returns false if the session has ended and won't make the check.
     pub(super) fn send(&self, server: Arc<Server>) -> bool {
         let is_open = lock(&self.is_open);
         *is_open && self.requests.send(server).is_ok()
@@ -47,12 +47,12 @@
 }
 
 impl RequestReceiver {
-    /// Waits for the next request; none once the sender is gone.
+    /// Waits for the next request; `None` if the sender has been dropped.
     pub(super) fn next(&self) -> Option<Arc<Server>> {
         self.requests.recv().ok()
     }
 
-    /// Returns the request that has come, or takes no more.
+    /// Returns the next request without waiting. If there is none, closes the channel.
     pub(super) fn next_or_close(&self) -> Option<Arc<Server>> {
         let mut is_open = lock(&self.is_open);
         let request = self.requests.try_recv().ok();
--- a/crates/dataplane/src/health_check/session.rs
+++ b/crates/dataplane/src/health_check/session.rs
@@ -1,5 +1,5 @@
-//! The health checks of one server, one after another. A [`Session`] owns the connection that is
-//! kept between two of them.
+//! The consecutive health checks of one server. A [`Session`] owns the connection that is kept
+//! between two checks.
 
 use std::sync::Arc;
 
@@ -17,39 +17,40 @@
 use crate::messages::{DispatcherMessage, Server};
 use crate::wire::HealthCheckAnswer;
 
-/// When a check without an answer has failed. Well inside the policy's shortest check interval, and
-/// far above what a server that still serves messages takes to answer.
+/// The time without an answer after which a check has failed. Well below the policy's shortest
+/// check interval, and far above the time in which a server that still serves messages answers.
 const CHECK_TIMEOUT: Time = 500 * MS;
 
-/// Why a health check has brought no answer.
+/// Why a health check got no answer.
 #[derive(Debug, Error)]
 enum HealthCheckError {
     /// All descriptors for health checks are in use.
-    #[error("no descriptor left for a health check")]
+    #[error("no file descriptor available for a health check")]
     NoDescriptor,
-    /// The server has not answered.
+    /// The server did not answer.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
 }
 
-/// Checks one server, for as long as its connection may stay open.
+/// Checks one server. Ends when the server is no longer listed, or when no connection is kept and no
+/// check is requested.
 pub(super) struct Session {
     server_id: ServerId,
     requests: RequestReceiver,
-    /// The permit for the first connection, until that is opened.
+    /// The permit for the first connection; `None` after that connection has been opened.
     first_permit: Option<DescriptorPermit>,
     kept: Option<KeptConnection>,
     context: HealthCheckContext,
 }
 
-/// A connection that is open between two checks.
+/// A connection that stays open between two checks.
 struct KeptConnection {
     server: Arc<Server>,
     connection: Connection,
 }
 
 impl Session {
-    /// Returns a session that checks a server on a connection of that permit.
+    /// Returns a session that uses `permit` for its first connection.
     pub(super) fn new(
         server_id: ServerId,
         requests: RequestReceiver,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Checks the server, and again at each request.
+    /// Checks the server once, and then once for each request.
     pub(super) fn run(mut self, server: Arc<Server>) {
         let mut next = Some(server);
         while let Some(server) = next {
@@ -87,7 +88,7 @@
         Ok(exchange.answer)
     }
 
-    /// Asks over the kept connection or, where that has ended meanwhile, over a new one.
+    /// Sends the request over the kept connection, or over a new one if the kept one has failed.
     fn exchange(
         &mut self,
         server: &Arc<Server>,
@@ -104,7 +105,7 @@
         Ok(exchange::run(connection, server, &self.context, deadline)?)
     }
 
-    /// Takes the kept connection, if it leads to the server as listed and nothing has come on it.
+    /// Takes the kept connection if the server's entry is unchanged and the connection is idle.
     fn take_kept(&mut self, server: &Arc<Server>) -> Option<Connection> {
         self.kept
             .take()
@@ -122,16 +123,16 @@
         Ok(connection)
     }
 
-    /// Tells the dispatcher what has come of a check.
+    /// Sends the result of a check to the dispatcher.
     fn report(&self, server: &Server, result: Result<HealthCheckAnswer, HealthCheckError>) {
         let answer = match result {
             Ok(answer) => answer,
-            // The balancer's own shortage must not count against the server, which is checked when
-            // its next check is due.
+            // The balancer's own lack of descriptors must not count against the server. The server
+            // is checked again when its next check is due.
             Err(HealthCheckError::NoDescriptor) => {
                 warn!(
                     server = server.name,
-                    "no descriptor left for a health check"
+                    "no file descriptor available for a health check"
                 );
                 return;
             }
@@ -152,8 +153,9 @@
             });
     }
 
-    /// Waits for the next request while a connection is kept; else takes one that has come during
-    /// the last check. Guards against a request that is left out since the connection ended.
+    /// Returns the next request, or `None` if the session is to end. Waits for it if a connection
+    /// is kept. Else takes only a request that came during the last check, which would otherwise be
+    /// lost with the session.
     pub(super) fn next_request(&self) -> Option<Arc<Server>> {
         if self.kept.is_some() {
             self.requests.next()
--- a/crates/dataplane/src/health_check/tests.rs
+++ b/crates/dataplane/src/health_check/tests.rs
@@ -1,4 +1,4 @@
-//! Connections that are kept, replaced and given back, and checks that wait for a descriptor.
+//! Connections that are kept, replaced and closed, and checks that wait for a descriptor.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,7 +22,7 @@
 
 const SERVER_ID: ServerId = 7;
 
-/// A checker with its own dispatcher's mailbox and descriptors.
+/// A checker with its own descriptor budget, and the mailbox that receives its results.
 struct Fixture {
     checker: HealthChecker,
     messages: Mailbox<DispatcherMessage>,
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Runs steps in a coroutine, as waits need one; all that read the messages in the same one.
+    /// Runs `steps` in a coroutine, as timed waits require. All steps that read the mailbox must
+    /// run in the same coroutine.
     fn run(mut self, steps: impl FnOnce(&mut Fixture) + Send + 'static) -> Self {
         let running = may::go!(move || {
             steps(&mut self);
@@ -62,7 +63,7 @@
         running.join().unwrap()
     }
 
-    /// Returns whether the next check that ends has passed.
+    /// Waits for the next result and returns whether that check passed.
     fn next_has_passed(&self) -> bool {
         match self.messages.next(clock::now() + 5 * SEC) {
             Some(DispatcherMessage::HealthChecked {
@@ -71,13 +72,14 @@
                 assert_eq!(server_id, SERVER_ID);
                 passed
             }
-            Some(_) => panic!("another message"),
-            None => panic!("no check has ended"),
+            Some(_) => panic!("unexpected message"),
+            None => panic!("no check ended within 5 s"),
         }
     }
 
-    /// Waits until so many descriptors are in use. A connection's is given back a moment after its
-    /// end, by the coroutine that watches its socket. To be called outside coroutines.
+    /// Waits until `expected` descriptors are in use. The descriptor of a closed connection is
+    /// released a little later, by the coroutine that watches its socket. Must be called outside of
+    /// coroutines.
     fn wait_for_descriptors_in_use(&self, expected: usize) {
         let deadline = Instant::now() + Duration::from_secs(5);
         while self.descriptors.in_use() != expected {
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_replaced_once_it_has_ended_and_closed_with_its_server() {
+fn connection_is_kept_between_checks_replaced_when_ended_and_closed_when_unlisted() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = server(listener.local_addr().unwrap());
     let answering = thread::spawn(move || {
@@ -116,7 +118,7 @@
         let mut second = BufReader::new(answer(&listener, 1));
         let mut rest = String::new();
         second.read_line(&mut rest).unwrap();
-        assert_eq!(rest, "", "closed by the balancer");
+        assert_eq!(rest, "", "not closed by the balancer");
     });
     let mut fixture = Fixture::new(16).run(move |fixture| {
         for _ in 0..3 {
@@ -131,11 +133,11 @@
 }
 
 #[test]
-fn a_check_waits_for_a_descriptor_and_an_unlisted_server_does_not() {
+fn check_waits_for_a_descriptor_until_its_server_is_unlisted() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = server(listener.local_addr().unwrap());
     let answering = thread::spawn(move || answer(&listener, 1));
-    // Two are discovery's, and one is in use.
+    // Two descriptors are reserved for discovery, and one is in use.
     let fixture = Fixture::new(3);
     let in_use = fixture.descriptors.try_acquire().unwrap();
     let fixture = fixture.run(move |fixture| {
@@ -148,14 +150,15 @@
         assert!(!fixture.checker.has_queued());
         assert!(fixture.next_has_passed());
     });
-    // So few descriptors are left that the connection isn't kept.
+    // Too few descriptors are free for the connection to be kept.
     fixture.wait_for_descriptors_in_use(0);
     drop(answering.join().unwrap());
 }
 
-/// Guards against a check that is requested between a session's last look and its end, and is lost.
+/// Guards against losing a check that is requested after a session has looked for requests for the
+/// last time and before it ends.
 #[test]
-fn a_request_to_a_session_that_ends_is_refused() {
+fn request_to_an_ending_session_is_refused() {
     let fixture = Fixture::new(16);
     let permit = fixture.descriptors.try_acquire().unwrap();
     let context = context(fixture.messages.sender(), fixture.descriptors.clone());
@@ -165,12 +168,15 @@
     assert!(sender.send(server.clone()));
     assert!(session.next_request().is_some());
     assert!(session.next_request().is_none());
-    assert!(!sender.send(server), "nobody reads it any more");
+    assert!(
+        !sender.send(server),
+        "accepted after the session closed its channel"
+    );
 }
 
 #[test]
-fn a_server_that_refuses_the_connection_has_failed_its_check() {
-    // Bound but not listening, so that no other test is given the port meanwhile.
+fn check_fails_if_the_server_refuses_the_connection() {
+    // Bound but not listening: connections are refused, and no other test gets the port.
     let refusing = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     refusing.bind(&any_port.into()).unwrap();
