--- a/crates/dataplane/src/socket.rs
+++ b/crates/dataplane/src/socket.rs
@@ -1,8 +1,9 @@
-//! Sockets and the notification of those that own them. A [`Socket`] owns one descriptor and gives
-//! it back when it is dropped, here and nowhere else. Beside each stands a readiness watcher, a
-//! coroutine that waits for the socket and notifies its owner, so that one coroutine can own both
-//! sides of a flow and wait for commands and the time as well. Calls that the system refuses for a
-//! moment are retried a little later. No call on a socket waits, and nothing here reads a protocol.
+//! Non-blocking sockets that notify their owners. A [`Socket`] owns one descriptor, which is
+//! released when the socket is dropped, here and nowhere else. Each socket has a readiness watcher,
+//! a coroutine that waits for events on the socket and notifies the owner. So one coroutine can own
+//! both sides of a flow and also wait for commands and deadlines. Calls that the system refuses
+//! temporarily are retried a little later. No call on a socket blocks, and this module reads no
+//! protocol.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -21,31 +22,33 @@
 use crate::messages::FlowEvent;
 use crate::timer;
 
-/// Until a call is retried that the system has refused for want of something that comes back.
+/// The interval until the retry of a call that the system has refused for a temporary lack of
+/// resources.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Immediate retries of a call that a signal has interrupted.
+/// The most immediate retries of a call that a signal has interrupted.
 const INTERRUPTIONS_MAX: usize = 16;
-/// Errors by which `connect` says that it goes on, or has gone on after an interruption.
+/// Errors of `connect` that mean that the connection is in progress, or established after an
+/// interrupted call.
 const CONNECT_IN_PROGRESS: [i32; 3] = [EISCONN, EALREADY, EINPROGRESS];
-/// Errors by which the system says that it has no room at this moment. They say nothing of the
-/// connection.
-const NO_ROOM: [i32; 2] = [ENOMEM, ENOBUFS];
+/// Errors that mean a temporary lack of kernel memory. They don't mean that the connection has
+/// failed.
+const OUT_OF_MEMORY: [i32; 2] = [ENOMEM, ENOBUFS];
 
-/// What a socket, its watcher and its retries share.
+/// The state that a socket shares with its watcher and its retries.
 struct Inner {
-    /// None once it is dropped.
+    /// `None` only while this state is being dropped.
     stream: Option<Arc<TcpStream>>,
-    /// The stream in the selector, once that has taken it.
+    /// The stream as registered with the selector; empty until registration succeeds.
     registered: OnceLock<CoIo<Arc<TcpStream>>>,
     notifier: Sender<FlowEvent>,
     permit: Mutex<DescriptorPermit>,
     /// The socket has been dropped.
     closed: AtomicBool,
-    /// The owner has been notified and hasn't looked since.
+    /// The owner has been notified and hasn't called [`Socket::rearm_notification`] since.
     notified: AtomicBool,
-    /// A coroutine waits to notify the owner once the system may have room.
+    /// A coroutine is waiting to notify the owner so that it retries a refused call.
     retrying: AtomicBool,
-    /// The socket is closed with a reset.
+    /// The connection will be closed with a reset.
     reset: AtomicBool,
 }
 
@@ -58,7 +61,7 @@
         self.permit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The stream in the selector; none where that has no room now.
+    /// Returns the registered stream; `None` if the selector can't register it now.
     fn register(&self) -> Option<&CoIo<Arc<TcpStream>>> {
         if self.registered.get().is_none() {
             let stream = self.stream.clone().expect("held until dropped");
@@ -72,25 +75,25 @@
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Notifies the owner, once until it looks at the socket: guards against a mailbox that a peer
-    /// fills by sending much.
+    /// Notifies the owner, at most once until the owner rearms the notification. Prevents a peer
+    /// that sends much from filling the owner's mailbox.
     fn notify(&self) {
         if !self.notified.swap(true, Ordering::AcqRel) {
             self.notifier.send(FlowEvent::SocketReady);
         }
     }
 
-    /// Notifies the owner whenever something may have happened, until the socket is closed.
+    /// Notifies the owner of every possible event on the socket, until the socket is closed.
     fn watch(&self) {
         while !self.is_closed() {
             let was_registered = self.registered.get().is_some();
             match self.register() {
-                // What came before may not have been notified.
+                // Just registered: the owner may have missed earlier events.
                 Some(_) if !was_registered => {}
                 Some(registered) => drop(registered.wait_io()),
-                // Guards against a connection that is dropped, with the line that has come on it,
-                // since the selector has no room for it at this moment: until then the owner looks
-                // at it at intervals.
+                // The selector can't register the stream now. The owner polls the socket at
+                // intervals until it can, so that the connection and the data received on it aren't
+                // lost.
                 None => timer::sleep(RETRY_INTERVAL),
             }
             if !self.is_closed() {
@@ -102,24 +105,24 @@
 
 impl Drop for Inner {
     fn drop(&mut self) {
-        // Taken out of the selector first, closed second, its permit given back last. Guards
-        // against a descriptor that is closed, opened again elsewhere under the same number, and
-        // only then taken out of the selector.
+        // The order is: deregister, close, release the permit. Otherwise the descriptor could be
+        // closed and reopened elsewhere under the same number, and the selector would then
+        // deregister the new one.
         drop(self.registered.take().map(CoIo::into_inner));
         drop(self.stream.take());
     }
 }
 
-/// One socket.
+/// A non-blocking socket that notifies its owner.
 pub struct Socket {
     inner: Arc<Inner>,
 }
 
 impl Socket {
-    /// Takes over a stream that doesn't block; the owner is notified by `notifier` when something
-    /// may have happened on it.
+    /// Takes over a non-blocking stream. `notifier` notifies the owner of possible events on the
+    /// stream.
     pub fn new(stream: TcpStream, permit: DescriptorPermit, notifier: Sender<FlowEvent>) -> Self {
-        // Small lines must not wait for one another.
+        // Without this, Nagle's algorithm would delay small lines.
         let _ = stream.set_nodelay(true);
         let inner = Arc::new(Inner {
             stream: Some(Arc::new(stream)),
@@ -131,19 +134,19 @@
             retrying: AtomicBool::new(false),
             reset: AtomicBool::new(false),
         });
-        // Before the owner looks for the first time, so that whatever comes after that look is
-        // notified.
+        // Registered before the owner first checks the socket, so that the owner is notified of
+        // everything that happens after that check.
         let _ = inner.register();
         let watched = inner.clone();
         may::go!(move || watched.watch());
         Socket { inner }
     }
 
-    /// Starts to connect, without waiting.
+    /// Starts to connect, without blocking.
     ///
     /// # Errors
-    /// The connection can't be begun: this machine has no means for it, or the peer is known not to
-    /// be there.
+    /// The connection attempt can't be started: this machine lacks resources for it, or the peer is
+    /// known to be unreachable.
     pub fn dial(
         address: SocketAddr,
         permit: DescriptorPermit,
@@ -157,20 +160,20 @@
         }
     }
 
-    /// Holds its descriptor by another permit from now on.
+    /// Replaces the permit by which the socket holds its descriptor.
     pub fn replace_permit(&self, permit: DescriptorPermit) {
         *self.inner.permit() = permit;
     }
 
-    /// Returns a copy of the permit by which it holds its descriptor.
+    /// Returns a copy of the permit by which the socket holds its descriptor.
     pub fn permit(&self) -> DescriptorPermit {
         self.inner.permit().clone()
     }
 
-    /// Returns whether a connection that was dialled is up by now.
+    /// Returns whether a dialed connection is established.
     ///
     /// # Errors
-    /// It won't come up.
+    /// The connection has failed.
     pub fn is_connected(&self) -> io::Result<bool> {
         let stream = self.inner.stream();
         if let Some(error) = stream.take_error()? {
@@ -179,7 +182,7 @@
         match stream.peer_addr() {
             Ok(_) => Ok(true),
             Err(e) if e.kind() == ErrorKind::NotConnected => Ok(false),
-            Err(e) if has_no_room(&e) => {
+            Err(e) if is_out_of_memory(&e) => {
                 self.retry_later();
                 Ok(false)
             }
@@ -187,25 +190,27 @@
         }
     }
 
-    /// Has the owner notified of whatever comes later. To be called before each look at the socket.
+    /// Lets the owner be notified of later events. The owner must call this before each check of
+    /// the socket.
     pub fn rearm_notification(&self) {
         self.inner.notified.store(false, Ordering::Release);
     }
 
-    /// Reads what is there, without waiting, and returns how many bytes: none where nothing has
-    /// come yet, 0 at the end.
+    /// Reads available bytes without blocking and returns their number: `None` if nothing has
+    /// arrived yet, 0 at the end of the stream.
     ///
     /// # Errors
-    /// The connection has broken.
+    /// The connection has failed.
     pub fn read(&self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
         self.transfer(|| self.inner.stream().read(buffer))
     }
 
-    /// Writes as much as there is room for, without waiting, and returns how many bytes. Goes on
-    /// after a short write: the selector doesn't report room that was there all the time.
+    /// Writes as much as the send buffer takes, without blocking, and returns the number of bytes.
+    /// Continues after a short write, since the selector doesn't report buffer space that was free
+    /// all the time.
     ///
     /// # Errors
-    /// The connection has broken.
+    /// The connection has failed.
     pub fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         let mut written = 0;
         while written < bytes.len() {
@@ -217,14 +222,15 @@
         Ok(written)
     }
 
-    /// Makes one call and returns how many bytes it moved; none where it can move none yet.
+    /// Makes one call and returns the number of bytes that it transferred; `None` if it would
+    /// block.
     fn transfer(&self, mut call: impl FnMut() -> io::Result<usize>) -> io::Result<Option<usize>> {
         loop {
             match call() {
                 Ok(count) => return Ok(Some(count)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if has_no_room(&e) => {
+                Err(e) if is_out_of_memory(&e) => {
                     self.retry_later();
                     return Ok(None);
                 }
@@ -233,7 +239,8 @@
         }
     }
 
-    /// Has the owner look again in a moment, which the selector won't report.
+    /// Notifies the owner after [`RETRY_INTERVAL`], since the selector won't report when the
+    /// refused call can succeed.
     fn retry_later(&self) {
         if self.inner.retrying.swap(true, Ordering::AcqRel) {
             return;
@@ -246,12 +253,13 @@
         });
     }
 
-    /// Ends the sending; the peer reads the end after all that was written.
+    /// Shuts down the sending side. The peer reads all written bytes and then the end of the
+    /// stream.
     pub fn end_sending(&self) {
         let _ = self.inner.stream().shutdown(Shutdown::Write);
     }
 
-    /// Has the socket closed with a reset in place of an orderly end once it is dropped.
+    /// Makes the drop of the socket close the connection with a reset instead of an orderly end.
     pub fn reset(&self) {
         let _ = SockRef::from(self.inner.stream()).set_linger(Some(Duration::ZERO));
         self.inner.reset.store(true, Ordering::Release);
@@ -260,24 +268,24 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        // Ended now, not when the watcher has let go: guards against an attempt that is given up
-        // but still in flight when the next one is made.
+        // Shut down now and not when the watcher releases the stream. Otherwise an abandoned
+        // attempt could still be in flight when the next one is made.
         if !self.inner.reset.load(Ordering::Acquire) {
             self.end_sending();
         }
         self.inner.closed.store(true, Ordering::Release);
-        // The watcher gives up its share.
+        // Wakes the watcher, which then releases its reference to the stream.
         if let Some(registered) = self.inner.registered.get() {
             registered.waker().wakeup();
         }
     }
 }
 
-/// Sets an accepted stream to never block, which the system may refuse for a moment; retries until
-/// a deadline.
+/// Makes an accepted stream non-blocking. Retries until the deadline, since the system may refuse
+/// this temporarily.
 ///
 /// # Errors
-/// The system still refuses.
+/// The system still refuses at the deadline.
 pub fn set_nonblocking(stream: &TcpStream, deadline: Time) -> io::Result<()> {
     while let Err(error) = stream.set_nonblocking(true) {
         if clock::now() >= deadline {
@@ -300,9 +308,9 @@
     result
 }
 
-/// Whether the system only lacks room at this moment.
-fn has_no_room(error: &io::Error) -> bool {
-    is_any_of(error, &NO_ROOM)
+/// Returns whether the error is a temporary lack of kernel memory.
+fn is_out_of_memory(error: &io::Error) -> bool {
+    is_any_of(error, &OUT_OF_MEMORY)
 }
 
 fn is_any_of(error: &io::Error, errors: &[i32]) -> bool {
