--- a/crates/dataplane/src/gossip/codec.rs
+++ b/crates/dataplane/src/gossip/codec.rs
@@ -1,7 +1,7 @@
-//! The format of gossip datagrams. It must never depend on who sends them.
+//! The format of gossip datagrams. Decoding must never depend on the sender.
 //!
-//! A datagram is a version byte, the group's number as two bytes, the most significant first, and
-//! the server's name in UTF-8 up to the end.
+//! A datagram is a version byte, the group's number as two bytes with the most significant byte
+//! first, and the server's name in UTF-8 up to the end.
 
 use std::str::Utf8Error;
 
@@ -9,53 +9,53 @@
 
 use crate::messages::GossipMessage;
 
-/// The only version of the format so far.
+/// The only supported version of the format.
 const FORMAT_VERSION: u8 = 1;
-/// Bytes before the server's name: the version and the group.
+/// The length of the header before the server's name: the version and the group.
 const HEADER_BYTES: usize = 3;
-/// Bytes of the longest datagram.
+/// The length of the longest datagram.
 pub(super) const DATAGRAM_BYTES_MAX: usize = 256;
-/// Bytes of the longest server name that fits.
+/// The length of the longest server name that fits into a datagram.
 const SERVER_NAME_BYTES_MAX: usize = DATAGRAM_BYTES_MAX - HEADER_BYTES;
 
-/// Why a message can't be written.
+/// Why a message can't be encoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum EncodeError {
-    /// The server's name doesn't fit the datagram.
-    #[error("a server name of {bytes} bytes; {SERVER_NAME_BYTES_MAX} fit")]
+    /// The server's name doesn't fit into the datagram.
+    #[error("server name of {bytes} bytes, expected at most {SERVER_NAME_BYTES_MAX}")]
     ServerNameTooLong {
-        /// The name's length.
+        /// The length of the name in bytes.
         bytes: usize,
     },
 }
 
-/// Why a datagram can't be read.
+/// Why a datagram can't be decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum DecodeError {
     /// The datagram ends within the header.
-    #[error("a datagram of {bytes} bytes; the header alone has {HEADER_BYTES}")]
+    #[error("datagram of {bytes} bytes, shorter than the header of {HEADER_BYTES} bytes")]
     Truncated {
-        /// The datagram's length.
+        /// The length of the datagram in bytes.
         bytes: usize,
     },
-    /// The datagram is longer than any of this format, or was cut as it was read.
-    #[error("a datagram of more than {DATAGRAM_BYTES_MAX} bytes")]
+    /// The datagram is longer than the format allows. It may have been truncated on receipt.
+    #[error("datagram longer than {DATAGRAM_BYTES_MAX} bytes")]
     TooLong,
-    /// The format is another version's.
-    #[error("version {0}; only {FORMAT_VERSION} is known")]
+    /// The version of the format is not supported.
+    #[error("unsupported format version {0}, expected {FORMAT_VERSION}")]
     UnknownVersion(u8),
-    /// No server is named.
-    #[error("no server name")]
+    /// The server's name is empty.
+    #[error("empty server name")]
     NoServerName,
-    /// The server's name is no text.
-    #[error("a server name that is not UTF-8")]
+    /// The server's name is not UTF-8.
+    #[error("server name is not UTF-8")]
     ServerNameNotUtf8(#[source] Utf8Error),
 }
 
-/// Returns the datagram for a message.
+/// Encodes a message as a datagram.
 ///
 /// # Errors
-/// The server's name doesn't fit.
+/// The server's name doesn't fit into the datagram.
 pub(super) fn encode(message: &GossipMessage) -> Result<Vec<u8>, EncodeError> {
     let server_name = message.server.as_bytes();
     if server_name.len() > SERVER_NAME_BYTES_MAX {
@@ -70,10 +70,10 @@
     Ok(datagram)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// The datagram is incomplete, too long, of another version, or names no server.
+/// The datagram is truncated, too long, of another version, or has no server name in UTF-8.
 pub(super) fn decode(datagram: &[u8]) -> Result<GossipMessage, DecodeError> {
     if datagram.len() > DATAGRAM_BYTES_MAX {
         return Err(DecodeError::TooLong);
--- a/crates/dataplane/src/gossip/codec/tests.rs
+++ b/crates/dataplane/src/gossip/codec/tests.rs
@@ -1,9 +1,9 @@
-//! The bytes of gossip datagrams, and what is not read.
+//! The bytes of gossip datagrams, and datagrams that are rejected.
 
 use super::*;
 
 #[test]
-fn messages_are_read_as_they_are_written_and_others_passed_over() {
+fn encoded_message_decodes_to_itself_and_malformed_datagrams_are_errors() {
     let message = GossipMessage {
         group: 51_966,
         server: "s-17".into(),
@@ -29,9 +29,9 @@
 }
 
 #[test]
-fn a_datagram_of_an_earlier_version_is_read() {
-    // Written out, as balancers of the version before send it: guards against a change of format
-    // that reading and writing share.
+fn datagram_of_a_previous_release_is_decoded() {
+    // The bytes that balancers of the previous release send. Guards against a format change that is
+    // made in both the encoder and the decoder.
     let datagram = b"\x01\xca\xfes-17";
     let message = GossipMessage {
         group: 0xcafe,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_longest_server_name_fills_the_datagram() {
+fn longest_server_name_makes_the_longest_datagram() {
     let message = GossipMessage {
         group: 1,
         server: "s".repeat(SERVER_NAME_BYTES_MAX),
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn errors_say_what_is_wrong_with_a_datagram() {
+fn decode_error_states_the_fault() {
     assert_eq!(
         decode(b"\x01").unwrap_err().to_string(),
-        "a datagram of 1 bytes; the header alone has 3"
+        "datagram of 1 bytes, shorter than the header of 3 bytes"
     );
     assert_eq!(
         decode(b"\x02\x00\x01s-1"),
--- a/crates/dataplane/src/gossip/receive_limit.rs
+++ b/crates/dataplane/src/gossip/receive_limit.rs
@@ -1,25 +1,25 @@
-//! The limit on gossip that is received. It owns the count of one second's datagrams, and must
-//! never look into them.
+//! The rate limit on received gossip. It owns the count of the datagrams of one second, and must
+//! never read their contents.
 
 use nettlemux_policy::{SEC, Time};
 use tracing::warn;
 
-/// The datagram of a second from which on the rest of that second's are dropped, as many as a
-/// thousand balancers may send. Guards against a flood, each message of which would cost the
-/// dispatcher a turn.
+/// The number of datagrams in one second at which that datagram and the rest of the second's
+/// datagrams are dropped. As many as a thousand balancers may send. Limits the load on the
+/// dispatcher during a flood, since the dispatcher handles messages one by one.
 const FLOOD_THRESHOLD_PER_SECOND: usize = 200;
 
-/// Counts the datagrams of each second of the clock.
+/// Counts the received datagrams in each second of the clock.
 #[derive(Default)]
 pub(super) struct ReceiveLimit {
-    /// The second that is counted, since the clock's start.
+    /// The second that is being counted, since the start of the clock.
     second: Time,
-    /// Datagrams received in it.
+    /// The number of datagrams received in that second.
     received: usize,
 }
 
 impl ReceiveLimit {
-    /// Counts a datagram that is received now, and returns whether it is within the limit.
+    /// Counts a datagram that was received at `now`, and returns whether it is within the limit.
     pub(super) fn admits(&mut self, now: Time) -> bool {
         let second = now / SEC;
         if second != self.second {
@@ -30,7 +30,7 @@
         if self.received == FLOOD_THRESHOLD_PER_SECOND {
             warn!(
                 limit = FLOOD_THRESHOLD_PER_SECOND,
-                "too many gossip messages in a second, the rest are dropped"
+                "gossip rate limit reached, dropping messages for the rest of this second"
             );
         }
         self.received < FLOOD_THRESHOLD_PER_SECOND
--- a/crates/dataplane/src/gossip/transport.rs
+++ b/crates/dataplane/src/gossip/transport.rs
@@ -1,4 +1,4 @@
-//! The socket that gossip is sent and received on, and the peers' addresses.
+//! The UDP socket for gossip, and the peers' addresses.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -14,12 +14,13 @@
 use crate::mailbox::{Mailbox, Sender};
 use crate::messages::{DispatcherMessage, GossipMessage};
 
-/// Bytes that are read of a datagram: one more than any has, so that a longer one shows.
+/// The most bytes that are read of a datagram: one more than the longest valid datagram, so that a
+/// longer one is detected.
 const READ_BYTES_MAX: usize = DATAGRAM_BYTES_MAX + 1;
-/// Datagrams that are read before other coroutines get a turn.
+/// The most datagrams that are read before the coroutine yields.
 const RECEIVE_BATCH_MAX: usize = 16;
 
-/// Sends gossip to all peers, and hands the dispatcher what they send.
+/// Sends gossip to all peers, and passes received gossip to the dispatcher.
 pub struct GossipTransport {
     socket: CoIo<UdpSocket>,
     own_address: SocketAddr,
@@ -27,11 +28,11 @@
 }
 
 impl GossipTransport {
-    /// Opens the socket and starts to receive. Messages sent by the returned sender go to all peers
-    /// but the own address.
+    /// Opens the socket and starts to send and receive. Messages on the returned sender go to all
+    /// peers except this balancer's own address.
     ///
     /// # Errors
-    /// The socket can't be opened at that address.
+    /// The socket can't be opened at the address `listen`.
     pub fn start(
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
@@ -82,7 +83,7 @@
         };
         let peers = self.lock_peers();
         for peer in peers.iter().filter(|peer| **peer != self.own_address) {
-            // A datagram that can't be sent at once is lost.
+            // A datagram that can't be sent at once is dropped.
             let _ = self.socket.inner().send_to(&datagram, peer);
         }
     }
@@ -91,7 +92,7 @@
         let mut limit = ReceiveLimit::default();
         let mut inbox = Inbox {
             dispatcher,
-            refused: 0,
+            undecodable: 0,
         };
         loop {
             self.socket.wait_io();
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Reads datagrams until none is left.
+    /// Reads datagrams until none is available.
     fn receive_available(&self, limit: &mut ReceiveLimit, inbox: &mut Inbox) {
         let mut buffer = [0; READ_BYTES_MAX];
         for count in 1.. {
@@ -111,7 +112,7 @@
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // A datagram that no socket took at a peer is reported here too.
+                // Includes the report that no socket received an earlier datagram at a peer.
                 Err(_) => {}
             }
             if count % RECEIVE_BATCH_MAX == 0 {
@@ -120,32 +121,34 @@
         }
     }
 
-    /// Guards against messages of strangers.
+    /// Returns whether the address is a peer's. Datagrams from other addresses are ignored.
     fn is_peer(&self, address: SocketAddr) -> bool {
         self.lock_peers().contains(&address)
     }
 }
 
-/// What becomes of the peers' datagrams.
+/// Handles the datagrams that peers send.
 struct Inbox<'a> {
     dispatcher: &'a Sender<DispatcherMessage>,
-    /// Datagrams of peers that could not be read, since the start.
-    refused: u64,
+    /// The number of peers' datagrams that could not be decoded, since the start.
+    undecodable: u64,
 }
 
 impl Inbox<'_> {
-    /// Hands the dispatcher a peer's message, or counts it where it can't be read.
+    /// Passes a peer's message to the dispatcher. A datagram that can't be decoded is counted and
+    /// logged.
     fn deliver(&mut self, datagram: &[u8], from: SocketAddr) {
         match codec::decode(datagram) {
             Ok(message) => self
                 .dispatcher
                 .send(DispatcherMessage::GossipReceived(message)),
             Err(error) => {
-                self.refused += 1;
-                debug!(peer = %from, %error, "gossip message ignored");
-                // Ever more rarely: a peer of another version sends many.
-                if self.refused.is_power_of_two() {
-                    warn!(peer = %from, %error, refused = self.refused, "gossip messages refused");
+                self.undecodable += 1;
+                debug!(peer = %from, %error, "undecodable gossip message ignored");
+                // Warns at exponentially growing counts, since a peer of another version sends
+                // many.
+                if self.undecodable.is_power_of_two() {
+                    warn!(peer = %from, %error, refused = self.undecodable, "undecodable gossip messages ignored");
                 }
             }
         }
--- a/crates/dataplane/src/gossip/transport/tests.rs
+++ b/crates/dataplane/src/gossip/transport/tests.rs
@@ -1,10 +1,10 @@
-//! What becomes of a peer's datagrams.
+//! Receiving a peer's datagrams.
 
 use super::*;
 
-/// Guards against a datagram that is too long, cut as it is read, and taken for a whole one.
+/// Guards against accepting an overlong datagram that was truncated when it was read.
 #[test]
-fn a_datagram_that_is_too_long_is_refused_and_the_next_one_is_read() {
+fn overlong_datagram_is_ignored_and_the_next_one_is_delivered() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let messages = Mailbox::new();
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
