--- a/crates/dataplane/src/timer.rs
+++ b/crates/dataplane/src/timer.rs
@@ -1,8 +1,8 @@
-//! Timed waits of coroutines. One coroutine waits for an alarm of the system's, which is set to the
-//! next wait that is due, and unparks those whose time has come.
+//! Timed waits of coroutines. One coroutine waits for a system timer, which is set to the wait that
+//! ends next, and unparks the coroutines whose waits are over.
 //!
-//! The timed waits of `may` are not used: `park_timeout` starts its timer before the coroutine can
-//! be woken by it, so that a timer which expires in between wakes nobody. An unpark is never lost,
+//! The timed waits of `may` are not used: `park_timeout` starts its timer before that timer can
+//! wake the coroutine, so a timer that expires in between wakes nothing. An unpark is never lost,
 //! whenever it comes.
 
 mod alarm;
@@ -20,21 +20,21 @@
 
 use queue::TimerQueue;
 
-/// The time of what is not to happen.
+/// The time of an event that is not scheduled.
 const NEVER: Time = Time::MAX;
-/// The longest time until the queue looks at a wait again, in milliseconds.
+/// The longest time until the queue checks a wait again, in milliseconds.
 const WAIT_STEP_MS_MAX: u64 = 4000;
 
-/// Starts what ends timed waits, unless it runs already. Each timed wait does so too; called early,
-/// a system that refuses the alarm is noticed at the start.
+/// Starts the timer queue, unless it already runs. The first timed wait starts it too; an early
+/// call makes a system that refuses the timer fail at startup.
 ///
 /// # Panics
-/// The system refuses the alarm.
+/// The system refuses the timer.
 pub fn start() {
     queue();
 }
 
-/// Blocks the calling coroutine, or thread, for a time.
+/// Blocks the calling coroutine or thread for `duration`.
 pub fn sleep(duration: Duration) {
     if !coroutine::is_coroutine() {
         return thread::sleep(duration);
@@ -46,28 +46,28 @@
     }
 }
 
-/// The process's queue of timed waits.
+/// Returns the queue of timed waits of the process, and starts it on the first call.
 fn queue() -> &'static TimerQueue {
     static QUEUE: OnceLock<&TimerQueue> = OnceLock::new();
     QUEUE.get_or_init(|| {
-        let queue = TimerQueue::new().expect("the system has an alarm");
+        let queue = TimerQueue::new().expect("system timer (timerfd) is available");
         let queue: &TimerQueue = Box::leak(Box::new(queue));
         may::go!(|| queue.run());
         queue
     })
 }
 
-/// A coroutine that waits, as the queue sees it.
+/// The queue's view of a coroutine with timed waits.
 struct Entry {
     coroutine: Coroutine,
-    /// When the coroutine is to be woken; [`NEVER`] while it doesn't wait.
+    /// When the coroutine's wait ends; [`NEVER`] if it doesn't wait.
     wake_at: AtomicU64,
-    /// When the queue looks at this entry; [`NEVER`] while it isn't queued. Written only under the
+    /// When the queue checks this entry; [`NEVER`] if it isn't queued. Written only under the
     /// queue's lock.
     queued_at: AtomicU64,
 }
 
-/// The timed waits of one coroutine, which others may end early.
+/// The timed waits of one coroutine, which other coroutines may end early.
 pub struct Waiter {
     entry: Arc<Entry>,
 }
@@ -76,7 +76,7 @@
     /// Returns a waiter of the calling coroutine.
     ///
     /// # Panics
-    /// Outside a coroutine.
+    /// The caller is not a coroutine.
     pub fn current() -> Self {
         Waiter {
             entry: Arc::new(Entry {
@@ -87,22 +87,23 @@
         }
     }
 
-    /// Ends the coroutine's wait, or its next one if it doesn't wait now.
+    /// Ends the coroutine's current wait, or its next wait if it doesn't wait now.
     pub fn unpark(&self) {
         self.entry.coroutine.unpark();
     }
 
-    /// Parks the calling coroutine, which must be the waiter's own, until it is unparked, at the
-    /// latest shortly after the deadline. May return earlier, without a reason.
+    /// Parks the calling coroutine, which must be the one that created the waiter, until it is
+    /// unparked or shortly after the deadline. May return spuriously before that.
     pub fn park_until(&self, deadline: Time) {
         let entry = &self.entry;
-        // Stored before the look at `queued_at`, which the queue clears before its look at
-        // `wake_at`: one of the two sees what the other has stored.
+        // `wake_at` is stored before `queued_at` is read here, and the queue clears `queued_at`
+        // before it reads `wake_at`. So at least one side sees the value that the other has stored.
         entry.wake_at.store(deadline, Ordering::SeqCst);
-        // Mostly it is queued early enough since an earlier wait, and the lock is not taken.
+        // In most cases an earlier wait has already queued the entry early enough, and the lock
+        // isn't needed.
         if entry.queued_at.load(Ordering::SeqCst) > deadline {
             let now = clock::now();
-            queue().insert(entry, now, next_look(now, deadline));
+            queue().insert(entry, now, next_check(now, deadline));
         }
         coroutine::park();
         entry.wake_at.store(NEVER, Ordering::SeqCst);
@@ -117,14 +118,16 @@
     }
 }
 
-/// Returns when the queue looks at a wait: at its end, or earlier where that is far away.
-fn next_look(now: Time, deadline: Time) -> Time {
+/// Returns when the queue next checks a wait: at its deadline, or earlier if the deadline is far
+/// off.
+fn next_check(now: Time, deadline: Time) -> Time {
     let remaining_ms = deadline.saturating_sub(now).div_ceil(MS);
     deadline.min(now + wait_step_ms(remaining_ms) * MS)
 }
 
-/// Returns after how many of the milliseconds that remain of a wait the queue looks at it. Rounds
-/// down to few distinct lengths: a shorter wait that follows is then mostly queued early enough.
+/// Returns after how many milliseconds the queue next checks a wait that has `remaining_ms` left.
+/// Rounds down to a few distinct lengths, so that the entry is usually queued early enough for a
+/// shorter wait that follows.
 pub(crate) fn wait_step_ms(remaining_ms: u64) -> u64 {
     match remaining_ms {
         0..=50 => remaining_ms.max(1),
--- a/crates/dataplane/src/timer/alarm.rs
+++ b/crates/dataplane/src/timer/alarm.rs
@@ -1,5 +1,5 @@
-//! One timer of the system that a coroutine waits for. It owns the timer's descriptor, and must
-//! never know what is waited for.
+//! A system timer (`timerfd`) that one coroutine waits for. This module owns the timer's
+//! descriptor, and must never know why the coroutine waits.
 
 use std::io;
 use std::os::fd::{AsFd, AsRawFd, RawFd};
@@ -9,16 +9,15 @@
 use nix::sys::time::TimeSpec;
 use nix::sys::timerfd::{ClockId, Expiration, TimerFd, TimerFlags, TimerSetTimeFlags};
 
-/// The shortest time that a timer can be set to: none at all would stop it.
+/// The shortest time that a timer can be set to; zero would disarm it.
 const AFTER_MIN: Duration = Duration::from_nanos(1);
 
-/// A timer that is set again and again, and waited for by one coroutine. It counts the time of the
-/// monotonic clock.
+/// A reusable one-shot timer on the monotonic clock, for one waiting coroutine.
 pub(super) struct Alarm {
     timer: CoIo<Descriptor>,
 }
 
-/// The timer as the selector takes it.
+/// The timer in the form that the selector accepts.
 struct Descriptor(TimerFd);
 
 impl AsRawFd for Descriptor {
@@ -39,18 +38,19 @@
         Ok(Alarm { timer })
     }
 
-    /// Has it go off after a time, and not when it was set to before.
+    /// Sets the alarm to expire after a time, in place of the previous setting.
     pub(super) fn set(&self, after: Duration) {
         let expiration = Expiration::OneShot(TimeSpec::from(after.max(AFTER_MIN)));
         let timer = &self.timer.inner().0;
         let set = timer.set(expiration, TimerSetTimeFlags::empty());
         debug_assert!(
             set.is_ok(),
-            "refused only for a descriptor that is no timer"
+            "setting a timer fails only if the descriptor is not a timer"
         );
     }
 
-    /// Waits until it goes off, or has gone off since the last wait. May return without that.
+    /// Waits until the alarm expires, or returns at once if it has expired since the last wait. May
+    /// return spuriously.
     pub(super) fn wait(&self) {
         self.timer.wait_io();
     }
--- a/crates/dataplane/src/timer/queue.rs
+++ b/crates/dataplane/src/timer/queue.rs
@@ -1,5 +1,5 @@
-//! The queue of timed waits and the loop that ends them. It owns the order of the waits, and must
-//! never hold its lock while it wakes a coroutine.
+//! The queue of timed waits and the loop that ends them. This module owns the order of the waits,
+//! and must never hold the queue's lock while it wakes a coroutine.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,18 +11,18 @@
 use nettlemux_policy::Time;
 
 use super::alarm::Alarm;
-use super::{Entry, NEVER, next_look};
+use super::{Entry, NEVER, next_check};
 use crate::clock;
 
-/// An entry's place in the queue: when it is looked at, and its address, which tells entries of the
-/// same time apart.
-type Place = (Time, usize);
+/// The sort key of an entry in the queue: the time of its check, and its address in memory, which
+/// distinguishes entries of the same time.
+type QueueKey = (Time, usize);
 
-/// All timed waits that the loop has to look at.
+/// The timed waits that the loop has to check.
 pub(super) struct TimerQueue {
-    entries: Mutex<BTreeMap<Place, Arc<Entry>>>,
-    /// Goes off when the first entry is to be looked at. Set only under the lock, so that the
-    /// earliest time stands.
+    entries: Mutex<BTreeMap<QueueKey, Arc<Entry>>>,
+    /// Expires at the check of the first entry. Set only under the lock, so that it always has the
+    /// earliest time.
     alarm: Alarm,
 }
 
@@ -30,7 +30,7 @@
     /// Returns an empty queue.
     ///
     /// # Errors
-    /// The system refuses the alarm.
+    /// The system refuses the timer.
     pub(super) fn new() -> io::Result<Self> {
         Ok(TimerQueue {
             entries: Mutex::default(),
@@ -38,30 +38,29 @@
         })
     }
 
-    /// Has the loop look at an entry at that time, or earlier.
+    /// Queues an entry for a check at `at`, unless it is already queued for an earlier check.
     pub(super) fn insert(&self, entry: &Arc<Entry>, now: Time, at: Time) {
         let mut entries = self.lock();
         let queued_at = entry.queued_at.load(Ordering::SeqCst);
         if queued_at <= at {
             return;
         }
-        entries.remove(&place(entry, queued_at));
+        entries.remove(&queue_key(entry, queued_at));
         entry.queued_at.store(at, Ordering::SeqCst);
-        entries.insert(place(entry, at), entry.clone());
+        entries.insert(queue_key(entry, at), entry.clone());
         if first_time(&entries) == Some(at) {
             self.alarm.set(Duration::from_nanos(at.saturating_sub(now)));
         }
     }
 
-    /// Forgets an entry.
+    /// Removes an entry.
     pub(super) fn remove(&self, entry: &Arc<Entry>) {
         let mut entries = self.lock();
         let queued_at = entry.queued_at.swap(NEVER, Ordering::SeqCst);
-        entries.remove(&place(entry, queued_at));
+        entries.remove(&queue_key(entry, queued_at));
     }
 
-    /// Wakes each coroutine when its time has come. Runs in a coroutine of its own and doesn't
-    /// return.
+    /// Wakes each coroutine when its wait is over. Runs in its own coroutine and never returns.
     pub(super) fn run(&self) {
         loop {
             self.alarm.wait();
@@ -71,8 +70,9 @@
         }
     }
 
-    /// Takes out the entries whose time has come, and sets the alarm for the others. Returns the
-    /// coroutines to wake; those whose waits aren't over are queued again.
+    /// Takes the entries that are due for a check out of the queue, and sets the alarm for the
+    /// others. Returns the coroutines whose waits are over; entries of longer waits are queued
+    /// again.
     fn take_due(&self) -> Vec<Coroutine> {
         let mut entries = self.lock();
         let now = clock::now();
@@ -81,15 +81,15 @@
             && first.key().0 <= now
         {
             let entry = first.remove();
-            // Cleared before the look at `wake_at`: see `Waiter::park_until`.
+            // Cleared before `wake_at` is read: see `Waiter::park_until`.
             entry.queued_at.store(NEVER, Ordering::SeqCst);
             match entry.wake_at.load(Ordering::SeqCst) {
                 NEVER => {}
                 wake_at if wake_at <= now => due.push(entry.coroutine.clone()),
                 wake_at => {
-                    let at = next_look(now, wake_at);
+                    let at = next_check(now, wake_at);
                     entry.queued_at.store(at, Ordering::SeqCst);
-                    entries.insert(place(&entry, at), entry);
+                    entries.insert(queue_key(&entry, at), entry);
                 }
             }
         }
@@ -105,15 +105,15 @@
         self.lock().len()
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<Place, Arc<Entry>>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<QueueKey, Arc<Entry>>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn first_time(entries: &BTreeMap<Place, Arc<Entry>>) -> Option<Time> {
+fn first_time(entries: &BTreeMap<QueueKey, Arc<Entry>>) -> Option<Time> {
     entries.first_key_value().map(|((at, _), _)| *at)
 }
 
-fn place(entry: &Arc<Entry>, at: Time) -> Place {
+fn queue_key(entry: &Arc<Entry>, at: Time) -> QueueKey {
     (at, Arc::as_ptr(entry) as usize)
 }
--- a/crates/dataplane/src/timer/tests.rs
+++ b/crates/dataplane/src/timer/tests.rs
@@ -1,20 +1,21 @@
-//! Waits that follow one another, and waits that are given up.
+//! Consecutive waits of many coroutines, and waiters that are dropped while queued.
 
 use super::*;
 
-/// Coroutines that wait at the same time, and the waits of each.
+/// Coroutines that wait at the same time.
 const COROUTINES: u64 = 200;
-const WAITS: u64 = 20;
+/// Consecutive waits of each coroutine.
+const WAITS_PER_COROUTINE: u64 = 20;
 
-/// Guards against a wait that takes the time of an earlier and longer one, and against one that
-/// never ends.
+/// Guards against a wait that lasts as long as an earlier, longer wait of the same coroutine, and
+/// against a wait that never ends.
 #[test]
-fn waits_that_grow_and_shrink_all_end() {
+fn consecutive_waits_of_varying_length_all_end() {
     let waiting: Vec<_> = (0..COROUTINES)
         .map(|coroutine| {
             may::go!(move || {
                 let waiter = Waiter::current();
-                (0..WAITS).for_each(|wait| {
+                (0..WAITS_PER_COROUTINE).for_each(|wait| {
                     let length = (coroutine * 7 + wait * 5) % 23 * MS;
                     let wake_at = clock::now() + length;
                     while clock::now() < wake_at {
@@ -24,17 +25,17 @@
             })
         })
         .collect();
-    let longest = Duration::from_secs(10);
-    let since = std::time::Instant::now();
+    let timeout = Duration::from_secs(10);
+    let started_at = std::time::Instant::now();
     while waiting.iter().any(|coroutine| !coroutine.is_done()) {
-        assert!(since.elapsed() < longest, "a wait doesn't end");
+        assert!(started_at.elapsed() < timeout, "a wait didn't end in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Guards against memory that grows with flows that end long before their deadlines.
+/// Guards against memory growth by flows that end long before their deadlines.
 #[test]
-fn a_waiter_that_is_dropped_leaves_nothing_queued() {
+fn removed_entry_leaves_nothing_queued() {
     let queue = TimerQueue::new().unwrap();
     let waiter = may::go!(Waiter::current).join().unwrap();
     let now = clock::now();
