--- a/crates/dataplane/src/health_check/session.rs
+++ b/crates/dataplane/src/health_check/session.rs
@@ -32,8 +32,8 @@
     Connection(#[from] ConnectionError),
 }
 
-/// Checks one server. Ends when the server is no longer listed, or when no connection is kept and no
-/// check is requested.
+/// Checks one server. Ends when the server is no longer listed, or when no connection is kept and
+/// no check is requested.
 pub(super) struct Session {
     server_id: ServerId,
     requests: RequestReceiver,
