--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -1,6 +1,6 @@
-//! The platform's protocol as servers speak it, and the answers that clients get in it. It owns
-//! their words and form, and must never touch a socket, a clock or a flow. Names of the wire end
-//! here.
+//! The platform's line protocol between the balancer and servers, and the balancer's answers to
+//! clients. This module owns the words and the format of these lines, and must never touch a
+//! socket, a clock or a flow. Other modules don't use the words of the protocol.
 
 mod line_scanner;
 
@@ -13,27 +13,27 @@
 
 /// The request to a server for its load report.
 pub const REQUEST_LOAD_REPORT: &[u8] = b"STATS\r\n";
-/// The question whether a server is alive; it may bring a load report.
+/// The ping to a server; its answer may include a load report.
 pub const REQUEST_PING: &[u8] = b"PING\r\n";
 
-/// The answer to a client whose flow has failed, or whose line can't be used.
+/// The answer to a client whose flow has failed or whose line is invalid.
 pub const REPLY_FAILED: &[u8] = b"ERR\r\n";
-/// The answer to the question whether the balancer is alive.
+/// The answer to a ping of the balancer.
 pub const REPLY_PONG: &[u8] = b"PONG\r\n";
-/// The answer to the request for a load report, which a balancer doesn't give.
+/// The answer to a request for a load report; a balancer has none.
 pub const REPLY_NO_LOAD_REPORT: &[u8] = b"NO\r\n";
-/// Tells a client to connect again, as its connection goes to another server.
+/// Tells a client to reconnect, since its connection migrates to another server.
 pub const REPLY_MIGRATE: &[u8] = b"MOVE\r\n";
 
-/// Words that begin a server's lines.
+/// The first words of a server's lines.
 mod word {
     /// The server has accepted the client.
     pub const ACCEPTED: &str = "UP";
-    /// The server has refused the client for load and run nothing.
+    /// The server has rejected the client due to overload and has executed nothing.
     pub const OVERLOADED: &str = "BUSY";
     /// The connection is done.
     pub const DONE: &str = "BYE";
-    /// The client is to go to another server.
+    /// The client should reconnect and go to another server.
     pub const MIGRATE: &str = "MOVE";
     /// The connection has failed.
     pub const FAILED: &str = "ERR";
@@ -43,15 +43,15 @@
     pub const PONG: &str = "PONG";
 }
 
-/// Begins the value of a first line that says how long its client waits, in milliseconds.
+/// The prefix of the value that says how long the client waits, in milliseconds.
 const WAIT_PREFIX: &[u8] = b"d=";
-/// Spaces before the values of a first line.
+/// The number of spaces before the values of a first line.
 const SPACES_BEFORE_VALUES: usize = 3;
-/// Between a name and its figure in a load report.
-const REPORT_SIGN: char = '=';
+/// Separates a name and its value in a load report.
+const REPORT_SEPARATOR: char = '=';
 
-/// Returns a client's first line as it goes to a server: unchanged, but for how long the balancer
-/// waits.
+/// Returns a client's first line in the form that is forwarded to a server. Only the wait value
+/// changes: it becomes the time that the balancer waits.
 pub fn forwarded_line(line: &[u8], wait: Time) -> Vec<u8> {
     let wait_ms = (wait / MS).max(1).to_string();
     let (head, values) = line.split_at(values_start(line));
@@ -71,7 +71,7 @@
     forwarded
 }
 
-/// Where the values of a first line begin; its end where it has none.
+/// Returns the offset of the values of a first line, or the line's length if it has no values.
 fn values_start(line: &[u8]) -> usize {
     let spaces = line.iter().enumerate().filter(|(_, byte)| **byte == b' ');
     let mut positions = spaces.map(|(position, _)| position);
@@ -80,26 +80,27 @@
         .map_or(line.len(), |position| position + 1)
 }
 
-/// What a server answers to a first line.
+/// A server's answer to a first line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerAnswer {
     /// The server has accepted the client.
     Accepted,
-    /// No connection: how the attempt has ended.
+    /// The server has not accepted the client, and the attempt has ended with this outcome.
     Ended(AttemptOutcome),
 }
 
 impl ServerAnswer {
-    /// Reads a server's answer, with its end. Only a refusal to the letter proves that nothing ran.
-    /// Guards against a spoilt answer that is passed on as an acceptance: no server has written
-    /// what isn't ended by CRLF, or isn't one word with its receipt.
+    /// Parses a server's answer, including its line end. Only a well-formed rejection proves that
+    /// the server executed nothing. A corrupted answer must not be forwarded as an acceptance. So
+    /// every answer must end with CRLF, and an acceptance must consist of its word and a receipt,
+    /// which is one printable word. Servers write no other acceptance.
     pub fn parse(line: &[u8], format: &LoadReportFormat) -> Self {
         let Some(line) = line.strip_suffix(b"\r\n") else {
             return ServerAnswer::Ended(AttemptOutcome::sent(AttemptEnd::Error));
         };
         let line = String::from_utf8_lossy(line);
         let (word, rest) = split_word(&line);
-        let report = read_report(rest, format);
+        let report = parse_report(rest, format);
         let ended = |end, known_unexecuted| {
             ServerAnswer::Ended(AttemptOutcome {
                 end,
@@ -108,29 +109,29 @@
             })
         };
         match word {
-            word::ACCEPTED if is_text(rest) => ServerAnswer::Accepted,
-            word::OVERLOADED if line == word::OVERLOADED || is_report(rest) => {
+            word::ACCEPTED if is_printable_word(rest) => ServerAnswer::Accepted,
+            word::OVERLOADED if line == word::OVERLOADED || has_report_form(rest) => {
                 ended(AttemptEnd::Overloaded, true)
             }
             word::DONE => ended(AttemptEnd::Done, false),
             word::MIGRATE => ended(AttemptEnd::Cancelled, false),
-            // A failure, and what no server should answer: it may have run.
+            // A failure or an unexpected answer: the server may have executed the request.
             _ => ended(AttemptEnd::Error, false),
         }
     }
 }
 
-/// Whether this is a load report by its form: names with values. A figure that can't be read is no
-/// fault of the answer.
-fn is_report(text: &str) -> bool {
+/// Returns whether the text has the form of a load report: pairs of a name and a value. An
+/// unreadable value doesn't make the answer malformed.
+fn has_report_form(text: &str) -> bool {
     text.split(',').all(|pair| {
-        pair.split_once(REPORT_SIGN)
-            .is_some_and(|(name, value)| is_text(name) && is_text(value))
+        pair.split_once(REPORT_SEPARATOR)
+            .is_some_and(|(name, value)| is_printable_word(name) && is_printable_word(value))
     })
 }
 
-/// Whether this is one printable word.
-fn is_text(word: &str) -> bool {
+/// Returns whether the text is one word of printable ASCII characters.
+fn is_printable_word(word: &str) -> bool {
     !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
@@ -138,32 +139,32 @@
     line.split_once(' ').unwrap_or((line, ""))
 }
 
-fn read_report(text: &str, format: &LoadReportFormat) -> LoadReport {
-    format.parse(text, REPORT_SIGN).unwrap_or_default()
+fn parse_report(text: &str, format: &LoadReportFormat) -> LoadReport {
+    format.parse(text, REPORT_SEPARATOR).unwrap_or_default()
 }
 
-/// What a server answers to a health check.
+/// A server's answer to a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthCheckAnswer {
     /// Whether the server is healthy.
     pub passed: bool,
-    /// Its load report; empty where it gave none.
+    /// The server's load report; empty if it sent none.
     pub report: LoadReport,
 }
 
 impl HealthCheckAnswer {
-    /// Reads a server's answer, without its end.
+    /// Parses a server's answer, without its line end.
     pub fn parse(line: &[u8], format: &LoadReportFormat) -> Self {
         let line = String::from_utf8_lossy(line);
         let (word, rest) = split_word(&line);
         HealthCheckAnswer {
             passed: word == word::PONG,
-            report: read_report(rest, format),
+            report: parse_report(rest, format),
         }
     }
 }
 
-/// Returns the answer to a client whose flow is rejected, with the Retry-After where there is one.
+/// Returns the answer to a client whose flow is rejected, with the Retry-After if there is one.
 pub fn rejection(retry_after: Option<Time>) -> String {
     match retry_after {
         Some(retry_after) => format!("{} {}\r\n", word::OVERLOADED, retry_after / MS),
@@ -171,17 +172,17 @@
     }
 }
 
-/// Where a line stands that begins a buffer.
+/// The bounds of a line at the start of a buffer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LineBounds {
-    /// The line's length in bytes, without its end.
+    /// The length of the line in bytes, without its line end.
     pub length: usize,
-    /// Where the next line begins.
+    /// The offset of the next line.
     pub next: usize,
 }
 
-/// Finds the first line that is complete; none while its end hasn't come. Lines are ended by CRLF,
-/// or by LF alone.
+/// Returns the bounds of the first line, or `None` if the line is incomplete. Lines end with CRLF
+/// or with LF alone.
 pub fn first_line(bytes: &[u8]) -> Option<LineBounds> {
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
     let has_carriage_return = end > 0 && bytes[end - 1] == b'\r';
--- a/crates/dataplane/src/wire/line_scanner.rs
+++ b/crates/dataplane/src/wire/line_scanner.rs
@@ -1,36 +1,37 @@
-//! Follows a server's lines as they pass, split or joined. It owns the part of the last line that
-//! it needs to read it, and must never change or hold back what passes.
+//! Scans a server's lines while the relay forwards them, in chunks of any size. It owns the part of
+//! the current line that it needs for parsing, and must never change or delay forwarded bytes.
 
 use nettlemux_policy::{AttemptEnd, LoadReport};
 use nettlemux_settings::{LoadReportFormat, parse_number};
 
-use super::{read_report, split_word, word};
+use super::{parse_report, split_word, word};
 
-/// Bytes that are kept of a line to read it: enough for a connection's load, or an end with its
-/// load report.
+/// The number of bytes of a line that are kept for parsing. Enough for a connection's load, or for
+/// an end with its load report.
 const KEPT_BYTES_MAX: usize = 128;
 
-/// How a server has said that its connection ends.
+/// The end of a connection, as the server has announced it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionEnd {
-    /// Why it ends.
+    /// Why the connection ends.
     pub end: AttemptEnd,
-    /// The load report that came with the end; empty where none did.
+    /// The load report that came with the end; empty if there was none.
     pub report: LoadReport,
 }
 
-/// Reads the lines of an open connection as their bytes pass.
+/// Parses a server's lines on an open connection while their bytes are forwarded.
 pub struct LineScanner {
     report_format: LoadReportFormat,
-    /// The current line's first bytes.
+    /// The first bytes of the current line.
     kept: [u8; KEPT_BYTES_MAX],
-    /// The current line's length so far.
+    /// The length of the current line so far, in bytes.
     length: usize,
+    /// The end that the last complete line has announced.
     last_end: Option<ConnectionEnd>,
 }
 
 impl LineScanner {
-    /// Returns a scanner that stands between two lines.
+    /// Returns a scanner that expects the start of a line.
     pub fn new(report_format: LoadReportFormat) -> Self {
         LineScanner {
             report_format,
@@ -40,13 +41,13 @@
         }
     }
 
-    /// Takes the bytes that pass and returns the last load of the connection that a line in them
-    /// reports.
+    /// Scans forwarded bytes. Returns the load of the connection from the last line that ends in
+    /// these bytes and reports one.
     pub fn scan(&mut self, bytes: &[u8]) -> Option<f64> {
         let mut load = None;
         for byte in bytes {
             if *byte == b'\n' {
-                load = self.end_line().or(load);
+                load = self.parse_line().or(load);
                 self.length = 0;
             } else {
                 if let Some(kept) = self.kept.get_mut(self.length) {
@@ -58,13 +59,15 @@
         load
     }
 
-    fn end_line(&mut self) -> Option<f64> {
+    /// Parses the current line, which is complete. Returns the load of the connection if the line
+    /// reports it.
+    fn parse_line(&mut self) -> Option<f64> {
         let kept = &self.kept[..self.length.min(KEPT_BYTES_MAX)];
         let line = std::str::from_utf8(kept).ok()?.trim_end();
         let (word, rest) = split_word(line);
-        self.last_end = end_of(word).map(|end| ConnectionEnd {
+        self.last_end = announced_end(word).map(|end| ConnectionEnd {
             end,
-            report: read_report(rest, &self.report_format),
+            report: parse_report(rest, &self.report_format),
         });
         if word == word::CONNECTION_LOAD {
             parse_number(rest).filter(|load| *load >= 0.0)
@@ -73,19 +76,19 @@
         }
     }
 
-    /// Returns how the server has said that the connection ends, where its last line said so.
+    /// Returns the end of the connection, if the server's last complete line announced it.
     pub fn last_end(&self) -> Option<ConnectionEnd> {
         self.last_end
     }
 
-    /// Returns whether all lines that have begun are complete.
+    /// Returns whether no line is incomplete.
     pub fn is_between_lines(&self) -> bool {
         self.length == 0
     }
 }
 
-/// The end that a line's first word says.
-fn end_of(word: &str) -> Option<AttemptEnd> {
+/// Returns the end that the first word of a line announces.
+fn announced_end(word: &str) -> Option<AttemptEnd> {
     match word {
         word::DONE => Some(AttemptEnd::Done),
         word::MIGRATE => Some(AttemptEnd::Cancelled),
--- a/crates/dataplane/src/wire/tests.rs
+++ b/crates/dataplane/src/wire/tests.rs
@@ -1,9 +1,9 @@
-//! Lines as servers say them, spoilt ones too.
+//! Servers' lines, including corrupted ones.
 
 use super::*;
 
 #[test]
-fn a_line_goes_on_unchanged_but_for_the_wait() {
+fn forwarded_line_changes_only_the_wait_value() {
     for (line, forwarded) in [
         (
             "OPEN a d=1 c=chat,d=2000,g=d=7",
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn answers() {
+fn server_answer_maps_to_its_outcome_and_is_an_error_without_crlf() {
     let none = LoadReport::default();
     let busy = LoadReport {
         connections: Some(7.0),
@@ -36,7 +36,8 @@
     };
     for (line, expected) in [
         ("UP 12ab", ServerAnswer::Accepted),
-        // Without a receipt it is no server's word; a figure that is no number is none.
+        // An acceptance without a valid receipt is an error. A report value that is not a number is
+        // ignored.
         ("UP", ended(AttemptEnd::Error, false, none)),
         ("UP ", ended(AttemptEnd::Error, false, none)),
         ("UP 1 2", ended(AttemptEnd::Error, false, none)),
@@ -67,17 +68,17 @@
             expected,
             "{line}"
         );
-        let cut = ended(AttemptEnd::Error, false, none);
+        let malformed = ended(AttemptEnd::Error, false, none);
         assert_eq!(
             ServerAnswer::parse(format!("{line}\n").as_bytes(), &LoadReportFormat::default()),
-            cut,
+            malformed,
             "{line} without CR"
         );
     }
 }
 
 #[test]
-fn lines_are_followed_however_they_are_split() {
+fn line_scanner_reads_load_and_end_however_the_lines_are_split() {
     let all = b"hello\r\nLOAD 812.5\r\nLOAD 9\r\nx";
     for cut in 0..all.len() {
         let mut scanner = LineScanner::new(LoadReportFormat::default());
@@ -116,11 +117,11 @@
     assert_eq!(first_line(b"PING\r"), None);
 }
 
-/// A refusal proves that nothing ran, so it has to be one to the letter: what is left of another
-/// answer may begin like it.
+/// A rejection proves that the server executed nothing, so it must be well-formed: the remains of
+/// another, corrupted answer may begin like a rejection.
 #[test]
-fn a_spoilt_refusal_proves_nothing() {
-    for spoilt in [
+fn corrupted_rejection_is_not_proof_that_nothing_was_executed() {
+    for corrupted in [
         "BUSY BUSY",
         "BUSY 1 2",
         "BUSY\t",
@@ -132,7 +133,7 @@
         "BUSY a=1,,b=2",
     ] {
         let answer = ServerAnswer::parse(
-            format!("{spoilt}\r\n").as_bytes(),
+            format!("{corrupted}\r\n").as_bytes(),
             &LoadReportFormat::default(),
         );
         assert!(
@@ -144,7 +145,7 @@
                     ..
                 })
             ),
-            "{spoilt:?}: {answer:?}"
+            "{corrupted:?}: {answer:?}"
         );
     }
 }
