--- a/crates/dataplane/src/errno.rs
+++ b/crates/dataplane/src/errno.rs
@@ -1,29 +1,29 @@
-//! Numbers of Linux's errors that have no [`std::io::ErrorKind`], or share one with others. It owns
-//! nothing, and must never say what is done about an error.
+//! Linux error numbers that have no [`std::io::ErrorKind`] or share one with other errors. This
+//! module owns no state and must never decide how an error is handled.
 
-/// A signal has interrupted the call.
+/// A signal interrupted the call.
 pub const EINTR: i32 = 4;
-/// Input or output has failed.
+/// An I/O error occurred.
 pub const EIO: i32 = 5;
-/// The call would block, or a resource is not there at this moment.
+/// The call would block, or a resource is temporarily unavailable.
 pub const EAGAIN: i32 = 11;
-/// No memory.
+/// Out of memory.
 pub const ENOMEM: i32 = 12;
-/// No descriptor left in the whole system.
+/// The system has no free file descriptor.
 pub const ENFILE: i32 = 23;
-/// No descriptor left in this process.
+/// The process has no free file descriptor.
 pub const EMFILE: i32 = 24;
 /// The address is in use.
 pub const EADDRINUSE: i32 = 98;
-/// The address is not this machine's, or no port is left.
+/// The address is not an address of this machine, or no port is free.
 pub const EADDRNOTAVAIL: i32 = 99;
 /// The network is down.
 pub const ENETDOWN: i32 = 100;
-/// No room for the socket's data.
+/// No buffer space is available for the socket.
 pub const ENOBUFS: i32 = 105;
 /// The socket is connected.
 pub const EISCONN: i32 = 106;
-/// The socket connects since an earlier call.
+/// The socket is already connecting, since an earlier call.
 pub const EALREADY: i32 = 114;
-/// The socket connects from now on.
+/// The call has started to connect the socket.
 pub const EINPROGRESS: i32 = 115;
--- a/crates/dataplane/src/start_times.rs
+++ b/crates/dataplane/src/start_times.rs
@@ -1,43 +1,44 @@
-//! When servers started, by the balancer's own clock. It owns the starts that discovery has
-//! reported, and must never read a clock.
+//! Start times of servers by the balancer's own clock. This module owns the start times that
+//! discovery has reported, and must never read a clock.
 //!
-//! Discovery reports starts in Unix time, and a machine's wall clock may be off, by an hour too. So
-//! a reported start is believed only where nothing better is known: a server that starts while the
-//! list is watched has started, at the latest, when that was reported.
+//! Discovery reports start times in Unix time, and a machine's wall clock may be wrong, even by an
+//! hour. So a reported start time is used only if nothing better is known. If a server starts while
+//! the list is watched, the time of the report is used instead, since the server has started by
+//! then.
 
 use std::collections::HashMap;
 
 use nettlemux_policy::{ServerId, Time};
 
-/// Servers that are no longer listed and whose starts are kept at least: a server that is listed
-/// again after a mistake has not been restarted.
+/// The start times of up to this many unlisted servers are kept. A server that was unlisted by
+/// mistake and is listed again has not been restarted.
 const UNLISTED_SERVERS_MAX: usize = 1024;
 
-/// A server's start.
+/// The start time of a server.
 #[derive(Clone, Copy)]
 struct Start {
-    /// As discovery has reported it.
+    /// The start time that discovery has reported.
     reported: Time,
-    /// By the balancer's clock.
+    /// The start time by the balancer's clock.
     local: Time,
 }
 
-/// The starts of the servers that discovery has reported.
+/// The start times of the servers that discovery has reported.
 #[derive(Default)]
 pub struct StartTimes {
     starts: HashMap<ServerId, Start>,
-    /// Whether an update has come from discovery: a start that is new from then on has happened
-    /// since.
+    /// Whether discovery has sent an update. A start time that is first reported after that belongs
+    /// to a start that happened after that update.
     is_watching: bool,
 }
 
 impl StartTimes {
-    /// Returns when a server started, by the balancer's clock, from the start that discovery
-    /// reports for it; 0 stands for long ago.
+    /// Returns the start time of a server by the balancer's clock, from the start time that
+    /// discovery reports for it; 0 means long ago.
     ///
-    /// On the first list only the wall clock says how long ago a start was. A start in its future
-    /// shows that the clock is behind; such a server counts as started now. Nothing shows a clock
-    /// that is ahead.
+    /// For servers on the first list, only the wall clock says how long ago they started. A start
+    /// time in its future shows that the wall clock is behind; such a server counts as started now.
+    /// A wall clock that is ahead can't be detected.
     pub fn local_start(&mut self, now: Time, server_id: ServerId, reported: Time) -> Time {
         if reported == 0 {
             return 0;
@@ -55,14 +56,14 @@
         local
     }
 
-    /// Notes that an update of the list has come from discovery: starts that are new after it have
-    /// happened since.
+    /// Records that discovery has sent an update of the list. Starts that are first reported after
+    /// this call happened after that update.
     pub fn begin_watch(&mut self) {
         self.is_watching = true;
     }
 
-    /// Forgets the servers that are no longer listed, once there are many of them. `listed` counts
-    /// the servers on the list.
+    /// Removes the start times of all unlisted servers if there are more than
+    /// [`UNLISTED_SERVERS_MAX`] of them. `listed` is the number of servers on the list.
     pub fn forget_unlisted(&mut self, listed: usize, is_listed: impl Fn(ServerId) -> bool) {
         if self.starts.len() > listed + UNLISTED_SERVERS_MAX {
             self.starts.retain(|server_id, _| is_listed(*server_id));
