--- a/crates/dataplane/src/discovery/list.rs
+++ b/crates/dataplane/src/discovery/list.rs
@@ -76,7 +76,7 @@
 /// Why a text or a JSON value is not an update of the endpoint list.
 #[derive(Debug, Error)]
 pub enum ListUpdateError {
-    /// The nesting is deeper than [`NESTING_DEPTH_MAX`].
+    /// The nesting is deeper than `NESTING_DEPTH_MAX`.
     #[error("endpoint list nested deeper than {NESTING_DEPTH_MAX} levels")]
     TooDeep,
     /// The text is not JSON.
--- a/crates/dataplane/src/discovery/watch.rs
+++ b/crates/dataplane/src/discovery/watch.rs
@@ -93,7 +93,7 @@
     /// Makes one poll, applies its result and sleeps until the next poll may start.
     fn poll_once(&mut self) {
         let location = self.context.agent.location();
-        self.follow_agent(&location);
+        self.reset_on_address_change(&location);
         let poll = self.next_poll();
         let result = self.client.poll(&location, &poll);
         self.begins_watch = result.is_err();
@@ -118,7 +118,7 @@
 
     /// Restarts the watch if the agent's address has changed. Another agent has its own version
     /// numbers, so its complete list is requested. The old list stays in use until that arrives.
-    fn follow_agent(&mut self, location: &Location) {
+    fn reset_on_address_change(&mut self, location: &Location) {
         if location.revision == self.agent_revision {
             return;
         }
--- a/crates/dataplane/src/gossip/transport.rs
+++ b/crates/dataplane/src/gossip/transport.rs
@@ -90,25 +90,25 @@
 
     fn receive(&self, dispatcher: &Sender<DispatcherMessage>) {
         let mut limit = ReceiveLimit::default();
-        let mut inbox = Inbox {
+        let mut handler = DatagramHandler {
             dispatcher,
             undecodable: 0,
         };
         loop {
             self.socket.wait_io();
-            self.receive_available(&mut limit, &mut inbox);
+            self.receive_available(&mut limit, &mut handler);
         }
     }
 
     /// Reads datagrams until none is available.
-    fn receive_available(&self, limit: &mut ReceiveLimit, inbox: &mut Inbox) {
+    fn receive_available(&self, limit: &mut ReceiveLimit, handler: &mut DatagramHandler) {
         let mut buffer = [0; READ_BYTES_MAX];
         for count in 1.. {
             match self.socket.inner().recv_from(&mut buffer) {
                 Ok((length, from)) => {
                     let is_within_limit = limit.admits(clock::now());
                     if is_within_limit && self.is_peer(from) {
-                        inbox.deliver(&buffer[..length], from);
+                        handler.deliver(&buffer[..length], from);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -127,14 +127,14 @@
     }
 }
 
-/// Handles the datagrams that peers send.
-struct Inbox<'a> {
+/// Decodes peers' datagrams and passes the messages to the dispatcher.
+struct DatagramHandler<'a> {
     dispatcher: &'a Sender<DispatcherMessage>,
     /// The number of peers' datagrams that could not be decoded, since the start.
     undecodable: u64,
 }
 
-impl Inbox<'_> {
+impl DatagramHandler<'_> {
     /// Passes a peer's message to the dispatcher. A datagram that can't be decoded is counted and
     /// logged.
     fn deliver(&mut self, datagram: &[u8], from: SocketAddr) {
@@ -148,7 +148,12 @@
                 // Warns at exponentially growing counts, since a peer of another version sends
                 // many.
                 if self.undecodable.is_power_of_two() {
-                    warn!(peer = %from, %error, refused = self.undecodable, "undecodable gossip messages ignored");
+                    warn!(
+                        peer = %from,
+                        %error,
+                        refused = self.undecodable,
+                        "undecodable gossip messages ignored"
+                    );
                 }
             }
         }
--- a/crates/dataplane/src/health_check/context.rs
+++ b/crates/dataplane/src/health_check/context.rs
@@ -11,10 +11,10 @@
 
 /// Descriptors that health checks leave to discovery: one for its current connection, and one for
 /// the next connection while the current one is being closed.
-const DISCOVERY_DESCRIPTORS: usize = 2;
+const DISCOVERY_RESERVED_DESCRIPTORS: usize = 2;
 /// Free descriptors, including those for discovery, up to which no connection is kept between two
 /// checks.
-const UNKEPT_DESCRIPTORS: usize = 6;
+const KEEP_ALIVE_RESERVED_DESCRIPTORS: usize = 6;
 
 /// The resources that all health checks share.
 #[derive(Clone)]
@@ -32,12 +32,14 @@
 impl HealthCheckContext {
     /// Takes a permit for a connection; `None` if only the descriptors for discovery are left.
     pub(super) fn acquire_permit(&self) -> Option<DescriptorPermit> {
-        self.descriptors.try_acquire_leaving(DISCOVERY_DESCRIPTORS)
+        self.descriptors
+            .try_acquire_leaving(DISCOVERY_RESERVED_DESCRIPTORS)
     }
 
     /// Returns whether a connection may stay open until the next check. The last few descriptors
     /// are used in turn, since there may be more servers than descriptors.
     pub(super) fn may_keep_connection(&self) -> bool {
-        self.descriptors.has_more_than(UNKEPT_DESCRIPTORS)
+        self.descriptors
+            .has_more_than(KEEP_ALIVE_RESERVED_DESCRIPTORS)
     }
 }
--- a/crates/dataplane/src/health_check/tests.rs
+++ b/crates/dataplane/src/health_check/tests.rs
@@ -98,7 +98,7 @@
     })
 }
 
-/// Answers so many health checks on one connection, which is returned.
+/// Accepts one connection, answers `checks` health checks on it and returns it.
 fn answer(listener: &TcpListener, checks: usize) -> TcpStream {
     let mut stream = listener.accept().unwrap().0;
     let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
--- a/crates/dataplane/src/socket.rs
+++ b/crates/dataplane/src/socket.rs
@@ -26,7 +26,7 @@
 /// resources.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// The most immediate retries of a call that a signal has interrupted.
-const INTERRUPTIONS_MAX: usize = 16;
+const INTERRUPTED_RETRIES_MAX: usize = 16;
 /// Errors of `connect` that mean that the connection is in progress, or established after an
 /// interrupted call.
 const CONNECT_IN_PROGRESS: [i32; 3] = [EISCONN, EALREADY, EINPROGRESS];
@@ -299,7 +299,7 @@
 /// Retries a call that a signal has interrupted.
 fn retry_interrupted(mut call: impl FnMut() -> io::Result<()>) -> io::Result<()> {
     let mut result = call();
-    for _ in 0..INTERRUPTIONS_MAX {
+    for _ in 0..INTERRUPTED_RETRIES_MAX {
         match result {
             Err(ref e) if e.kind() == ErrorKind::Interrupted => result = call(),
             _ => break,
--- a/crates/dataplane/src/timer/alarm.rs
+++ b/crates/dataplane/src/timer/alarm.rs
@@ -9,8 +9,8 @@
 use nix::sys::time::TimeSpec;
 use nix::sys::timerfd::{ClockId, Expiration, TimerFd, TimerFlags, TimerSetTimeFlags};
 
-/// The shortest time that a timer can be set to; zero would disarm it.
-const AFTER_MIN: Duration = Duration::from_nanos(1);
+/// The shortest delay that a timer can be set to; zero would disarm it.
+const DELAY_MIN: Duration = Duration::from_nanos(1);
 
 /// A reusable one-shot timer on the monotonic clock, for one waiting coroutine.
 pub(super) struct Alarm {
@@ -38,9 +38,9 @@
         Ok(Alarm { timer })
     }
 
-    /// Sets the alarm to expire after a time, in place of the previous setting.
-    pub(super) fn set(&self, after: Duration) {
-        let expiration = Expiration::OneShot(TimeSpec::from(after.max(AFTER_MIN)));
+    /// Sets the alarm to expire after `delay`, in place of the previous setting.
+    pub(super) fn set(&self, delay: Duration) {
+        let expiration = Expiration::OneShot(TimeSpec::from(delay.max(DELAY_MIN)));
         let timer = &self.timer.inner().0;
         let set = timer.set(expiration, TimerSetTimeFlags::empty());
         debug_assert!(
