--- a/crates/candidates/src/candidate_set.rs
+++ b/crates/candidates/src/candidate_set.rs
@@ -1,4 +1,4 @@
-//! What a balancer keeps of a list that is too long to be looked at whole.
+//! The state that a balancer keeps for an endpoint list that is too long to be examined whole.
 
 use crate::health_checks::{HEALTH_CHECKS_PER_SECOND, HealthCheckQueue};
 use crate::token_bucket::TokenBucket;
@@ -6,37 +6,38 @@
 
 /// The longest interval between two health checks of a server, in seconds.
 const CHECK_INTERVAL_MAX_SECONDS: u64 = 10;
-/// Servers up to which a list is looked at whole: twice what the budget checks within the longest
-/// interval, as servers without own connections are checked only when a flow may go there.
+/// The longest list that is examined whole. It is twice the number of servers that the health
+/// check budget covers within the longest interval, because servers without own connections are
+/// checked only when a flow may go there.
 pub const WHOLE_LIST_MAX: usize =
     (2 * HEALTH_CHECKS_PER_SECOND * CHECK_INTERVAL_MAX_SECONDS) as usize;
-/// Candidates of a key at least.
+/// The least number of candidates of a key.
 const CANDIDATES_MIN: usize = 16;
-/// Candidates of a key at most, and own holders that are looked at beside them.
+/// The largest number of candidates of a key, and of holders that are examined beside them.
 pub const CANDIDATES_MAX: usize = 48;
-/// Own connections of a key for which there is one more candidate.
+/// Own connections of a key per additional candidate.
 const CONNECTIONS_PER_CANDIDATE: usize = 8;
-/// Walks over the whole list: one takes some 2 ms at 12,000 servers.
+/// Limit on walks over the whole list: one walk takes about 2 ms at 12,000 servers.
 const LIST_WALKS_PER_SECOND: f64 = 2.0;
-/// Walks over what other balancers announced: what holds for 40 s needn't go at once.
+/// Limit on walks that drop expired gossip: entries are valid for 40 s and may be dropped late.
 const GOSSIP_EXPIRIES_PER_SECOND: f64 = 0.1;
 
-/// The zones in which candidates are looked for.
+/// The zones that are searched for candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneReach {
     /// The caller's own zone.
     OwnZone,
-    /// The own zone and, for part of the candidates, others.
+    /// The caller's own zone and, for part of the candidates, other zones.
     AllZones,
 }
 
-/// Candidates and budgets for a long list.
+/// The candidates of a long list, and the budgets for work on it.
 #[derive(Clone, Debug)]
 pub struct CandidateSet {
     candidates: Candidates,
     list_walks: TokenBucket,
     gossip_expiries: TokenBucket,
-    /// Decides which servers' health is checked.
+    /// Chooses the servers whose health is checked.
     pub health_checks: HealthCheckQueue,
 }
 
@@ -52,19 +53,22 @@
 }
 
 impl CandidateSet {
-    /// Puts in a server that is ready, or changes its zone and weight.
+    /// Adds a server that is ready, or changes its zone and weight.
     pub fn insert(&mut self, server: ServerId, zone: ZoneId, weight: f64) {
         self.candidates.insert(server, zone, weight);
     }
 
-    /// Takes out a server that isn't ready any more, if it is known.
+    /// Removes a server that is no longer ready. Does nothing if the server is unknown.
     pub fn remove(&mut self, server: ServerId) {
         self.candidates.remove(server);
     }
 
-    /// Returns the servers for this key, in order of their ids: its candidates, more of them the
-    /// more own connections of the key there are, and `holders`, the servers with the number of
-    /// these connections. Of very many holders some are left out.
+    /// Returns the servers to examine for this key, in order of their ids: the key's candidates
+    /// and its `holders`.
+    ///
+    /// `holders` yields each server that holds own connections of the key, with their number. The
+    /// number of candidates grows with the number of these connections. Holders beyond
+    /// [`CANDIDATES_MAX`] are left out.
     pub fn scope<'a>(
         &self,
         key: u64,
@@ -87,13 +91,13 @@
         scope
     }
 
-    /// Returns whether the whole list may be walked now, which then counts as done.
+    /// Returns whether the whole list may be walked now. If so, the walk is charged to the budget.
     pub fn may_walk_list(&mut self, now: u64) -> bool {
         self.list_walks.try_take(now, 1.0)
     }
 
-    /// Returns whether what other balancers announced may be walked now to drop what has expired,
-    /// which then counts as done.
+    /// Returns whether the entries received by gossip may be walked now to drop the expired ones.
+    /// If so, the walk is charged to the budget.
     pub fn may_expire_gossip(&mut self, now: u64) -> bool {
         self.gossip_expiries.try_take(now, 1.0)
     }
--- a/crates/candidates/src/lib.rs
+++ b/crates/candidates/src/lib.rs
@@ -1,11 +1,16 @@
-//! Bounded candidate servers for a key.
+//! A bounded number of candidate servers for each key.
 //!
-//! The package owns which few servers of a long list are looked at and checked: [`Candidates`]
-//! answers which servers a key may go to. Balancers with the same list get the same answer,
-//! balancers whose lists differ by a few entries nearly the same. A [`TokenBucket`] limits how
-//! often something is done, a [`HealthCheckQueue`] which servers are checked within such a limit; a
-//! [`CandidateSet`] holds what a balancer keeps of a long list. It must never do I/O, read a clock
-//! or choose a server for a flow. The design and its alternatives: `docs/design/candidates.md`.
+//! This crate selects the few servers of a long endpoint list that are examined for a flow or have
+//! their health checked:
+//!
+//! - [`Candidates`] returns the servers that a key may go to. Balancers with the same list get the
+//!   same servers; balancers whose lists differ by a few entries get nearly the same.
+//! - [`TokenBucket`] limits how often an operation is done.
+//! - [`HealthCheckQueue`] selects the servers to check within such a limit.
+//! - [`CandidateSet`] holds all that a balancer keeps for a long list.
+//!
+//! The crate must never do I/O, read a clock or choose the server of a flow. The design and its
+//! alternatives: `docs/design/candidates.md`.
 //!
 //! ```
 //! use nettlemux_candidates::Candidates;
--- a/crates/candidates/src/ring.rs
+++ b/crates/candidates/src/ring.rs
@@ -1,27 +1,28 @@
-//! A consistent-hash ring of one zone's servers, with points by weight.
+//! A consistent-hash ring of one zone's servers. The weight of a server sets its number of points.
 
 use std::collections::BTreeSet;
 
 use crate::hash::{hash, usable_weight};
 use crate::zones::ServerId;
 
-/// Points of a server of weight 1. With so many, how often servers are candidates varies by a
-/// tenth; they cost 270 to 560 bytes a server.
+/// Points of a server of weight 1. With this number the frequency with which servers are candidates
+/// varies by a tenth, and the points take 270 to 560 bytes per server.
 const POINTS_PER_WEIGHT: f64 = 16.0;
-/// Points of a server at most, so that a list whose weights are all large stays in memory. Heavier
-/// servers are told apart by the caller's weighted rotation only.
+/// The largest number of points of a server, which bounds memory if all weights of a list are large.
+/// Among heavier servers only the caller's weighted rotation accounts for the weights.
 const POINTS_MAX: f64 = 64.0;
 
-/// Where servers stand on the circle of 64-bit hashes.
+/// The points of servers on a ring of 64-bit hashes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ring {
-    /// Equal points of two servers are told apart by id, the same at all balancers.
+    /// Hash and server of each point. If two servers have the same hash, their ids set the order,
+    /// so that it is the same at all balancers.
     points: BTreeSet<(u64, ServerId)>,
     servers: BTreeSet<ServerId>,
 }
 
 impl Ring {
-    /// Puts a server in and returns how many points came.
+    /// Adds a server and returns the number of points added.
     pub(crate) fn insert(&mut self, server: ServerId, weight: f64) -> usize {
         self.servers.insert(server);
         points_of(server, weight)
@@ -29,7 +30,7 @@
             .count()
     }
 
-    /// Takes a server out and returns how many points went.
+    /// Removes a server and returns the number of points removed.
     pub(crate) fn remove(&mut self, server: ServerId, weight: f64) -> usize {
         self.servers.remove(&server);
         points_of(server, weight)
@@ -37,9 +38,9 @@
             .count()
     }
 
-    /// The sum of weights, in points: an integer, so that it doesn't depend on the order of
-    /// changes.
-    pub(crate) fn weight(&self) -> usize {
+    /// The number of points, which stands for the sum of weights. Unlike a sum of floats it does
+    /// not depend on the order of changes.
+    pub(crate) fn point_count(&self) -> usize {
         self.points.len()
     }
 
@@ -47,25 +48,25 @@
         self.servers.is_empty()
     }
 
-    /// Distinct servers, clockwise from the key's point.
+    /// Yields each server once, clockwise from the hash of the key.
     pub(crate) fn clockwise(&self, key: u64) -> impl Iterator<Item = ServerId> + '_ {
         let start = (hash(key), 0);
-        let circle = self.points.range(start..).chain(self.points.range(..start));
+        let from_start = self.points.range(start..).chain(self.points.range(..start));
         let mut seen = Vec::new();
         let is_new = move |server: &ServerId| {
             let new = !seen.contains(server);
             seen.extend(new.then_some(*server));
             new
         };
-        // Once all have been met, the rest of the circle is not walked.
-        circle
+        // `take` ends the walk as soon as all servers have been found.
+        from_start
             .map(|(_, server)| *server)
             .filter(is_new)
             .take(self.servers.len())
     }
 }
 
-/// The points of a server with this weight.
+/// Yields the points of a server of this weight.
 fn points_of(server: ServerId, weight: f64) -> impl Iterator<Item = (u64, ServerId)> {
     let count = (POINTS_PER_WEIGHT * usable_weight(weight))
         .round()
--- a/crates/candidates/src/zones.rs
+++ b/crates/candidates/src/zones.rs
@@ -1,4 +1,5 @@
-//! Candidates over zones: the caller's own first, the further ones in an order of each key's own.
+//! Candidates across zones: the caller's own zone first, then the other zones in an order that
+//! depends on the key.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +11,20 @@
 /// A zone, by number.
 pub type ZoneId = u64;
 
-/// One candidate in so many is in another zone, for when the own zone has no room.
-const CANDIDATES_PER_REMOTE_ONE: usize = 4;
+/// One candidate in this many is in another zone, in case the own zone has no room.
+const CANDIDATES_PER_REMOTE_CANDIDATE: usize = 4;
 
-/// The servers that may be candidates: one consistent-hash ring for each zone.
+/// The servers that may be candidates, in one consistent-hash ring per zone.
 #[derive(Clone, Debug, Default)]
 pub struct Candidates {
     zones: BTreeMap<ZoneId, Ring>,
-    /// In which zone, and with which weight, each server stands.
+    /// The zone and the weight of each server.
     members: BTreeMap<ServerId, (ZoneId, f64)>,
 }
 
 impl Candidates {
-    /// Puts a server in. One that is known moves to this zone and weight. Returns how many points
-    /// of rings changed, which is what an update costs.
+    /// Adds a server, or moves a known server to this zone and weight. Returns the number of ring
+    /// points that changed, which is the cost of the update.
     pub fn insert(&mut self, server: ServerId, zone: ZoneId, weight: f64) -> usize {
         let known = self.members.get(&server);
         if known.is_some_and(|(at, of)| *at == zone && of.to_bits() == weight.to_bits()) {
@@ -34,7 +35,7 @@
         removed + self.zones.entry(zone).or_default().insert(server, weight)
     }
 
-    /// Takes a server out, if it is known, and returns how many points of rings changed.
+    /// Removes a server, if it is known, and returns the number of ring points that changed.
     pub fn remove(&mut self, server: ServerId) -> usize {
         let Some((zone, weight)) = self.members.remove(&server) else {
             return 0;
@@ -49,19 +50,19 @@
         removed
     }
 
-    /// Returns how many servers there are.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns whether there are none.
+    /// Returns whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Returns up to `count` distinct servers for this key, the own zone's first. A larger count
-    /// only adds servers, so that balancers that ask for different counts agree on those that the
-    /// smallest count gives.
+    /// Returns up to `count` distinct servers for this key, those of the own zone first. A larger
+    /// count only adds servers. Thus balancers that ask for different counts agree on the servers
+    /// returned for the smallest count.
     pub fn candidates(&self, key: u64, zone: ZoneId, count: usize) -> Vec<ServerId> {
         let mut found = self.candidates_in_zone(key, zone, count);
         if found.len() < count {
@@ -70,10 +71,10 @@
         found
     }
 
-    /// Returns the first of [`Self::candidates`]: those in the own zone.
+    /// Returns the servers of [`Self::candidates`] that are in the own zone, in the same order.
     pub fn candidates_in_zone(&self, key: u64, zone: ZoneId, count: usize) -> Vec<ServerId> {
         let in_zone = if self.zones.len() > 1 {
-            count - count / CANDIDATES_PER_REMOTE_ONE
+            count - count / CANDIDATES_PER_REMOTE_CANDIDATE
         } else {
             count
         };
@@ -83,15 +84,15 @@
             .unwrap_or_default()
     }
 
-    /// Adds servers of other zones, up to `count` in all: one of each zone in the key's order of
-    /// zones, then the second of each, and so on.
+    /// Adds servers of other zones until `found` holds `count`: the first server of each zone, in
+    /// the key's order of zones, then the second server of each, and so on.
     fn add_remote(&self, found: &mut Vec<ServerId>, key: u64, own: ZoneId, count: usize) {
         let others = self.zones.iter().filter(|(zone, _)| **zone != own);
         let mut ranked: Vec<(f64, &Ring)> = others
-            .map(|(zone, ring)| (distance(key, *zone, ring.weight()), ring))
+            .map(|(zone, ring)| (rendezvous_distance(key, *zone, ring.point_count()), ring))
             .collect();
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
-        // A walk begins only where its first server is needed.
+        // A zone's ring is walked only if at least its first server is needed.
         let mut walks = Vec::new();
         for (_, ring) in ranked.iter().take(count - found.len()) {
             let mut walk = ring.clockwise(key);
@@ -113,10 +114,10 @@
     }
 }
 
-/// The zone's distance in weighted rendezvous hashing: the zone with the least comes first, as
-/// often as its weight asks.
-fn distance(key: u64, zone: ZoneId, weight: usize) -> f64 {
-    // From above 0 to 1, as the logarithm of 0 is none.
+/// Returns the zone's distance in weighted rendezvous hashing. The zone with the least distance
+/// comes first, which for each zone happens in proportion to its weight.
+fn rendezvous_distance(key: u64, zone: ZoneId, weight: usize) -> f64 {
+    // In (0, 1]: 0 is excluded because its logarithm is infinite.
     let uniform = (hash(key ^ hash(zone)) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
     -uniform.ln() / weight as f64
 }
