--- a/crates/candidates/tests/candidate_set.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -1,4 +1,4 @@
-//! What a balancer keeps of a long list: how many servers it looks at and checks.
+//! The number of servers that a balancer with a long list examines and checks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,8 +14,10 @@
     list
 }
 
+/// Guards against placements whose cost grows with the length of the list, also if a group is held
+/// on every server.
 #[test]
-fn the_servers_looked_at_for_a_flow_are_few_however_long_the_list() {
+fn scope_is_bounded_for_lists_of_any_length() {
     for servers in [WHOLE_LIST_MAX as u64 + 1, 600, 3_000, 12_000, 50_000] {
         let list = candidate_set(servers);
         for key in 0..200 {
@@ -31,12 +33,12 @@
                 16,
                 "{servers} servers"
             );
-            // A group held on every server, with ten connections on each.
+            // A group with ten connections on every server.
             let held: BTreeMap<ServerId, usize> = (0..servers).map(|id| (id, 10)).collect();
-            let looked_at = list
+            let examined = list
                 .scope(key, zone, ZoneReach::AllZones, held.iter())
                 .len();
-            assert!(looked_at <= 96, "{servers} servers: {looked_at}");
+            assert!(examined <= 96, "{servers} servers: {examined} examined");
             if key == 3 {
                 break;
             }
@@ -44,8 +46,10 @@
     }
 }
 
+/// Guards against a large group that fills its few candidates, and against a holder that is not
+/// examined because it is no candidate of the key.
 #[test]
-fn more_own_connections_of_a_key_bring_more_candidates_and_holders_are_among_them() {
+fn scope_grows_with_own_connections_up_to_a_bound_and_contains_holders() {
     let list = candidate_set(6_000);
     let sizes = [0, 1, 40, 279, 100_000].map(|own| {
         let held = BTreeMap::from([(5_999, own)]);
@@ -60,7 +64,7 @@
 }
 
 #[test]
-fn a_server_that_is_not_ready_is_no_candidate() {
+fn removed_server_is_not_in_scope() {
     let mut list = candidate_set(600);
     let first = list.scope(1, 3, ZoneReach::OwnZone, [].into_iter())[0];
     list.remove(first);
@@ -71,27 +75,32 @@
     );
 }
 
+/// Guards against a balancer that walks a long list for every flow or gossip message: one walk
+/// takes about 2 ms at 12,000 servers.
 #[test]
-fn the_whole_list_is_walked_seldom() {
+fn list_walks_and_gossip_expiries_keep_to_their_rates() {
     let mut list = candidate_set(600);
     let walks = (0..10_000)
         .filter(|ms| list.may_walk_list(ms * SEC / 1_000))
         .count();
-    assert!((20..=22).contains(&walks), "{walks} in 10 s");
-    let sweeps = (0..60_000)
+    assert!((20..=22).contains(&walks), "{walks} list walks in 10 s");
+    let expiries = (0..60_000)
         .filter(|ms| list.may_expire_gossip(ms * SEC / 1_000))
         .count();
-    assert!((6..=7).contains(&sweeps), "{sweeps} in a minute");
+    assert!(
+        (6..=7).contains(&expiries),
+        "{expiries} gossip expiries in 60 s"
+    );
 }
 
 #[test]
-fn lists_of_200_are_looked_at_whole() {
+fn longest_list_examined_whole_has_200_servers() {
     assert_eq!(WHOLE_LIST_MAX, 200);
 }
 
-/// Plays so many seconds of a queue over servers with so many own connections; returns when each
-/// was checked.
-fn play(
+/// Runs the queue for this many seconds. `own` is the number of own connections of each server.
+/// Returns the times at which each server was checked.
+fn run_queue(
     queue: &mut HealthCheckQueue,
     own: &BTreeMap<ServerId, usize>,
     seconds: u64,
@@ -114,35 +123,39 @@
     checked
 }
 
+/// Guards against servers with few own connections that are never checked because a server with
+/// many of them is always due first.
 #[test]
-fn largest_own_load_is_checked_most_and_nobody_is_left_out() {
+fn server_with_most_own_connections_is_checked_most_and_all_are_checked() {
     let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..100)
         .map(|id| (id, if id == 42 { 100 } else { 5 }))
         .collect();
-    let checked = play(&mut queue, &own, 100);
+    let checked = run_queue(&mut queue, &own, 100);
     let total: usize = checked.values().map(Vec::len).sum();
     assert!(
         (490..=510).contains(&total),
-        "half of the budget: {total} in 100 s"
+        "{total} checks in 100 s, expected half of the budget"
     );
-    assert_eq!(checked.len(), 100, "each is checked");
+    assert_eq!(checked.len(), 100, "not all servers were checked");
     assert!(
         checked[&42].len() > 20,
-        "{} checks of the largest",
+        "{} checks of the server with most own connections",
         checked[&42].len()
     );
 }
 
+/// Guards against an overloaded server whose next check waits behind those of all other servers,
+/// and against budget spent on a server that was checked just before.
 #[test]
-fn overloaded_servers_come_first_and_again_no_sooner_than_in_two_seconds() {
+fn rechecks_come_first_and_two_checks_of_a_server_are_two_seconds_apart() {
     let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..6_000).map(|id| (id, 7)).collect();
     queue.recheck_soon(100 * SEC, 5_000);
     queue.recheck_soon(100 * SEC, 5_001);
-    let checked = play(&mut queue, &own, 3);
+    let checked = run_queue(&mut queue, &own, 3);
     let first = 102 * SEC;
-    // The budget allows one or two a tick: nobody else comes between them.
+    // The budget allows one or two checks a tick, so no other server is checked between these.
     assert_eq!(checked[&5_000][0], first);
     assert!(checked[&5_001][0] <= first + TICK);
     let gaps = checked
@@ -152,7 +165,7 @@
 }
 
 #[test]
-fn a_server_that_may_not_be_checked_costs_nothing() {
+fn server_that_must_not_be_checked_is_skipped() {
     let mut queue = HealthCheckQueue::default();
     queue.recheck_soon(0, 1);
     let own = BTreeMap::from([(1, 5), (2, 5)]);
@@ -172,21 +185,30 @@
     );
 }
 
+/// Guards against flows that use up the whole budget: the overload of servers with own connections
+/// would not be found.
 #[test]
-fn flows_and_own_servers_have_half_of_the_budget_each() {
+fn flows_and_servers_with_own_connections_each_get_half_of_the_budget() {
     let mut queue = HealthCheckQueue::default();
     let own: BTreeMap<ServerId, usize> = (0..600).map(|id| (id, 7)).collect();
-    let (mut paid, mut sent) = (0, BTreeSet::new());
+    let (mut reserved, mut checked) = (0, BTreeSet::new());
     for tick in 0..80 {
         let now = 100 * SEC + tick * TICK;
-        paid += (0..20).filter(|_| queue.reserve(now, 1)).count();
-        sent.extend(queue.take_due(
+        reserved += (0..20).filter(|_| queue.reserve(now, 1)).count();
+        checked.extend(queue.take_due(
             now,
             &own,
             |held| *held,
-            |id| Some(if sent.contains(&id) { now } else { 0 }),
+            |id| Some(if checked.contains(&id) { now } else { 0 }),
         ));
     }
-    assert!((100..=105).contains(&paid), "{paid} in 20 s");
-    assert!((100..=105).contains(&sent.len()), "{} in 20 s", sent.len());
+    assert!(
+        (100..=105).contains(&reserved),
+        "{reserved} checks reserved for flows in 20 s"
+    );
+    assert!(
+        (100..=105).contains(&checked.len()),
+        "{} servers with own connections checked in 20 s",
+        checked.len()
+    );
 }
