--- a/crates/policy/examples/long_lists/main.rs
+++ b/crates/policy/examples/long_lists/main.rs
@@ -1,10 +1,11 @@
-//! Trials of the policy alone on long lists, without sockets: synthetic, in its own time.
+//! Measurements of the policy on long endpoint lists, with synthetic flows in virtual time and
+//! without sockets.
 //!
-//! `place`: what a placement costs in processor time, and how many health checks go out, by number
-//! of servers.
-//! `spread`: how evenly many balancers together spread connections over servers.
-//! `state SERVERS whole|candidates`: memory of one balancer, alone in its process.
-//! The first two print the whole list and the candidates side by side.
+//! - `place`: processor time of a placement and number of health checks, by number of servers.
+//! - `spread`: evenness with which many balancers spread connections over servers.
+//! - `state SERVERS whole|candidates`: memory of a single balancer.
+//!
+//! `place` and `spread` print the results for the whole list and for candidates side by side.
 
 mod place;
 mod spread;
@@ -13,18 +14,18 @@
 
 /// Own connections of the balancer.
 const OWN_CONNECTIONS: usize = 44_000;
-/// Groups of which connections are.
+/// Groups that connections belong to.
 const GROUPS: u64 = 730_000;
 /// Balancers of the largest deployment.
 const BALANCERS: f64 = 1_400.0;
-/// As in the largest deployment: 6,000 servers in 31 zones.
+/// Servers in a zone of the largest deployment, which has 6,000 servers in 31 zones.
 const SERVERS_IN_ZONE: u64 = 194;
-/// What a health check costs, in flows.
+/// Cost of a health check as a fraction of a flow's value.
 const HEALTH_CHECK_COST: f64 = 0.01;
-/// When trials begin.
+/// Virtual time at which measurements start.
 const T0: Time = 1_000 * SEC;
 
-/// How much of the list a placement looks at.
+/// The part of the list that a placement examines.
 #[derive(Clone, Copy, PartialEq)]
 enum ListView {
     Whole,
@@ -34,7 +35,7 @@
 impl ListView {
     const BOTH: [ListView; 2] = [ListView::Whole, ListView::Candidates];
 
-    /// The name, as wide as the longest.
+    /// Returns the name, padded to the width of the longest one.
     fn name(self) -> &'static str {
         match self {
             ListView::Whole => "whole     ",
@@ -45,14 +46,14 @@
 
 fn main() {
     match std::env::args().nth(1).as_deref() {
-        Some("place") => place::places(),
+        Some("place") => place::measure_placements(),
         Some("spread") => spread::spread(),
-        Some("state") => state(),
+        Some("state") => measure_memory(),
         _ => eprintln!("usage: long_lists place | spread | state SERVERS whole|candidates"),
     }
 }
 
-fn class() -> TrafficClass {
+fn traffic_class() -> TrafficClass {
     TrafficClass {
         latency_objective: 230 * MS,
         priority_weight: 1.0,
@@ -60,7 +61,7 @@
     }
 }
 
-fn listed(server_id: ServerId, zones: u64) -> Endpoint {
+fn endpoint(server_id: ServerId, zones: u64) -> Endpoint {
     Endpoint {
         server_id,
         zone: server_id % zones,
@@ -102,11 +103,11 @@
         },
         ..PolicyConfig::default()
     };
-    Policy::new(seed, zone, vec![class()], config)
+    Policy::new(seed, zone, vec![traffic_class()], config)
 }
 
-/// Memory in use, by the system.
-fn resident() -> u64 {
+/// Returns the resident memory of this process in bytes.
+fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     statm
         .split(' ')
@@ -116,7 +117,8 @@
         * 4_096
 }
 
-fn state() {
+/// Prints the memory of the endpoint list and of own connections.
+fn measure_memory() {
     let arguments: Vec<String> = std::env::args().skip(2).collect();
     let servers: u64 = arguments
         .first()
@@ -126,14 +128,14 @@
         Some(name) if name == "whole" => ListView::Whole,
         _ => ListView::Candidates,
     };
-    let before = resident();
+    let before = resident_bytes();
     let mut policy = balancer(7, 0, BALANCERS, view);
     let zones = servers.div_ceil(SERVERS_IN_ZONE);
     let list: Vec<Endpoint> = (0..servers)
-        .map(|server_id| listed(server_id, zones))
+        .map(|server_id| endpoint(server_id, zones))
         .collect();
     policy.update_endpoints(T0, &list, true);
-    let listed = resident();
+    let with_list = resident_bytes();
     for id in 0..OWN_CONNECTIONS as FlowId {
         let group = Some(format!("g{}", id * 7 % GROUPS));
         policy.adopt_connection(
@@ -147,7 +149,7 @@
     }
     println!(
         "{servers} servers: {} KB, {OWN_CONNECTIONS} own connections: {} KB",
-        (listed - before) >> 10,
-        (resident() - listed) >> 10
+        (with_list - before) >> 10,
+        (resident_bytes() - with_list) >> 10
     );
 }
--- a/crates/policy/examples/long_lists/place.rs
+++ b/crates/policy/examples/long_lists/place.rs
@@ -1,4 +1,4 @@
-//! What a placement costs in processor time, and how many health checks go out.
+//! Measures the processor time of placements and the number of health checks.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -7,36 +7,40 @@
 use nanorand::{Rng, WyRand};
 use nettlemux_policy::*;
 
-use crate::{BALANCERS, GROUPS, ListView, OWN_CONNECTIONS, SERVERS_IN_ZONE, T0, balancer, listed};
+use crate::{
+    BALANCERS, GROUPS, ListView, OWN_CONNECTIONS, SERVERS_IN_ZONE, T0, balancer, endpoint,
+};
 
-/// A connection lives for 18 minutes.
+/// New flows per second, at which connections last for 18 minutes.
 const FLOWS_PER_SECOND: u64 = 40;
-/// How long each size is measured.
-const SECONDS: Time = 15;
+/// Virtual time in seconds for which each list length is measured.
+const MEASURED_SECONDS: Time = 15;
 
-/// What the events of a trial cost.
+/// The total processor time of events and their number.
 #[derive(Default)]
 struct EventCost {
     nanoseconds: u128,
     count: u128,
 }
 
-/// One balancer in its own time: what comes next, and what came of it.
+/// Drives one balancer in virtual time and records the results.
 struct Driver {
     policy: Policy,
     rng: WyRand,
     now: Time,
-    /// Answers of servers that are under way, soonest first.
+    /// Arrival times of pending answers to health checks, earliest first.
     answers: BinaryHeap<Reverse<(Time, ServerId)>>,
-    held: VecDeque<(Flow, u128)>,
-    established: VecDeque<(FlowId, ServerId)>,
+    /// Flows that wait, with the nanoseconds that their placement has taken so far.
+    queued: VecDeque<(Flow, u128)>,
+    connected: VecDeque<(FlowId, ServerId)>,
     next_id: FlowId,
-    /// Nanoseconds of all looks at a flow until it was placed, and of each single look.
+    /// Nanoseconds of all placement calls of each forwarded flow.
     per_flow: Vec<u128>,
-    per_look: Vec<u128>,
+    /// Nanoseconds of the last placement call of each forwarded flow.
+    per_call: Vec<u128>,
     health_checks: usize,
-    refused: usize,
-    /// Nanoseconds of all events, and their number.
+    /// Flows that were rejected or failed.
+    not_placed: usize,
     events: EventCost,
 }
 
@@ -45,7 +49,7 @@
         let zones = servers.div_ceil(SERVERS_IN_ZONE);
         let mut policy = balancer(7, 0, BALANCERS, view);
         let list: Vec<Endpoint> = (0..servers)
-            .map(|server_id| listed(server_id, zones))
+            .map(|server_id| endpoint(server_id, zones))
             .collect();
         policy.update_endpoints(T0, &list, true);
         let mut driver = Driver {
@@ -53,23 +57,24 @@
             rng: WyRand::new_seed(11),
             now: T0,
             answers: BinaryHeap::new(),
-            held: VecDeque::new(),
-            established: VecDeque::new(),
+            queued: VecDeque::new(),
+            connected: VecDeque::new(),
             next_id: 0,
             per_flow: Vec::new(),
-            per_look: Vec::new(),
+            per_call: Vec::new(),
             health_checks: 0,
-            refused: 0,
+            not_placed: 0,
             events: EventCost::default(),
         };
         for _ in 0..OWN_CONNECTIONS.min(servers as usize * 220 / 3) {
             let (flow, server_id) = (driver.flow(), driver.rng.generate_range(0..servers));
             driver.policy.adopt_connection(&flow, server_id);
-            driver.established.push_back((flow.id, server_id));
+            driver.connected.push_back((flow.id, server_id));
         }
         driver
     }
 
+    /// Returns a new flow of a random group.
     fn flow(&mut self) -> Flow {
         self.next_id += 1;
         let group = Some(format!("g{}", self.rng.generate_range(0..GROUPS)));
@@ -82,7 +87,8 @@
         }
     }
 
-    fn event(&mut self, event: PolicyEvent) {
+    /// Passes an event to the policy and schedules the answers to the health checks that follow.
+    fn handle_event(&mut self, event: PolicyEvent) {
         let began = Instant::now();
         let actions = self.policy.on_event(self.now, event);
         self.events.nanoseconds += began.elapsed().as_nanos();
@@ -93,41 +99,44 @@
         }
     }
 
+    /// Places a flow whose earlier placement calls took `spent` nanoseconds. If it is forwarded, it
+    /// connects, and the oldest connection ends.
     fn place(&mut self, flow: Flow, spent: u128) {
         let began = Instant::now();
-        let place = self.policy.place(self.now, &flow);
+        let placement = self.policy.place(self.now, &flow);
         let took = began.elapsed().as_nanos();
-        match place {
-            Placement::Wait => self.held.push_back((flow, spent + took)),
+        match placement {
+            Placement::Wait => self.queued.push_back((flow, spent + took)),
             Placement::Forward { server_id, .. } => {
-                self.per_look.push(took);
+                self.per_call.push(took);
                 self.per_flow.push(spent + took);
-                self.event(PolicyEvent::Connected {
+                self.handle_event(PolicyEvent::Connected {
                     flow: flow.id,
                     took: MS,
                 });
-                self.established.push_back((flow.id, server_id));
-                let (flow, server_id) = self.established.pop_front().expect("one at least");
-                self.event(PolicyEvent::AttemptEnded {
+                self.connected.push_back((flow.id, server_id));
+                let (flow, server_id) = self.connected.pop_front().expect("no connection to end");
+                self.handle_event(PolicyEvent::AttemptEnded {
                     flow,
                     server_id,
                     end: AttemptEnd::Done,
                     unanswered: None,
                 });
             }
-            _ => self.refused += 1,
+            _ => self.not_placed += 1,
         }
     }
 
-    /// Plays until then: answers to health checks, and timers that expire.
-    fn until(&mut self, end: Time) {
+    /// Advances the virtual time to `end`, with the answers to health checks and the timers that
+    /// come due until then.
+    fn advance_to(&mut self, end: Time) {
         loop {
             let answer = self.answers.peek().map(|answer| answer.0.0);
-            let wait = self
+            let timer = self
                 .policy
                 .time_to_next_timer(self.now)
                 .map(|wait| self.now + wait);
-            let Some(next) = [answer, wait]
+            let Some(next) = [answer, timer]
                 .into_iter()
                 .flatten()
                 .min()
@@ -137,20 +146,20 @@
             };
             self.now = self.now.max(next);
             if answer == Some(next) {
-                let server_id = self.answers.pop().expect("seen").0.1;
+                let server_id = self.answers.pop().expect("no answer is pending").0.1;
                 let utilization = 0.42 + 0.06 * self.rng.generate::<f64>();
                 let report = LoadReport {
                     utilization: Some(utilization),
                     connections: Some(10_000.0),
                 };
-                self.event(PolicyEvent::HealthChecked {
+                self.handle_event(PolicyEvent::HealthChecked {
                     server_id,
                     passed: true,
                     report,
                 });
             } else {
-                self.event(PolicyEvent::TimerExpired);
-                for (flow, spent) in std::mem::take(&mut self.held) {
+                self.handle_event(PolicyEvent::TimerExpired);
+                for (flow, spent) in std::mem::take(&mut self.queued) {
                     self.place(flow, spent);
                 }
             }
@@ -159,34 +168,37 @@
     }
 }
 
-fn median(of: &mut [u128]) -> f64 {
-    of.sort_unstable();
-    of.get(of.len() / 2).map_or(f64::NAN, |ns| *ns as f64 / 1e3)
+/// Returns the median of these nanoseconds in microseconds.
+fn median_micros(nanoseconds: &mut [u128]) -> f64 {
+    nanoseconds.sort_unstable();
+    nanoseconds
+        .get(nanoseconds.len() / 2)
+        .map_or(f64::NAN, |ns| *ns as f64 / 1e3)
 }
 
-/// Prints the cost of placements by number of servers, both ways.
-pub fn places() {
+/// Prints the cost of placements by number of servers, for the whole list and for candidates.
+pub fn measure_placements() {
     println!(
-        "servers  list        place us  all looks of a flow us  checks/s  event us  placed  refused"
+        "servers  list        place us  all calls of a flow us  checks/s  event us  placed  not placed"
     );
     for servers in [60, 200, 600, 3_000, 6_000, 12_000] {
         for view in ListView::BOTH {
             let mut driver = Driver::new(servers, view);
-            let gap = SEC / FLOWS_PER_SECOND;
-            for step in 0..SECONDS * FLOWS_PER_SECOND {
-                driver.until(T0 + step * gap);
+            let interval = SEC / FLOWS_PER_SECOND;
+            for step in 0..MEASURED_SECONDS * FLOWS_PER_SECOND {
+                driver.advance_to(T0 + step * interval);
                 let flow = driver.flow();
                 driver.place(flow, 0);
             }
             println!(
-                "{servers:>7}  {}  {:>8.1}  {:>22.1}  {:>8.1}  {:>8.1}  {:>6}  {:>7}",
+                "{servers:>7}  {}  {:>8.1}  {:>22.1}  {:>8.1}  {:>8.1}  {:>6}  {:>10}",
                 view.name(),
-                median(&mut driver.per_look),
-                median(&mut driver.per_flow),
-                driver.health_checks as f64 / SECONDS as f64,
+                median_micros(&mut driver.per_call),
+                median_micros(&mut driver.per_flow),
+                driver.health_checks as f64 / MEASURED_SECONDS as f64,
                 driver.events.nanoseconds as f64 / driver.events.count.max(1) as f64 / 1e3,
                 driver.per_flow.len(),
-                driver.refused,
+                driver.not_placed,
             );
         }
     }
