--- a/crates/candidates/src/candidate_set.rs
+++ b/crates/candidates/src/candidate_set.rs
@@ -1,4 +1,4 @@
-//! The state that a balancer keeps for an endpoint list that is too long to be examined whole.
+//! The state that a balancer keeps for an endpoint list that is too long to be scanned in full.
 
 use crate::health_checks::{HEALTH_CHECKS_PER_SECOND, HealthCheckQueue};
 use crate::token_bucket::TokenBucket;
@@ -6,20 +6,20 @@
 
 /// The longest interval between two health checks of a server, in seconds.
 const CHECK_INTERVAL_MAX_SECONDS: u64 = 10;
-/// The longest list that is examined whole. It is twice the number of servers that the health
+/// The longest list that is scanned in full. It is twice the number of servers that the health
 /// check budget covers within the longest interval, because servers without own connections are
 /// checked only when a flow may go there.
 pub const WHOLE_LIST_MAX: usize =
     (2 * HEALTH_CHECKS_PER_SECOND * CHECK_INTERVAL_MAX_SECONDS) as usize;
-/// The least number of candidates of a key.
+/// The lowest number of candidates of a key.
 const CANDIDATES_MIN: usize = 16;
-/// The largest number of candidates of a key, and of holders that are examined beside them.
+/// The highest number of candidates of a key, and of holders that are considered in addition.
 pub const CANDIDATES_MAX: usize = 48;
 /// Own connections of a key per additional candidate.
 const CONNECTIONS_PER_CANDIDATE: usize = 8;
-/// Limit on walks over the whole list: one walk takes about 2 ms at 12,000 servers.
-const LIST_WALKS_PER_SECOND: f64 = 2.0;
-/// Limit on walks that drop expired gossip: entries are valid for 40 s and may be dropped late.
+/// Limit on scans of the whole list: one scan takes about 2 ms at 12,000 servers.
+const LIST_SCANS_PER_SECOND: f64 = 2.0;
+/// Limit on scans that drop expired gossip: entries are valid for 40 s and may be dropped late.
 const GOSSIP_EXPIRIES_PER_SECOND: f64 = 0.1;
 
 /// The zones that are searched for candidates.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct CandidateSet {
     candidates: Candidates,
-    list_walks: TokenBucket,
+    list_scans: TokenBucket,
     gossip_expiries: TokenBucket,
     /// Chooses the servers whose health is checked.
     pub health_checks: HealthCheckQueue,
@@ -45,7 +45,7 @@
     fn default() -> Self {
         CandidateSet {
             candidates: Candidates::default(),
-            list_walks: TokenBucket::new(LIST_WALKS_PER_SECOND, LIST_WALKS_PER_SECOND),
+            list_scans: TokenBucket::new(LIST_SCANS_PER_SECOND, LIST_SCANS_PER_SECOND),
             gossip_expiries: TokenBucket::new(GOSSIP_EXPIRIES_PER_SECOND, 1.0),
             health_checks: HealthCheckQueue::default(),
         }
@@ -63,7 +63,7 @@
         self.candidates.remove(server);
     }
 
-    /// Returns the servers to examine for this key, in order of their ids: the key's candidates
+    /// Returns the servers to consider for this key, in order of their ids: the key's candidates
     /// and its `holders`.
     ///
     /// `holders` yields each server that holds own connections of the key, with their number. The
@@ -91,13 +91,13 @@
         scope
     }
 
-    /// Returns whether the whole list may be walked now. If so, the walk is charged to the budget.
+    /// Returns whether the whole list may be scanned now. If so, the scan is charged to the budget.
     pub fn may_walk_list(&mut self, now: u64) -> bool {
-        self.list_walks.try_take(now, 1.0)
+        self.list_scans.try_take(now, 1.0)
     }
 
-    /// Returns whether the entries received by gossip may be walked now to drop the expired ones.
-    /// If so, the walk is charged to the budget.
+    /// Returns whether the entries received by gossip may be scanned now to drop the expired ones.
+    /// If so, the scan is charged to the budget.
     pub fn may_expire_gossip(&mut self, now: u64) -> bool {
         self.gossip_expiries.try_take(now, 1.0)
     }
--- a/crates/candidates/src/health_checks.rs
+++ b/crates/candidates/src/health_checks.rs
@@ -16,8 +16,8 @@
 /// connections. With one common budget, flows would use up all of it, and overloaded servers would
 /// not be found.
 const CHECKS_PER_SECOND_OF_EACH_BUDGET: f64 = HEALTH_CHECKS_PER_SECOND as f64 / 2.0;
-/// Servers of each kind (scheduled again, or with own connections) that are examined for one batch.
-const SERVERS_EXAMINED_PER_BATCH: usize = 48;
+/// Servers of each kind (scheduled again, or with own connections) that are considered for one batch.
+const SERVERS_CONSIDERED_PER_BATCH: usize = 48;
 /// The shortest time between two checks of a server, except for checks that flows wait for.
 const CHECK_INTERVAL_MIN_NANOSECONDS: u64 = 2_000_000_000;
 
@@ -38,7 +38,7 @@
     requested: Vec<ServerId>,
     /// Servers that were overloaded or did not answer, to be checked again.
     urgent: BTreeSet<DueCheck>,
-    /// The last server that was examined for its own connections.
+    /// The last server that was considered for its own connections.
     cursor: ServerId,
 }
 
@@ -102,7 +102,7 @@
         let urgent = self
             .urgent
             .range(..=last_due)
-            .take(SERVERS_EXAMINED_PER_BATCH);
+            .take(SERVERS_CONSIDERED_PER_BATCH);
         let mut checks: Vec<DueCheck> = urgent.copied().collect();
         checks.extend(self.next_by_own_load(now, own, connections, &last_report_at));
         for check in checks {
@@ -130,7 +130,7 @@
         let first = self.cursor.saturating_add(1);
         let from_cursor = own.range(first..).chain(own.range(..first));
         let mut found: Vec<(f64, ServerId)> = Vec::new();
-        for (server, held) in from_cursor.take(SERVERS_EXAMINED_PER_BATCH) {
+        for (server, held) in from_cursor.take(SERVERS_CONSIDERED_PER_BATCH) {
             let age = now.saturating_sub(last_report_at(*server).unwrap_or(now));
             found.push((connections(held) as f64 * age as f64, *server));
             self.cursor = *server;
--- a/crates/candidates/src/lib.rs
+++ b/crates/candidates/src/lib.rs
@@ -1,6 +1,6 @@
 //! A bounded number of candidate servers for each key.
 //!
-//! This crate selects the few servers of a long endpoint list that are examined for a flow or have
+//! This crate selects the few servers of a long endpoint list that are considered for a flow or have
 //! their health checked:
 //!
 //! - [`Candidates`] returns the servers that a key may go to. Balancers with the same list get the
--- a/crates/candidates/src/ring.rs
+++ b/crates/candidates/src/ring.rs
@@ -8,7 +8,7 @@
 /// Points of a server of weight 1. With this number the frequency with which servers are candidates
 /// varies by a tenth, and the points take 270 to 560 bytes per server.
 const POINTS_PER_WEIGHT: f64 = 16.0;
-/// The largest number of points of a server, which bounds memory if all weights of a list are large.
+/// The highest number of points of a server, which bounds memory if all weights of a list are high.
 /// Among heavier servers only the caller's weighted rotation accounts for the weights.
 const POINTS_MAX: f64 = 64.0;
 
@@ -58,7 +58,7 @@
             seen.extend(new.then_some(*server));
             new
         };
-        // `take` ends the walk as soon as all servers have been found.
+        // `take` ends the iteration as soon as all servers have been found.
         from_start
             .map(|(_, server)| *server)
             .filter(is_new)
--- a/crates/candidates/src/token_bucket.rs
+++ b/crates/candidates/src/token_bucket.rs
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// Returns a full bucket that gains `per_second` tokens a second and holds `burst` tokens at
+    /// Returns a full bucket that gains `per_second` tokens per second and holds `burst` tokens at
     /// most.
     pub fn new(per_second: f64, burst: f64) -> Self {
         TokenBucket {
--- a/crates/candidates/src/zones.rs
+++ b/crates/candidates/src/zones.rs
@@ -92,17 +92,17 @@
             .map(|(zone, ring)| (rendezvous_distance(key, *zone, ring.point_count()), ring))
             .collect();
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
-        // A zone's ring is walked only if at least its first server is needed.
-        let mut walks = Vec::new();
+        // A zone's ring is searched only if at least its first server is needed.
+        let mut rings_clockwise = Vec::new();
         for (_, ring) in ranked.iter().take(count - found.len()) {
-            let mut walk = ring.clockwise(key);
-            found.extend(walk.next());
-            walks.push(walk);
+            let mut clockwise = ring.clockwise(key);
+            found.extend(clockwise.next());
+            rings_clockwise.push(clockwise);
         }
         while found.len() < count {
             let before = found.len();
             found.extend(
-                walks
+                rings_clockwise
                     .iter_mut()
                     .filter_map(Iterator::next)
                     .take(count - before),
@@ -114,7 +114,7 @@
     }
 }
 
-/// Returns the zone's distance in weighted rendezvous hashing. The zone with the least distance
+/// Returns the zone's distance in weighted rendezvous hashing. The zone with the lowest distance
 /// comes first, which for each zone happens in proportion to its weight.
 fn rendezvous_distance(key: u64, zone: ZoneId, weight: usize) -> f64 {
     // In (0, 1]: 0 is excluded because its logarithm is infinite.
--- a/crates/candidates/tests/candidate_set.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -1,4 +1,4 @@
-//! The number of servers that a balancer with a long list examines and checks.
+//! The number of servers that a balancer with a long list considers and checks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,10 +35,13 @@
             );
             // A group with ten connections on every server.
             let held: BTreeMap<ServerId, usize> = (0..servers).map(|id| (id, 10)).collect();
-            let examined = list
+            let considered = list
                 .scope(key, zone, ZoneReach::AllZones, held.iter())
                 .len();
-            assert!(examined <= 96, "{servers} servers: {examined} examined");
+            assert!(
+                considered <= 96,
+                "{servers} servers: {considered} considered"
+            );
             if key == 3 {
                 break;
             }
@@ -47,7 +50,7 @@
 }
 
 /// Guards against a large group that fills its few candidates, and against a holder that is not
-/// examined because it is no candidate of the key.
+/// considered because it is no candidate of the key.
 #[test]
 fn scope_grows_with_own_connections_up_to_a_bound_and_contains_holders() {
     let list = candidate_set(6_000);
@@ -75,15 +78,15 @@
     );
 }
 
-/// Guards against a balancer that walks a long list for every flow or gossip message: one walk
+/// Guards against a balancer that scans a long list for every flow or gossip message: one scan
 /// takes about 2 ms at 12,000 servers.
 #[test]
-fn list_walks_and_gossip_expiries_keep_to_their_rates() {
+fn list_scans_and_gossip_expiries_keep_to_their_rates() {
     let mut list = candidate_set(600);
-    let walks = (0..10_000)
+    let scans = (0..10_000)
         .filter(|ms| list.may_walk_list(ms * SEC / 1_000))
         .count();
-    assert!((20..=22).contains(&walks), "{walks} list walks in 10 s");
+    assert!((20..=22).contains(&scans), "{scans} list scans in 10 s");
     let expiries = (0..60_000)
         .filter(|ms| list.may_expire_gossip(ms * SEC / 1_000))
         .count();
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn longest_list_examined_whole_has_200_servers() {
+fn longest_list_scanned_in_full_has_200_servers() {
     assert_eq!(WHOLE_LIST_MAX, 200);
 }
 
--- a/crates/policy/examples/long_lists/main.rs
+++ b/crates/policy/examples/long_lists/main.rs
@@ -25,7 +25,7 @@
 /// Virtual time at which measurements start.
 const T0: Time = 1_000 * SEC;
 
-/// The part of the list that a placement examines.
+/// The part of the list that a placement scans.
 #[derive(Clone, Copy, PartialEq)]
 enum ListView {
     Whole,
--- a/crates/policy/tests/concurrency.rs
+++ b/crates/policy/tests/concurrency.rs
@@ -57,7 +57,7 @@
 
 /// Guards against many balancers that jam a slow store sooner than a few do: 300 balancers each
 /// started with eight attempts in flight, noticed the congestion one by one and until then sent a
-/// Retry-After of a second at most (roll+mass seeds 11 and 15, slow store).
+/// Retry-After of at most one second (roll+mass seeds 11 and 15, slow store).
 #[test]
 fn initial_limit_is_divided_by_balancers_and_congestion_lengthens_retry_after() {
     // Balancers, attempts that one of them may have in flight at the start.
--- a/crates/policy/tests/gossip.rs
+++ b/crates/policy/tests/gossip.rs
@@ -90,7 +90,7 @@
 /// messages in 16 s.
 #[test]
 fn gossip_messages_of_a_balancer_decrease_with_the_number_of_balancers() {
-    // Balancers, largest number of messages in 10 s.
+    // Balancers, highest number of messages in 10 s.
     for (balancers, most) in [(1.0, 100), (30.0, 12), (600.0, 2)] {
         let mut policy = balancer_with(Idempotency::Idempotent, config_with_gossip(balancers));
         policy.update_endpoints(T0, &[ready(0)], true);
--- a/crates/policy/tests/health_checks.rs
+++ b/crates/policy/tests/health_checks.rs
@@ -70,7 +70,7 @@
 /// on a large fleet (colombo-maps-later, big-1).
 #[test]
 fn check_interval_is_two_to_ten_seconds_by_own_connections_and_cost_of_a_check() {
-    // Cost of a check, own connections at the start, least and largest number of checks of one
+    // Cost of a check, own connections at the start, lowest and highest number of checks of one
     // server in 60 s.
     for (cost, own, least, most) in [
         (0.0, 0, 28, 32),
@@ -137,7 +137,7 @@
 /// each of 100 balancers checked 12 servers every 2.9 s for an expected eight flows and got one.
 #[test]
 fn starting_balancers_make_health_checks_for_their_own_part_of_the_expected_flows() {
-    // Balancers, least and largest number of checks of one of them in its first 10 s.
+    // Balancers, lowest and highest number of checks of one of them in its first 10 s.
     for (balancers, least, most) in [(4.0, 36, 72), (12.0, 36, 72), (100.0, 0, 0), (300.0, 0, 0)] {
         let config = PolicyConfig {
             balancers,
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -1,4 +1,4 @@
-//! Placement and health checks on lists that are too long to be examined whole.
+//! Placement and health checks on lists that are too long to be scanned in full.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use nettlemux_candidates::ZoneReach;
 use nettlemux_policy::*;
 
-/// Length of the longest list that is examined whole.
+/// Length of the longest list that is scanned in full.
 const WHOLE_LIST_MAX: u64 = 200;
 /// Candidates of a flow without own connections of its group.
 const CANDIDATES_MIN: usize = 16;
-/// The largest number of servers that the flows of a group may go to: candidates and own holders.
-const EXAMINED_MAX: usize = 96;
+/// The highest number of servers that the flows of a group may go to: candidates and own holders.
+const CONSIDERED_MAX: usize = 96;
 
 /// Returns the settings of one of this many balancers whose health checks have a cost.
 fn config(balancers: f64) -> PolicyConfig {
@@ -178,9 +178,9 @@
 }
 
 /// Guards against flows that are rejected although a server that is no candidate has room, and
-/// against walking the whole list for every such flow.
+/// against scanning the whole list for every such flow.
 #[test]
-fn whole_list_is_examined_at_a_limited_rate_if_all_candidates_are_full() {
+fn whole_list_is_scanned_at_a_limited_rate_if_all_candidates_are_full() {
     let list = servers(600);
     let mut candidates = nettlemux_candidates::CandidateSet::default();
     list.iter()
@@ -227,7 +227,7 @@
     assert_eq!(
         placed.len(),
         2,
-        "flows placed differ from the permitted walks over the whole list: {placed:?}"
+        "flows placed differ from the permitted scans of the whole list: {placed:?}"
     );
 }
 
@@ -281,7 +281,7 @@
             unrequested > 20,
             "{count} servers: {unrequested} checks that no flow waits for"
         );
-        // The budget is ten checks a second for 20 s and ten at once at the start, of which flows
+        // The budget is ten checks per second for 20 s and ten at once at the start, of which flows
         // get half at most.
         assert!(
             checks > 20 * 5 + 5,
@@ -383,43 +383,43 @@
     }
 }
 
-/// The setting for the longest list that is examined whole must not change decisions on a list that
-/// is examined whole anyway.
+/// The setting for the longest list that is scanned in full must not change decisions on a list that
+/// is scanned in full anyway.
 #[test]
-fn list_of_200_servers_gives_the_same_decisions_if_all_lists_are_examined_whole() {
+fn list_of_200_servers_gives_the_same_decisions_if_all_lists_are_scanned_in_full() {
     let list = servers(WHOLE_LIST_MAX);
     let whole_list = EndpointConfig {
         whole_list_max: usize::MAX,
         ..EndpointConfig::default()
     };
-    let examines_all = PolicyConfig {
+    let scans_all = PolicyConfig {
         endpoints: whole_list,
         ..config(1_400.0)
     };
-    let (mut by_default, mut always_whole) = (balancer(1, 3), balancer_with(1, 3, examines_all));
-    for policy in [&mut by_default, &mut always_whole] {
+    let (mut by_default, mut always_scanned) = (balancer(1, 3), balancer_with(1, 3, scans_all));
+    for policy in [&mut by_default, &mut always_scanned] {
         policy.update_endpoints(T0, &list, true);
     }
     for id in 0..500 {
         let now = T0 + id * 20 * MS;
         let flow = of_group(now, id, &format!("g{}", id % 50));
         let utilization = |server_id: ServerId| 0.3 + (server_id % 7) as f64 * 0.05;
-        let (placed_by_default, placed_always_whole) = (
+        let (placed_by_default, placed_always_scanned) = (
             place(&mut by_default, now, &flow, utilization),
-            place(&mut always_whole, now, &flow, utilization),
+            place(&mut always_scanned, now, &flow, utilization),
         );
-        assert_eq!(placed_by_default, placed_always_whole, "flow {id}");
+        assert_eq!(placed_by_default, placed_always_scanned, "flow {id}");
         let connected = PolicyEvent::Connected { flow: id, took: MS };
         assert_eq!(
             by_default.on_event(now, connected),
-            always_whole.on_event(now, connected),
+            always_scanned.on_event(now, connected),
             "flow {id}"
         );
     }
 }
 
 /// Guards against servers that are lost, or stay although removed, when the list passes the length
-/// up to which it is examined whole.
+/// up to which it is scanned in full.
 #[test]
 fn flows_go_to_listed_servers_while_the_list_grows_and_shrinks_past_the_limit() {
     let mut policy = balancer(1, 3);
@@ -460,7 +460,7 @@
         *placed.entry(server_id).or_default() += 1;
     }
     assert!(
-        placed.len() > 1 && placed.len() <= EXAMINED_MAX,
+        placed.len() > 1 && placed.len() <= CONSIDERED_MAX,
         "{placed:?}"
     );
 }
--- a/crates/policy/tests/migration.rs
+++ b/crates/policy/tests/migration.rs
@@ -8,7 +8,7 @@
 /// Guards against migrations that move more clients than the overload requires.
 #[test]
 fn largest_connections_migrate_until_they_cover_the_excess_fraction() {
-    // Utilization, loads of own connections 0, 1, ..., least and largest number of migrations.
+    // Utilization, loads of own connections 0, 1, ..., lowest and highest number of migrations.
     for (utilization, loads, least, most) in [
         (0.8, vec![5.0, 1.0, 1.0], 0, 0),
         (0.81, vec![1.0; 100], 1, 2),
@@ -113,9 +113,9 @@
         report,
     };
     policy.adopt_connection(&flow(T0, 7), 0);
-    policy.on_event(T0, checked(report(0.8, Some(2.0)))); // 0.4 each
+    policy.on_event(T0, checked(report(0.8, Some(2.0)))); // Estimate: 0.4 per connection.
     policy.adopt_connection(&flow(T0, 3), 0);
-    policy.on_event(T0, checked(report(0.3, Some(3.0)))); // 0.1 each
+    policy.on_event(T0, checked(report(0.3, Some(3.0)))); // Estimate: 0.1 per connection.
     let actions = policy.on_event(T0, checked(report(1.79, None)));
     assert_eq!(actions.migrate[0], 7);
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -63,7 +63,7 @@
 }
 
 /// Guards against a storm of attempts that raises the budget of a warming server, and against a
-/// server that restarts under the same id and is taken for warm.
+/// server that restarts under the same id and is treated as warm.
 #[test]
 fn warming_server_gets_its_share_of_the_ramp_rate_only() {
     for (storm, restart) in [(false, false), (true, false), (false, true)] {
@@ -102,7 +102,7 @@
             }],
             false,
         );
-        // Two flows a second go to three servers. The warming server has 0.2 to 0.3 of its capacity
+        // Two flows per second go to three servers. The warming server has 0.2 to 0.3 of its capacity
         // in this span.
         let mut sent = 0;
         for _ in 0..if storm { 400 } else { 8 } {
@@ -143,10 +143,10 @@
     }
     // Fifteen connections fill each warm server to 0.79. The budget is four times the connections
     // that fill a server in 8 s, times the overload multiple of three, times the present capacity
-    // of the warming server, 0.84: 24 in a second, up to twice as many by the powers of two, give
+    // of the warming server, 0.84: 24 per second, up to twice as many by the powers of two, give
     // or take chance.
     assert!(
         (8..=60).contains(&sent),
-        "{sent} attempts of {balancers} balancers in a second"
+        "{sent} attempts of {balancers} balancers in one second"
     );
 }
