--- a/crates/candidates/tests/candidate_set.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -9,9 +9,9 @@
 const ZONES: u64 = 31;
 
 fn candidate_set(servers: u64) -> CandidateSet {
-    let mut list = CandidateSet::default();
-    (0..servers).for_each(|id| list.insert(id, id % ZONES, 1.0));
-    list
+    let mut candidates = CandidateSet::default();
+    (0..servers).for_each(|id| candidates.insert(id, id % ZONES, 1.0));
+    candidates
 }
 
 /// Guards against placements whose cost grows with the length of the list, also if a group is held
@@ -19,23 +19,25 @@
 #[test]
 fn scope_is_bounded_for_lists_of_any_length() {
     for servers in [WHOLE_LIST_MAX as u64 + 1, 600, 3_000, 12_000, 50_000] {
-        let list = candidate_set(servers);
+        let candidates = candidate_set(servers);
         for key in 0..200 {
             let zone = key % ZONES;
             assert!(
-                list.scope(key, zone, ZoneReach::OwnZone, [].into_iter())
+                candidates
+                    .scope(key, zone, ZoneReach::OwnZone, [].into_iter())
                     .len()
                     <= 12
             );
             assert_eq!(
-                list.scope(key, zone, ZoneReach::AllZones, [].into_iter())
+                candidates
+                    .scope(key, zone, ZoneReach::AllZones, [].into_iter())
                     .len(),
                 16,
                 "{servers} servers"
             );
             // A group with ten connections on every server.
             let held: BTreeMap<ServerId, usize> = (0..servers).map(|id| (id, 10)).collect();
-            let considered = list
+            let considered = candidates
                 .scope(key, zone, ZoneReach::AllZones, held.iter())
                 .len();
             assert!(
@@ -53,10 +55,10 @@
 /// considered because it is no candidate of the key.
 #[test]
 fn scope_grows_with_own_connections_up_to_a_bound_and_contains_holders() {
-    let list = candidate_set(6_000);
+    let candidates = candidate_set(6_000);
     let sizes = [0, 1, 40, 279, 100_000].map(|own| {
         let held = BTreeMap::from([(5_999, own)]);
-        let scope = list.scope(1, 3, ZoneReach::AllZones, held.iter());
+        let scope = candidates.scope(1, 3, ZoneReach::AllZones, held.iter());
         assert!(scope.contains(&5_999) && scope.is_sorted());
         scope.len()
     });
@@ -68,11 +70,11 @@
 
 #[test]
 fn removed_server_is_not_in_scope() {
-    let mut list = candidate_set(600);
-    let first = list.scope(1, 3, ZoneReach::OwnZone, [].into_iter())[0];
-    list.remove(first);
+    let mut candidates = candidate_set(600);
+    let first = candidates.scope(1, 3, ZoneReach::OwnZone, [].into_iter())[0];
+    candidates.remove(first);
     assert!(
-        !list
+        !candidates
             .scope(1, 3, ZoneReach::AllZones, [].into_iter())
             .contains(&first)
     );
@@ -82,13 +84,13 @@
 /// takes about 2 ms at 12,000 servers.
 #[test]
 fn list_scans_and_gossip_expiries_keep_to_their_rates() {
-    let mut list = candidate_set(600);
+    let mut candidates = candidate_set(600);
     let scans = (0..10_000)
-        .filter(|ms| list.may_walk_list(ms * SEC / 1_000))
+        .filter(|ms| candidates.may_walk_list(ms * SEC / 1_000))
         .count();
     assert!((20..=22).contains(&scans), "{scans} list scans in 10 s");
     let expiries = (0..60_000)
-        .filter(|ms| list.may_expire_gossip(ms * SEC / 1_000))
+        .filter(|ms| candidates.may_expire_gossip(ms * SEC / 1_000))
         .count();
     assert!(
         (6..=7).contains(&expiries),
