--- a/crates/balancer/tests/configuration.rs
+++ b/crates/balancer/tests/configuration.rs
@@ -240,7 +240,7 @@
         (
             "\"settings\"",
             "\"setings\"",
-            "'setings': unknown; is 'settings' meant?",
+            "'setings': unknown; did you mean 'settings'?",
         ),
     ] {
         let (good, text) = check(&EXAMPLE.replacen(from, to, 1));
@@ -255,12 +255,12 @@
         (
             "\"limits\"",
             "\"limts\"",
-            "'limts': unknown; is 'limits' meant?",
+            "'limts': unknown; did you mean 'limits'?",
         ),
         (
             "\"sockets\"",
             "\"socket\"",
-            "'limits.socket': unknown; is 'sockets' meant?",
+            "'limits.socket': unknown; did you mean 'sockets'?",
         ),
         (
             "\"limits\"",
@@ -321,7 +321,7 @@
     let output = command("check").output().unwrap();
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        !output.status.success() && text.contains("'log.formt': unknown; is 'format' meant?"),
+        !output.status.success() && text.contains("'log.formt': unknown; did you mean 'format'?"),
         "{text}"
     );
     std::fs::write(&operator, "[log]\nformat = \"json\"\n").unwrap();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! The settings of a deployment: those of the platform, which a balancer gets at its start, and the
-//! operator's file, by which operators switch features on.
+//! The settings of a deployment: the platform's settings, which a balancer receives at startup, and
+//! the operator's file, in which operators enable optional features.
 //!
-//! The package owns the names, units and defaults of all settings; [`platform`] and [`operator`]
-//! map them to the terms of the other packages. It makes the load balancing policy from the
-//! platform's settings. It must never decide anything, reach for a file or act on what it reads.
+//! This crate owns the names, units and defaults of all settings; [`platform`] and [`operator`]
+//! convert them to the types of the other crates. It builds the load balancing policy from the
+//! platform's settings. It must never make decisions, access files or act on the values it reads.
 
 #![warn(missing_docs)]
 
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,43 +1,43 @@
-//! Checks of names in any file: an unknown one is reported with the nearest known one.
+//! Checks for unknown names in files. An unknown name is reported with the nearest known name.
 
 use thiserror::Error;
 
-/// Edits by which a short name may differ from the one that is meant.
-const EDITS_MAX: usize = 2;
-/// The part of a long name's characters that may differ, as a divisor of its length.
-const EDITED_PART: usize = 3;
+/// The number of edits by which a short name may differ from the suggested name.
+const SHORT_NAME_EDITS_MAX: usize = 2;
+/// A longer name may differ by one edit for each this many of its characters.
+const CHARACTERS_PER_EDIT: usize = 3;
 
-/// A name that nothing reads. It displays as its hint.
+/// A name that is not known. `Display` prints its hint.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{hint}")]
 pub struct UnknownName {
     /// The name as it was written.
     pub name: String,
-    /// What may be meant by it.
+    /// What the name may have been meant to be.
     pub hint: NameHint,
 }
 
-/// What may be meant by an unknown name.
+/// What an unknown name may have been meant to be.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NameHint {
-    /// The known name that is near enough to be meant.
-    #[error("unknown; is '{0}' meant?")]
+    /// The nearest known name, if it is close enough to be a likely correction.
+    #[error("unknown; did you mean '{0}'?")]
     Nearest(String),
-    /// All known names, where none is near enough.
-    #[error("unknown; there are {}", .0.join(", "))]
+    /// All known names, if none is close enough.
+    #[error("unknown; expected one of {}", .0.join(", "))]
     Known(Vec<String>),
 }
 
-/// Returns the known name that is nearest to `name` by its Damerau-Levenshtein distance, `None`
-/// where none is near enough to be meant.
+/// Returns the known name with the smallest Damerau-Levenshtein distance to `name`; `None` if no
+/// known name is close enough to be a likely correction.
 pub fn nearest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let distance = |other: &str| strsim::damerau_levenshtein(name, other);
     let nearest = known.into_iter().min_by_key(|other| distance(other))?;
-    let distance_max = (name.chars().count() / EDITED_PART).max(EDITS_MAX);
-    (distance(nearest) <= distance_max).then_some(nearest)
+    let edits_max = (name.chars().count() / CHARACTERS_PER_EDIT).max(SHORT_NAME_EDITS_MAX);
+    (distance(nearest) <= edits_max).then_some(nearest)
 }
 
-/// Returns each of the names that isn't known, with what may be meant by it.
+/// Returns the names that are not in `known`, each with a hint.
 pub fn unknown_names<'a>(
     names: impl IntoIterator<Item = &'a str>,
     known: &[&str],
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's file, TOML: each feature that operators may switch on has a table of its own and
-//! is off where its table is missing.
+//! The operator's file, in TOML. Each optional feature has a table of its own and is disabled if
+//! that table is missing.
 
 mod admission;
 mod deprecated;
@@ -17,10 +17,11 @@
 pub use self::peers::Peers;
 pub use self::schema::schema;
 
-/// Reads the text of an operator's file.
+/// Parses the text of an operator's file.
 ///
 /// # Errors
-/// Names the key at fault, an unknown one with the nearest known one.
+/// If the file is invalid. The error names the key, or the line if the key can't be determined. For
+/// an unknown key it also names the nearest known key.
 pub fn parse(text: &str) -> Result<OperatorFile, OperatorFileError> {
     let invalid = |e| OperatorFileError::invalid(e, text);
     let table: toml::Table = text.parse().map_err(invalid)?;
--- a/crates/settings/src/operator/admission.rs
+++ b/crates/settings/src/operator/admission.rs
@@ -17,49 +17,52 @@
 const TABLE_SIZE_MAX: usize = 1_000_000;
 const WEIGHTS: RangeInclusive<f64> = 0.001..=1000.0;
 
-/// Admission control before the policy: fair queues, limits of each key, and a Retry-After that
-/// is as long as the queue needs.
+/// Admission control, which runs before the load balancing policy: fair queues, limits for each
+/// key, and a Retry-After as long as the queue needs to empty.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionSettings {
-    /// What the keys are that have a queue and limits each.
+    /// What identifies a key. Each key has its own queue and limits.
     pub by: AdmissionKey,
-    /// Flows that may wait in all.
+    /// Maximum number of waiting flows of all keys together.
     #[schemars(range(min = 1, max = QUEUE_LIMIT_MAX))]
     pub waiting: usize,
-    /// Flows of one key that may wait.
+    /// Maximum number of waiting flows of one key.
     #[schemars(range(min = 1, max = QUEUE_LIMIT_PER_KEY_MAX))]
     pub waiting_each: usize,
-    /// Flows that the policy may have queued before no other is admitted.
+    /// Number of flows queued by the policy at which no further flow is admitted.
     #[schemars(range(min = 1, max = POLICY_QUEUE_LIMIT_MAX))]
     pub held: usize,
-    /// New flows a second of one key; 0: no limit.
+    /// Maximum number of new flows per second of one key. 0 means no limit.
     pub rate: f64,
-    /// New flows of one key that may come at once, where there is a rate.
+    /// Maximum number of new flows of one key at once. Only used if `rate` is not 0.
     pub burst: f64,
-    /// Connections that one key may have; 0: no limit.
+    /// Maximum number of connections of one key. 0 means no limit.
     pub open: usize,
-    /// Retries of clients that each connected flow pays for; 0: no limit.
+    /// Number of client retries that each connected flow adds to the retry budget. 0 means no limit
+    /// on retries.
     pub retries: f64,
-    /// Retries that may be saved up, where they are limited.
+    /// Maximum number of retries in the retry budget. Only used if `retries` is not 0.
     pub saved: f64,
-    /// Slots in the tables of rates and promises, 24 bytes each.
+    /// Number of slots in each of the tables of rates and of promised Retry-After times. A slot takes
+    /// 24 bytes.
     #[schemars(range(min = TABLE_SIZE_MIN, max = TABLE_SIZE_MAX))]
     pub table: usize,
-    /// Weights of tenants by name, where they aren't 1; only where the keys are tenants.
+    /// Weights of tenants, by tenant name. A tenant that is not listed has weight 1. Only allowed if
+    /// `by` is `tenant`.
     pub weights: BTreeMap<String, f64>,
 }
 
-/// What the keys of admission control are.
+/// What identifies a key of admission control.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "By")]
 pub enum AdmissionKey {
-    /// The tenant that a first line names.
+    /// The tenant named in the first line.
     #[default]
     #[serde(alias = "customer")]
     Tenant,
-    /// The client: the group that a first line names, else the flow's key.
+    /// The client: the group named in the first line, or the flow's key if no group is named.
     Client,
 }
 
@@ -83,8 +86,8 @@
 }
 
 impl AdmissionSettings {
-    /// Returns the configuration of admission control. `key_of` returns the key of a tenant by its
-    /// name, or `None` where the tenant has no weight.
+    /// Returns the configuration of admission control. `key_of` maps a tenant's name to its key, or
+    /// to `None` if the tenant's weight is to be ignored.
     pub fn config(
         &self,
         max_retry_after: Time,
@@ -108,17 +111,17 @@
         }
     }
 
-    /// Checks what the form alone can't. `table` is what the file calls this table.
+    /// Checks the values, which deserialization doesn't. `table` is this table's name in the file.
     pub(super) fn check(&self, table: &str) -> Result<(), OperatorFileError> {
         let checks = self.check_counts().and_then(|()| self.check_numbers());
         let checks = checks.and_then(|()| self.check_weights());
-        checks.map_err(|Fault { key, problem }| OperatorFileError {
+        checks.map_err(|InvalidKey { key, problem }| OperatorFileError {
             key: format!("{table}.{key}"),
             problem,
         })
     }
 
-    fn check_counts(&self) -> Result<(), Fault> {
+    fn check_counts(&self) -> Result<(), InvalidKey> {
         for (key, count, range) in [
             ("waiting", self.waiting, 1..=QUEUE_LIMIT_MAX),
             (
@@ -132,13 +135,13 @@
             if !range.contains(&count) {
                 let (min, max) = range.into_inner();
                 let problem = OperatorFileProblem::CountOutOfRange { count, min, max };
-                return Err(Fault::new(key, problem));
+                return Err(InvalidKey::new(key, problem));
             }
         }
         Ok(())
     }
 
-    fn check_numbers(&self) -> Result<(), Fault> {
+    fn check_numbers(&self) -> Result<(), InvalidKey> {
         for (key, number) in [
             ("rate", self.rate),
             ("burst", self.burst),
@@ -146,13 +149,16 @@
             ("saved", self.saved),
         ] {
             if !number.is_finite() || number < 0.0 {
-                return Err(Fault::new(key, OperatorFileProblem::NotFromZeroUp(number)));
+                return Err(InvalidKey::new(
+                    key,
+                    OperatorFileProblem::NegativeOrNotFinite(number),
+                ));
             }
         }
         Ok(())
     }
 
-    fn check_weights(&self) -> Result<(), Fault> {
+    fn check_weights(&self) -> Result<(), InvalidKey> {
         let mut weights = self.weights.iter();
         if let Some((name, weight)) = weights.find(|(_, weight)| !WEIGHTS.contains(*weight)) {
             let problem = OperatorFileProblem::WeightOutOfRange {
@@ -160,25 +166,28 @@
                 min: *WEIGHTS.start(),
                 max: *WEIGHTS.end(),
             };
-            return Err(Fault::new(&format!("weights.{name}"), problem));
+            return Err(InvalidKey::new(&format!("weights.{name}"), problem));
         }
         if !self.weights.is_empty() && self.by == AdmissionKey::Client {
-            return Err(Fault::new("weights", OperatorFileProblem::WeightsByClient));
+            return Err(InvalidKey::new(
+                "weights",
+                OperatorFileProblem::WeightsByClient,
+            ));
         }
         Ok(())
     }
 }
 
-/// A fault in this table.
-struct Fault {
-    /// The key without its table.
+/// An invalid key in this table.
+struct InvalidKey {
+    /// The key, without the table's name.
     key: String,
     problem: OperatorFileProblem,
 }
 
-impl Fault {
+impl InvalidKey {
     fn new(key: &str, problem: OperatorFileProblem) -> Self {
-        Fault {
+        InvalidKey {
             key: key.to_string(),
             problem,
         }
--- a/crates/settings/src/operator/deprecated.rs
+++ b/crates/settings/src/operator/deprecated.rs
@@ -1,15 +1,15 @@
-//! Names of an earlier version, which are still read.
+//! Deprecated names of keys and values, which are still accepted.
 
-/// A key or value that the file has under the name of an earlier version.
+/// A key or value that the file has under its deprecated name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeprecatedName {
-    /// What the file has, with its tables before it.
+    /// The deprecated name in the file, with the path of its tables.
     pub old: &'static str,
-    /// What it is called now.
+    /// The current name.
     pub new: &'static str,
 }
 
-/// Keys that have been renamed, by their paths.
+/// The paths of renamed keys.
 const RENAMED_KEYS: [DeprecatedName; 2] = [
     DeprecatedName {
         old: "door",
@@ -20,16 +20,16 @@
         new: "peers.addresses",
     },
 ];
-/// The paths under which a file may have the key of admission control.
+/// The paths at which a file may set what identifies a key of admission control.
 const ADMISSION_KEY_PATHS: [&str; 2] = ["admission.by", "door.by"];
-/// The key of admission control that has been renamed.
-const RENAMED_ADMISSION_KEY: &str = "customer";
-const RENAMED_BY: DeprecatedName = DeprecatedName {
+/// The deprecated value at these paths.
+const DEPRECATED_ADMISSION_KEY: &str = "customer";
+const RENAMED_ADMISSION_KEY: DeprecatedName = DeprecatedName {
     old: "by = \"customer\"",
     new: "by = \"tenant\"",
 };
 
-/// Returns what the file has under the names of an earlier version.
+/// Returns the deprecated names in the file.
 pub(super) fn deprecated_names(file: &toml::Table) -> Vec<DeprecatedName> {
     let value = |path: &str| {
         let mut keys = path.split('.');
@@ -39,19 +39,19 @@
     let mut deprecated = RENAMED_KEYS.to_vec();
     deprecated.retain(|key| value(key.old).is_some());
     let admission_key = ADMISSION_KEY_PATHS.into_iter().find_map(value);
-    if admission_key.and_then(toml::Value::as_str) == Some(RENAMED_ADMISSION_KEY) {
-        deprecated.push(RENAMED_BY);
+    if admission_key.and_then(toml::Value::as_str) == Some(DEPRECATED_ADMISSION_KEY) {
+        deprecated.push(RENAMED_ADMISSION_KEY);
     }
     deprecated
 }
 
-/// Returns what the file calls the key whose current path is `current`.
+/// Returns the path in the file of the key whose current path is `current`.
 pub(super) fn name_in_file(current: &'static str, deprecated: &[DeprecatedName]) -> &'static str {
     let renamed = deprecated.iter().find(|key| key.new == current);
     renamed.map_or(current, |key| key.old)
 }
 
-/// Returns the current name of the file's key `name`, whose path is `path`.
+/// Returns the current name of the key that has the name `name` and the path `path` in the file.
 pub(super) fn current_name<'a>(path: &str, name: &'a str) -> &'a str {
     let renamed = RENAMED_KEYS.iter().find(|renamed| renamed.old == path);
     renamed.map_or(name, |renamed| {
--- a/crates/settings/src/operator/error.rs
+++ b/crates/settings/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an operator's file.
+//! Errors in an operator's file.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,19 @@
 
 use crate::names::NameHint;
 
-/// A fault in an operator's file, and where it is.
+/// An error in an operator's file, with the key that it was found at.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("operator's file, key '{key}': {problem}")]
 pub struct OperatorFileError {
-    /// The key at fault with its tables before it, or the line in parentheses.
+    /// The path of the invalid key, or the line number in parentheses.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with the key.
     #[source]
     pub problem: OperatorFileProblem,
 }
 
 impl OperatorFileError {
-    /// The error for a text that is no TOML, or TOML of another form.
+    /// The error for text that is not valid TOML, or that does not match the file's structure.
     pub(super) fn invalid(error: toml::de::Error, text: &str) -> Self {
         let line = error.span().map_or(1, |span| {
             let before = &text[..span.start.min(text.len())];
@@ -34,50 +34,53 @@
 /// What is wrong with a key of an operator's file.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum OperatorFileProblem {
-    /// The text is no TOML, or a value has the wrong type.
+    /// The text is not valid TOML, or a value has the wrong type.
     #[error("{}", .0.message())]
     Invalid(#[source] toml::de::Error),
     /// The key is unknown.
     #[error("{0}")]
     UnknownKey(#[source] NameHint),
     /// A count is out of its range.
-    #[error("{count} is not from {min} to {max}")]
+    #[error("expected a number from {min} to {max}, got {count}")]
     CountOutOfRange {
         /// The count in the file.
         count: usize,
-        /// The least that is allowed.
+        /// The lowest allowed value.
         min: usize,
-        /// The most that is allowed.
+        /// The highest allowed value.
         max: usize,
     },
     /// A number is negative or not finite.
-    #[error("{0} is not from 0 up")]
-    NotFromZeroUp(f64),
+    #[error("expected a finite number of at least 0, got {0}")]
+    NegativeOrNotFinite(f64),
     /// The weight of a key is out of its range.
-    #[error("{weight} is not from {min} to {max}")]
+    #[error("expected a weight from {min} to {max}, got {weight}")]
     WeightOutOfRange {
         /// The weight in the file.
         weight: f64,
-        /// The least that is allowed.
+        /// The lowest allowed value.
         min: f64,
-        /// The most that is allowed.
+        /// The highest allowed value.
         max: f64,
     },
-    /// Weights belong to tenants, and the file has clients as keys.
-    #[error("there are none where turns are by client")]
+    /// Weights apply to tenants only, but the file sets clients as keys.
+    #[error("weights apply to tenants only, but admission control is by client")]
     WeightsByClient,
     /// The list of addresses is too long.
-    #[error("{count} are over {max}")]
+    #[error("expected at most {max} addresses, got {count}")]
     TooManyAddresses {
-        /// The addresses in the file.
+        /// The number of addresses in the file.
         count: usize,
-        /// The most that are allowed.
+        /// The maximum number of addresses.
         max: usize,
     },
-    /// An address can't be reached from the balancer's own.
-    #[error("{address} can't be reached from {listen}")]
+    /// An address can't be reached from the balancer's own address: it has another IP version, or
+    /// port 0.
+    #[error(
+        "{address} can't be reached from {listen}: expected the same IP version and a port other than 0"
+    )]
     UnreachableAddress {
-        /// The address.
+        /// The unreachable address.
         address: SocketAddr,
         /// The balancer's own address.
         listen: SocketAddr,
--- a/crates/settings/src/operator/file.rs
+++ b/crates/settings/src/operator/file.rs
@@ -8,21 +8,21 @@
 use super::log::Log;
 use super::peers::Peers;
 
-/// The whole file; without one, the defaults.
+/// The operator's file. Without a file, all settings have their defaults.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Operator")]
 pub struct OperatorFile {
-    /// The log.
+    /// Format and level of the log.
     pub log: Log,
-    /// Admission control; none where this table is missing.
+    /// Admission control. Disabled if this table is missing.
     #[serde(alias = "door", skip_serializing_if = "Option::is_none")]
     pub admission: Option<AdmissionSettings>,
-    /// Gossip between balancers over UDP, where the settings allow it; none where this table is
-    /// missing.
+    /// Gossip between balancers over UDP, if the platform's settings allow it. Disabled if this
+    /// table is missing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peers: Option<Peers>,
-    /// Keys and values that the file has under the names of an earlier version.
+    /// Keys and values that the file has under deprecated names.
     #[serde(skip)]
     pub deprecated: Vec<DeprecatedName>,
 }
--- a/crates/settings/src/operator/log.rs
+++ b/crates/settings/src/operator/log.rs
@@ -1,26 +1,26 @@
-//! What the log looks like.
+//! Format and level of the log.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What the log looks like.
+/// Format and level of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The form of a line.
+    /// The format of a log line.
     pub format: Format,
-    /// The least severe level that is logged; the command line's goes before it.
+    /// The least severe level that is logged. A level on the command line overrides it.
     pub level: Level,
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// Lines for people.
+    /// Human-readable lines.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -29,7 +29,7 @@
 #[serde(rename_all = "lowercase")]
 #[expect(
     missing_docs,
-    reason = "docs of single levels would change the form of the schema"
+    reason = "doc comments on the levels would change the structure of the schema"
 )]
 pub enum Level {
     Error,
--- a/crates/settings/src/operator/peers.rs
+++ b/crates/settings/src/operator/peers.rs
@@ -1,4 +1,4 @@
-//! The other balancers, for gossip.
+//! The addresses of the other balancers, for gossip.
 
 use std::net::SocketAddr;
 
@@ -7,32 +7,33 @@
 
 use super::error::{OperatorFileError, OperatorFileProblem};
 
-/// The most addresses: each gossip message goes to all of them at once.
+/// Limits the number of addresses, as each gossip message is sent to all of them at once.
 const ADDRESSES_MAX: usize = 1024;
 
-/// Where the other balancers are.
+/// The addresses of the other balancers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// The balancer's own address for gossip, an address with a port.
+    /// The balancer's own address for gossip: an IP address and a port.
     pub listen: SocketAddr,
-    /// The other balancers' addresses. The own one among them is passed over, so that all may have
-    /// one list.
+    /// The other balancers' addresses. The balancer's own address is ignored, so that all balancers
+    /// can have the same list.
     #[serde(default, alias = "to")]
     #[schemars(length(max = ADDRESSES_MAX))]
     pub addresses: Vec<SocketAddr>,
 }
 
 impl Peers {
-    /// Checks what the form alone can't. `key` is what the file calls the addresses.
+    /// Checks the values, which deserialization doesn't. `key` is the path of the addresses in the
+    /// file.
     pub(super) fn check(&self, key: &str) -> Result<(), OperatorFileError> {
-        let fault = |problem| OperatorFileError {
+        let invalid = |problem| OperatorFileError {
             key: key.to_string(),
             problem,
         };
         let count = self.addresses.len();
         if count > ADDRESSES_MAX {
-            return Err(fault(OperatorFileProblem::TooManyAddresses {
+            return Err(invalid(OperatorFileProblem::TooManyAddresses {
                 count,
                 max: ADDRESSES_MAX,
             }));
@@ -41,7 +42,7 @@
             address.is_ipv4() != self.listen.is_ipv4() || address.port() == 0
         };
         match self.addresses.iter().find(unreachable) {
-            Some(address) => Err(fault(OperatorFileProblem::UnreachableAddress {
+            Some(address) => Err(invalid(OperatorFileProblem::UnreachableAddress {
                 address: *address,
                 listen: self.listen,
             })),
--- a/crates/settings/src/operator/schema.rs
+++ b/crates/settings/src/operator/schema.rs
@@ -1,4 +1,4 @@
-//! The JSON schema of the operator's file, and the check of a file's keys against it.
+//! The JSON schema of the operator's file, and the check of a file's keys against this schema.
 
 use serde_json::Value;
 
@@ -12,13 +12,14 @@
     schemars::schema_for!(OperatorFile).to_value()
 }
 
-/// Checks that each key of the file is in the schema, in every table.
+/// Checks that each key of the file, in every table, is in the schema.
 pub(super) fn check_keys(file: &toml::Value) -> Result<(), OperatorFileError> {
     let schema = schema();
     check_value(file, &schema, &schema, "")
 }
 
-/// Checks the keys of `value`, which has the path `path` and the schema `schema` within `root`.
+/// Checks the keys of `value`, whose path is `path` and whose schema is `schema`. References in
+/// `schema` are resolved in `root`.
 fn check_value(
     value: &toml::Value,
     schema: &Value,
@@ -48,7 +49,8 @@
     Ok(())
 }
 
-/// Follows the references of a schema. An optional table has its reference beside `null`.
+/// Resolves the references of a schema. The schema of an optional table has alternatives: a
+/// reference and `null`.
 fn resolve<'a>(schema: &'a Value, root: &'a Value) -> &'a Value {
     let reference = schema.get("$ref").and_then(Value::as_str);
     let target = reference.and_then(|reference| root.pointer(reference.strip_prefix('#')?));
--- a/crates/settings/src/platform/keys.rs
+++ b/crates/settings/src/platform/keys.rs
@@ -1,10 +1,10 @@
-//! The platform's names for its settings, and for their values. They stand here and nowhere else.
+//! The platform's names of its settings and of their values. No other module contains these names.
 //!
-//! The parts of a path are set apart by `/`.
+//! The parts of a path are separated by `/`.
 
-/// The field that settings which stand alone are reported under.
+/// The field name in errors about settings that are a JSON text of their own.
 pub(super) const STANDALONE: &str = "conf";
-/// The field that settings inside another object are reported under.
+/// The field name in errors about settings embedded in another object.
 pub(super) const EMBEDDED: &str = "settings";
 
 pub(super) const BATCH_INTERVAL: &str = "tick";
@@ -12,15 +12,15 @@
 pub(super) const BALANCERS: &str = "replicas-of-me";
 pub(super) const SURPLUS_WEIGHT: &str = "surplus-value";
 
-// Lists whose entries are numbered by their places.
+// Lists. The number of an entry is its index.
 pub(super) const ZONES: &str = "areas";
 pub(super) const MACHINE_MODELS: &str = "models";
 pub(super) const TRAFFIC_CLASSES: &str = "service-types";
 pub(super) const TENANTS: &str = "accounts";
-/// The name of an entry of any list.
+/// The name of an entry, in any of these lists.
 pub(super) const NAME: &str = "name";
 
-// Of a traffic class.
+// Settings of a traffic class.
 pub(super) const FLOW_TIMEOUT: &str = "hard-limit";
 pub(super) const LATENCY_OBJECTIVE: &str = "setup-target";
 pub(super) const PRIORITY_WEIGHT: &str = "value";
@@ -34,10 +34,10 @@
 pub(super) const SCOPE_CELL: &str = "cell";
 pub(super) const DEDUPLICATION_WINDOW: &str = "window";
 
-// Of a tenant.
+// Settings of a tenant.
 pub(super) const QUOTA: &str = "fraction";
 
-// What a balancer may do.
+// Permissions and limits of a balancer.
 pub(super) const ATTEMPTS_MAX: &str = "limits/max-connects";
 pub(super) const HEDGING_ALLOWED: &str = "limits/second-copies";
 pub(super) const CANCELLATION_ALLOWED: &str = "limits/may-cancel";
@@ -64,6 +64,6 @@
 pub(super) const LOAD_REPORTS: &str = "report/how";
 pub(super) const LOAD_REPORTS_NONE: &str = "silent";
 pub(super) const X0_MEANING: &str = "specifics/report-x0";
-/// A part of the meaning of `x0`, by which it is load over capacity.
+/// If the meaning of `x0` contains this text, `x0` is load over capacity.
 pub(super) const X0_IS_UTILIZATION: &str = "over what it can do";
 pub(super) const GROUPS: &str = "specifics/groups";
--- a/crates/settings/src/platform/policy.rs
+++ b/crates/settings/src/platform/policy.rs
@@ -1,4 +1,4 @@
-//! The load balancing policy of a deployment.
+//! Building the load balancing policy of a deployment from its settings.
 
 use nettlemux_policy::{
     EndpointConfig, GossipConfig, HealthCheckConfig, MS, MigrationConfig, Policy, PolicyConfig,
@@ -9,19 +9,24 @@
 use super::values::Settings;
 use crate::error::SettingsError;
 
-/// Where the settings limit slow start and leave out a value, the strictest of any deployment
-/// stands in: capacity of a starting server, warm-up time, and time within which it fails.
-const SLOW_START_CAPACITY: f64 = 0.1;
-const WARM_UP_TIME: Time = 30 * SEC;
-const SLOW_START_FAILURE_WINDOW: Time = 1500 * MS;
+// Defaults for values that the settings leave out although they limit slow start. Each is the
+// strictest value of any deployment.
+
+/// The capacity of a starting server, as a fraction of its full capacity.
+const DEFAULT_SLOW_START_CAPACITY: f64 = 0.1;
+/// The time until a started server has its full capacity.
+const DEFAULT_WARM_UP_TIME: Time = 30 * SEC;
+/// The time within which an overloaded starting server fails.
+const DEFAULT_SLOW_START_FAILURE_WINDOW: Time = 1500 * MS;
 
 /// Whether clients are migrated off a draining server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainMigration {
-    /// Clients are asked to move before the server ends, as operators want it on sockets.
+    /// Clients are asked to reconnect before the server stops. Operators want this in real
+    /// deployments.
     Enabled,
-    /// Clients stay until the server ends: the simulator counts a migration as a cost and a lost
-    /// connection as none.
+    /// Clients stay until the server stops. For the simulator, which counts a cost for a migration
+    /// but none for a lost connection.
     Disabled,
 }
 
@@ -30,7 +35,7 @@
     /// timeout.
     ///
     /// # Errors
-    /// Where a setting is missing or can't be read.
+    /// If a setting is missing or invalid.
     pub fn policy(
         &self,
         seed: u64,
@@ -71,24 +76,26 @@
         Ok(Policy::new(seed, zone, classes, config))
     }
 
-    /// Without a multiple at which starting servers fail there is no limit on them: all count as
-    /// warm.
+    /// If the settings have no load multiple at which starting servers fail, slow start is
+    /// unlimited: all servers count as warmed up.
     fn slow_start(&self) -> Result<SlowStartConfig, SettingsError> {
         if self.optional(keys::SLOW_START_FAILURE_MULTIPLE).is_none() {
             return Ok(SlowStartConfig {
                 initial_capacity_fraction: 1.0,
                 warm_up: 0,
                 overload_multiple: 1.0,
-                overload_window: SLOW_START_FAILURE_WINDOW,
+                overload_window: DEFAULT_SLOW_START_FAILURE_WINDOW,
             });
         }
         Ok(SlowStartConfig {
             initial_capacity_fraction: self
-                .number_or(keys::SLOW_START_CAPACITY, SLOW_START_CAPACITY)?,
-            warm_up: self.time_or(keys::WARM_UP, WARM_UP_TIME)?,
+                .number_or(keys::SLOW_START_CAPACITY, DEFAULT_SLOW_START_CAPACITY)?,
+            warm_up: self.time_or(keys::WARM_UP, DEFAULT_WARM_UP_TIME)?,
             overload_multiple: self.number(keys::SLOW_START_FAILURE_MULTIPLE)?,
-            overload_window: self
-                .time_or(keys::SLOW_START_FAILURE_WINDOW, SLOW_START_FAILURE_WINDOW)?,
+            overload_window: self.time_or(
+                keys::SLOW_START_FAILURE_WINDOW,
+                DEFAULT_SLOW_START_FAILURE_WINDOW,
+            )?,
         })
     }
 }
--- a/crates/settings/src/platform/reload.rs
+++ b/crates/settings/src/platform/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that are read again by a running balancer.
+//! Settings that a running balancer reloads.
 
 use serde_json::Value;
 
@@ -7,12 +7,12 @@
 use crate::error::{SettingsError, SettingsProblem};
 
 impl Settings {
-    /// Returns these settings for a balancer that has run under `previous`: traffic classes and
-    /// tenants keep their numbers, by which open flows refer to them. Those that are no longer
-    /// named stay, for the flows that are left of them, and new ones are added at the end.
+    /// Returns these settings for a balancer that has run with the settings `previous`. Traffic
+    /// classes and tenants keep their numbers, because open flows refer to them by number. Removed
+    /// classes and tenants stay in the lists for their remaining flows. New entries are appended.
     ///
     /// # Errors
-    /// Where a traffic class or a tenant has no name, or two have the same.
+    /// If a traffic class or a tenant has no name, or two have the same name.
     pub fn merged_with_previous(&self, previous: &Settings) -> Result<Settings, SettingsError> {
         let mut merged = self.clone();
         for list in [keys::TRAFFIC_CLASSES, keys::TENANTS] {
@@ -23,8 +23,8 @@
     }
 }
 
-/// The previous entries, each replaced by the new one of its name, and after them the other new
-/// ones.
+/// Returns the previous entries, each replaced by the new entry of the same name if there is one,
+/// followed by the other new entries.
 fn merge(list: &str, previous: &[Value], new: &[Value]) -> Result<Vec<Value>, SettingsError> {
     let mut merged = previous.to_vec();
     let mut new_names = Vec::new();
--- a/crates/settings/src/platform/traffic_class.rs
+++ b/crates/settings/src/platform/traffic_class.rs
@@ -8,18 +8,18 @@
 use crate::error::{SettingsError, SettingsProblem};
 
 impl Settings {
-    /// Returns the traffic classes, in the order in which they are numbered.
+    /// Returns the traffic classes, in the order of their numbers.
     ///
     /// # Errors
-    /// Where the list is missing, or a setting in it can't be read.
+    /// If the list is missing or a setting in it is invalid.
     pub fn traffic_classes(&self) -> Result<Vec<TrafficClass>, SettingsError> {
         let classes = self.required(keys::TRAFFIC_CLASSES, |value| value.as_array().cloned())?;
         let classes = classes.into_iter().map(|value| Settings { value });
         classes.map(|class| class.traffic_class()).collect()
     }
 
-    /// Returns how long clients of each traffic class wait for an answer, in nanoseconds; `None`
-    /// where the settings have no limit.
+    /// Returns how long clients of each traffic class wait for an answer, in nanoseconds; `None` if
+    /// the settings have no limit.
     pub fn flow_timeouts(&self) -> Vec<Option<Time>> {
         let classes = self.list(keys::TRAFFIC_CLASSES).iter();
         classes
@@ -30,19 +30,19 @@
             .collect()
     }
 
-    /// Returns the longest of the traffic classes' timeouts, in nanoseconds; without a limit in the
-    /// settings it is as long as a time can be.
+    /// Returns the longest timeout of all traffic classes, in nanoseconds; [`Time::MAX`] if a class
+    /// has no limit or there are no classes.
     pub fn flow_timeout_max(&self) -> Time {
         let timeouts = self.flow_timeouts().into_iter();
         let timeouts = timeouts.map(|timeout| timeout.unwrap_or(Time::MAX));
         timeouts.max().unwrap_or(Time::MAX)
     }
 
-    /// Returns the quota of each tenant as a share of the capacity; none where there are no
-    /// tenants.
+    /// Returns the quota of each tenant as a fraction of the capacity. The list is empty if there
+    /// are no tenants.
     ///
     /// # Errors
-    /// Where a setting can't be read.
+    /// If a setting is invalid.
     pub fn tenant_quotas(&self) -> Result<Vec<f64>, SettingsError> {
         let Some(tenants) = self.optional(keys::TENANTS) else {
             return Ok(Vec::new());
@@ -56,10 +56,10 @@
             .collect()
     }
 
-    /// These settings, which are one entry of the list, as a traffic class.
+    /// Returns the traffic class that these settings, one entry of the list, describe.
     fn traffic_class(&self) -> Result<TrafficClass, SettingsError> {
         let idempotency = self.idempotency()?;
-        // Without an objective any answer in time will do.
+        // Without a latency objective, any answer within the timeout meets it.
         let timeout = self.time_or(keys::FLOW_TIMEOUT, values::TIME_MAX)?;
         Ok(TrafficClass {
             latency_objective: self.time_or(keys::LATENCY_OBJECTIVE, timeout)?,
@@ -68,7 +68,8 @@
         })
     }
 
-    /// What isn't said to be idempotent is not; without a window, no retry is within it.
+    /// The default is non-idempotent. The default deduplication window is 0, so that no retry is
+    /// within it.
     fn idempotency(&self) -> Result<Idempotency, SettingsError> {
         let kind = self.text_or(keys::IDEMPOTENCY, keys::NON_IDEMPOTENT)?;
         match kind.as_str() {
--- a/crates/settings/src/platform/values.rs
+++ b/crates/settings/src/platform/values.rs
@@ -7,33 +7,34 @@
 use crate::error::{SettingsError, SettingsProblem};
 
 /// The unit of times in the settings, in nanoseconds.
-const MICROSECOND: Time = 1_000;
-/// The longest time that a setting stands for. Guards against sums of times that overflow.
+const NANOSECONDS_PER_MICROSECOND: Time = 1_000;
+/// The longest time that a setting can have. Longer times are reduced to it, which prevents overflow
+/// in sums of times.
 pub(super) const TIME_MAX: Time = 365 * 24 * 3600 * SEC;
 
-/// The largest number that a setting which is no time may have, whatever its sign. Guards against
-/// sums and products that overflow.
-const NUMBER_MAX: f64 = 1e12;
+/// The largest absolute value of a number in the settings, other than a time. Prevents overflow in
+/// sums and products.
+const ABSOLUTE_NUMBER_MAX: f64 = 1e12;
 
-/// Returns a number as settings may have it.
+/// Returns a number if it is within the limits for settings.
 fn bounded_number(value: &Value) -> Option<f64> {
     let number = value.as_f64();
-    number.filter(|number| number.abs() <= NUMBER_MAX)
+    number.filter(|number| number.abs() <= ABSOLUTE_NUMBER_MAX)
 }
 
-/// Returns so many microseconds as a time in nanoseconds, from 0 to [`TIME_MAX`].
+/// Converts microseconds to nanoseconds, clamped to the range from 0 to [`TIME_MAX`].
 pub(super) fn time_from_micros(micros: f64) -> Time {
-    ((micros.max(0.0) * MICROSECOND as f64) as Time).min(TIME_MAX)
+    ((micros.max(0.0) * NANOSECONDS_PER_MICROSECOND as f64) as Time).min(TIME_MAX)
 }
 
-/// The platform's settings. A value is checked when it is asked for.
+/// The platform's settings. A value is checked when it is read.
 #[derive(Clone, PartialEq)]
 pub struct Settings {
     pub(super) value: Value,
 }
 
 impl Settings {
-    /// The value of a setting, `None` where it is missing or `null`.
+    /// The value of a setting; `None` if it is missing or `null`.
     pub(super) fn optional(&self, path: &str) -> Option<&Value> {
         path.split('/')
             .try_fold(&self.value, |value, key| value.get(key))
@@ -57,10 +58,10 @@
             .optional(path)
             .ok_or_else(|| SettingsError::new(path, SettingsProblem::Missing))?;
         read(value)
-            .ok_or_else(|| SettingsError::new(path, SettingsProblem::Unusable(value.clone())))
+            .ok_or_else(|| SettingsError::new(path, SettingsProblem::InvalidValue(value.clone())))
     }
 
-    /// A default stands in for a missing value, not for one that can't be read.
+    /// The default replaces a missing value. An invalid value is an error.
     fn required_or<T>(
         &self,
         path: &str,
@@ -96,12 +97,12 @@
         })
     }
 
-    /// Whether the settings allow something; not where they don't say so.
+    /// Whether the settings allow something. The default is no.
     pub(super) fn is_allowed(&self, path: &str) -> Result<bool, SettingsError> {
         self.required_or(path, false, Value::as_bool)
     }
 
-    /// The entries of a list, none where it is missing.
+    /// The entries of a list; empty if the list is missing.
     pub(super) fn list(&self, path: &str) -> &[Value] {
         let list = self.optional(path).and_then(Value::as_array);
         list.map_or(&[], Vec::as_slice)
--- a/crates/settings/tests/extreme_figures.rs
+++ b/crates/settings/tests/extreme_figures.rs
@@ -1,5 +1,5 @@
-//! Settings and load reports with figures of any size: each is refused by its name, left out, or
-//! decided with.
+//! Settings and load reports with numbers of any size. Each number is either rejected with an error
+//! that names its field, or skipped, or used in decisions without a panic.
 
 #[path = "../../balancer/tests/common/draws.rs"]
 mod draws;
@@ -13,12 +13,13 @@
 use nettlemux_settings::{DrainMigration, LoadReportFormat, Settings};
 use serde_json::{Value, json};
 
-/// Seeds that are played, and the steps of each.
+/// The number of seeds that are run.
 const SEEDS: u64 = 300;
-const STEPS: u64 = 80;
+/// The number of steps of each run.
+const STEPS_PER_RUN: u64 = 80;
 const SERVERS: u64 = 6;
-/// Figures as they are written, in settings and in load reports.
-const FIGURES: [&str; 14] = [
+/// Numbers as they are written in settings and load reports.
+const NUMBERS: [&str; 14] = [
     "0",
     "-1",
     "1e-300",
@@ -34,8 +35,8 @@
     "1e300",
     "18446744073709551615",
 ];
-/// Settings that are numbers.
-const SETTINGS: [&str; 11] = [
+/// Paths of the settings that are numbers.
+const NUMERIC_SETTINGS: [&str; 11] = [
     "/costs/probe",
     "/replicas-of-me",
     "/surplus-value",
@@ -59,13 +60,13 @@
         "service-types": [{"name": "a", "hard-limit": 1e6, "value": 1.0, "repeat": "free"}],
     });
     for _ in 0..1 + draws.below(3) {
-        let path = draws.one_of(&SETTINGS);
-        *settings.pointer_mut(path).unwrap() = draws.one_of(&FIGURES).parse().unwrap();
+        let path = draws.one_of(&NUMERIC_SETTINGS);
+        *settings.pointer_mut(path).unwrap() = draws.one_of(&NUMBERS).parse().unwrap();
     }
     settings
 }
 
-fn list(draws: &mut Draws) -> Vec<Endpoint> {
+fn endpoint_list(draws: &mut Draws) -> Vec<Endpoint> {
     let endpoint = |server_id, weight: &str| Endpoint {
         server_id,
         state: EndpointState::Ready,
@@ -74,11 +75,11 @@
         ..Endpoint::default()
     };
     (0..SERVERS)
-        .map(|id| endpoint(id, draws.one_of(&FIGURES)))
+        .map(|id| endpoint(id, draws.one_of(&NUMBERS)))
         .collect()
 }
 
-/// Half of the servers have started lately.
+/// Half of the servers have started recently.
 fn started_at(server_id: u64) -> Time {
     if server_id.is_multiple_of(2) {
         0
@@ -87,29 +88,29 @@
     }
 }
 
-/// Plays one seed. It panics where a decision does.
-fn play(seed: u64) {
+/// Runs one seed. Panics if a decision panics.
+fn run(seed: u64) {
     let mut draws = Draws::new(seed);
     let settings = settings(&mut draws);
-    let read = Settings::within(&settings).unwrap();
-    let mut policy = match read.policy(seed, 15 * MS, DrainMigration::Enabled) {
+    let parsed = Settings::within(&settings).unwrap();
+    let mut policy = match parsed.policy(seed, 15 * MS, DrainMigration::Enabled) {
         Ok(policy) => policy,
         Err(error) => return assert!(error.to_string().starts_with("field '"), "{error}"),
     };
     let mut now = 100 * SEC;
-    policy.update_endpoints(now, &list(&mut draws), true);
-    for id in 0..STEPS {
+    policy.update_endpoints(now, &endpoint_list(&mut draws), true);
+    for id in 0..STEPS_PER_RUN {
         now += draws.below(400) * MS;
         step(&mut policy, &mut draws, now, id);
     }
 }
 
-/// One report, one flow with its attempt, and the timer.
+/// One load report, one flow with its attempt, and one timer event.
 fn step(policy: &mut Policy, draws: &mut Draws, now: Time, id: u64) {
     let report = format!(
         "busy={},rif={}",
-        draws.one_of(&FIGURES),
-        draws.one_of(&FIGURES)
+        draws.one_of(&NUMBERS),
+        draws.one_of(&NUMBERS)
     );
     let report = LoadReportFormat::default().parse(&report, '=').unwrap();
     let health_checked = PolicyEvent::HealthChecked {
@@ -136,17 +137,17 @@
             _ => PolicyEvent::Connected { flow: id, took },
         };
         policy.on_event(now + took, event);
-        policy.update_connection_load(id, draws.one_of(&FIGURES).parse().unwrap());
+        policy.update_connection_load(id, draws.one_of(&NUMBERS).parse().unwrap());
     }
     policy.on_event(now, PolicyEvent::TimerExpired);
     policy.time_to_next_timer(now);
 }
 
-/// Guards against decisions that overflow by a figure which was taken as it came.
+/// Guards against overflow in decisions that use an unchecked number.
 #[test]
-fn figures_of_any_size_are_refused_left_out_or_decided_with() {
+fn numbers_of_any_size_cause_no_panic() {
     let panicked: Vec<u64> = (0..SEEDS)
-        .filter(|seed| catch_unwind(|| play(*seed)).is_err())
+        .filter(|seed| catch_unwind(|| run(*seed)).is_err())
         .collect();
     assert!(panicked.is_empty(), "seeds {panicked:?} panicked");
 }
--- a/crates/settings/tests/operator_file.rs
+++ b/crates/settings/tests/operator_file.rs
@@ -1,9 +1,9 @@
-//! Reading the operator's file.
+//! Parsing of the operator's file.
 
 use nettlemux_settings::operator::{Format, Level, Log, OperatorFile, parse, schema};
 
 #[test]
-fn files_are_read_and_errors_name_the_key() {
+fn file_is_parsed_and_error_names_the_invalid_key() {
     assert_eq!(parse("").unwrap(), OperatorFile::default());
     let read = parse("[log]\nformat = \"json\"\nlevel = \"debug\"").unwrap();
     assert_eq!(
@@ -14,11 +14,11 @@
         }
     );
     for (text, key, why) in [
-        ("[lgo]", "lgo", "is 'log' meant?"),
+        ("[lgo]", "lgo", "did you mean 'log'?"),
         (
             "[log]\nfromat = \"json\"",
             "log.fromat",
-            "is 'format' meant?",
+            "did you mean 'format'?",
         ),
         ("\n[log]\nformat = \"jsn\"", "(line 3)", "json"),
         ("\n\n[log", "(line 3)", ""),
@@ -27,7 +27,7 @@
         (
             "[peers]\nlisten = \"127.0.0.1:7200\"\naddreses = []",
             "peers.addreses",
-            "is 'addresses' meant?",
+            "did you mean 'addresses'?",
         ),
         ("[peers]\nlisten = \"here\"", "(line 2)", "address"),
         ("[peers]\nto = []", "(line 1)", "listen"),
@@ -44,14 +44,18 @@
         (
             "[admission]\nwaitng = 3",
             "admission.waitng",
-            "is 'waiting' meant?",
+            "did you mean 'waiting'?",
         ),
         (
             "[admission]\nwaiting = 0",
             "admission.waiting",
-            "is not from 1 to",
+            "expected a number from 1 to",
+        ),
+        (
+            "[admission]\nrate = -1.0",
+            "admission.rate",
+            "expected a finite number of at least 0",
         ),
-        ("[admission]\nrate = -1.0", "admission.rate", "from 0 up"),
         (
             "[admission.weights]\ngold = 0.0",
             "admission.weights.gold",
@@ -63,9 +67,21 @@
             "by client",
         ),
         ("[admission]\n[door]", "(line 1)", "duplicate"),
-        ("[door]\nwaitng = 3", "door.waitng", "is 'waiting' meant?"),
-        ("[door]\nwaiting = 0", "door.waiting", "is not from 1 to"),
-        ("[door]\nrate = -1.0", "door.rate", "from 0 up"),
+        (
+            "[door]\nwaitng = 3",
+            "door.waitng",
+            "did you mean 'waiting'?",
+        ),
+        (
+            "[door]\nwaiting = 0",
+            "door.waiting",
+            "expected a number from 1 to",
+        ),
+        (
+            "[door]\nrate = -1.0",
+            "door.rate",
+            "expected a finite number of at least 0",
+        ),
         ("[door.weights]\ngold = 0.0", "door.weights.gold", "0.001"),
         (
             "[door]\nby = \"client\"\nweights = { gold = 2.0 }",
@@ -81,7 +97,7 @@
 }
 
 #[test]
-fn a_file_of_an_earlier_version_is_read_and_its_old_names_are_reported() {
+fn deprecated_names_are_accepted_and_reported() {
     let peers = "[peers]\nlisten = \"127.0.0.1:7200\"\n";
     let old = format!("[door]\nby = \"customer\"\nopen = 7\n{peers}to = [\"127.0.0.1:7201\"]");
     let new =
--- a/crates/settings/tests/platform_settings.rs
+++ b/crates/settings/tests/platform_settings.rs
@@ -1,10 +1,10 @@
-//! The platform's settings: their errors as users read them, and settings that are read again.
+//! The platform's settings: error messages, defaults and reloading.
 
 use nettlemux_policy::MS;
 use nettlemux_settings::{DrainMigration, LoadReportFormat, Settings};
 use serde_json::{Value, json};
 
-/// Settings with what has no default.
+/// The settings that have no default.
 fn settings() -> Value {
     json!({"service-types": [{"name": "a"}, {"name": "b", "hard-limit": 3e6}]})
 }
@@ -16,57 +16,70 @@
 }
 
 #[test]
-fn errors_name_the_field_and_what_is_wrong_with_it() {
+fn error_names_the_invalid_field_and_the_problem() {
     assert_eq!(policy_error(&settings()), "");
     for (key, value, error) in [
         (
             "service-types",
             json!(null),
-            "field 'service-types': missing setting",
+            "field 'service-types': required setting is missing",
         ),
         (
             "service-types",
             json!(3),
-            "field 'service-types': can't use 3",
+            "field 'service-types': wrong type or out of range: 3",
         ),
         (
             "service-types",
             json!([{"repeat": "often"}]),
-            "field 'repeat': unknown kind 'often'",
+            "field 'repeat': unknown kind of idempotency 'often'",
         ),
         (
             "service-types",
             json!([{"repeat": "guarded", "group": "few"}]),
-            "field 'group': unknown scope 'few'",
+            "field 'group': unknown deduplication scope 'few'",
+        ),
+        (
+            "accounts",
+            json!("none"),
+            "field 'accounts': expected a list",
         ),
-        ("accounts", json!("none"), "field 'accounts': is no list"),
         (
             "costs",
             json!({"probe": 1e30}),
-            "field 'costs/probe': can't use 1e+30",
+            "field 'costs/probe': wrong type or out of range: 1e+30",
         ),
         (
             "limits",
             json!({"max-connects": "two"}),
-            "field 'limits/max-connects': can't use \"two\"",
+            "field 'limits/max-connects': wrong type or out of range: \"two\"",
         ),
     ] {
-        let mut faulty = settings();
-        faulty[key] = value;
-        assert_eq!(policy_error(&faulty), error);
+        let mut invalid = settings();
+        invalid[key] = value;
+        assert_eq!(policy_error(&invalid), error);
     }
     let error = |text| Settings::parse(text).err().map(|e| e.to_string());
-    assert_eq!(error("[]").as_deref(), Some("field 'conf': no object"));
-    assert!(error("{").is_some_and(|error| error.starts_with("field 'conf': no JSON: ")));
+    assert_eq!(
+        error("[]").as_deref(),
+        Some("field 'conf': expected a JSON object")
+    );
+    assert!(error("{").is_some_and(|error| error.starts_with("field 'conf': not valid JSON: ")));
     let embedded = Settings::within(&json!([])).err().map(|e| e.to_string());
-    assert_eq!(embedded.as_deref(), Some("field 'settings': no object"));
+    assert_eq!(
+        embedded.as_deref(),
+        Some("field 'settings': expected a JSON object")
+    );
     let report = LoadReportFormat::default().parse("busy=0.5,rif", '=');
     let report = report.map_err(|e| e.to_string());
-    assert_eq!(report, Err("field 'report': 'rif' is no pair".to_string()));
+    assert_eq!(
+        report,
+        Err("field 'report': expected a pair of a name and a value, got 'rif'".to_string())
+    );
 }
 
 #[test]
-fn what_settings_leave_out_has_its_default() {
+fn omitted_settings_have_their_defaults() {
     let settings = Settings::within(&settings()).unwrap();
     assert_eq!(settings.attempts_max().unwrap(), 1);
     assert_eq!(settings.max_retry_after().unwrap(), None);
@@ -78,9 +91,9 @@
 }
 
 #[test]
-fn settings_read_again_keep_the_numbers_of_classes_and_tenants() {
+fn reloaded_settings_keep_the_numbers_of_traffic_classes() {
     let previous = Settings::within(&settings()).unwrap();
-    let read_again = |names: &[&str]| {
+    let reload = |names: &[&str]| {
         let classes: Vec<Value> = names.iter().map(|name| json!({"name": name})).collect();
         let new = Settings::within(&json!({"service-types": classes})).unwrap();
         let merged = new.merged_with_previous(&previous);
@@ -88,10 +101,13 @@
             .map(|merged| merged.traffic_class_names())
             .map_err(|e| e.to_string())
     };
-    let merged = read_again(&["c", "b"]).unwrap();
+    let merged = reload(&["c", "b"]).unwrap();
     assert_eq!(merged, ["a", "b", "c"]);
     assert_eq!(
-        read_again(&["b", "b"]),
-        Err("field 'service-types': a name is missing or comes twice".to_string())
+        reload(&["b", "b"]),
+        Err(
+            "field 'service-types': an entry has no name or the same name as another entry"
+                .to_string()
+        )
     );
 }
