--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -51,6 +51,6 @@
     #[error("an entry has no name or the same name as another entry")]
     MissingOrDuplicateName,
     /// A part of a load report is not a pair of a name and a value.
-    #[error("expected a pair of a name and a value, got '{0}'")]
+    #[error("expected a pair of a name and a value, found '{0}'")]
     NotAPair(String),
 }
--- a/crates/settings/src/operator/admission.rs
+++ b/crates/settings/src/operator/admission.rs
@@ -17,7 +17,7 @@
 const TABLE_SIZE_MAX: usize = 1_000_000;
 const WEIGHTS: RangeInclusive<f64> = 0.001..=1000.0;
 
-/// Admission control, which runs before the load balancing policy: fair queues, limits for each
+/// Admission control in front of the load balancing policy: fair queues, limits for each
 /// key, and a Retry-After as long as the queue needs to empty.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
@@ -44,8 +44,8 @@
     pub retries: f64,
     /// Maximum number of retries in the retry budget. Only used if `retries` is not 0.
     pub saved: f64,
-    /// Number of slots in each of the tables of rates and of promised Retry-After times. A slot takes
-    /// 24 bytes.
+    /// Number of slots in each of the tables of rates and of retry reservations. A slot takes 24
+    /// bytes.
     #[schemars(range(min = TABLE_SIZE_MIN, max = TABLE_SIZE_MAX))]
     pub table: usize,
     /// Weights of tenants, by tenant name. A tenant that is not listed has weight 1. Only allowed if
--- a/crates/settings/src/operator/error.rs
+++ b/crates/settings/src/operator/error.rs
@@ -41,7 +41,7 @@
     #[error("{0}")]
     UnknownKey(#[source] NameHint),
     /// A count is out of its range.
-    #[error("expected a number from {min} to {max}, got {count}")]
+    #[error("expected a number from {min} to {max}, found {count}")]
     CountOutOfRange {
         /// The count in the file.
         count: usize,
@@ -51,10 +51,10 @@
         max: usize,
     },
     /// A number is negative or not finite.
-    #[error("expected a finite number of at least 0, got {0}")]
+    #[error("expected a finite number of at least 0, found {0}")]
     NegativeOrNotFinite(f64),
     /// The weight of a key is out of its range.
-    #[error("expected a weight from {min} to {max}, got {weight}")]
+    #[error("expected a weight from {min} to {max}, found {weight}")]
     WeightOutOfRange {
         /// The weight in the file.
         weight: f64,
@@ -67,7 +67,7 @@
     #[error("weights apply to tenants only, but admission control is by client")]
     WeightsByClient,
     /// The list of addresses is too long.
-    #[error("expected at most {max} addresses, got {count}")]
+    #[error("expected at most {max} addresses, found {count}")]
     TooManyAddresses {
         /// The number of addresses in the file.
         count: usize,
