--- a/crates/line-protocol/src/accepted.rs
+++ b/crates/line-protocol/src/accepted.rs
@@ -1,5 +1,6 @@
-//! An accepted connection, from its first byte to the end of its first lines. It owns the
-//! connection and what has been read of it, and must never drop a complete line unanswered.
+//! An accepted connection before it has a flow: from its first byte to the line that asks for a
+//! connection to a server. It owns the connection and the bytes read from it, and must never drop a
+//! complete line without an answer.
 
 use nettlemux_dataplane::buffers::Buffer;
 use nettlemux_dataplane::clock;
@@ -12,23 +13,23 @@
 use crate::pending::PendingConnection;
 use crate::unanswered::UnansweredClient;
 
-/// A connection with its first line.
+/// An accepted connection, with the line that was read last.
 pub struct AcceptedConnection {
     pub client: UnansweredClient,
     _pending: PendingConnection,
     buffer: Buffer,
-    /// The buffer's bytes that have come.
+    /// Number of bytes received into the buffer.
     filled: usize,
-    /// Where the line stands in the buffer.
+    /// Position of the line in the buffer.
     line: LineBounds,
-    /// When the line was complete.
+    /// When the line was received completely.
     pub line_received_at: Time,
-    /// When all that comes before a flow must be over.
+    /// When the connection must have become a flow.
     deadline: Time,
 }
 
 impl AcceptedConnection {
-    /// Returns a connection of which nothing has been read.
+    /// Returns a connection from which nothing has been read yet.
     pub fn new(
         client: Connection,
         pending: PendingConnection,
@@ -46,22 +47,22 @@
         }
     }
 
-    /// Returns the line, without its end.
+    /// Returns the line, without its line ending.
     pub fn line(&self) -> &[u8] {
         &self.buffer[..self.line.length]
     }
 
-    /// Returns whether the line is ended by CRLF, and not by LF alone.
+    /// Returns whether the line ends with CRLF, rather than with LF alone.
     pub fn line_ends_with_crlf(&self) -> bool {
         self.line.next == self.line.length + b"\r\n".len()
     }
 
-    /// Returns whether anything has come after the line.
+    /// Returns whether bytes after the line have been received.
     pub fn has_more_than_line(&self) -> bool {
         self.filled > self.line.next
     }
 
-    /// Answers what can't be served, and closes.
+    /// Answers a request that can't be served, and closes the connection.
     pub fn refuse(self, answer: &[u8]) {
         self.refuse_within(answer, LINGER_TIMEOUT);
     }
@@ -72,7 +73,7 @@
         self.client.close_lingering(deadline);
     }
 
-    /// Answers the line and reads the next; none once the connection has ended without one.
+    /// Answers the line and reads the next line; `None` if the connection ends before it.
     pub fn answer(mut self, answer: &[u8], dataplane: &Dataplane) -> Option<Self> {
         let deadline = clock::now() + LINGER_TIMEOUT;
         self.client.write(answer, deadline).ok()?;
@@ -81,16 +82,16 @@
         self.next_line(dataplane)
     }
 
-    /// Reads the next line; none once the connection has ended, or been refused, without one.
+    /// Reads the next line; `None` if the connection ends or is refused before it.
     pub fn next_line(mut self, dataplane: &Dataplane) -> Option<Self> {
-        // At the limit nobody is waited for.
+        // If no descriptors are left for flows, only data that has already arrived is read.
         let is_full = !dataplane.budgets.flows.has_more_than(0);
         let deadline = if is_full { clock::now() } else { self.deadline };
         let mut result = self.read_line(deadline);
-        // Guards against a complete line that has come on a connection that gives way, and is
-        // dropped.
-        let gives_way = matches!(result, Err(ConnectionError::Stopped));
-        if gives_way {
+        // A connection may be evicted just after a complete line has arrived on it. Reading once
+        // more without waiting keeps this line from being dropped.
+        let is_evicted = matches!(result, Err(ConnectionError::Stopped));
+        if is_evicted {
             result = self.read_line(0);
         }
         match result {
@@ -100,7 +101,7 @@
                 Some(self)
             }
             Err(error) => {
-                self.end_without_line(&error, is_full || gives_way);
+                self.end_without_line(&error, is_full || is_evicted);
                 None
             }
         }
@@ -111,24 +112,26 @@
             .read_line(&mut self.buffer[..], &mut self.filled, deadline)
     }
 
-    /// Closes a connection on which no line has come; `place_is_needed` where others wait for it.
-    fn end_without_line(self, error: &ConnectionError, place_is_needed: bool) {
+    /// Closes a connection on which no complete line was received. `descriptor_needed` if other
+    /// connections wait for its descriptor.
+    fn end_without_line(self, error: &ConnectionError, descriptor_needed: bool) {
         match error {
             ConnectionError::LineTooLong => {
-                warn!("overlong first line");
+                warn!("first line too long");
                 self.refuse(wire::REPLY_FAILED);
             }
-            // Never complete, or its place is needed: nothing has run.
+            // The line was not complete in time, or the descriptor is needed. No attempt was made.
             ConnectionError::Deadline | ConnectionError::Stopped => {
-                debug!(%error, bytes = self.filled, "no first line");
-                // Guards against a line that comes just now: a close over it resets the connection,
-                // and the answer goes with the reset. Not where its place is needed: a flood of
-                // silent connections would keep the others out.
-                let timeout = if place_is_needed { 0 } else { LINGER_TIMEOUT };
+                debug!(%error, bytes = self.filled, "first line not received, connection rejected");
+                // A line may arrive during the close. Closing with unread data resets the
+                // connection, and the client loses the answer, so the close lingers. It doesn't
+                // linger if the descriptor is needed: a flood of connections that send nothing
+                // would keep other clients out.
+                let timeout = if descriptor_needed { 0 } else { LINGER_TIMEOUT };
                 self.refuse_within(wire::rejection(None).as_bytes(), timeout);
             }
-            // Closed: there is nobody to answer.
-            _ => debug!(%error, bytes = self.filled, "closed before a first line"),
+            // The client has closed the connection: nobody is left to answer.
+            _ => debug!(%error, bytes = self.filled, "connection closed before its first line"),
         }
     }
 }
--- a/crates/line-protocol/src/acceptor.rs
+++ b/crates/line-protocol/src/acceptor.rs
@@ -1,6 +1,6 @@
-//! The first stage: accepts connections and has each one's first line read. It owns the listener
-//! and the pending connections, and must never let those that send nothing keep others out: there
-//! are only so many pending connections, and the oldest give way.
+//! The first stage: accepts connections and reads the first line of each. It owns the listener and
+//! the pending connections. Connections that send nothing must never keep others out: the number of
+//! pending connections is limited, and the oldest are evicted.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,26 +26,27 @@
 use crate::pending::PendingConnections;
 use crate::settings::FirstLineSettings;
 
-/// Clients that may wait to be accepted: all of a balancer that died may come at once, and one that
-/// finds the queue full tries again only after a second.
+/// Number of clients that may wait to be accepted. All clients of a balancer that failed may connect
+/// at once, and a client that finds the queue full retries only after a second.
 const LISTEN_BACKLOG: i32 = 4096;
-/// How long a connection may take to send its first line: whoever connects and sends nothing is
-/// owed an answer within 3 s.
+/// How long a connection may take to send its first line. A client that connects and sends nothing
+/// must be answered within 3 s.
 const FIRST_LINE_TIMEOUT: Time = 2500 * MS;
-/// Connections that are accepted without a pause, or told to give way at once. Guards against a
-/// flood that keeps the worker from flows, since the worker looks at sockets only once no coroutine
-/// is ready to run.
+/// Number of connections that are accepted without a pause, or evicted at once. The worker polls
+/// sockets only when no coroutine is ready to run, so that a flood of connections would keep it from
+/// serving flows.
 const ACCEPT_BATCH_MAX: usize = 8;
 /// The pause after each batch.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
-/// The pause after a failure to accept.
+/// The pause after `accept` has failed.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Begins to listen. Guards against a start that fails since the last run's sockets are not quite
-/// gone, the address isn't up yet, or the system wants descriptors or memory at this moment.
+/// Starts to listen. Retries, so that a start doesn't fail because the sockets of the previous run
+/// are not closed yet, the address is not up yet, or the system is briefly out of descriptors or
+/// memory.
 ///
 /// # Errors
-/// It can't listen there, now and a few seconds later.
+/// If listening at the address still fails after a few seconds.
 pub fn listen(address: SocketAddr) -> io::Result<CoIo<TcpListener>> {
     retry::retry_transient(|| {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
@@ -56,7 +57,7 @@
     })
 }
 
-/// What all connections of this front share.
+/// The state that all connections of this frontend share.
 pub struct Acceptor {
     dataplane: Arc<Dataplane>,
     settings: Mutex<Arc<FirstLineSettings>>,
@@ -64,7 +65,7 @@
 }
 
 impl Acceptor {
-    /// Returns an acceptor that hands its flows to a data plane.
+    /// Returns an acceptor that passes its flows to `dataplane`.
     pub fn new(dataplane: Arc<Dataplane>, settings: FirstLineSettings) -> Arc<Self> {
         Arc::new(Acceptor {
             dataplane,
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Sets how first lines are read from now on; how admission control tells clients apart stays.
+    /// Replaces the settings for first lines. The client keys of admission control are kept.
     pub fn replace_settings(&self, settings: FirstLineSettings) {
         let mut current = self.lock_settings();
         *current = Arc::new(settings.with_client_keys(current.client_keys));
@@ -83,7 +84,7 @@
         self.settings.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves one client's connection, from its first byte to its last.
+    /// Serves one client's connection until it ends.
     fn serve(&self, stream: TcpStream, permit: DescriptorPermit) {
         let Some(accepted) = self.read_first_line(stream, permit) else {
             return;
@@ -101,8 +102,8 @@
     ) -> Option<AcceptedConnection> {
         let deadline = clock::now() + FIRST_LINE_TIMEOUT;
         if let Err(error) = set_nonblocking(&stream, deadline) {
-            warn!(%error, "can't set up a connection");
-            // Its buffer is empty, so this doesn't block.
+            warn!(%error, "setting up an accepted connection failed; rejecting it");
+            // The send buffer is empty, so this write doesn't block.
             let _ = (&stream).write_all(wire::rejection(None).as_bytes());
             return None;
         }
@@ -114,12 +115,12 @@
     }
 }
 
-/// Accepts for as long as the program runs.
+/// Accepts connections for as long as the program runs.
 pub fn accept(acceptor: &Arc<Acceptor>, listener: &CoIo<TcpListener>) {
     let mut accepted_in_batch = 0;
     loop {
-        // Taken before a connection is: one that there is no place for waits in the listener's
-        // queue.
+        // The permit is acquired before a connection is accepted: without a permit, connections wait
+        // in the listener's queue.
         let Some(permit) = acceptor.dataplane.budgets.pending.try_acquire() else {
             let pending = &acceptor.pending_connections;
             pending.evict_oldest(clock::now(), ACCEPT_BATCH_MAX);
@@ -143,15 +144,15 @@
             }
             Err(error) if concerns_one_connection(&error) => {}
             Err(error) => {
-                // Out of descriptors or memory, in this process or the whole machine: it may pass.
-                warn!(%error, "can't accept");
+                // This process or the machine is out of descriptors or memory, perhaps only briefly.
+                warn!(%error, "accepting a connection failed; retrying");
                 timer::sleep(ACCEPT_RETRY_INTERVAL);
             }
         }
     }
 }
 
-/// Whether accepting may go on at once.
+/// Whether the error concerns only one connection, so that accepting can continue at once.
 fn concerns_one_connection(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionAborted, Interrupted};
     matches!(error.kind(), Interrupted | ConnectionAborted)
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -1,6 +1,6 @@
-//! The second stage: makes a flow of a client's first line. It owns nothing. It must never admit
-//! what it can't read in full, and never reject for load, which is the policy's decision; it does
-//! reject where no descriptors are left.
+//! The second stage: creates a flow from a client's first line. It owns no state. It must never
+//! admit a request that it can't parse completely. It must never reject a request because of load,
+//! which is the policy's decision, but it does reject requests if no descriptors are left.
 
 use nettlemux_dataplane::client_ids::ClientId;
 use nettlemux_dataplane::dataplane::Dataplane;
@@ -15,12 +15,13 @@
 use crate::first_line::{self, ConnectRequest, MalformedLine, Request};
 use crate::settings::{FirstLineSettings, TrafficClassSettings};
 
-/// How long a connection that was open before the run waits for its server: it is lost 40 s after
-/// the start.
+/// How long a connection that was open before the balancer started waits for its server. Such a
+/// connection is lost 40 s after the start.
 const ADOPTION_TIMEOUT: Time = 39 * SEC;
-/// Lines that one connection may send until it asks to be served. The platform's front sends one.
+/// Number of lines that a connection may send until one asks for a connection to a server. The
+/// platform's frontend sends one.
 const LINES_MAX: usize = 16;
-/// Bytes of a malformed line that are logged.
+/// Number of bytes of a malformed line that are logged.
 const LOGGED_BYTES_MAX: usize = 200;
 
 /// Why a client's request can't be served.
@@ -28,26 +29,26 @@
 enum MalformedRequest {
     #[error(transparent)]
     Line(#[from] MalformedLine),
-    #[error("a line is not ended by CRLF")]
+    #[error("expected a line that ends with CRLF, found LF alone")]
     NoCrlf,
-    #[error("unknown class")]
+    #[error("unknown traffic class")]
     UnknownClass,
-    #[error("nobody waits so long")]
+    #[error("d is 0 or longer than the traffic class allows")]
     WaitOutOfRange,
-    #[error("no time to wait")]
+    #[error("d, the time to wait, is missing")]
     NoWait,
     #[error("unknown tenant")]
     UnknownTenant,
-    /// A client waits for its answer; guards against many commands at once.
-    #[error("more before it is served")]
+    /// A client must wait for its answer. Guards against many commands sent at once.
+    #[error("expected no data after the line before the client is served")]
     EarlyBytes,
-    #[error("an id that was used")]
+    #[error("the id has been used before")]
     ReusedId,
-    #[error("too many questions")]
+    #[error("too many lines before an OPEN")]
     TooManyLines,
 }
 
-/// A flow that its client may ask for.
+/// A valid flow that has no descriptors yet.
 struct NewFlow {
     flow: Flow,
     identity: ClientIdentity,
@@ -55,8 +56,8 @@
     client_id: ClientId,
 }
 
-/// Answers a connection's lines until one asks for a connection, and admits that flow; none once
-/// the connection has ended without one.
+/// Answers a client's lines until one asks for a connection to a server, and admits this flow.
+/// `None` if the client's connection ends, or is refused or rejected, before a flow is admitted.
 pub fn admit(
     dataplane: &Dataplane,
     settings: &FirstLineSettings,
@@ -70,7 +71,7 @@
                     Err(error) => refuse(accepted, error),
                 };
             }
-            // It is asked only once the listener stands, and then can serve.
+            // A ping can only arrive once the listener is open, and from then on the balancer serves.
             Ok(Request::Ping) => REPLY_PONG,
             Ok(Request::LoadReport) => REPLY_NO_LOAD_REPORT,
             Err(error) => return refuse(accepted, error),
@@ -99,10 +100,10 @@
         .class_index(request.class)
         .ok_or(MalformedRequest::UnknownClass)?;
     let class_settings = settings.class(class);
-    let wait = wait_of(request, class_settings)?;
+    let wait = wait_time(request, class_settings)?;
     let tenant = match request.tenant {
         Some(name) => settings
-            .tenant(name)
+            .tenant_index(name)
             .ok_or(MalformedRequest::UnknownTenant)?,
         None => 0,
     };
@@ -132,8 +133,8 @@
     })
 }
 
-/// How long a client waits: no longer than the settings say for its class.
-fn wait_of(
+/// Returns how long the client waits for its answer, at most the longest wait of its traffic class.
+fn wait_time(
     request: &ConnectRequest,
     class: &TrafficClassSettings,
 ) -> Result<Time, MalformedRequest> {
@@ -147,7 +148,7 @@
     Ok(wait_ms * MS)
 }
 
-/// Gives a flow its descriptors; rejects it where none are left.
+/// Reserves descriptors for a flow; rejects the flow if none are left.
 fn admit_flow(
     dataplane: &Dataplane,
     accepted: AcceptedConnection,
@@ -155,7 +156,7 @@
 ) -> Option<AdmittedFlow> {
     let Some(permit) = dataplane.budgets.flows.try_acquire() else {
         let in_use = dataplane.budgets.flows.in_use();
-        warn!(in_use, "no descriptors left for flows");
+        warn!(in_use, "no descriptors left for flows; rejecting a client");
         accepted.refuse(rejection(None).as_bytes());
         return None;
     };
@@ -172,7 +173,7 @@
     })
 }
 
-/// Answers a line that can't be used, and closes; there is no flow.
+/// Answers a malformed request and closes the connection, without a flow.
 fn refuse(accepted: AcceptedConnection, error: MalformedRequest) -> Option<AdmittedFlow> {
     let line = accepted.line();
     let line = String::from_utf8_lossy(&line[..line.len().min(LOGGED_BYTES_MAX)]);
--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -1,5 +1,5 @@
-//! First lines, as clients send them. It owns their form, and must never touch a socket, a clock or
-//! a flow. Names of the wire end here.
+//! Parsing of the first lines that clients send. It owns their format and must never access a
+//! socket, a clock or a flow. The names of the wire format are used in this module only.
 
 use std::str::Split;
 
@@ -7,9 +7,9 @@
 use nettlemux_settings::parse_number;
 use thiserror::Error;
 
-/// Words that begin a first line.
+/// Words that start a first line.
 mod command {
-    /// Asks for a connection.
+    /// Asks for a connection to a server.
     pub const CONNECT: &str = "OPEN";
     /// Asks whether the balancer is alive.
     pub const PING: &str = "PING";
@@ -17,33 +17,34 @@
     pub const LOAD_REPORT: &str = "STATS";
 }
 
-/// Names of the values of a first line.
+/// Names of the values in a first line.
 mod key {
     /// The traffic class.
     pub const CLASS: &str = "c";
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for an answer, in milliseconds.
     pub const WAIT: &str = "d";
     /// The client's group.
     pub const GROUP: &str = "g";
     /// The tenant, by name or number.
     pub const TENANT: &str = "t";
-    /// The server that held the connection before.
+    /// The server that had the connection before.
     pub const PREVIOUS_SERVER: &str = "at";
-    /// The client retries.
+    /// The request is a retry.
     pub const RETRY: &str = "r";
     /// The client's connection broke or was migrated.
     pub const RECONNECTING: &str = "again";
 }
 
-/// The only value of a flag.
+/// The only allowed value of a flag.
 const FLAG_SET: &str = "1";
-/// More values than any line has; guards against lines whose names are compared for long.
+/// Limit on the number of values, which is above that of any valid line. Bounds the time spent on
+/// comparing names.
 const VALUES_MAX: usize = 32;
 
 /// What a first line asks for.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request<'a> {
-    /// A connection.
+    /// A connection to a server.
     Connect(ConnectRequest<'a>),
     /// Whether the balancer is alive.
     Ping,
@@ -54,84 +55,84 @@
 /// The connection that a client asks for.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ConnectRequest<'a> {
-    /// The client's own id of the connection.
+    /// The client's id of the connection.
     pub id: &'a str,
     /// The flow's key.
     pub key: &'a str,
     /// The traffic class's name.
     pub class: &'a str,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for an answer, in milliseconds.
     pub wait_ms: Option<u64>,
     /// The client's group.
     pub group: Option<&'a str>,
     /// The tenant's name or number.
     pub tenant: Option<&'a str>,
-    /// The client says that it retries.
+    /// The client says that this is a retry.
     pub retry: bool,
-    /// The server that held the connection before.
+    /// The server that had the connection before.
     pub previous_server: Option<&'a str>,
     /// The client's connection broke or was migrated.
     pub reconnecting: bool,
 }
 
-/// Why a first line can't be read.
+/// Why a first line is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MalformedLine {
-    /// It is not UTF-8.
-    #[error("no text")]
+    /// The line is not UTF-8.
+    #[error("expected UTF-8 text")]
     NotText,
-    /// It has control characters.
-    #[error("no line of text")]
+    /// The line contains a control character.
+    #[error("control character in the line")]
     ControlCharacter,
-    /// It begins with no known word.
-    #[error("neither OPEN, PING nor STATS")]
+    /// The line doesn't start with a known command.
+    #[error("expected OPEN, PING or STATS")]
     UnknownCommand,
     /// The client's id is missing.
-    #[error("no id")]
+    #[error("id is missing")]
     NoId,
     /// The flow's key is missing.
-    #[error("no key")]
+    #[error("key is missing")]
     NoKey,
     /// The values are missing.
-    #[error("no values")]
+    #[error("values are missing")]
     NoValues,
-    /// Something comes after the values.
-    #[error("more than an id, a key and values")]
+    /// The line continues after the values.
+    #[error("expected an id, a key and values, found more")]
     TooManyParts,
     /// A value has no name.
-    #[error("a value has no name")]
+    #[error("expected name=value, found no '='")]
     UnnamedValue,
     /// A name or its value is empty.
-    #[error("a name or a value is empty")]
+    #[error("empty name or value")]
     EmptyValue,
     /// Two values have the same name.
-    #[error("a name comes twice")]
+    #[error("duplicate name")]
     DuplicateName,
-    /// There are more values than any line has.
+    /// There are more values than any valid line has.
     #[error("too many values")]
     TooManyValues,
-    /// The wait has more digits than a time.
+    /// The wait is larger than any time.
     #[error("d is too large")]
     WaitTooLarge,
-    /// The wait has other characters than digits.
-    #[error("d is no whole number")]
+    /// The wait has characters other than digits.
+    #[error("expected a whole number for d")]
     WaitNotWhole,
-    /// A flag has another value than 1.
-    #[error("a mark is not 1")]
+    /// A flag has a value other than 1.
+    #[error("expected 1 for a flag")]
     FlagNotSet,
-    /// A value that should be a number is none.
-    #[error("a figure is no number")]
+    /// The value of an unknown name is not a number.
+    #[error("expected a number for an unknown name")]
     NotANumber,
     /// The traffic class is missing.
-    #[error("no class")]
+    #[error("c, the traffic class, is missing")]
     NoClass,
 }
 
-/// Reads a first line, without its end. Whatever a real client would not send is refused: it must
-/// not be guessed what was meant, since servers guess differently.
+/// Parses a first line, without its line ending. Any line that a real client would not send is an
+/// error. The parser must not guess what such a line means, since servers may guess differently.
 ///
 /// # Errors
-/// Why the line can't be read.
+/// If the line is malformed. The error says why.
 pub fn parse(line: &[u8]) -> Result<Request<'_>, MalformedLine> {
     let line = std::str::from_utf8(line).map_err(|_| MalformedLine::NotText)?;
     if line.contains(|c: char| c.is_control()) {
@@ -181,7 +182,7 @@
 }
 
 impl<'a> ConnectRequest<'a> {
-    /// Takes one value; values that the balancer doesn't know must be numbers.
+    /// Sets one value. Values with unknown names must be numbers, and are ignored.
     fn set(&mut self, name: &str, value: &'a str) -> Result<(), MalformedLine> {
         match name {
             key::CLASS => self.class = value,
@@ -201,7 +202,7 @@
     }
 }
 
-/// Reads a wait: no sign, and no more digits than a time can have.
+/// Parses a wait: digits only, without a sign, that fit into a `u64`.
 fn parse_wait(value: &str) -> Result<u64, MalformedLine> {
     if !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(MalformedLine::WaitNotWhole);
--- a/crates/line-protocol/src/lib.rs
+++ b/crates/line-protocol/src/lib.rs
@@ -1,11 +1,11 @@
-//! The front for clients that speak the platform's protocol of lines. It accepts their connections,
-//! reads their first lines and hands the flows that it admits to the data plane. It owns the
-//! listener, the connections whose first line hasn't come, and the form of that line. It must never
-//! choose a server, a retry or a limit on load.
+//! The frontend for clients that use the platform's line protocol. It accepts their connections,
+//! reads their first lines and passes the admitted flows to the data plane. It owns the listener,
+//! the connections whose first line has not been received, and the format of first lines. It must
+//! never choose a server, decide on a retry or limit the load.
 //!
-//! A connection is taken in by [`acceptor::accept`]; its first line is read by
-//! [`first_line::parse`] and checked against the [`settings::FirstLineSettings`]; the flow that is
-//! made of it goes to [`nettlemux_dataplane::pipeline::serve`].
+//! [`acceptor::accept`] accepts a connection. [`first_line::parse`] parses its first line, which is
+//! then checked against the [`settings::FirstLineSettings`]. The resulting flow is passed to
+//! [`nettlemux_dataplane::pipeline::serve`].
 
 #![warn(missing_docs)]
 
--- a/crates/line-protocol/src/pending.rs
+++ b/crates/line-protocol/src/pending.rs
@@ -1,5 +1,6 @@
-//! Pending connections: those whose first line hasn't come, or that are being closed. It owns their
-//! order of arrival, and must never close one itself: each is told to give way.
+//! Pending connections: connections whose first line has not been received, or that are being
+//! closed. It owns their order of arrival. It must never close a connection itself, but notifies the
+//! connection's owner.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,10 +10,10 @@
 use nettlemux_dataplane::messages::FlowEvent;
 use nettlemux_policy::{MS, Time};
 
-/// A connection that has been pending for less isn't told to give way: its line may be on its way.
+/// A connection that has been pending for less is not evicted: its line may be in transit.
 const PENDING_TIME_MIN: Time = 30 * MS;
 
-/// The pending connections, by their order of arrival.
+/// The pending connections, in their order of arrival.
 #[derive(Default)]
 pub struct PendingConnections {
     state: Mutex<PendingState>,
@@ -27,7 +28,7 @@
 struct PendingEntry {
     since: Time,
     notifier: Sender<FlowEvent>,
-    told_to_give_way: bool,
+    is_evicted: bool,
 }
 
 impl PendingConnections {
@@ -35,7 +36,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a connection, whose owner is told to give way by `notifier`.
+    /// Adds a connection. `notifier` tells its owner when it is evicted.
     pub fn add(self: &Arc<Self>, notifier: Sender<FlowEvent>) -> PendingConnection {
         let mut state = self.state();
         state.last_number += 1;
@@ -43,7 +44,7 @@
         let entry = PendingEntry {
             since: clock::now(),
             notifier,
-            told_to_give_way: false,
+            is_evicted: false,
         };
         state.entries.insert(number, entry);
         PendingConnection {
@@ -52,20 +53,20 @@
         }
     }
 
-    /// Tells the oldest connections to give way, `count` at most.
+    /// Evicts the oldest connections, at most `count` of them.
     pub fn evict_oldest(&self, now: Time, count: usize) {
         let mut state = self.state();
         let entries = state.entries.values_mut();
-        let evictable = entries
-            .filter(|entry| !entry.told_to_give_way && entry.since + PENDING_TIME_MIN <= now);
+        let evictable =
+            entries.filter(|entry| !entry.is_evicted && entry.since + PENDING_TIME_MIN <= now);
         for entry in evictable.take(count) {
-            entry.told_to_give_way = true;
+            entry.is_evicted = true;
             entry.notifier.send(FlowEvent::Stop);
         }
     }
 }
 
-/// One pending connection, which is no longer pending once this is dropped.
+/// Marks a connection as pending until it is dropped.
 pub struct PendingConnection {
     connections: Arc<PendingConnections>,
     number: u64,
--- a/crates/line-protocol/src/settings.rs
+++ b/crates/line-protocol/src/settings.rs
@@ -1,6 +1,5 @@
-//! What the platform's settings say of first lines: the traffic classes and tenants that they may
-//! name, and how admission control tells their clients apart. It must never decide what becomes of
-//! a client.
+//! The settings for first lines: the traffic classes and tenants that a first line may name, and how
+//! admission control identifies clients. It must never decide whether a client is served.
 
 use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{MS, SEC, Time};
@@ -9,32 +8,32 @@
 
 use crate::first_line::ConnectRequest;
 
-/// The longest that clients of a class may wait, where the settings have no limit: a whole hour is
-/// no client's wait.
+/// The longest wait of a class's clients if the settings have no limit. No client waits for a full
+/// hour.
 const DEFAULT_WAIT_MAX: Time = 3600 * SEC - MS;
 
-/// A traffic class as first lines name it.
+/// The settings of a traffic class that first lines may name.
 pub struct TrafficClassSettings {
     /// The class's name.
     pub name: String,
-    /// The longest that its clients may wait.
+    /// The longest wait that its clients may ask for, in nanoseconds.
     pub wait_max: Time,
-    /// The latency objective.
+    /// The latency objective, in nanoseconds.
     pub latency_objective: Time,
 }
 
-/// How admission control tells clients apart.
+/// How admission control identifies clients.
 #[derive(Clone, Copy)]
 pub struct ClientKeys {
-    /// What a client's key is made of.
+    /// What a key is computed from.
     pub by: AdmissionKey,
-    /// The seed of all keys.
+    /// The seed for hashing keys.
     pub seed: u64,
 }
 
-/// Settings by which first lines are read.
+/// The settings that first lines are checked against.
 pub struct FirstLineSettings {
-    /// How admission control tells clients apart, where there is one.
+    /// How admission control identifies clients; `None` without admission control.
     pub client_keys: Option<ClientKeys>,
     classes: Vec<TrafficClassSettings>,
     tenants: Vec<String>,
@@ -42,10 +41,10 @@
 }
 
 impl FirstLineSettings {
-    /// Reads the platform's settings, without admission control.
+    /// Returns the settings for first lines from the platform's settings, without admission control.
     ///
     /// # Errors
-    /// The setting that can't be read.
+    /// If a setting is invalid. The error names it.
     pub fn new(settings: &Settings) -> Result<Self, SettingsError> {
         let names = settings.traffic_class_names().into_iter();
         let waits = settings.flow_timeouts();
@@ -66,7 +65,7 @@
         })
     }
 
-    /// Returns the same settings with another way to tell clients apart.
+    /// Returns the same settings with other client keys.
     pub fn with_client_keys(self, client_keys: Option<ClientKeys>) -> Self {
         FirstLineSettings {
             client_keys,
@@ -74,27 +73,27 @@
         }
     }
 
-    /// Returns a traffic class's index by its name; none for one that is unknown.
+    /// Returns the index of the traffic class with this name; `None` if the name is unknown.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// Returns a traffic class's settings by its index.
+    /// Returns the settings of the traffic class with this index.
     ///
     /// # Panics
-    /// There is no class of that index.
+    /// If there is no class with this index.
     pub fn class(&self, index: usize) -> &TrafficClassSettings {
         &self.classes[index]
     }
 
-    /// Returns the group of a request; none where the settings have no groups.
+    /// Returns the group of a request; `None` if it names none or the settings have no groups.
     pub fn group<'a>(&self, request: &ConnectRequest<'a>) -> Option<&'a str> {
         request.group.filter(|_| self.uses_groups)
     }
 
-    /// Returns a tenant's index by its name or number; none for one that is unknown. Where the
-    /// settings have no tenants all are alike.
-    pub fn tenant(&self, name: &str) -> Option<usize> {
+    /// Returns the index of the tenant with this name or number; `None` if it is unknown. If the
+    /// settings have no tenants, all tenants have the index 0.
+    pub fn tenant_index(&self, name: &str) -> Option<usize> {
         if self.tenants.is_empty() {
             return Some(0);
         }
@@ -105,7 +104,8 @@
         })
     }
 
-    /// Returns the client as admission control knows it; all clients are alike where there is none.
+    /// Returns the identity of the client for admission control. Without admission control, all
+    /// clients have the same identity.
     pub fn client_identity(
         &self,
         request: &ConnectRequest,
@@ -115,7 +115,7 @@
         let Some(ClientKeys { by, seed }) = self.client_keys else {
             return ClientIdentity::default();
         };
-        // A client is its group where it names one, else the flow's key.
+        // A client is identified by its group if it names one, or by the flow's key.
         let name = request.group.unwrap_or(request.key);
         let client = nettlemux_admission::hash_key(seed, name.as_bytes());
         let key = match by {
@@ -130,9 +130,11 @@
         }
     }
 
-    /// A tenant's key, the same for its name and its number.
+    /// Returns the key of a tenant, which is the same for the tenant's name and number.
     fn tenant_key(&self, name: &str, seed: u64) -> u64 {
-        let tenant = self.tenant(name).and_then(|index| self.tenants.get(index));
+        let tenant = self
+            .tenant_index(name)
+            .and_then(|index| self.tenants.get(index));
         let name = tenant.map_or(name, String::as_str);
         nettlemux_admission::hash_key(seed, name.as_bytes())
     }
--- a/crates/line-protocol/src/unanswered.rs
+++ b/crates/line-protocol/src/unanswered.rs
@@ -1,5 +1,5 @@
-//! The guard of a client before its flow. It owns the connection until a flow takes it over, and
-//! must never let a client go without an answer whose line may have been read.
+//! A guard for a client's connection before it has a flow. It owns the connection until a flow takes
+//! it over. It must never leave a client without an answer if the client's line may have been read.
 
 use std::ops::Deref;
 use std::thread;
@@ -7,9 +7,9 @@
 use nettlemux_dataplane::connection::Connection;
 use nettlemux_dataplane::wire;
 
-/// A client that has no flow yet. Where it is dropped by a panic, it is told that it has failed.
+/// A client that has no flow yet. If a panic drops it, the client is told that its request failed.
 pub struct UnansweredClient {
-    /// None once a flow has it.
+    /// `None` once a flow has taken over the connection.
     connection: Option<Connection>,
 }
 
@@ -21,9 +21,11 @@
         }
     }
 
-    /// Gives the connection to whoever owes the answer from now on.
+    /// Returns the connection. The caller must answer the client from now on.
     pub fn into_connection(mut self) -> Connection {
-        self.connection.take().expect("held until it is given away")
+        self.connection
+            .take()
+            .expect("present until into_connection")
     }
 }
 
@@ -32,7 +34,7 @@
 
     fn deref(&self) -> &Connection {
         let connection = self.connection.as_ref();
-        connection.expect("held until it is given away")
+        connection.expect("present until into_connection")
     }
 }
 
--- a/crates/line-protocol/src/unanswered/tests.rs
+++ b/crates/line-protocol/src/unanswered/tests.rs
@@ -1,4 +1,4 @@
-//! A client whose coroutine panics before it has a flow.
+//! A client whose coroutine panics before the client has a flow.
 
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
@@ -8,9 +8,9 @@
 
 use super::*;
 
-/// Guards against a client whose line was read and who is closed without an answer.
+/// Guards against closing a client's connection without an answer after its line was read.
 #[test]
-fn a_client_is_answered_where_its_line_panics_before_there_is_a_flow() {
+fn client_is_answered_if_its_coroutine_panics_before_it_has_a_flow() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let timeout = Duration::from_secs(2);
--- a/crates/line-protocol/tests/spoilt_bytes.rs
+++ b/crates/line-protocol/tests/spoilt_bytes.rs
@@ -1,5 +1,5 @@
-//! Lines and lists with bytes changed, cut, doubled or left out: each reader refuses them or reads
-//! them, and the rest of what it is given after that.
+//! Lines and endpoint lists with bytes replaced, removed, inserted or repeated. Each parser must
+//! accept or reject them without a panic, and parse the input that follows.
 
 #[path = "../../balancer/tests/common/draws.rs"]
 mod draws;
@@ -12,13 +12,14 @@
 use nettlemux_line_protocol::first_line;
 use nettlemux_settings::LoadReportFormat;
 
-/// Seeds that are read, and the changes to each text at most.
+/// Number of seeds that are run.
 const SEEDS: u64 = 30_000;
-const CHANGES_MAX: u64 = 6;
-/// What the bytes are made of that stand in for others.
-const BYTES: &[u8] = b"\0\r\n\t -+.,=:\"[]{}e0189nUPBUSYOPEN\x80\xff";
-/// Sound texts, one for each reader and form.
-const TEXTS: [&str; 8] = [
+/// Exclusive upper bound of the number of changes to each text.
+const CHANGES_BOUND: u64 = 6;
+/// Bytes that are inserted, or replace others.
+const INSERTED_BYTES: &[u8] = b"\0\r\n\t -+.,=:\"[]{}e0189nUPBUSYOPEN\x80\xff";
+/// Valid texts, one for each parser and format.
+const VALID_TEXTS: [&str; 8] = [
     "UP 12ab\r\n",
     "BUSY inflight=7,queue=2,util=0.61\r\n",
     "BYE rif=3,x0=0.5\r\nLOAD 0.25\r\nok hello\r\n",
@@ -29,22 +30,22 @@
     r#"{"generation":18446744073709551615,"reset":false,"instances":[{"instanceId":"s-1","lifecycle":"Gone","weight":1e308,"startedAtMs":1e30}]}"#,
 ];
 
-/// Returns a sound text with a few of its bytes changed.
-fn spoilt(draws: &mut Draws) -> Vec<u8> {
-    let mut text = draws.one_of(&TEXTS).as_bytes().to_vec();
-    for _ in 0..draws.below(CHANGES_MAX) {
+/// Returns a valid text with a few of its bytes changed.
+fn corrupted(draws: &mut Draws) -> Vec<u8> {
+    let mut text = draws.one_of(&VALID_TEXTS).as_bytes().to_vec();
+    for _ in 0..draws.below(CHANGES_BOUND) {
         let at = draws.below(text.len() as u64 + 1) as usize;
         match draws.below(4) {
-            0 if at < text.len() => text[at] = draws.one_of(BYTES),
+            0 if at < text.len() => text[at] = draws.one_of(INSERTED_BYTES),
             1 if at < text.len() => drop(text.remove(at)),
-            2 => text.insert(at, draws.one_of(BYTES)),
+            2 => text.insert(at, draws.one_of(INSERTED_BYTES)),
             _ => text.extend_from_within(at..),
         }
     }
     text
 }
 
-fn read_all(text: &[u8], cut: usize) {
+fn parse_all(text: &[u8], cut: usize) {
     let format = LoadReportFormat::default();
     let _ = ServerAnswer::parse(text, &format);
     let _ = HealthCheckAnswer::parse(text, &format);
@@ -61,15 +62,15 @@
     assert!(scanner.is_between_lines());
 }
 
-/// Guards against a panic, and with it a client or a list that is lost, by bytes of a peer.
+/// Guards against a panic on bytes from a peer, which would lose a client or an endpoint list.
 #[test]
-fn spoilt_bytes_are_refused_or_read() {
+fn corrupted_bytes_cause_no_panic() {
     let panicked: Vec<u64> = (0..SEEDS)
         .filter(|seed| {
             let mut draws = Draws::new(*seed);
-            let text = spoilt(&mut draws);
+            let text = corrupted(&mut draws);
             let cut = draws.below(text.len() as u64 + 1) as usize;
-            catch_unwind(|| read_all(&text, cut)).is_err()
+            catch_unwind(|| parse_all(&text, cut)).is_err()
         })
         .collect();
     assert!(panicked.is_empty(), "seeds {panicked:?} panicked");
