--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,19 +1,20 @@
-//! A toy deployment to try nettlemux with: a few servers and a discovery agent, all in one process
-//! on loopback.
+//! A toy deployment for trying out nettlemux: three servers and a discovery agent, all in one
+//! process on the loopback interface.
 //!
-//! `cargo run --example toy` starts three servers at 127.0.0.1:7101 to 7103 and discovery at
-//! 127.0.0.1:7100. Lines on standard input change it, each a command and a server's port:
+//! `cargo run --example toy` starts the servers at 127.0.0.1:7101 to 7103 and the agent at
+//! 127.0.0.1:7100. Each line on standard input is a command that changes the deployment: a word, a
+//! server's port and, for `load`, a value:
 //!
 //! | command | effect |
 //! | --- | --- |
-//! | `up 7101` | the server serves |
-//! | `busy 7101`, `err 7101` | it answers `BUSY` or `ERR` to new clients |
-//! | `silent 7101` | it reads and answers nothing |
-//! | `cut 7101` | it closes connections without an answer |
-//! | `load 7101 0.9` | it reports this load |
-//! | `ready 7101`, `drain 7101`, `gone 7101` | discovery lists it as ready, as draining, or no longer |
+//! | `up 7101` | the server serves clients |
+//! | `busy 7101`, `err 7101` | it answers each line of a client with `BUSY` or `ERR` |
+//! | `silent 7101` | it reads lines and answers none, not even health checks |
+//! | `cut 7101` | it closes a connection when it receives a client's line, without an answer |
+//! | `load 7101 0.9` | it reports this load in health checks |
+//! | `ready 7101`, `drain 7101`, `gone 7101` | the agent lists it as ready or draining, or no longer lists it |
 //!
-//! The tests of the program use the same servers and the same agent.
+//! The tests of the `nettlemux` program use the same servers and the same agent.
 
 #[path = "toy/agent.rs"]
 mod agent;
@@ -27,7 +28,7 @@
 use server::INITIAL_LOAD;
 pub use server::{ServerBehavior, ToyServer};
 
-/// Carries out one command from standard input.
+/// Executes one command from standard input.
 fn execute(words: &[&str], port: &str, server: &ToyServer, agent: &DiscoveryAgent) {
     match words[0] {
         "up" => server.set_behavior(ServerBehavior::Serving),
@@ -55,7 +56,7 @@
         servers.insert(port, server);
     }
     println!(
-        "discovery at {}, servers at ports 7101 to 7103",
+        "discovery agent at {}, servers at ports 7101 to 7103",
         agent.address
     );
     for line in io::stdin().lines() {
@@ -63,7 +64,7 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.get(1).and_then(|port| servers.get_key_value(port)) {
             Some((port, server)) => execute(&words, port, server, &agent),
-            None => println!("a command and a port, for example: busy 7101"),
+            None => println!("expected a command and a server's port, for example: busy 7101"),
         }
     }
     Ok(())
--- a/examples/toy/agent.rs
+++ b/examples/toy/agent.rs
@@ -1,4 +1,4 @@
-//! A toy discovery agent: it serves an endpoint list over HTTP/1.1 and behaves as it is told.
+//! A toy discovery agent. It serves an endpoint list over HTTP/1.1 and can simulate faults.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Lines, Write};
@@ -7,19 +7,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest that a call to the agent is held.
+/// The longest time that a call to the agent is held open.
 const HOLD_MAX_MS: u64 = 60_000;
-/// How many calls the agent keeps on record.
+/// Number of calls that the agent records.
 const RECORDED_CALLS_MAX: usize = 10_000;
 
 /// A server as the agent lists it.
 struct ListEntry {
-    /// The version of the list in which it changed last.
+    /// The version of the list in which this entry was last changed.
     version: u64,
     address: SocketAddr,
     /// `Ready`, `Terminating` or `Gone`.
     lifecycle: String,
-    /// When it started, Unix time in milliseconds; 0 for long ago.
+    /// The server's start time as Unix time in milliseconds; 0 stands for long ago.
     started_ms: u64,
 }
 
@@ -45,7 +45,8 @@
 }
 
 impl EndpointList {
-    /// Returns the answer to a call: what has changed since a version, or the whole list.
+    /// Returns the answer to a call: the entries changed after `from_version`, or the complete list
+    /// for `None`.
     fn to_json(&self, from_version: Option<u64>) -> String {
         let is_included = |entry: &ListEntry| match from_version {
             Some(from) => entry.version > from,
@@ -66,26 +67,28 @@
     }
 }
 
-/// How the agent treats its callers. The durations are waits in a queue before a call is looked at.
+/// How the agent handles calls. The durations are how long a call is queued before it is processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentBehavior {
     /// Answers each call.
     Answering(Duration),
     /// Reads calls and answers none.
     Silent,
-    /// Answers each call with status 503, unless it answers again by then.
+    /// Answers each call with status 503, unless the behavior is `Answering` by the time that the call
+    /// is processed.
     Rejecting(Duration),
     /// Closes the connection.
     Closing(Duration),
 }
 
-/// A call on the agent's record.
+/// A call that the agent has recorded.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordedCall {
-    /// The version from which it asked; none if it asked for the whole list.
+    /// The version after which the caller asked for changes; `None` if it asked for the complete
+    /// list.
     pub from_version: Option<u64>,
     pub received_at: Instant,
-    /// When it was answered with a list.
+    /// When the call was answered with a list.
     pub answered_at: Option<Instant>,
 }
 
@@ -98,10 +101,10 @@
     calls: Mutex<Vec<RecordedCall>>,
 }
 
-/// What the request line of a call asks for.
+/// The parameters in the request line of a call.
 struct ListRequest {
     from_version: Option<u64>,
-    /// How long the call is held while nothing changes.
+    /// How long the call is held open while the list doesn't change.
     hold: Duration,
 }
 
@@ -128,7 +131,7 @@
     /// connection.
     ///
     /// # Errors
-    /// If it can't listen there.
+    /// If listening at the address fails.
     pub fn start(address: &str) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind(address)?;
         let agent = Arc::new(DiscoveryAgent {
@@ -148,12 +151,12 @@
         Ok(agent)
     }
 
-    /// Lists a server in this state, as one that started long ago; `Gone` removes it.
+    /// Lists a server with this lifecycle state, as a server that started long ago. `Gone` removes it.
     pub fn publish(&self, id: &str, address: SocketAddr, lifecycle: &str) {
         self.publish_started(id, address, lifecycle, 0);
     }
 
-    /// Lists a server in this state that started at this Unix time, in milliseconds.
+    /// Lists a server with this lifecycle state and this start time, as Unix time in milliseconds.
     pub fn publish_started(&self, id: &str, address: SocketAddr, lifecycle: &str, started_ms: u64) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
@@ -167,7 +170,7 @@
         self.changed.notify_all();
     }
 
-    /// Counts versions from one again, as an agent that was restarted does; held calls are
+    /// Restarts the version numbers at 1, as a restarted agent does. Calls that are held open are
     /// answered.
     pub fn restart_versions(&self) {
         let mut list = self.list.lock().unwrap();
@@ -179,17 +182,17 @@
         self.changed.notify_all();
     }
 
-    /// Changes how it treats its callers.
+    /// Changes how the agent handles calls.
     pub fn set_behavior(&self, behavior: AgentBehavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// Answers no further call until [`resume`](Self::resume).
+    /// Stops answering calls until [`resume`](Self::resume).
     pub fn silence(&self) {
         self.set_behavior(AgentBehavior::Silent);
     }
 
-    /// Answers each call at once from now on.
+    /// Answers each call without a delay from now on.
     pub fn resume(&self) {
         self.set_behavior(AgentBehavior::Answering(Duration::ZERO));
     }
@@ -198,12 +201,12 @@
         *self.behavior.lock().unwrap()
     }
 
-    /// Returns the version of its list.
+    /// Returns the version of the endpoint list.
     pub fn version(&self) -> u64 {
         self.list.lock().unwrap().version
     }
 
-    /// Returns the calls so far, in order.
+    /// Returns the recorded calls, in order.
     pub fn calls(&self) -> Vec<RecordedCall> {
         self.calls.lock().unwrap().clone()
     }
@@ -221,7 +224,7 @@
         calls.len() - 1
     }
 
-    /// Serves one connection until it ends.
+    /// Serves one connection until it is closed or an I/O operation fails.
     fn serve_connection(&self, stream: TcpStream) -> Option<()> {
         let mut out = stream.try_clone().ok()?;
         let mut lines = BufReader::new(stream).lines();
@@ -229,22 +232,22 @@
             let request = ListRequest::read(&mut lines)?;
             let call = self.record_call(request.from_version);
             match self.behavior() {
-                AgentBehavior::Answering(queue) => thread::sleep(queue),
+                AgentBehavior::Answering(delay) => thread::sleep(delay),
                 AgentBehavior::Silent => continue,
-                AgentBehavior::Rejecting(queue) => {
-                    thread::sleep(queue);
+                AgentBehavior::Rejecting(delay) => {
+                    thread::sleep(delay);
                     if !matches!(self.behavior(), AgentBehavior::Answering(_)) {
                         out.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                             .ok()?;
                         continue;
                     }
                 }
-                AgentBehavior::Closing(queue) => {
-                    thread::sleep(queue);
+                AgentBehavior::Closing(delay) => {
+                    thread::sleep(delay);
                     return out.shutdown(Shutdown::Both).ok();
                 }
             }
-            let body = self.held_answer(&request);
+            let body = self.wait_for_change(&request);
             self.calls.lock().unwrap()[call].answered_at = Some(Instant::now());
             write!(
                 out,
@@ -255,8 +258,9 @@
         }
     }
 
-    /// Waits until the list differs from the caller's or the hold is over, and returns the answer.
-    fn held_answer(&self, request: &ListRequest) -> String {
+    /// Waits until the list's version differs from the caller's or the hold time is over, and returns
+    /// the answer.
+    fn wait_for_change(&self, request: &ListRequest) -> String {
         let list = self.list.lock().unwrap();
         let (list, _) = self
             .changed
--- a/examples/toy/server.rs
+++ b/examples/toy/server.rs
@@ -1,4 +1,4 @@
-//! A toy server: it speaks the platform's line protocol and behaves as it is told.
+//! A toy server. It speaks the platform's line protocol and can simulate faults.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,23 +6,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// The load that a server reports until another is set.
+/// The load that a server reports until another load is set.
 pub const INITIAL_LOAD: f64 = 0.01;
-/// How often a silent server looks whether it is still silent.
+/// How often a silent server checks whether it is still silent.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How a server treats its clients.
+/// How a server handles its clients. Only a silent server leaves health checks unanswered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerBehavior {
-    /// Answers `UP 1`, then each line with `ok` and the line.
+    /// Answers a first line with `UP 1` and each further line with `ok` and the line.
     Serving,
-    /// Answers `BUSY`.
+    /// Answers each line with `BUSY`.
     Busy,
-    /// Answers `ERR`.
+    /// Answers each line with `ERR`.
     Failing,
-    /// Reads lines and answers nothing, not even on open connections.
+    /// Reads lines and answers none, not even on connections that are already open.
     Silent,
-    /// Closes connections without an answer.
+    /// Closes a connection when it receives a client's line, without an answer.
     Closing,
 }
 
@@ -41,7 +41,7 @@
     /// Starts a server that listens at this address, with a thread for each connection.
     ///
     /// # Errors
-    /// If it can't listen there.
+    /// If listening at the address fails.
     pub fn start(address: &str) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind(address)?;
         let server = Arc::new(ToyServer {
@@ -63,7 +63,7 @@
         Ok(server)
     }
 
-    /// Changes how it treats its clients, also those of open connections.
+    /// Changes how the server handles its clients, including those on open connections.
     pub fn set_behavior(&self, behavior: ServerBehavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
@@ -72,22 +72,22 @@
         *self.behavior.lock().unwrap()
     }
 
-    /// Sets the load that it reports.
+    /// Sets the load that the server reports.
     pub fn set_load(&self, load: f64) {
         *self.load.lock().unwrap() = load;
     }
 
-    /// Returns the first lines that it has received, in order.
+    /// Returns the first lines that the server has received, in order.
     pub fn first_lines(&self) -> Vec<String> {
         self.first_lines.lock().unwrap().clone()
     }
 
-    /// Returns how many health checks it has received.
+    /// Returns the number of health checks that the server has received.
     pub fn health_checks(&self) -> usize {
         *self.health_checks.lock().unwrap()
     }
 
-    /// Returns how many connections the balancer has closed.
+    /// Returns the number of connections that the balancer has closed.
     pub fn closed_connections(&self) -> usize {
         *self.closed_connections.lock().unwrap()
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Serves one connection; `None` if it was closed or broke before its client ended it.
+    /// Serves one connection; `None` if the server closed it or it failed before the client ended it.
     fn serve_connection(&self, stream: TcpStream) -> Option<()> {
         let mut out = stream.try_clone().ok()?;
         let mut lines = BufReader::new(stream).lines();
@@ -119,18 +119,18 @@
             }
         }
         *self.closed_connections.lock().unwrap() += 1;
-        // A silent one holds its side open, as a machine that has vanished does.
+        // A silent server keeps its side open. This simulates a machine that has vanished.
         while self.behavior() == ServerBehavior::Silent {
             thread::sleep(SILENCE_CHECK_INTERVAL);
         }
         Some(())
     }
 
-    fn answer_health_check(&self, question: &str, out: &mut TcpStream) -> Option<()> {
+    fn answer_health_check(&self, request: &str, out: &mut TcpStream) -> Option<()> {
         let behavior = self.behavior();
         *self.health_checks.lock().unwrap() += 1;
         let load = *self.load.lock().unwrap();
-        let report = if question == "STATS" {
+        let report = if request == "STATS" {
             format!(" x0={load},util={load}")
         } else {
             String::new()
@@ -141,19 +141,19 @@
         write!(out, "PONG{report}\r\n").ok()
     }
 
-    /// Answers a client's first line or a later one; `None` once the connection is closed.
+    /// Answers a client's first line or a later line; `None` if the connection is closed.
     fn answer_line(&self, line: &str, out: &mut TcpStream) -> Option<()> {
         let behavior = self.behavior();
-        let first = line.starts_with("OPEN ");
-        if first {
+        let is_first = line.starts_with("OPEN ");
+        if is_first {
             self.first_lines.lock().unwrap().push(line.to_string());
         }
-        if first && matches!(behavior, ServerBehavior::Serving | ServerBehavior::Silent) {
+        if is_first && matches!(behavior, ServerBehavior::Serving | ServerBehavior::Silent) {
             self.open.lock().unwrap().push(out.try_clone().ok()?);
         }
         match behavior {
             ServerBehavior::Silent => Some(()),
-            ServerBehavior::Serving if first => out.write_all(b"UP 1\r\n").ok(),
+            ServerBehavior::Serving if is_first => out.write_all(b"UP 1\r\n").ok(),
             ServerBehavior::Serving => write!(out, "ok {line}\r\n").ok(),
             ServerBehavior::Busy => out.write_all(b"BUSY\r\n").ok(),
             ServerBehavior::Failing => out.write_all(b"ERR\r\n").ok(),
