--- a/crates/line-protocol/src/first_line.rs
+++ b/crates/line-protocol/src/first_line.rs
@@ -111,7 +111,7 @@
     /// There are more values than any valid line has.
     #[error("too many values")]
     TooManyValues,
-    /// The wait is larger than any time.
+    /// The wait doesn't fit into a `u64`.
     #[error("d is too large")]
     WaitTooLarge,
     /// The wait has characters other than digits.
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -20,7 +20,7 @@
 const DEFAULT_MAX_RETRY_AFTER: Time = SEC;
 
 impl Settings {
-    /// Parses settings that are a JSON text of their own.
+    /// Parses settings from a JSON text that contains nothing else.
     ///
     /// # Errors
     /// If the text is not a JSON object.
@@ -149,7 +149,7 @@
         self.names(keys::TENANTS)
     }
 
-    /// Returns the names of the traffic classes, in the order in which classes are numbered.
+    /// Returns the names of the traffic classes, in the order of their numbers.
     pub fn traffic_class_names(&self) -> Vec<String> {
         self.names(keys::TRAFFIC_CLASSES)
     }
--- a/crates/settings/src/platform/keys.rs
+++ b/crates/settings/src/platform/keys.rs
@@ -2,7 +2,7 @@
 //!
 //! The parts of a path are separated by `/`.
 
-/// The field name in errors about settings that are a JSON text of their own.
+/// The field name in errors about settings from a JSON text that contains nothing else.
 pub(super) const STANDALONE: &str = "conf";
 /// The field name in errors about settings embedded in another object.
 pub(super) const EMBEDDED: &str = "settings";
--- a/crates/settings/src/platform/policy.rs
+++ b/crates/settings/src/platform/policy.rs
@@ -77,7 +77,7 @@
     }
 
     /// If the settings have no load multiple at which starting servers fail, slow start is
-    /// unlimited: all servers count as warmed up.
+    /// disabled: all servers count as warmed up.
     fn slow_start(&self) -> Result<SlowStartConfig, SettingsError> {
         if self.optional(keys::SLOW_START_FAILURE_MULTIPLE).is_none() {
             return Ok(SlowStartConfig {
--- a/crates/settings/src/platform/values.rs
+++ b/crates/settings/src/platform/values.rs
@@ -43,10 +43,10 @@
 
     /// Replaces the value of a setting whose parent objects exist.
     pub(super) fn set(&mut self, path: &str, new: Value) {
-        let place = path
+        let target = path
             .split('/')
             .fold(&mut self.value, |value, key| &mut value[key]);
-        *place = new;
+        *target = new;
     }
 
     pub(super) fn required<T>(
