--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -1,8 +1,8 @@
-//! How the parts of the balancer are put together, started, and waited for.
+//! Builds the components of the balancer, starts them and waits for them to end.
 //!
-//! The order matters: nothing that needs the coroutine runtime comes before it is configured, the
-//! stored endpoints are sent before the first client can connect, and signals are heard once all
-//! that they change is there.
+//! The order matters. The coroutine runtime is configured before anything uses it. The stored
+//! endpoints are sent before the first client can connect. Signals are handled only after
+//! everything that they act on exists.
 
 use std::hash::{BuildHasher, RandomState};
 use std::net::TcpListener;
@@ -43,48 +43,48 @@
 use crate::signals;
 use crate::start_error::StartError;
 
-/// How long before an attempt's timeout the client is answered. Answers go out some milliseconds
-/// late where another program is busy on the same core.
+/// How long before an attempt's timeout the client is answered. The margin is needed because
+/// answers go out some milliseconds late if another program is busy on the same core.
 const ANSWER_MARGIN: Time = 15 * MS;
-/// The size of a coroutine's stack in words of 8 bytes: 64 KB, of which the system gives only the
-/// pages that are touched. Discovery, which parses JSON, needs the most.
+/// The size of a coroutine's stack in words of 8 bytes, which is 64 KB. The system allocates only
+/// the pages that are touched. Discovery needs the largest stack, since it parses JSON.
 const COROUTINE_STACK_WORDS: usize = 0x2000;
-/// The longest Retry-After of admission control, where the settings allow none.
+/// The longest Retry-After of admission control if the settings do not allow Retry-After.
 const RETRY_AFTER_MAX_DEFAULT: Time = SEC;
-/// The least value of the longest Retry-After of admission control.
+/// The lower bound of the longest Retry-After of admission control.
 const RETRY_AFTER_MAX_MIN: Time = 100 * MS;
 
-/// What the balancer is built from.
+/// The inputs from which the balancer is built.
 pub struct Inputs {
     pub config: Config,
     pub operator: OperatorFile,
-    /// The files that SIGHUP reads again.
+    /// The files that are reloaded on SIGHUP.
     pub files: Files,
     pub signals: Signals,
 }
 
-/// Builds the balancer and runs it until it is told to end.
+/// Builds the balancer and runs it until it is told to terminate.
 ///
 /// # Errors
-/// If it can't start, or a part without which it can't go on has failed.
+/// If the balancer can't start, or a service that it needs has failed permanently.
 pub fn serve(inputs: Inputs) -> Result<(), StartError> {
     let mut config = inputs.config;
     let operator = inputs.operator;
-    let budgets = DescriptorBudgets::new(config.sockets, config.memory);
+    let budgets = DescriptorBudgets::new(config.descriptors_max, config.memory_bytes_max);
     configure_runtime(&budgets);
     let settings = &match operator.peers {
         Some(_) => config.settings.clone(),
         None => config.settings.clone().without_gossip(),
     };
-    let decisions = Decisions::new(&config, settings, operator.admission.as_ref())?;
+    let decisions = DecisionParts::new(&config, settings, operator.admission.as_ref())?;
     let messages = Mailbox::new();
     let shared = SharedParts::new(&config, budgets, messages.sender());
     let acceptor = Acceptor::new(shared.dataplane.clone(), decisions.first_line_settings);
 
     let known_version = send_known_endpoints(&mut config, &shared.dispatcher);
-    let listener = listen(&config, &shared.dataplane)?;
+    let listener = open_listener(&config, &shared.dataplane)?;
     let gossip = Gossip::start(operator.peers, &shared.dispatcher)?;
-    reload::warn_of_missing_peers(&config.settings, gossip.transport.as_ref());
+    reload::warn_of_missing_peers(&config.settings, gossip.peering.as_ref());
 
     let dispatcher = Dispatcher::new(DispatcherConfig {
         flow_table: decisions.flow_table,
@@ -98,7 +98,7 @@
         answer_deadline: AnswerDeadline::new(settings.flow_timeout_max()),
         pending_connections: shared.dataplane.budgets.pending.clone(),
     });
-    let running = may::go!(move || dispatcher.run());
+    let dispatcher_handle = may::go!(move || dispatcher.run());
     let agent = Agent::new(config.discovery);
     let discovery = shared.discovery_context(agent.clone(), config.seed);
     let reloader = Reloader {
@@ -108,66 +108,69 @@
         admission_seed: decisions.admission_seed,
         runtime_settings: shared.runtime_settings,
         acceptor: acceptor.clone(),
-        peers: gossip.transport,
+        gossip_peering: gossip.peering,
         agent,
         dispatcher: shared.dispatcher.clone(),
     };
-    signals::listen(inputs.signals, reloader, shared.dispatcher.clone())
+    signals::spawn_handler_thread(inputs.signals, reloader, shared.dispatcher.clone())
         .map_err(StartError::Signals)?;
     start_discovery(discovery, known_version, shared.dispatcher.clone());
     start_listener(acceptor, listener, shared.dispatcher);
-    wait_for_end(running)
+    wait_for_end(dispatcher_handle)
 }
 
-/// Waits until the dispatcher has ended.
-fn wait_for_end(dispatcher: JoinHandle<Result<(), DispatcherError>>) -> Result<(), StartError> {
+/// Waits for the dispatcher to end.
+fn wait_for_end(
+    dispatcher_handle: JoinHandle<Result<(), DispatcherError>>,
+) -> Result<(), StartError> {
     let panicked = DispatcherError::ServiceFailed {
         service: Service::Dispatcher,
     };
-    let ended = dispatcher.join().unwrap_or(Err(panicked));
+    let ended = dispatcher_handle.join().unwrap_or(Err(panicked));
     ended.map(|()| info!("ended")).map_err(|failure| {
         let DispatcherError::ServiceFailed { service } = failure;
-        error!(service = service.name(), "a service has failed for good");
+        error!(service = service.name(), "a service has failed permanently");
         StartError::ServiceFailed(failure)
     })
 }
 
-/// Configures the coroutine runtime, before anything starts it.
+/// Configures the coroutine runtime. Must be called before anything starts the runtime.
 fn configure_runtime(budgets: &DescriptorBudgets) {
     let runtime = may::config();
-    // One core is all there is: one worker, free to run where the system puts it.
+    // The process gets one core, so one worker is enough. It is not pinned: the system decides on
+    // which core it runs.
     runtime
         .set_workers(1)
         .set_stack_size(COROUTINE_STACK_WORDS)
         .set_worker_pin(false);
-    // Guards against a client that is accepted and lost since its coroutine's stack can't be mapped
-    // at that moment.
+    // Stacks are pooled: if an accepted client needed a new stack and it could not be mapped at that
+    // moment, the client would be lost.
     runtime.set_pool_capacity(budgets.coroutines());
 }
 
-/// What decides: the flow table with the policy and admission control in it, and how first lines
-/// are read for them.
-struct Decisions {
+/// The decision-making components: the flow table, which contains the policy and admission control,
+/// and the settings by which first lines are parsed for them.
+struct DecisionParts {
     flow_table: FlowTable,
     first_line_settings: FirstLineSettings,
-    /// Seeds the keys of admission control, where that is on.
+    /// The seed of admission control's hash keys. `None` if admission control is off.
     admission_seed: Option<u64>,
 }
 
-impl Decisions {
+impl DecisionParts {
     fn new(
         config: &Config,
         settings: &Settings,
         admission: Option<&operator::AdmissionSettings>,
     ) -> Result<Self, StartError> {
         let policy = settings.policy(config.seed, ANSWER_MARGIN, DrainMigration::Enabled)?;
-        let mut decisions = Decisions {
+        let mut decisions = DecisionParts {
             first_line_settings: FirstLineSettings::new(settings)?,
             flow_table: FlowTable::new(policy),
             admission_seed: None,
         };
-        if let Some(keys) = admission {
-            decisions = decisions.with_admission(config, settings, keys)?;
+        if let Some(admission) = admission {
+            decisions = decisions.with_admission(config, settings, admission)?;
         }
         Ok(decisions)
     }
@@ -176,14 +179,15 @@
         self,
         config: &Config,
         settings: &Settings,
-        keys: &operator::AdmissionSettings,
+        admission: &operator::AdmissionSettings,
     ) -> Result<Self, StartError> {
-        // New with each start, so that no client can aim at another's place in the tables.
+        // Differs with each start, so that a client can't provoke a hash collision with another
+        // client's entry in the tables.
         let seed = config.seed ^ RandomState::new().hash_one(config.seed);
         let retry_after_max = settings.max_retry_after()?;
         let controller = AdmissionController::new(
-            operator_file::admission(
-                keys,
+            operator_file::admission_config(
+                admission,
                 seed,
                 retry_after_max
                     .unwrap_or(RETRY_AFTER_MAX_DEFAULT)
@@ -195,20 +199,21 @@
             Some(_) => RetryAfterHint::Sent,
             None => RetryAfterHint::Withheld,
         };
-        info!(by = ?keys.by, waiting = keys.waiting, "admission control enabled");
-        Ok(Decisions {
+        info!(by = ?admission.by, waiting = admission.waiting, "admission control enabled");
+        Ok(DecisionParts {
             flow_table: self.flow_table.with_admission(controller, hint),
-            first_line_settings: self
-                .first_line_settings
-                .with_client_keys(Some(ClientKeys { by: keys.by, seed })),
+            first_line_settings: self.first_line_settings.with_client_keys(Some(ClientKeys {
+                by: admission.by,
+                seed,
+            })),
             admission_seed: Some(seed),
         })
     }
 }
 
-/// What coroutines share.
+/// Components that the coroutines share.
 struct SharedParts {
-    /// The way to the dispatcher.
+    /// Sends messages to the dispatcher.
     dispatcher: Sender<DispatcherMessage>,
     runtime_settings: Arc<SharedSettings>,
     dataplane: Arc<Dataplane>,
@@ -256,8 +261,8 @@
     }
 }
 
-/// Sends the dispatcher the endpoint list as last known, without removed servers; returns its
-/// version.
+/// Sends the last known endpoint list, without removed servers, to the dispatcher. Returns the
+/// version of the list.
 fn send_known_endpoints(
     config: &mut Config,
     dispatcher: &Sender<DispatcherMessage>,
@@ -269,9 +274,9 @@
     Some(known.version)
 }
 
-/// Opens the listener. It is the first that needs the coroutine runtime: if that can't start, the
-/// program is executed anew.
-fn listen(config: &Config, dataplane: &Dataplane) -> Result<CoIo<TcpListener>, StartError> {
+/// Opens the listener. This is the first use of the coroutine runtime; if the runtime can't start,
+/// the process re-executes itself.
+fn open_listener(config: &Config, dataplane: &Dataplane) -> Result<CoIo<TcpListener>, StartError> {
     let address = config.listen;
     let opened = match catch_unwind(|| {
         timer::start();
@@ -283,13 +288,13 @@
     let listener = opened.map_err(|source| StartError::Listener { address, source })?;
     let flows = dataplane.budgets.flows.limit();
     let waiting = dataplane.budgets.pending.limit();
-    info!(name = config.name, listen = %address, sockets = config.sockets, flows, waiting, "serving");
+    info!(name = config.name, listen = %address, sockets = config.descriptors_max, flows, waiting, "serving");
     Ok(listener)
 }
 
-/// Gossip with the other balancers, where peers are configured.
+/// Gossip with the other balancers. Both fields are `None` if no peers are configured.
 struct Gossip {
-    transport: Option<GossipPeering>,
+    peering: Option<GossipPeering>,
     sender: Option<Sender<GossipMessage>>,
 }
 
@@ -298,18 +303,18 @@
         peers: Option<operator::Peers>,
         dispatcher: &Sender<DispatcherMessage>,
     ) -> Result<Self, StartError> {
-        let Some(keys) = peers else {
+        let Some(peers) = peers else {
             return Ok(Gossip {
-                transport: None,
+                peering: None,
                 sender: None,
             });
         };
-        let address = keys.listen;
+        let address = peers.listen;
         let (transport, sender) =
-            GossipTransport::start(address, keys.addresses, dispatcher.clone())
+            GossipTransport::start(address, peers.addresses, dispatcher.clone())
                 .map_err(|source| StartError::Gossip { address, source })?;
         Ok(Gossip {
-            transport: Some(GossipPeering {
+            peering: Some(GossipPeering {
                 listen: address,
                 transport,
             }),
--- a/crates/balancer/src/cli.rs
+++ b/crates/balancer/src/cli.rs
@@ -6,18 +6,18 @@
 use nettlemux_settings::operator::Format;
 use tracing::Level;
 
-/// What the program is asked to do.
+/// The subcommand to run.
 #[derive(Clone)]
 pub enum Command {
     /// Run the balancer.
     Serve {
         files: Files,
-        /// The log's level; else the operator's file says it.
+        /// The log level. `None`: taken from the operator's file.
         level: Option<Level>,
-        /// The log's format; else the operator's file says it.
+        /// The log format. `None`: taken from the operator's file.
         format: Option<Format>,
     },
-    /// Check the files.
+    /// Check the configuration and the operator's file.
     Check { files: Files },
     /// Print the JSON schema of the operator's file.
     Schema,
@@ -25,21 +25,21 @@
     Version,
 }
 
-/// The files that the command line names.
+/// The files given on the command line.
 #[derive(Clone)]
 pub struct Files {
-    /// The configuration; else `LB_CONFIG` names it.
+    /// The configuration file. `None`: the file that `LB_CONFIG` names.
     pub config: Option<PathBuf>,
-    /// The operator's file.
+    /// The operator's file. `None`: the defaults apply.
     pub operator: Option<PathBuf>,
 }
 
-/// Returns the parser of the command line.
+/// Returns the command-line parser.
 pub fn command() -> OptionParser<Command> {
     let (serve, check, schema, version) = (serve(), check(), schema(), version());
     construct!([serve, check, schema, version])
         .to_options()
-        .descr("A balancer for long-lived connections")
+        .descr("A load balancer for long-lived connections")
 }
 
 fn serve() -> impl Parser<Command> {
@@ -50,7 +50,7 @@
         format
     })
     .to_options()
-    .descr("Run the balancer until SIGTERM")
+    .descr("Run the balancer until SIGTERM or SIGINT")
     .command("serve")
 }
 
@@ -58,7 +58,7 @@
     let files = files();
     construct!(Command::Check { files })
         .to_options()
-        .descr("Check a configuration and say what is wrong with it")
+        .descr("Check the configuration and the operator's file, and report what is wrong")
         .command("check")
 }
 
@@ -78,11 +78,11 @@
 
 fn files() -> impl Parser<Files> {
     let config = long("config")
-        .help("the configuration, as JSON; without it, the file that LB_CONFIG names")
+        .help("configuration file (JSON); default: the file named by LB_CONFIG")
         .argument::<PathBuf>("FILE")
         .optional();
     let operator = long("operator")
-        .help("the operator's file, as TOML")
+        .help("operator's file (TOML); without it, the defaults apply")
         .argument::<PathBuf>("FILE")
         .optional();
     construct!(Files { config, operator })
@@ -90,19 +90,19 @@
 
 fn level() -> impl Parser<Option<Level>> {
     long("log")
-        .help("error, warn, info, debug or trace")
+        .help("log level: error, warn, info, debug or trace; overrides the operator's file")
         .argument::<Level>("LEVEL")
         .optional()
 }
 
 fn format() -> impl Parser<Option<Format>> {
     long("log-format")
-        .help("text, or json: one object a line")
+        .help("log format: text, or json (one object per line); overrides the operator's file")
         .argument::<String>("FORMAT")
         .parse(|word| match word.as_str() {
             "text" => Ok(Format::Text),
             "json" => Ok(Format::Json),
-            other => Err(format!("'{other}' is neither text nor json")),
+            other => Err(format!("expected text or json, found '{other}'")),
         })
         .optional()
 }
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the platform writes: its values, checked and with their defaults.
+//! The configuration written by the platform, validated and with defaults filled in.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,33 +9,34 @@
 use nettlemux_settings::Settings;
 use tracing::warn;
 
-/// A checked configuration.
+/// A validated configuration.
 pub struct Config {
     /// The balancer's name in the log.
     pub name: String,
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
     /// The discovery agent's address.
     pub discovery: SocketAddr,
-    /// Seeds all random draws.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Descriptors that the process may hold.
-    pub sockets: usize,
-    /// Memory that the process may use, in bytes.
-    pub memory: usize,
-    /// The endpoint list as last known, perhaps old.
+    /// Maximum number of file descriptors that the process may hold.
+    pub descriptors_max: usize,
+    /// Maximum memory that the process may use, in bytes.
+    pub memory_bytes_max: usize,
+    /// The last known endpoint list, which may be out of date.
     pub known_endpoints: Option<ListUpdate>,
     /// The platform's settings.
     pub settings: Settings,
-    /// A connection to a server that isn't up by then counts as failed.
+    /// A connection to a server that is not established within this time counts as failed.
     pub connect_timeout: Time,
-    /// The longest pause between two calls for the endpoint list, where it is polled.
+    /// The longest interval between two polls of the endpoint list, if the list is polled.
     pub poll_interval_max: Option<Time>,
-    /// Keys that nothing reads.
+    /// Keys that this version does not know and ignores.
     pub unknown_keys: Vec<UnknownKey>,
 }
 
 impl Config {
-    /// Returns what the data plane takes from the settings.
+    /// Returns the settings that the data plane uses.
     pub fn runtime_settings(&self) -> RuntimeSettings {
         RuntimeSettings {
             report_format: self.settings.load_report_format(),
@@ -45,22 +46,29 @@
         }
     }
 
-    /// Logs a warning for each key that nothing reads.
+    /// Logs a warning for each unknown key.
     pub fn warn_of_unknown_keys(&self) {
         for UnknownKey { key, why } in &self.unknown_keys {
             warn!(key, why, "unknown key in the configuration");
         }
     }
 
-    /// Returns the keys that differ in a new configuration and are read at the start only. `known`
-    /// isn't among them: it describes the moment of the start.
+    /// Returns the keys that have changed in a new configuration and are applied only at the start.
+    /// `known` is never returned: it holds the endpoint list to start with, so a change of it does
+    /// not matter later.
     pub fn keys_needing_a_restart(&self, new: &Config) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("seed", self.seed != new.seed),
-            ("limits.sockets", self.sockets != new.sockets),
-            ("limits.memory_mb", self.memory != new.memory),
+            (
+                "limits.sockets",
+                self.descriptors_max != new.descriptors_max,
+            ),
+            (
+                "limits.memory_mb",
+                self.memory_bytes_max != new.memory_bytes_max,
+            ),
         ];
         changed
             .into_iter()
@@ -70,12 +78,12 @@
     }
 }
 
-/// A key that nothing reads.
+/// A configuration key that this version does not know and ignores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownKey {
-    /// The key, with its tables before it.
+    /// The full path of the key, such as `limits.socket`.
     pub key: String,
-    /// That it is unknown, and the nearest known key.
+    /// A message that says that the key is unknown and suggests the most similar known key.
     pub why: String,
 }
 
--- a/crates/balancer/src/config_file.rs
+++ b/crates/balancer/src/config_file.rs
@@ -1,6 +1,6 @@
-//! Reads and checks the configuration's file. It owns the names of the file's keys and of the
-//! environment variables that stand in for them. It must never panic on what it reads: each error
-//! names the key at fault.
+//! Reads and validates the configuration file. This module owns the names of the file's keys and of
+//! the environment variables that replace missing keys. It must not panic on any input: every
+//! fault becomes an error that names the key.
 
 use std::env;
 use std::fs;
@@ -16,18 +16,20 @@
 use crate::config::{Config, UnknownKey};
 use crate::config_error::ConfigError;
 
-/// Descriptors of the process where no limit is given; many systems allow a process so many.
-const SOCKETS_DEFAULT: u64 = 1024;
-/// Fewer can't carry a flow beside what the program itself needs.
-const SOCKETS_MIN: u64 = 160;
-/// Memory of the process where no limit is given.
-const MEMORY_MB_DEFAULT: u64 = 192;
-/// The least memory that carries the program and a few flows.
-const MEMORY_MB_MIN: u64 = 16;
+/// Maximum number of descriptors if the configuration sets none: a common default limit per
+/// process (`RLIMIT_NOFILE`).
+const DESCRIPTORS_MAX_DEFAULT: u64 = 1024;
+/// With fewer descriptors no flow can be carried besides the descriptors that the program itself
+/// needs.
+const DESCRIPTORS_MAX_MIN: u64 = 160;
+/// Maximum memory of the process if the configuration sets none, in megabytes.
+const MEMORY_MB_MAX_DEFAULT: u64 = 192;
+/// The least memory that is enough for the program and a few flows, in megabytes.
+const MEMORY_MB_MAX_MIN: u64 = 16;
 const BYTES_PER_MB: usize = 1 << 20;
 
-/// The keys of a configuration.
-const KEYS: [&str; 7] = [
+/// The top-level keys of the configuration.
+const TOP_LEVEL_KEYS: [&str; 7] = [
     "name",
     "listen",
     "discovery",
@@ -36,45 +38,44 @@
     "known",
     "settings",
 ];
-/// The keys under `limits`. `cores` has no effect: all work is one worker's.
-const LIMITS: [&str; 3] = ["cores", "memory_mb", "sockets"];
+/// The keys under `limits`. `cores` is accepted and has no effect: a single worker does all work.
+const LIMIT_KEYS: [&str; 3] = ["cores", "memory_mb", "sockets"];
 
-/// Reads the named file, or the one that `LB_CONFIG` names.
+/// Reads the given file, or the file that `LB_CONFIG` names if none is given.
 ///
 /// # Errors
-/// If no file is named, or it can't be read or used.
+/// If no file is given, or it can't be read or is invalid.
 pub fn load(file: Option<&Path>) -> Result<Config, ConfigError> {
-    load_by(file, |file| fs::read_to_string(file))
+    load_with(file, |file| fs::read_to_string(file))
 }
 
-/// Reads the file as [`load`] does; a read that fails in a way that may pass is retried for a few
-/// seconds.
+/// Reads the file like [`load`], but retries transient read errors for a few seconds.
 ///
 /// # Errors
-/// If no file is named, or it can't be read or used.
+/// If no file is given, or it can't be read or is invalid.
 pub fn load_at_start(file: Option<&Path>) -> Result<Config, ConfigError> {
-    load_by(file, |file| {
+    load_with(file, |file| {
         retry::retry_transient(|| fs::read_to_string(file))
     })
 }
 
-fn load_by(
+fn load_with(
     file: Option<&Path>,
     read: impl Fn(&Path) -> io::Result<String>,
 ) -> Result<Config, ConfigError> {
     let path = file
         .map(PathBuf::from)
         .or_else(|| env::var_os("LB_CONFIG").map(PathBuf::from))
-        .ok_or(ConfigError::NoFile)?;
-    let text = read(&path).map_err(|source| ConfigError::Unreadable { path, source })?;
+        .ok_or(ConfigError::MissingFile)?;
+    let text = read(&path).map_err(|source| ConfigError::ReadFailed { path, source })?;
     parse(&text, |name| env::var(name).ok())
 }
 
-/// Checks a configuration. What it leaves out is taken from the environment, else from the
-/// defaults.
+/// Parses and validates a configuration. Missing keys are taken from the environment or, failing
+/// that, from the defaults.
 ///
 /// # Errors
-/// Names the first key that is missing or can't be used.
+/// If a key is missing or invalid; the error names the first such key.
 pub fn parse(
     text: &str,
     environment: impl Fn(&str) -> Option<String>,
@@ -82,9 +83,9 @@
     let file = ConfigFile::new(text, environment)?;
     let unknown_keys = file.unknown_keys();
     let seed = file.seed()?;
-    let sockets = file.limit("sockets", SOCKETS_DEFAULT, SOCKETS_MIN)?;
-    let memory = file
-        .limit("memory_mb", MEMORY_MB_DEFAULT, MEMORY_MB_MIN)?
+    let descriptors_max = file.limit("sockets", DESCRIPTORS_MAX_DEFAULT, DESCRIPTORS_MAX_MIN)?;
+    let memory_bytes_max = file
+        .limit("memory_mb", MEMORY_MB_MAX_DEFAULT, MEMORY_MB_MAX_MIN)?
         .saturating_mul(BYTES_PER_MB);
     let known_endpoints = file.known_endpoints()?;
     let settings = file.settings(seed, &unknown_keys)?;
@@ -95,8 +96,8 @@
         listen: file.address("listen", "LB_LISTEN")?,
         discovery: file.address("discovery", "LB_DISCOVERY")?,
         seed,
-        sockets,
-        memory,
+        descriptors_max,
+        memory_bytes_max,
         known_endpoints,
         connect_timeout: settings.dial_timeout()?,
         poll_interval_max: settings.endpoint_poll_interval_max()?,
@@ -105,7 +106,7 @@
     })
 }
 
-/// The file's keys, and the environment that stands in for some of them.
+/// The keys of the file, and the environment variables that replace some missing keys.
 struct ConfigFile<E> {
     keys: Map<String, Value>,
     environment: E,
@@ -113,9 +114,9 @@
 
 impl<E: Fn(&str) -> Option<String>> ConfigFile<E> {
     fn new(text: &str, environment: E) -> Result<Self, ConfigError> {
-        match serde_json::from_str(text).map_err(ConfigError::NotJson)? {
+        match serde_json::from_str(text).map_err(ConfigError::InvalidJson)? {
             Value::Object(mut keys) => {
-                // A key that is `null` counts as missing.
+                // A key whose value is `null` counts as missing.
                 keys.retain(|_, value| !value.is_null());
                 Ok(ConfigFile { keys, environment })
             }
@@ -123,23 +124,23 @@
         }
     }
 
-    /// Returns the keys that nothing reads, here and under `limits`. They are no error: the
-    /// platform writes this file and may have keys that this version doesn't know. Guards against a
-    /// fleet that doesn't start since one key is new.
+    /// Returns the unknown keys at the top level and under `limits`. An unknown key is not an
+    /// error: the platform writes this file and may add keys that this version does not know. If
+    /// they were rejected, one new key would keep the whole fleet from starting.
     fn unknown_keys(&self) -> Vec<UnknownKey> {
         let limits = self.keys.get("limits").and_then(Value::as_object);
-        let mut unknown = unknown_in(&self.keys, &KEYS, "");
+        let mut unknown = unknown_keys_in(&self.keys, &TOP_LEVEL_KEYS, "");
         if let Some(limits) = limits {
-            unknown.extend(unknown_in(limits, &LIMITS, "limits."));
+            unknown.extend(unknown_keys_in(limits, &LIMIT_KEYS, "limits."));
         }
         unknown
     }
 
-    /// Returns a text, from the environment where the key is missing.
+    /// Returns the string under a key, or the environment variable's value if the key is missing.
     fn text(&self, key: &'static str, variable: &str) -> Result<Option<String>, ConfigError> {
         match self.keys.get(key) {
             Some(Value::String(text)) => Ok(Some(text.clone())),
-            Some(value) => Err(ConfigError::NotText {
+            Some(value) => Err(ConfigError::NotAString {
                 key,
                 value: value.clone(),
             }),
@@ -154,14 +155,14 @@
     ) -> Result<SocketAddr, ConfigError> {
         let text = self
             .text(key, variable)?
-            .ok_or(ConfigError::NoAddress { key, variable })?;
+            .ok_or(ConfigError::MissingAddress { key, variable })?;
         text.parse()
-            .map_err(|_| ConfigError::NotAnAddress { key, text })
+            .map_err(|_| ConfigError::InvalidAddress { key, text })
     }
 
     fn seed(&self) -> Result<u64, ConfigError> {
         let text = self.text("seed", "LB_SEED")?.unwrap_or_else(|| "0".into());
-        u64::from_str_radix(&text, 16).map_err(|_| ConfigError::NotASeed { text })
+        u64::from_str_radix(&text, 16).map_err(|_| ConfigError::InvalidSeed { text })
     }
 
     fn limit(&self, key: &'static str, default: u64, min: u64) -> Result<usize, ConfigError> {
@@ -171,14 +172,14 @@
             .and_then(|limits| limits.get(key))
             .filter(|value| !value.is_null());
         let value = match given {
-            Some(value) => value.as_u64().ok_or_else(|| ConfigError::NotACount {
+            Some(value) => value.as_u64().ok_or_else(|| ConfigError::InvalidLimit {
                 key,
                 value: value.clone(),
             })?,
             None => default,
         };
         if value < min {
-            return Err(ConfigError::TooSmall { key, value, min });
+            return Err(ConfigError::LimitTooSmall { key, value, min });
         }
         Ok(value as usize)
     }
@@ -188,24 +189,25 @@
             .get("known")
             .map(discovery::parse_list_update)
             .transpose()
-            .map_err(ConfigError::KnownEndpoints)
+            .map_err(ConfigError::InvalidKnownEndpoints)
     }
 
     fn settings(&self, seed: u64, unknown_keys: &[UnknownKey]) -> Result<Settings, ConfigError> {
         let value = self
             .keys
             .get("settings")
-            .ok_or_else(|| ConfigError::NoSettings {
+            .ok_or_else(|| ConfigError::MissingSettings {
                 unknown_keys: unknown_keys.to_vec(),
             })?;
         let settings = Settings::within(value)?;
-        // Read once here, so that a faulty setting is reported before the balancer starts.
+        // Builds a policy and drops it, so that an invalid setting is reported before the balancer
+        // starts.
         settings.policy(seed, 0, DrainMigration::Enabled)?;
         Ok(settings)
     }
 }
 
-fn unknown_in(keys: &Map<String, Value>, known: &[&str], prefix: &str) -> Vec<UnknownKey> {
+fn unknown_keys_in(keys: &Map<String, Value>, known: &[&str], prefix: &str) -> Vec<UnknownKey> {
     let names = keys.keys().map(String::as_str);
     nettlemux_settings::unknown_names(names, known)
         .map(|unknown| UnknownKey {
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -1,6 +1,6 @@
-//! The log: lines on standard error, as text or as JSON objects. It owns the thread that writes
-//! them and the count of lines from each place. It must never hold up the worker: a reader that
-//! stops reading costs log lines, not flows, and so does a flood of lines from one place.
+//! The log: lines on standard error, as text or as JSON objects. This module owns the thread that
+//! writes the lines and the number of lines from each callsite. It must never block the worker: if
+//! the reader stops reading, or one callsite floods the log, lines are dropped and flows go on.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -14,19 +14,19 @@
 use tracing_subscriber::filter::{LevelFilter, dynamic_filter_fn};
 use tracing_subscriber::prelude::*;
 
-/// Lines that wait for a slow reader; further ones are dropped.
+/// Maximum number of lines buffered for a slow reader; further lines are dropped.
 const BUFFERED_LINES_MAX: usize = 4096;
-/// Lines from one place in a second. Guards against clients that come by hundreds, each of which
-/// costs a line. Debug and trace lines aren't limited.
+/// Maximum number of lines from one callsite per second. Without a limit, hundreds of clients that
+/// each cause a line would flood the log. Debug and trace lines are not limited.
 const LINES_PER_SECOND_MAX: u64 = 20;
 
-/// Starts the log; lines that wait are written when the guard is dropped.
+/// Starts the log. Buffered lines are written when the returned guard is dropped.
 pub fn start(level: Level, format: Format) -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(BUFFERED_LINES_MAX)
         .lossy(true)
         .finish(std::io::stderr());
-    let limit = LineLimit::new(writer.clone(), format);
+    let limit = RateLimit::new(writer.clone(), format);
     let filter = dynamic_filter_fn(move |metadata: &Metadata, _: &_| limit.allows(metadata));
     let lines = tracing_subscriber::fmt::layer()
         .with_ansi(false)
@@ -41,17 +41,17 @@
     guard
 }
 
-/// Limits the lines from one place, and says in the log how many were suppressed.
-struct LineLimit {
+/// Limits the lines per second from one callsite, and logs how many were suppressed.
+struct RateLimit {
     counts: Mutex<LineCounts>,
     started: Instant,
     writer: NonBlocking,
     format: Format,
 }
 
-impl LineLimit {
+impl RateLimit {
     fn new(writer: NonBlocking, format: Format) -> Self {
-        LineLimit {
+        RateLimit {
             counts: Mutex::default(),
             started: Instant::now(),
             writer,
@@ -64,25 +64,25 @@
             return true;
         }
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        let verdict = counts.count(metadata.callsite(), self.started.elapsed().as_secs());
-        if verdict.suppressed > 0 {
+        let outcome = counts.count(metadata.callsite(), self.started.elapsed().as_secs());
+        if outcome.suppressed > 0 {
             let line = suppressed_line(
                 self.format,
                 metadata.target(),
                 metadata.line().unwrap_or(0),
-                verdict.suppressed,
+                outcome.suppressed,
             );
             let _ = self.writer.clone().write_all(line.as_bytes());
         }
-        verdict.allowed
+        outcome.allowed
     }
 }
 
-/// Returns the line that stands for suppressed ones, in the log's format.
+/// Returns the line that reports the number of suppressed lines, in the log's format.
 fn suppressed_line(format: Format, target: &str, line: u32, count: u64) -> String {
-    let message = "lines like the next were left out";
+    let message = "lines suppressed by the rate limit";
     match format {
-        Format::Text => format!("{target}:{line}: {count} more {message}\n"),
+        Format::Text => format!("{target}:{line}: {count} {message}\n"),
         Format::Json => {
             let object = serde_json::json!({"message": message, "target": target, "line": line, "left_out": count});
             format!("{object}\n")
@@ -90,29 +90,31 @@
     }
 }
 
-/// Whether a line may be written, and how many were suppressed before it.
+/// Whether a line may be written, and how many lines were suppressed before it.
 #[derive(Debug, PartialEq, Eq)]
-struct LineVerdict {
+struct RateLimitOutcome {
     allowed: bool,
-    /// Lines from the same place that were suppressed in the last second that had any.
+    /// Number of lines from the same callsite that were suppressed in the previous second in which
+    /// the callsite logged. Non-zero only for the first line of a new second.
     suppressed: u64,
 }
 
-/// The lines from one place in one second.
+/// Number of lines from one callsite in one second.
 struct LineCount {
+    /// Whole seconds since the log was started.
     second: u64,
     lines: u64,
 }
 
-/// The lines from each place in its current second.
+/// Number of lines from each callsite in the latest second in which it logged.
 #[derive(Default)]
 struct LineCounts {
     by_callsite: HashMap<Identifier, LineCount>,
 }
 
 impl LineCounts {
-    /// Counts one more line from this place in this second.
-    fn count(&mut self, callsite: Identifier, second: u64) -> LineVerdict {
+    /// Counts a line from this callsite in this second.
+    fn count(&mut self, callsite: Identifier, second: u64) -> RateLimitOutcome {
         let current = self
             .by_callsite
             .entry(callsite)
@@ -123,7 +125,7 @@
             *current = LineCount { second, lines: 0 };
         }
         current.lines += 1;
-        LineVerdict {
+        RateLimitOutcome {
             allowed: current.lines <= LINES_PER_SECOND_MAX,
             suppressed,
         }
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -1,11 +1,11 @@
-//! nettlemux, a load balancer for long-lived connections: the program. It owns the start and the
-//! end of the process, the command line, the configuration files, the log and the signals, and puts
-//! the parts together. It must hold no logic of its own: decisions are made in `nettlemux-policy`,
-//! and flows are carried by `nettlemux-dataplane`.
+//! The executable of nettlemux, a load balancer for long-lived connections. It owns process start
+//! and exit, the command line, the configuration files, the log and the signals, and assembles the
+//! components. It must not contain load-balancing logic: `nettlemux-policy` makes the decisions,
+//! and `nettlemux-dataplane` carries the flows.
 //!
-//! The way through it: [`cli`] parses the arguments, [`startup`] reads the files and starts the
-//! log, [`assembly`] builds the parts and runs them, [`signals`] and [`reload`] act on signals
-//! meanwhile.
+//! Reading order: [`cli`] parses the arguments, [`startup`] reads the files and starts the log,
+//! [`assembly`] builds and runs the components. While they run, [`signals`] and [`reload`] handle
+//! signals.
 
 #![warn(missing_docs)]
 
@@ -30,8 +30,8 @@
 use crate::cli::Command;
 
 fn main() -> ExitCode {
-    // Before all else: until signals are caught, SIGHUP ends the process.
-    let signals = signals::catch();
+    // Must come first: until the handlers are installed, SIGHUP terminates the process.
+    let signals = signals::install_handlers();
     let result = match cli::command().run() {
         Command::Serve {
             files,
@@ -40,7 +40,7 @@
         } => startup::serve(files, level, format, signals),
         Command::Check { files } => startup::check(&files),
         Command::Schema => {
-            // A reader that closes its end early is no error.
+            // A write error is ignored: the reader may close the pipe early.
             let _ = writeln!(std::io::stdout(), "{:#}", operator::schema());
             Ok(())
         }
--- a/crates/balancer/src/operator_file.rs
+++ b/crates/balancer/src/operator_file.rs
@@ -1,4 +1,4 @@
-//! Reads the operator's file, whose keys and defaults `nettlemux_settings::operator` owns.
+//! Reads the operator's file. Its keys and defaults are defined in `nettlemux_settings::operator`.
 
 use std::fs;
 use std::io;
@@ -10,64 +10,64 @@
 use nettlemux_settings::operator::{self, DeprecatedName, OperatorFile};
 use tracing::warn;
 
-/// Why an operator's file can't be used.
+/// An error in the operator's file, or a failure to read it.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
     /// The file can't be read.
-    #[error("operator's file {}: {source}", path.display())]
-    Unreadable { path: PathBuf, source: io::Error },
-    /// Names the key at fault.
+    #[error("operator's file {}: can't read it: {source}", path.display())]
+    ReadFailed { path: PathBuf, source: io::Error },
+    /// The content is invalid; the message names the key.
     #[error("{0}")]
-    Faulty(operator::OperatorFileError),
+    Invalid(operator::OperatorFileError),
 }
 
-/// Reads the operator's file; without one, returns the defaults.
+/// Reads the operator's file. Returns the defaults if `file` is `None`.
 ///
 /// # Errors
-/// If the file can't be read or used.
+/// If the file can't be read or is invalid.
 pub fn load(file: Option<&Path>) -> Result<OperatorFile, OperatorFileError> {
-    load_by(file, |file| fs::read_to_string(file))
+    load_with(file, |file| fs::read_to_string(file))
 }
 
-/// Reads the file as [`load`] does; a read that fails in a way that may pass is retried for a few
-/// seconds.
+/// Reads the file like [`load`], but retries transient read errors for a few seconds.
 ///
 /// # Errors
-/// If the file can't be read or used.
+/// If the file can't be read or is invalid.
 pub fn load_at_start(file: Option<&Path>) -> Result<OperatorFile, OperatorFileError> {
-    load_by(file, |file| {
+    load_with(file, |file| {
         retry::retry_transient(|| fs::read_to_string(file))
     })
 }
 
-fn load_by(
+fn load_with(
     file: Option<&Path>,
     read: impl Fn(&Path) -> io::Result<String>,
 ) -> Result<OperatorFile, OperatorFileError> {
     let Some(file) = file else {
         return Ok(OperatorFile::default());
     };
-    let text = read(file).map_err(|source| OperatorFileError::Unreadable {
+    let text = read(file).map_err(|source| OperatorFileError::ReadFailed {
         path: file.into(),
         source,
     })?;
-    operator::parse(&text).map_err(OperatorFileError::Faulty)
+    operator::parse(&text).map_err(OperatorFileError::Invalid)
 }
 
-/// Logs a warning for each key that has the name of an earlier version.
+/// Logs a warning for each key that is written under a deprecated name.
 pub fn warn_of_deprecated(operator: &OperatorFile) {
     for DeprecatedName { old, new } in &operator.deprecated {
         warn!(old, new, "deprecated name in the operator's file");
     }
 }
 
-/// Returns admission control's configuration, with tenants' names turned into the keys of this run.
-pub fn admission(
-    keys: &operator::AdmissionSettings,
+/// Returns the configuration of admission control. Tenant names are hashed with `seed`, which
+/// differs with each start.
+pub fn admission_config(
+    admission: &operator::AdmissionSettings,
     seed: u64,
     retry_after_max: Time,
 ) -> AdmissionConfig {
-    keys.config(retry_after_max, |name| {
+    admission.config(retry_after_max, |name| {
         Some(nettlemux_admission::hash_key(seed, name.as_bytes()))
     })
 }
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -1,5 +1,5 @@
-//! What SIGHUP does: the files are read again, and what has changed in them is applied. It owns the
-//! configuration in force. A faulty file changes nothing.
+//! Reloads the files on SIGHUP and applies the changes. This module owns the configuration in
+//! force. If a file is invalid, nothing is changed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,16 +21,16 @@
 use crate::config_file;
 use crate::operator_file::{self, OperatorFileError};
 
-/// Why a reload has changed nothing.
+/// Why a reload failed. A failed reload changes nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The configuration can't be used.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator's file can't be used.
+    /// The operator's file can't be read or is invalid.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The new settings can't follow those in force.
+    /// The new settings can't replace the settings in force.
     #[error("{0}")]
     Settings(SettingsError),
 }
@@ -41,45 +41,45 @@
     }
 }
 
-/// The way to the other balancers.
+/// The gossip transport to the other balancers.
 pub struct GossipPeering {
-    /// Where this balancer receives gossip.
+    /// The address at which this balancer receives gossip.
     pub listen: SocketAddr,
     /// The socket and the peers' addresses.
     pub transport: Arc<GossipTransport>,
 }
 
-/// Reads the files again and applies what has changed.
+/// Reloads the files and applies the changes.
 pub struct Reloader {
     pub files: Files,
-    /// The configuration in force. Its settings keep the numbers of classes and tenants that were
-    /// named before.
+    /// The configuration in force. Traffic classes and tenants that earlier settings named keep
+    /// their numbers in it.
     pub config: Config,
-    /// The settings as the file last had them.
+    /// The settings as last read from the file, before they were merged with earlier settings.
     pub settings_in_file: Settings,
-    /// Seeds the keys of admission control, where that is on.
+    /// The seed of admission control's hash keys. `None` if admission control is off.
     pub admission_seed: Option<u64>,
     pub runtime_settings: Arc<SharedSettings>,
     pub acceptor: Arc<Acceptor>,
-    /// The way to the other balancers, where peers are configured.
-    pub peers: Option<GossipPeering>,
+    /// `None` if no peers are configured.
+    pub gossip_peering: Option<GossipPeering>,
     pub agent: Arc<Agent>,
     pub dispatcher: Sender<DispatcherMessage>,
 }
 
-/// Settings that follow those in force, checked.
+/// New settings, merged with the settings in force and validated.
 struct MergedSettings {
     settings: Settings,
     first_line: FirstLineSettings,
 }
 
 impl Reloader {
-    /// Reads the files again and applies what has changed.
+    /// Reloads the files and applies the changes.
     ///
     /// # Errors
-    /// If one of the files can't be read or used; nothing has changed then.
+    /// If one of the files can't be read or is invalid; nothing is changed in that case.
     pub fn reload(&mut self) -> Result<(), ReloadError> {
-        // All that may fail comes before anything is applied.
+        // Every step that can fail comes before the first change is applied.
         let new = config_file::load(self.files.config.as_deref())?;
         let operator = operator_file::load(self.files.operator.as_deref())?;
         let merged = self.merge_settings(&new)?;
@@ -89,9 +89,9 @@
             self.apply_settings(&new, merged);
         }
         self.apply_peers(&operator);
-        warn_of_missing_peers(&new.settings, self.peers.as_ref());
+        warn_of_missing_peers(&new.settings, self.gossip_peering.as_ref());
         for key in self.config.keys_needing_a_restart(&new) {
-            warn_of_restart(key);
+            warn_of_required_restart(key);
         }
         self.apply_admission(&operator);
         self.apply_discovery(&new);
@@ -108,14 +108,14 @@
     }
 
     fn apply_settings(&mut self, new: &Config, merged: MergedSettings) {
-        let for_policy = match self.peers {
+        let policy_settings = match self.gossip_peering {
             Some(_) => merged.settings.clone(),
             None => merged.settings.clone().without_gossip(),
         };
-        // The dispatcher first: it reads its mailbox in order, so the policy knows a class before a
-        // client can name it.
+        // The dispatcher is told first. It processes its mailbox in order, so the policy knows a new
+        // traffic class before a client's first line can name it.
         self.dispatcher
-            .send(DispatcherMessage::ApplySettings(Box::new(for_policy)));
+            .send(DispatcherMessage::ApplySettings(Box::new(policy_settings)));
         self.runtime_settings.replace(new.runtime_settings());
         self.acceptor.replace_settings(merged.first_line);
         info!("settings applied");
@@ -124,25 +124,25 @@
     }
 
     fn apply_peers(&self, operator: &OperatorFile) {
-        match (&operator.peers, &self.peers) {
-            (Some(keys), Some(peering)) if keys.listen == peering.listen => {
-                peering.transport.replace_peers(keys.addresses.clone());
+        match (&operator.peers, &self.gossip_peering) {
+            (Some(peers), Some(peering)) if peers.listen == peering.listen => {
+                peering.transport.replace_peers(peers.addresses.clone());
             }
             (None, None) => {}
-            _ => warn_of_restart("peers"),
+            _ => warn_of_required_restart("peers"),
         }
     }
 
     fn apply_admission(&self, operator: &OperatorFile) {
         match (&operator.admission, self.admission_seed) {
-            (Some(keys), Some(seed)) => {
+            (Some(admission), Some(seed)) => {
                 // The longest Retry-After stays that of the start.
-                let config = operator_file::admission(keys, seed, 0);
+                let config = operator_file::admission_config(admission, seed, 0);
                 self.dispatcher
                     .send(DispatcherMessage::ApplyAdmission(config));
             }
             (None, None) => {}
-            _ => warn_of_restart("admission"),
+            _ => warn_of_required_restart("admission"),
         }
     }
 
@@ -156,14 +156,17 @@
     }
 }
 
-fn warn_of_restart(key: &str) {
-    warn!(key, "a change of this key needs a restart");
+fn warn_of_required_restart(key: &str) {
+    warn!(
+        key,
+        "a change to this key takes effect only after a restart"
+    );
 }
 
-/// Logs a warning where the settings allow gossip and no peers are configured: groups are then
-/// spread over more servers.
-pub fn warn_of_missing_peers(settings: &Settings, peers: Option<&GossipPeering>) {
-    if settings.gossip_allowed().unwrap_or(false) && peers.is_none() {
+/// Logs a warning if the settings allow gossip but no peers are configured. Without gossip, groups
+/// are spread over more servers.
+pub fn warn_of_missing_peers(settings: &Settings, peering: Option<&GossipPeering>) {
+    if settings.gossip_allowed().unwrap_or(false) && peering.is_none() {
         warn!(
             key = "peers",
             "gossip is allowed, but no peers are configured"
--- a/crates/balancer/src/signals.rs
+++ b/crates/balancer/src/signals.rs
@@ -1,6 +1,6 @@
-//! The signals: a thread of its own waits for SIGTERM and SIGINT, which tell the dispatcher to end,
-//! and for SIGHUP, which reloads the files. It owns the signal handlers and must never end the
-//! process itself.
+//! Signal handling. A dedicated thread waits for signals: on SIGTERM or SIGINT it tells the
+//! dispatcher to terminate, on SIGHUP it reloads the files. This module owns the signal handlers
+//! and must never exit the process itself.
 
 use std::ffi::c_int;
 use std::io;
@@ -17,40 +17,41 @@
 
 use crate::reload::Reloader;
 
-/// The thread's stack: a reload parses JSON, which may be nested.
-const STACK_BYTES: usize = 1 << 20;
+/// The size of the signal thread's stack. A reload parses JSON, which may be deeply nested.
+const SIGNAL_THREAD_STACK_BYTES: usize = 1 << 20;
 
-/// A file that can't be used when SIGHUP comes may still be being written: it is read again, for 3
-/// s in all, as a configuration counts 4 s after its signal.
+/// A file that is invalid on SIGHUP may still be in the process of being written, so the reload is
+/// retried for 3 s in all. This ends before a new configuration has to be in force, 4 s after its
+/// signal.
 const RELOAD_ATTEMPTS_MAX: u32 = 31;
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Catches the signals. It must be called before all else: until then SIGHUP ends the process.
-/// Signals that come before [`listen`] are kept for it.
+/// Installs the signal handlers. Must be called first: until then SIGHUP terminates the process.
+/// Signals received before [`spawn_handler_thread`] is called are kept for it.
 ///
 /// # Errors
-/// If the system refuses the handlers, now and a few seconds later.
-pub fn catch() -> io::Result<Signals> {
+/// If the handlers can't be installed, even after retries for a few seconds.
+pub fn install_handlers() -> io::Result<Signals> {
     retry::retry_transient(|| Signals::new([SIGTERM, SIGINT, SIGHUP]))
 }
 
-/// Starts the thread that acts on signals.
+/// Starts the thread that handles signals.
 ///
 /// # Errors
 /// If the thread can't be started.
-pub fn listen(
+pub fn spawn_handler_thread(
     signals: Signals,
     reloader: Reloader,
     dispatcher: Sender<DispatcherMessage>,
 ) -> io::Result<()> {
     thread::Builder::new()
         .name("signals".into())
-        .stack_size(STACK_BYTES)
-        .spawn(move || act_on_signals(signals, reloader, &dispatcher))?;
+        .stack_size(SIGNAL_THREAD_STACK_BYTES)
+        .spawn(move || handle_signals(signals, reloader, &dispatcher))?;
     Ok(())
 }
 
-fn act_on_signals(
+fn handle_signals(
     mut signals: Signals,
     mut reloader: Reloader,
     dispatcher: &Sender<DispatcherMessage>,
@@ -74,27 +75,27 @@
     }
 }
 
-/// Returns the signals that come before the next attempt to reload.
+/// Waits for [`RELOAD_RETRY_INTERVAL`] and returns the signals received meanwhile.
 fn signals_before_retry(signals: &mut Signals) -> Vec<c_int> {
     thread::sleep(RELOAD_RETRY_INTERVAL);
     signals.pending().collect()
 }
 
-/// Attempts a reload; returns how many attempts are left, none after one that succeeded.
+/// Attempts a reload. Returns the number of attempts left, 0 if the reload succeeded.
 fn attempt_reload(reloader: &mut Reloader, attempts_left: u32) -> u32 {
-    // Guards against a balancer that no longer hears SIGTERM since a reload has panicked.
+    // Without this, a panic during a reload would end the thread, and SIGTERM would have no effect.
     match catch_unwind(AssertUnwindSafe(|| reloader.reload())) {
         Ok(Ok(())) => 0,
         Ok(Err(error)) if attempts_left > 0 => {
-            debug!(%error, attempts_left, "reload failed, will be retried");
+            debug!(%error, attempts_left, "reload failed; retrying");
             attempts_left
         }
         Ok(Err(error)) => {
-            error!(%error, "reload failed, nothing changes");
+            error!(%error, "reload failed; the configuration in force is unchanged");
             0
         }
         Err(_) => {
-            error!("a reload panicked");
+            error!("reload panicked");
             0
         }
     }
--- a/crates/balancer/src/start_error.rs
+++ b/crates/balancer/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why the balancer can't start, or can't go on.
+//! Errors that prevent the balancer from starting or make it exit.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,22 +10,22 @@
 use crate::operator_file::OperatorFileError;
 use crate::re_exec::ReExecError;
 
-/// An error that ends the program.
+/// An error that makes the program exit.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The configuration can't be used.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator's file can't be used.
+    /// The operator's file can't be read or is invalid.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The policy or the first lines can't be made from the settings.
+    /// The policy, or the settings of the first lines, can't be built from the platform's settings.
     #[error("settings: {0}")]
     Settings(SettingsError),
-    /// Signals can't be caught, or their thread can't be started.
-    #[error("can't listen for signals: {0}")]
+    /// The signal handlers can't be installed, or their thread can't be started.
+    #[error("can't set up signal handling: {0}")]
     Signals(#[source] io::Error),
-    /// The coroutine runtime didn't start.
+    /// The coroutine runtime can't start.
     #[error(transparent)]
     Runtime(#[from] ReExecError),
     /// The listener can't be opened.
@@ -40,7 +40,7 @@
         address: SocketAddr,
         source: io::Error,
     },
-    /// A part without which nothing is served has failed.
+    /// A service that the balancer needs has failed permanently.
     #[error(transparent)]
     ServiceFailed(#[from] DispatcherError),
 }
--- a/crates/balancer/src/startup.rs
+++ b/crates/balancer/src/startup.rs
@@ -1,5 +1,5 @@
-//! What the commands `serve` and `check` do before anything is built: they read the files and start
-//! the log.
+//! The commands `serve` and `check`: both read the files, and `serve` starts the log before it
+//! builds the balancer.
 
 use std::io;
 
@@ -14,10 +14,10 @@
 use crate::operator_file;
 use crate::start_error::StartError;
 
-/// Runs the balancer until it is told to end.
+/// Runs the balancer until it is told to terminate.
 ///
 /// # Errors
-/// If it can't start, or a part without which it can't go on has failed.
+/// If the balancer can't start, or a service that it needs has failed permanently.
 pub fn serve(
     files: Files,
     level: Option<Level>,
@@ -39,10 +39,10 @@
     })
 }
 
-/// Checks the files and prints what is odd about them.
+/// Checks the files, and prints unknown keys and deprecated names.
 ///
 /// # Errors
-/// If one of them can't be used.
+/// If one of the files can't be read or is invalid.
 pub fn check(files: &Files) -> Result<(), StartError> {
     let config = config_file::load(files.config.as_deref())?;
     let operator = operator_file::load(files.operator.as_deref())?;
@@ -50,10 +50,10 @@
         println!("{unknown}");
     }
     for DeprecatedName { old, new } in &operator.deprecated {
-        println!("operator's file: '{old}' is called '{new}' now");
+        println!("operator's file: '{old}' is deprecated; use '{new}'");
     }
     println!(
-        "{}: listens at {}, asks {}: good",
+        "{}: listens at {}, discovery agent at {}: configuration is valid",
         config.name, config.listen, config.discovery
     );
     Ok(())
