--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -143,8 +143,8 @@
         .set_workers(1)
         .set_stack_size(COROUTINE_STACK_WORDS)
         .set_worker_pin(false);
-    // Stacks are pooled: if an accepted client needed a new stack and it could not be mapped at that
-    // moment, the client would be lost.
+    // Stacks are pooled: if an accepted client needed a new stack and it could not be mapped at
+    // that moment, the client would be lost.
     runtime.set_pool_capacity(budgets.coroutines());
 }
 
--- a/crates/balancer/src/re_exec.rs
+++ b/crates/balancer/src/re_exec.rs
@@ -1,7 +1,7 @@
-//! Re-executes the program after a failed start. The coroutine runtime panics if it can't create its
-//! selector or its threads, and it can't be started a second time in the same process. The missing
-//! resource may be available a moment later, so a new start may succeed. Must never be used once a
-//! client is served.
+//! Re-executes the program after a failed start. The coroutine runtime panics if it can't create
+//! its selector or its threads, and it can't be started a second time in the same process. The
+//! missing resource may be available a moment later, so a new start may succeed. Must never be used
+//! once a client is served.
 
 use std::convert::Infallible;
 use std::env;
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -112,8 +112,8 @@
             Some(_) => merged.settings.clone(),
             None => merged.settings.clone().without_gossip(),
         };
-        // The dispatcher is told first. It processes its mailbox in order, so the policy knows a new
-        // traffic class before a client's first line can name it.
+        // The dispatcher is told first. It processes its mailbox in order, so the policy knows a
+        // new traffic class before a client's first line can name it.
         self.dispatcher
             .send(DispatcherMessage::ApplySettings(Box::new(policy_settings)));
         self.runtime_settings.replace(new.runtime_settings());
@@ -136,7 +136,7 @@
     fn apply_admission(&self, operator: &OperatorFile) {
         match (&operator.admission, self.admission_seed) {
             (Some(admission), Some(seed)) => {
-                // The longest Retry-After stays that of the start.
+                // Admission control keeps the longest Retry-After of the start, so 0 has no effect.
                 let config = operator_file::admission_config(admission, seed, 0);
                 self.dispatcher
                     .send(DispatcherMessage::ApplyAdmission(config));
--- a/crates/balancer/tests/common/balancer.rs
+++ b/crates/balancer/tests/common/balancer.rs
@@ -1,4 +1,4 @@
-//! The real program with its configuration, its servers and its discovery agent.
+//! Starts the real balancer program with a configuration, toy servers and a toy discovery agent.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -11,20 +11,20 @@
 use super::toy::{DiscoveryAgent, ToyServer};
 use super::{Client, EXAMPLE, unused_address, wait_for, with_settings};
 
-/// A balancer with its servers. It is killed when dropped.
+/// A running balancer with its servers and its discovery agent. Dropping it kills the process.
 pub struct TestBalancer {
     pub process: Child,
-    /// Where it listens.
+    /// The address at which it accepts clients.
     pub address: SocketAddr,
     pub agent: Arc<DiscoveryAgent>,
     pub servers: Vec<Arc<ToyServer>>,
     pub config_file: PathBuf,
     pub config: String,
-    /// The faults that its system calls meet, if there are any.
+    /// The plan of faults injected into its system calls. `None` if it was started without one.
     pub faults: Option<Faults>,
 }
 
-fn serve(config_file: &Path, arguments: &[&str], faults: Option<&Faults>) -> Child {
+fn spawn_serve(config_file: &Path, arguments: &[&str], faults: Option<&Faults>) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
     command
         .args(["serve", "--log", "debug", "--config"])
@@ -38,26 +38,27 @@
 }
 
 impl TestBalancer {
-    /// Starts one with the example's configuration and waits until it serves.
+    /// Starts a balancer with the example configuration and waits until it serves.
     pub fn new(servers: usize) -> Self {
         TestBalancer::with_config(servers, |config| config)
     }
 
-    /// Starts one with a changed configuration and waits until it serves.
+    /// Starts a balancer with a changed example configuration and waits until it serves.
     pub fn with_config(servers: usize, change: impl Fn(String) -> String) -> Self {
         let balancer = TestBalancer::start(servers, change, None);
         balancer.wait_until_serving();
         balancer
     }
 
-    /// Starts one whose system calls fail as its `faults` say, and waits until it serves.
+    /// Starts a balancer with an empty fault plan and waits until it serves. The test injects
+    /// faults later through [`faults`](Self::faults).
     pub fn with_faults(servers: usize, change: impl Fn(String) -> String) -> Self {
         let balancer = TestBalancer::start(servers, change, Some(Faults::none()));
         balancer.wait_until_serving();
         balancer
     }
 
-    /// Starts one, which may not serve yet when this returns.
+    /// Starts a balancer without waiting until it serves.
     pub fn start(
         servers: usize,
         change: impl Fn(String) -> String,
@@ -79,7 +80,7 @@
             address.ip()
         ));
         std::fs::write(&config_file, &config).unwrap();
-        let process = serve(&config_file, &[], faults.as_ref());
+        let process = spawn_serve(&config_file, &[], faults.as_ref());
         TestBalancer {
             process,
             address,
@@ -91,62 +92,66 @@
         }
     }
 
-    /// Waits until it answers and has had its endpoint list.
+    /// Waits until it accepts connections and has received its endpoint list.
     pub fn wait_until_serving(&self) {
         self.wait_until_listening();
-        wait_for("a list", || self.client("c=chat,d=1000").receives("UP 1"));
+        wait_for("the endpoint list", || {
+            self.client("c=chat,d=1000").receives("UP 1")
+        });
     }
 
     fn wait_until_listening(&self) {
-        wait_for("PONG", || TcpStream::connect(self.address).is_ok());
+        wait_for("the listener", || TcpStream::connect(self.address).is_ok());
     }
 
-    /// Returns the faults that it was started with.
+    /// Returns the fault plan that it was started with.
     ///
     /// # Panics
-    /// If it was started without.
+    /// If it was started without one.
     pub fn faults(&self) -> &Faults {
-        self.faults.as_ref().expect("started with faults")
+        self.faults
+            .as_ref()
+            .expect("the balancer was started without a fault plan")
     }
 
-    /// Restarts it with these settings changed.
+    /// Kills it and restarts it with some settings changed, as in [`with_settings`].
     pub fn restart_with_settings(&mut self, changes: &[(&str, Value)]) {
         self.restart_with_config(&with_settings(&self.config, changes));
     }
 
-    /// Restarts it with another configuration.
+    /// Kills it and restarts it with another configuration.
     pub fn restart_with_config(&mut self, config: &str) {
         self.kill();
         std::fs::write(&self.config_file, config).unwrap();
-        self.process = serve(&self.config_file, &[], self.faults.as_ref());
+        self.process = spawn_serve(&self.config_file, &[], self.faults.as_ref());
         self.wait_until_listening();
     }
 
-    /// Restarts it with further arguments.
+    /// Kills it and restarts it with additional command-line arguments.
     pub fn restart_with_arguments(&mut self, arguments: &[&str]) {
         self.kill();
-        self.process = serve(&self.config_file, arguments, self.faults.as_ref());
+        self.process = spawn_serve(&self.config_file, arguments, self.faults.as_ref());
         self.wait_until_listening();
     }
 
-    /// Writes this configuration to its file and sends SIGHUP.
+    /// Writes the configuration to its file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config_file, config).unwrap();
         self.signal("-HUP");
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
-    /// Connects a client that asks to be served with these values of its first line.
+    /// Connects a client and sends an `OPEN` first line with these values.
     pub fn client(&self, values: &str) -> Client {
         Client::open(self.address, values)
     }
 
-    /// Sends a signal, named as `kill` names it.
+    /// Sends a signal, given as an option of `kill`, such as `-HUP`.
     pub fn signal(&self, signal: &str) {
         let pid = self.process.id().to_string();
         assert!(
@@ -158,7 +163,7 @@
         );
     }
 
-    /// Sends a signal that may find the process ended.
+    /// Like [`signal`](Self::signal), but the process may have ended already.
     pub fn signal_if_alive(&self, signal: &str) {
         let pid = self.process.id().to_string();
         let _ = Command::new("kill")
@@ -172,7 +177,8 @@
         self.signal("-TERM");
     }
 
-    /// Lets these events happen while the process is stopped, so that it meets them all at once.
+    /// Runs `events` while the process is stopped by SIGSTOP, so that it sees all of them at once
+    /// when it continues.
     pub fn while_stopped<T>(&self, events: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let result = events();
--- a/crates/balancer/tests/common/client.rs
+++ b/crates/balancer/tests/common/client.rs
@@ -1,11 +1,11 @@
-//! A client of the platform's line protocol.
+//! A client that speaks the platform's line protocol.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// How long a line is waited for.
+/// How long a client waits for a line.
 const READ_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// A client's connection.
@@ -18,12 +18,13 @@
     /// Connects and sends this text.
     ///
     /// # Panics
-    /// If nothing listens there.
+    /// If the connection can't be established or the text can't be sent.
     pub fn new(address: SocketAddr, text: &[u8]) -> Self {
-        Client::try_new(address, text).expect("somebody listens")
+        Client::try_new(address, text).expect("connecting to the address and sending the text")
     }
 
-    /// Connects and sends this text; `None` if nothing listens there.
+    /// Connects and sends this text. Returns `None` if the connection can't be established or the
+    /// text can't be sent.
     pub fn try_new(address: SocketAddr, text: &[u8]) -> Option<Self> {
         let mut stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -32,15 +33,16 @@
         Some(Client { stream, reader })
     }
 
-    /// Connects and asks to be served with these values of a first line.
+    /// Connects and sends an `OPEN` first line with a new connection id and these values.
     pub fn open(address: SocketAddr, values: &str) -> Self {
-        // An id is new with every connection.
+        // Every connection has its own id.
         static IDS: AtomicU64 = AtomicU64::new(0x9b1f);
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         Client::new(address, format!("OPEN {id:x} 7f3a {values}\r\n").as_bytes())
     }
 
-    /// Returns the next line; `end` at the end, `reset` after a reset, `nothing` if none comes.
+    /// Returns the next line without its line end. Returns `end` at the end of the stream, `reset`
+    /// after a connection reset, and `nothing` on a time-out or another error.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Returns whether this is the next line.
+    /// Reads the next line and returns whether it is the expected one.
     pub fn receives(&mut self, expected: &str) -> bool {
         self.read_line() == expected
     }
@@ -61,7 +63,7 @@
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Asserts that this line comes back from the server.
+    /// Sends this line and asserts that the server answers it with `ok` and the line.
     pub fn assert_echo(&mut self, line: &str) {
         self.send(&format!("{line}\r\n"));
         assert_eq!(self.read_line(), format!("ok {line}"));
--- a/crates/balancer/tests/common/draws.rs
+++ b/crates/balancer/tests/common/draws.rs
@@ -1,6 +1,6 @@
-//! Seeded draws of tests.
+//! A seeded random number generator for tests.
 
-/// A small generator (xorshift64*): the same seed, the same run.
+/// A random number generator (xorshift64*). The same seed gives the same numbers.
 pub struct Draws {
     state: u64,
 }
@@ -12,7 +12,7 @@
         }
     }
 
-    /// Returns a number from 0 to below the bound.
+    /// Returns a number from 0 up to, but not including, `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.state ^= self.state >> 12;
         self.state ^= self.state << 25;
@@ -20,6 +20,7 @@
         (self.state.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 33) % bound
     }
 
+    /// Returns a random element of `all`.
     pub fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
         all[self.below(all.len() as u64) as usize]
     }
--- a/crates/balancer/tests/common/faults.rs
+++ b/crates/balancer/tests/common/faults.rs
@@ -1,13 +1,13 @@
-//! Faults of the system put into the program that a test starts: the library of
-//! `tests/preload/faults.rs` and the plan that it follows, which a test may change while the
-//! program runs.
+//! Fault injection into the system calls of the program under test. The program is started with the
+//! preloaded library of `tests/preload/faults.rs`. The library reads a plan of faults from a file,
+//! which a test may change while the program runs.
 
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Errors as Linux numbers them.
+/// Linux errno values.
 pub const EINTR: i32 = 4;
 pub const EIO: i32 = 5;
 pub const ENOMEM: i32 = 12;
@@ -20,49 +20,53 @@
 pub const ETIMEDOUT: i32 = 110;
 pub const EHOSTUNREACH: i32 = 113;
 
-/// A plan of faults, without any at first; its file is removed when it is dropped.
+/// A plan of faults, empty at first. Dropping it removes its file.
 pub struct Faults {
-    plan: PathBuf,
+    plan_file: PathBuf,
 }
 
 impl Faults {
+    /// Creates an empty plan.
     pub fn none() -> Self {
-        static NUMBER: AtomicU64 = AtomicU64::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let plan =
+        static PLANS_CREATED: AtomicU64 = AtomicU64::new(0);
+        let number = PLANS_CREATED.fetch_add(1, Ordering::Relaxed);
+        let plan_file =
             std::env::temp_dir().join(format!("nettlemux-faults-{}-{number}", std::process::id()));
-        std::fs::write(&plan, "").unwrap();
-        Faults { plan }
+        std::fs::write(&plan_file, "").unwrap();
+        Faults { plan_file }
     }
 
-    /// From now on these happen, counted anew; the lines are those of the library's page.
+    /// Replaces the plan and resets its counts of calls. The format of the lines is described in
+    /// `tests/preload/faults.rs`.
     pub fn set(&self, lines: &str) {
-        // Put in its place whole, so that no half of it is read.
-        let new = self.plan.with_extension("new");
+        // Written to another file and renamed, so that the library never reads a partial plan.
+        let new = self.plan_file.with_extension("new");
         std::fs::write(&new, lines).unwrap();
-        std::fs::rename(&new, &self.plan).unwrap();
+        std::fs::rename(&new, &self.plan_file).unwrap();
     }
 
+    /// Removes all faults from the plan.
     pub fn clear(&self) {
         self.set("");
     }
 
+    /// Makes a command preload the library and follow this plan.
     pub fn load_into(&self, command: &mut Command) {
         command
-            .env("LD_PRELOAD", library())
-            .env("NETTLEMUX_FAULTS", &self.plan);
+            .env("LD_PRELOAD", preload_library())
+            .env("NETTLEMUX_FAULTS", &self.plan_file);
     }
 }
 
 impl Drop for Faults {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.plan);
+        let _ = std::fs::remove_file(&self.plan_file);
     }
 }
 
-/// The library, built where it isn't yet: `cargo test` builds it only where no single test is
-/// named.
-fn library() -> &'static PathBuf {
+/// Returns the path of the preloaded library. Builds it first, since `cargo test` does not build it
+/// if a single test target is selected.
+fn preload_library() -> &'static PathBuf {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
         let mut build = Command::new(env!("CARGO"));
@@ -85,7 +89,10 @@
         let test = std::env::current_exe().unwrap();
         let target = test.parent().and_then(|deps| deps.parent()).unwrap();
         let library = target.join("examples/libfaults.so");
-        assert!(library.exists(), "no {library:?}");
+        assert!(
+            library.exists(),
+            "the preloaded library was not built at {library:?}"
+        );
         library
     })
 }
--- a/crates/balancer/tests/common/late_server.rs
+++ b/crates/balancer/tests/common/late_server.rs
@@ -1,4 +1,4 @@
-//! A server whose connections come up late.
+//! A server whose connections are established late.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,15 +9,16 @@
 
 use super::pending_connects;
 
-/// How long a connection, and then its first line, is waited for.
+/// How long the server waits for a connection, and then for its first line.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A server whose connections come up late: its queue is full, so the system leaves a connection
-/// begun, until it is accepted and the caller's machine tries again, a second after its first try.
+/// A server whose connections are established late. Its accept queue is full, so the kernel drops
+/// the SYN of a further connection, which stays pending. It is established once the queue has room
+/// and the client's kernel retransmits the SYN, one second after the first.
 pub struct LateServer {
     listener: TcpListener,
     pub address: SocketAddr,
-    /// Fills the queue.
+    /// Fills the accept queue.
     _first: TcpStream,
 }
 
@@ -37,22 +38,23 @@
         }
     }
 
-    /// Returns whether any connection to it has begun and is not up.
+    /// Returns whether any connection to this server is pending: begun but not yet established.
     pub fn has_pending_connect(&self) -> bool {
         let SocketAddr::V4(address) = self.address else {
             unreachable!()
         };
-        pending_connects::any_to(address)
+        pending_connects::has_pending_to(address)
     }
 
-    /// Lets connections come up, and returns what the next one sends, up to its end or its first
-    /// line.
+    /// Makes room in the accept queue, accepts the next connection and returns its first line, or
+    /// all that it sent if it ended before a whole line. Returns an empty string if no connection
+    /// is accepted within 2 s.
     pub fn accept_first_line(&self) -> String {
         drop(self.listener.accept().unwrap());
         self.listener.set_nonblocking(true).unwrap();
         let mut received = String::new();
-        let until = Instant::now() + ACCEPT_TIMEOUT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + ACCEPT_TIMEOUT;
+        while Instant::now() < deadline {
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Helpers that the tests of the real program share: it is started between toy servers, a toy
-//! discovery agent and clients, all on loopback. Each wait is bounded.
+//! Shared helpers for tests that run the real program. It runs on loopback together with toy
+//! servers, a toy discovery agent and clients. Every wait has a time limit.
 
-// Each test program uses some of them.
+// Each test target uses only some of the helpers.
 #![allow(dead_code, unused_imports)]
 
 mod balancer;
@@ -27,15 +27,15 @@
 pub use late_server::LateServer;
 pub use scripted_server::{AfterAnswer, server_that_says};
 
-/// The configuration that the README's example starts with.
+/// The configuration of the README's example.
 pub const EXAMPLE: &str = include_str!("../../../../examples/balancer.json");
 
-/// The longest that [`wait_for`] waits.
+/// How long [`wait_for`] waits at most.
 const WAIT_MAX: Duration = Duration::from_secs(8);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Returns the configuration with some of its settings changed: each path as `a/b/0`, and what
-/// stands there then; `null` removes it.
+/// Returns the configuration with some of its settings changed. Each change is a path such as
+/// `a/b/0` and its new value; `null` removes the setting.
 pub fn with_settings(config: &str, changes: &[(&str, Value)]) -> String {
     let mut value: Value = serde_json::from_str(config).unwrap();
     for (path, new) in changes {
@@ -53,7 +53,8 @@
     value.to_string()
 }
 
-/// The changes that give both traffic classes of the example this longest deadline.
+/// Returns the settings changes that give both traffic classes of the example this maximum
+/// deadline.
 pub fn deadline_settings(deadline_ms: u64) -> [(&'static str, Value); 2] {
     let limit = json!(deadline_ms * 1000);
     [
@@ -62,20 +63,21 @@
     ]
 }
 
-/// Waits until it holds.
+/// Waits until the condition holds; `what` names the awaited event in the panic message.
 ///
 /// # Panics
-/// If it doesn't hold in 8 s.
+/// If the condition does not hold within 8 s.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + WAIT_MAX;
+    let deadline = Instant::now() + WAIT_MAX;
     while !holds() {
-        assert!(Instant::now() < until, "no {what} in time");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Returns an address that nothing else has. Guards against a port that was free a moment ago and
-/// is then given to a client's end of another test's connection.
+/// Returns a loopback address that nothing else uses. A port that is free now could be assigned to
+/// the client end of another test's connection a moment later, so each call returns its own IP
+/// address.
 pub fn unused_address() -> SocketAddr {
     static ADDRESSES: AtomicU64 = AtomicU64::new(0);
     let number = ADDRESSES.fetch_add(1, Ordering::Relaxed);
--- a/crates/balancer/tests/common/pending_connects.rs
+++ b/crates/balancer/tests/common/pending_connects.rs
@@ -1,7 +1,7 @@
-//! Connections that this machine has begun and that are not up yet, read from the kernel by
-//! sock_diag(7). The whole table under `/proc/net/tcp` takes 40 ms to read once the tests have left
-//! 20,000 connections in TIME-WAIT, which is too slow to poll: a test's set-up took 3.5 s of the 1
-//! s that it had.
+//! Finds pending connections of this machine (state SYN-SENT) through sock_diag(7). Reading the
+//! whole table `/proc/net/tcp` takes 40 ms once the tests have left 20,000 connections in
+//! TIME-WAIT, which is too slow to poll: the set-up of a test took 3.5 s, although it has to finish
+//! within 1 s.
 
 use std::net::SocketAddrV4;
 
@@ -15,7 +15,7 @@
 const NLMSG_DONE: u16 = 3;
 const TCP_SYN_SENT: u32 = 2;
 
-/// `struct nlmsghdr` with `struct inet_diag_req_v2`.
+/// A `struct nlmsghdr` followed by a `struct inet_diag_req_v2`.
 #[repr(C)]
 struct Request {
     length: u32,
@@ -31,14 +31,15 @@
     socket: [u8; 48],
 }
 
-/// Lengths of a message's head, and where the peer's port and address balancer in `struct
-/// inet_diag_msg` after it.
-const HEAD: usize = 16;
-const PEER_PORT: usize = HEAD + 6;
-const PEER_ADDRESS: usize = HEAD + 24;
+/// The length of `struct nlmsghdr`.
+const HEADER_BYTES: usize = 16;
+/// The offset of the peer's port: a field of the `struct inet_diag_msg` that follows the header.
+const PEER_PORT_OFFSET: usize = HEADER_BYTES + 6;
+/// The offset of the peer's address in the same structure.
+const PEER_ADDRESS_OFFSET: usize = HEADER_BYTES + 24;
 
-/// Returns whether any connection to that address has begun and is not up.
-pub fn any_to(address: SocketAddrV4) -> bool {
+/// Returns whether any connection to that address is pending: begun but not yet established.
+pub fn has_pending_to(address: SocketAddrV4) -> bool {
     let request = Request {
         length: size_of::<Request>() as u32,
         kind: SOCK_DIAG_BY_FAMILY,
@@ -53,13 +54,13 @@
         socket: [0; 48],
     };
     let mut answer = vec![0_u8; 32 << 10];
-    // SAFETY: the kernel reads a whole request and writes within the buffer; the descriptor is
-    // closed here and nowhere else.
+    // SAFETY: `request` is valid for the length passed to `send`, and `answer` for the length
+    // passed to `recv`. The descriptor is closed only here.
     unsafe {
         let netlink = libc::socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
         assert!(
             netlink >= 0,
-            "no sock_diag: {}",
+            "can't open a sock_diag socket: {}",
             std::io::Error::last_os_error()
         );
         let sent = libc::send(
@@ -75,7 +76,7 @@
             let Ok(count) = usize::try_from(count) else {
                 break;
             };
-            let (matches, last) = read(&answer[..count], address);
+            let (matches, last) = parse_messages(&answer[..count], address);
             found |= matches;
             if last {
                 break;
@@ -86,17 +87,22 @@
     }
 }
 
-/// Whether one of these messages is of a connection to that address, and whether they are the last.
-fn read(mut messages: &[u8], address: SocketAddrV4) -> (bool, bool) {
+/// Returns whether one of these messages describes a connection to that address, and whether the
+/// dump ends with these messages.
+fn parse_messages(mut messages: &[u8], address: SocketAddrV4) -> (bool, bool) {
     let mut found = false;
-    while messages.len() >= HEAD {
+    while messages.len() >= HEADER_BYTES {
         let length = u32::from_ne_bytes(messages[..4].try_into().unwrap()) as usize;
         let kind = u16::from_ne_bytes(messages[4..6].try_into().unwrap());
-        if kind == NLMSG_DONE || length < HEAD {
+        if kind == NLMSG_DONE || length < HEADER_BYTES {
             return (found, true);
         }
-        if let Some(peer) = messages.get(PEER_ADDRESS..PEER_ADDRESS + 4) {
-            let port = u16::from_be_bytes(messages[PEER_PORT..PEER_PORT + 2].try_into().unwrap());
+        if let Some(peer) = messages.get(PEER_ADDRESS_OFFSET..PEER_ADDRESS_OFFSET + 4) {
+            let port = u16::from_be_bytes(
+                messages[PEER_PORT_OFFSET..PEER_PORT_OFFSET + 2]
+                    .try_into()
+                    .unwrap(),
+            );
             found |= port == address.port() && peer == address.ip().octets();
         }
         messages = messages
--- a/crates/balancer/tests/common/recorder.rs
+++ b/crates/balancer/tests/common/recorder.rs
@@ -1,4 +1,4 @@
-//! A server that records all attempts.
+//! A server that records all attempts that reach it.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -6,12 +6,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An attempt on a server's record.
+/// An attempt recorded by a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// When its connection was accepted.
     pub at: Instant,
-    /// The first line and when it came, once it has.
+    /// The first line and the time at which it was received. `None` until then.
     pub line: Option<(Instant, String)>,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl Recorder {
-    /// Starts one on a free port.
+    /// Starts a recording server on a free port.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let recorder = Recorder {
@@ -32,7 +32,7 @@
         let attempts = recorder.attempts.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let place = attempts.lock().unwrap().len();
+                let index = attempts.lock().unwrap().len();
                 attempts.lock().unwrap().push(Attempt {
                     at: Instant::now(),
                     line: None,
@@ -41,7 +41,7 @@
                 thread::spawn(move || {
                     let mut lines = BufReader::new(&stream).lines().map_while(Result::ok);
                     if let Some(line) = lines.next() {
-                        attempts.lock().unwrap()[place].line = Some((Instant::now(), line));
+                        attempts.lock().unwrap()[index].line = Some((Instant::now(), line));
                         let _ = (&stream).write_all(b"UP 1\r\n");
                     }
                     lines.for_each(drop);
@@ -51,7 +51,11 @@
         recorder
     }
 
-    /// Returns how late the latest of the test's own lines was recorded, by when each was sent.
+    /// Returns the longest delay between sending and recording of the test's own lines. The test
+    /// sends line `OWN n` at the time `sent[n]`.
+    ///
+    /// # Panics
+    /// If none of these lines has been recorded.
     pub fn own_lateness(&self, sent: &[Instant]) -> Duration {
         let attempts = self.attempts.lock().unwrap();
         let own = attempts.iter().filter_map(|attempt| {
@@ -59,11 +63,12 @@
             let number: usize = line.strip_prefix("OWN ")?.parse().ok()?;
             Some(at.saturating_duration_since(sent[number]))
         });
-        own.max().expect("some of them have come")
+        own.max()
+            .expect("at least one of the test's own lines was recorded")
     }
 
-    /// Asserts that there was no attempt but for clients of this name, each of which has sent its
-    /// line.
+    /// Asserts that every attempt has received its first line and that each line is an `OPEN` whose
+    /// values begin with `staying`. `what` names the case in the panic message.
     pub fn assert_only_from(&self, staying: &str, what: &str) {
         for attempt in self.attempts.lock().unwrap().iter() {
             let line = attempt.line.as_ref().map(|(_, line)| line.as_str());
--- a/crates/balancer/tests/common/scripted_server.rs
+++ b/crates/balancer/tests/common/scripted_server.rs
@@ -1,4 +1,5 @@
-//! Servers that answer first lines with a fixed text, and balancers that know one server or none.
+//! Servers that answer every first line with a fixed text, and balancers with a single server or no
+//! ready server.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener};
@@ -9,18 +10,19 @@
 
 use super::{TestBalancer, wait_for, with_settings};
 
-/// What a server does once it has answered.
+/// What a server does with a connection after it has answered the first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAnswer {
-    /// Ends its sending.
+    /// Shuts down its sending direction.
     EndSending,
+    /// Leaves its sending direction open.
     KeepOpen,
 }
 
-/// How long a server that has answered waits for a further line before it closes the connection.
+/// How long a server waits for another line after its answer before it closes the connection.
 const NEXT_LINE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Starts a server that answers each first line with this text, and returns its address.
+/// Starts a server that answers each `OPEN` first line with this text. Returns its address.
 pub fn server_that_says(text: &'static str, then: AfterAnswer) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -45,26 +47,28 @@
 }
 
 impl TestBalancer {
-    /// Starts one that knows this server alone, without health checks.
+    /// Starts a balancer whose only server is this one, without health checks.
     pub fn with_only_server(address: SocketAddr) -> Self {
         let balancer = TestBalancer::with_config(1, |config| {
             with_settings(&config, &[("limits/probes", json!(false))])
         });
-        // In this order: who is served by the second is so once the first is gone.
+        // The removal is published first: once a client is served by the new server, the old one
+        // has been removed.
         balancer
             .agent
             .publish("s-0", balancer.servers[0].address, "Gone");
         balancer.agent.publish("s-1", address, "Ready");
-        let seen = || balancer.servers[0].first_lines().len();
-        wait_for("the new list", || {
-            let before = seen();
-            balancer.client("c=chat,d=900").receives("UP 1") && seen() == before
+        let first_lines_of_removed_server = || balancer.servers[0].first_lines().len();
+        wait_for("the new endpoint list", || {
+            let before = first_lines_of_removed_server();
+            balancer.client("c=chat,d=900").receives("UP 1")
+                && first_lines_of_removed_server() == before
         });
         balancer
     }
 
-    /// Starts one whose only server drains, without health checks; clients wait long for another
-    /// server.
+    /// Starts a balancer whose only server drains, without health checks. Clients of the first
+    /// traffic class wait up to 4 s for another server.
     pub fn without_ready_servers() -> Self {
         let balancer = TestBalancer::with_config(1, |config| {
             with_settings(
@@ -78,7 +82,7 @@
         balancer
             .agent
             .publish("s-0", balancer.servers[0].address, "Terminating");
-        wait_for("no server", || {
+        wait_for("the server to be listed as draining", || {
             balancer.client("c=chat,d=60").read_line() != "UP 1"
         });
         balancer
--- a/crates/balancer/tests/preload/faults.rs
+++ b/crates/balancer/tests/preload/faults.rs
@@ -1,17 +1,18 @@
-//! A library that tests load into the program by `LD_PRELOAD`: chosen system calls fail, are cut
-//! short or are delayed, and the wall clock shows another time, as a plan says. The plan is a file
-//! that may change at any time, named by `NETTLEMUX_FAULTS`; each line of it is a call and what
-//! happens to it:
+//! A fault-injection library that tests preload into the program with `LD_PRELOAD`. Following a
+//! plan, it makes chosen system calls fail, transfer fewer bytes or start late, and shifts the wall
+//! clock. The environment variable `NETTLEMUX_FAULTS` names the plan's file, which may change at
+//! any time. Each line of the plan names a call and a fault:
 //!
 //! ```text
-//! CALL fail ERRNO AFTER EVERY TIMES    the call is not made and returns this error
-//! CALL short BYTES AFTER EVERY TIMES   at the most so many bytes are read or written
-//! CALL stall MS AFTER EVERY TIMES      the call is made so much later
-//! futex_wake stall MS AFTER EVERY TIMES  a thread that has woken another goes on so much later
-//! clock_gettime step SECONDS           the wall clock is so far ahead
+//! CALL fail ERRNO AFTER EVERY TIMES      the call is not made and fails with this errno
+//! CALL short BYTES AFTER EVERY TIMES     the call reads or writes at most this many bytes
+//! CALL stall MS AFTER EVERY TIMES        the call is made after a delay of this length
+//! futex_wake stall MS AFTER EVERY TIMES  a thread that has woken another is delayed afterwards
+//! clock_gettime step SECONDS             the wall clock is this far ahead
 //! ```
 //!
-//! After `AFTER` calls each `EVERY`th is hit, `TIMES` in all.
+//! A fault skips the first `AFTER` calls, then applies to the next call and to every `EVERY`th call
+//! from there on, at most `TIMES` times. The defaults are 0, 1 and no limit.
 
 use std::ffi::{CStr, OsString};
 use std::mem::{MaybeUninit, transmute};
@@ -20,15 +21,19 @@
 
 use libc::{c_char, c_int, c_long, c_void, size_t, sockaddr, socklen_t, ssize_t, timespec};
 
-/// The plan is no longer than this.
-const PLAN_MAX: usize = 4096;
+/// Maximum length of the plan's file.
+const PLAN_BYTES_MAX: usize = 4096;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Action {
+    /// Fail with this errno.
     Fail(c_int),
-    Short(usize),
-    Stall(u64),
-    Step(i64),
+    /// Transfer at most this many bytes.
+    LimitBytes(usize),
+    /// Delay by this many milliseconds.
+    Delay(u64),
+    /// Shift the wall clock by this many seconds.
+    ShiftClock(i64),
 }
 
 struct Fault {
@@ -37,8 +42,10 @@
     after: u64,
     every: u64,
     times: u64,
-    seen: u64,
-    hit: u64,
+    /// Number of calls since the plan was read.
+    calls: u64,
+    /// Number of calls to which the fault was applied.
+    applied: u64,
 }
 
 impl Fault {
@@ -48,9 +55,9 @@
         let value = words.next()?;
         let action = match action {
             "fail" => Action::Fail(value.parse().ok()?),
-            "short" => Action::Short(value.parse().ok()?),
-            "stall" => Action::Stall(value.parse().ok()?),
-            "step" => Action::Step(value.parse().ok()?),
+            "short" => Action::LimitBytes(value.parse().ok()?),
+            "stall" => Action::Delay(value.parse().ok()?),
+            "step" => Action::ShiftClock(value.parse().ok()?),
             _ => return None,
         };
         let mut number = |default| {
@@ -65,36 +72,38 @@
             after,
             every,
             times,
-            seen: 0,
-            hit: 0,
+            calls: 0,
+            applied: 0,
         })
     }
 
-    /// Whether this call is hit.
-    fn hits(&mut self) -> bool {
-        self.seen += 1;
-        let due = self.seen > self.after && (self.seen - self.after - 1).is_multiple_of(self.every);
-        let hits = due && self.hit < self.times;
-        self.hit += u64::from(hits);
-        hits
+    /// Counts a call and returns whether the fault applies to it.
+    fn applies_to_next_call(&mut self) -> bool {
+        self.calls += 1;
+        let due =
+            self.calls > self.after && (self.calls - self.after - 1).is_multiple_of(self.every);
+        let applies = due && self.applied < self.times;
+        self.applied += u64::from(applies);
+        applies
     }
 }
 
-/// What identifies one state of the plan's file.
-type Stamp = (u64, i64, i64);
+/// Identifies a version of the plan's file: its inode and its modification time in seconds and
+/// nanoseconds.
+type FileVersion = (u64, i64, i64);
 
 struct Plan {
-    stamp: Option<Stamp>,
+    version: Option<FileVersion>,
     faults: Vec<Fault>,
 }
 
 static PLAN: Mutex<Plan> = Mutex::new(Plan {
-    stamp: None,
+    version: None,
     faults: Vec::new(),
 });
 
-/// The plan's file, ended by a zero.
-fn path() -> Option<&'static [u8]> {
+/// Returns the path of the plan's file as a NUL-terminated string.
+fn plan_path() -> Option<&'static [u8]> {
     static PATH: OnceLock<Option<Vec<u8>>> = OnceLock::new();
     let read = || {
         let name: OsString = std::env::var_os("NETTLEMUX_FAULTS")?;
@@ -103,10 +112,11 @@
     PATH.get_or_init(read).as_deref()
 }
 
-/// Reads a file by system calls alone, since the library's own calls must not be led here.
+/// Reads a file by direct system calls. Calls through the C library would reach the functions that
+/// this library replaces.
 fn read_file(path: &[u8]) -> Option<String> {
-    let mut text = vec![0_u8; PLAN_MAX];
-    // SAFETY: the path ends in a zero, and the buffer is as long as is said.
+    let mut text = vec![0_u8; PLAN_BYTES_MAX];
+    // SAFETY: the path is NUL-terminated, and the buffer is valid for the length passed.
     let length = unsafe {
         let file = libc::syscall(
             libc::SYS_openat,
@@ -125,9 +135,9 @@
     String::from_utf8(text).ok()
 }
 
-fn stamp(path: &[u8]) -> Option<Stamp> {
+fn file_version(path: &[u8]) -> Option<FileVersion> {
     let mut status = MaybeUninit::<libc::stat>::uninit();
-    // SAFETY: the path ends in a zero, and the call fills in the status where it returns 0.
+    // SAFETY: the path is NUL-terminated, and the call has filled in the status if it returns 0.
     unsafe {
         let (path, flags) = (path.as_ptr(), 0);
         if libc::syscall(
@@ -145,21 +155,22 @@
     }
 }
 
-/// What happens to this call; nothing where a signal's handler has interrupted another one.
-fn action(call: &str) -> Option<Action> {
-    let path = path()?;
+/// Returns the fault to apply to this call. Returns `None` if the plan is locked, either by another
+/// thread or by a call in this thread that a signal handler has interrupted.
+fn next_action(call: &str) -> Option<Action> {
+    let path = plan_path()?;
     let mut plan = PLAN.try_lock().ok()?;
-    let now = stamp(path);
-    if plan.stamp != now {
+    let version = file_version(path);
+    if plan.version != version {
         let text = read_file(path).unwrap_or_default();
-        (plan.stamp, plan.faults) = (now, text.lines().filter_map(Fault::parse).collect());
+        (plan.version, plan.faults) = (version, text.lines().filter_map(Fault::parse).collect());
     }
     let mut faults = plan.faults.iter_mut().filter(|fault| fault.call == call);
-    faults.find_map(|fault| fault.hits().then_some(fault.action))
+    faults.find_map(|fault| fault.applies_to_next_call().then_some(fault.action))
 }
 
 fn set_errno(errno: c_int) {
-    // SAFETY: the C library's own place for this thread.
+    // SAFETY: the C library returns a pointer to this thread's errno.
     unsafe { *libc::__errno_location() = errno };
 }
 
@@ -167,19 +178,20 @@
     std::thread::sleep(std::time::Duration::from_millis(ms));
 }
 
-/// The C library's own function of that name.
-fn next(name: &'static CStr) -> *mut c_void {
-    // SAFETY: the name ends in a zero.
+/// Returns the C library's own function of that name.
+fn original_function(name: &'static CStr) -> *mut c_void {
+    // SAFETY: the name is NUL-terminated.
     let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
-    assert!(!found.is_null(), "no {name:?}");
+    assert!(!found.is_null(), "the C library has no function {name:?}");
     found
 }
 
-/// Whether it is a connection over IP: pipes of the program's own are left alone.
+/// Returns whether this is an IPv4 socket. No faults are applied to the program's internal socket
+/// pairs.
 fn is_inet(socket: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    // SAFETY: both point to what the call fills in.
+    // SAFETY: both pointers are valid, and the call writes no more than `length` bytes.
     let result = unsafe {
         let (level, option) = (libc::SOL_SOCKET, libc::SO_DOMAIN);
         libc::syscall(
@@ -194,65 +206,66 @@
     result == 0 && domain == libc::AF_INET
 }
 
-/// Replaces a function that fails, or is delayed, as the plan says.
-macro_rules! replace {
+/// Defines a replacement for a C library function that fails or is delayed as the plan says.
+macro_rules! intercept {
     ($name:ident, $symbol:literal, ($($argument:ident: $kind:ty),*) -> $result:ty) => {
         /// # Safety
-        /// As the C library's function of that name.
+        /// The same requirements apply as for the C library's function of that name.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name($($argument: $kind),*) -> $result {
-            type Real = unsafe extern "C" fn($($kind),*) -> $result;
-            match action(stringify!($name)) {
+            type Original = unsafe extern "C" fn($($kind),*) -> $result;
+            match next_action(stringify!($name)) {
                 Some(Action::Fail(errno)) => {
                     set_errno(errno);
                     return -1 as $result;
                 }
-                Some(Action::Stall(ms)) => sleep(ms),
+                Some(Action::Delay(ms)) => sleep(ms),
                 _ => {}
             }
-            // SAFETY: the function of that name has this type, and its caller keeps its terms.
-            unsafe { transmute::<*mut c_void, Real>(next($symbol))($($argument),*) }
+            // SAFETY: the original function has this type, and the caller meets its requirements.
+            unsafe { transmute::<*mut c_void, Original>(original_function($symbol))($($argument),*) }
         }
     };
 }
 
-replace!(accept4, c"accept4", (socket: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int);
-replace!(bind, c"bind", (socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int);
-replace!(connect, c"connect", (socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int);
-replace!(epoll_create1, c"epoll_create1", (flags: c_int) -> c_int);
-replace!(epoll_ctl, c"epoll_ctl", (epoll: c_int, what: c_int, fd: c_int, event: *mut c_void) -> c_int);
-replace!(epoll_wait, c"epoll_wait", (epoll: c_int, events: *mut c_void, most: c_int, timeout: c_int) -> c_int);
-replace!(eventfd, c"eventfd", (count: u32, flags: c_int) -> c_int);
-replace!(fcntl, c"fcntl", (fd: c_int, command: c_int, argument: c_long) -> c_int);
-replace!(getpeername, c"getpeername", (socket: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int);
-replace!(ioctl, c"ioctl", (fd: c_int, request: u64, argument: *mut c_void) -> c_int);
-replace!(listen, c"listen", (socket: c_int, backlog: c_int) -> c_int);
-replace!(open64, c"open64", (path: *const c_char, flags: c_int, mode: c_long) -> c_int);
-replace!(mmap, c"mmap", (at: *mut c_void, length: size_t, protection: c_int, flags: c_int, file: c_int, offset: c_long) -> isize);
-replace!(mmap64, c"mmap64", (at: *mut c_void, length: size_t, protection: c_int, flags: c_int, file: c_int, offset: c_long) -> isize);
-replace!(read, c"read", (file: c_int, into: *mut c_void, length: size_t) -> ssize_t);
-replace!(socket, c"socket", (domain: c_int, kind: c_int, protocol: c_int) -> c_int);
-replace!(socketpair, c"socketpair", (domain: c_int, kind: c_int, protocol: c_int, pair: *mut c_int) -> c_int);
+intercept!(accept4, c"accept4", (socket: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int);
+intercept!(bind, c"bind", (socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int);
+intercept!(connect, c"connect", (socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int);
+intercept!(epoll_create1, c"epoll_create1", (flags: c_int) -> c_int);
+intercept!(epoll_ctl, c"epoll_ctl", (epoll: c_int, what: c_int, fd: c_int, event: *mut c_void) -> c_int);
+intercept!(epoll_wait, c"epoll_wait", (epoll: c_int, events: *mut c_void, most: c_int, timeout: c_int) -> c_int);
+intercept!(eventfd, c"eventfd", (count: u32, flags: c_int) -> c_int);
+intercept!(fcntl, c"fcntl", (fd: c_int, command: c_int, argument: c_long) -> c_int);
+intercept!(getpeername, c"getpeername", (socket: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int);
+intercept!(ioctl, c"ioctl", (fd: c_int, request: u64, argument: *mut c_void) -> c_int);
+intercept!(listen, c"listen", (socket: c_int, backlog: c_int) -> c_int);
+intercept!(open64, c"open64", (path: *const c_char, flags: c_int, mode: c_long) -> c_int);
+intercept!(mmap, c"mmap", (at: *mut c_void, length: size_t, protection: c_int, flags: c_int, file: c_int, offset: c_long) -> isize);
+intercept!(mmap64, c"mmap64", (at: *mut c_void, length: size_t, protection: c_int, flags: c_int, file: c_int, offset: c_long) -> isize);
+intercept!(read, c"read", (file: c_int, into: *mut c_void, length: size_t) -> ssize_t);
+intercept!(socket, c"socket", (domain: c_int, kind: c_int, protocol: c_int) -> c_int);
+intercept!(socketpair, c"socketpair", (domain: c_int, kind: c_int, protocol: c_int, pair: *mut c_int) -> c_int);
 
-/// How many bytes a call on a connection may move; none where it fails.
-fn transfer(call: &str, socket: c_int, length: size_t) -> Option<size_t> {
+/// Returns how many bytes a call on a connection may transfer. Returns `None`, with errno set, if
+/// the call has to fail.
+fn transfer_limit(call: &str, socket: c_int, length: size_t) -> Option<size_t> {
     if !is_inet(socket) {
         return Some(length);
     }
-    match action(call) {
+    match next_action(call) {
         Some(Action::Fail(errno)) => {
             set_errno(errno);
             return None;
         }
-        Some(Action::Short(bytes)) => return Some(length.min(bytes)),
-        Some(Action::Stall(ms)) => sleep(ms),
+        Some(Action::LimitBytes(bytes)) => return Some(length.min(bytes)),
+        Some(Action::Delay(ms)) => sleep(ms),
         _ => {}
     }
     Some(length)
 }
 
 /// # Safety
-/// As the C library's function of that name.
+/// The same requirements apply as for the C library's function of that name.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(
     socket: c_int,
@@ -260,16 +273,18 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    type Real = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
-    let Some(length) = transfer("recv", socket, length) else {
+    type Original = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
+    let Some(length) = transfer_limit("recv", socket, length) else {
         return -1;
     };
-    // SAFETY: the function of that name has this type, and its caller keeps its terms.
-    unsafe { transmute::<*mut c_void, Real>(next(c"recv"))(socket, into, length, flags) }
+    // SAFETY: the original function has this type, and the caller meets its requirements.
+    unsafe {
+        transmute::<*mut c_void, Original>(original_function(c"recv"))(socket, into, length, flags)
+    }
 }
 
 /// # Safety
-/// As the C library's function of that name.
+/// The same requirements apply as for the C library's function of that name.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
     socket: c_int,
@@ -277,19 +292,22 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    type Real = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
-    let Some(length) = transfer("send", socket, length) else {
+    type Original = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
+    let Some(length) = transfer_limit("send", socket, length) else {
         return -1;
     };
-    // SAFETY: the function of that name has this type, and its caller keeps its terms.
-    unsafe { transmute::<*mut c_void, Real>(next(c"send"))(socket, from, length, flags) }
+    // SAFETY: the original function has this type, and the caller meets its requirements.
+    unsafe {
+        transmute::<*mut c_void, Original>(original_function(c"send"))(socket, from, length, flags)
+    }
 }
 
-/// Holds up a thread that has just woken another, as a busy machine may.
+/// Delays a thread that has just woken another, as can happen on a busy machine.
 ///
 /// # Safety
-/// As the C library's function of that name. It takes as many arguments as any call has; what
-/// stands in the place of those that a caller leaves out is passed on unread.
+/// The same requirements apply as for the C library's function of that name. The replacement takes
+/// the maximum number of arguments of a system call. If a caller passes fewer, the values of the
+/// missing ones are passed on and not used.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn syscall(
     number: c_long,
@@ -300,15 +318,17 @@
     e: c_long,
     f: c_long,
 ) -> c_long {
-    type Real =
+    type Original =
         unsafe extern "C" fn(c_long, c_long, c_long, c_long, c_long, c_long, c_long) -> c_long;
-    // SAFETY: the function of that name reads no more than these, and its caller keeps its terms.
-    let result =
-        unsafe { transmute::<*mut c_void, Real>(next(c"syscall"))(number, a, b, c, d, e, f) };
+    // SAFETY: the original function reads no more than these arguments, and the caller meets its
+    // requirements.
+    let result = unsafe {
+        transmute::<*mut c_void, Original>(original_function(c"syscall"))(number, a, b, c, d, e, f)
+    };
     let operation = b as c_int & !libc::FUTEX_PRIVATE_FLAG;
     if number == libc::SYS_futex
         && operation == libc::FUTEX_WAKE
-        && let Some(Action::Stall(ms)) = action("futex_wake")
+        && let Some(Action::Delay(ms)) = next_action("futex_wake")
     {
         sleep(ms);
     }
@@ -316,17 +336,19 @@
 }
 
 /// # Safety
-/// As the C library's function of that name.
+/// The same requirements apply as for the C library's function of that name.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut timespec) -> c_int {
-    type Real = unsafe extern "C" fn(c_int, *mut timespec) -> c_int;
-    // SAFETY: the function of that name has this type, and its caller keeps its terms.
-    let result = unsafe { transmute::<*mut c_void, Real>(next(c"clock_gettime"))(clock, time) };
+    type Original = unsafe extern "C" fn(c_int, *mut timespec) -> c_int;
+    // SAFETY: the original function has this type, and the caller meets its requirements.
+    let result = unsafe {
+        transmute::<*mut c_void, Original>(original_function(c"clock_gettime"))(clock, time)
+    };
     if clock == libc::CLOCK_REALTIME
         && result == 0
-        && let Some(Action::Step(seconds)) = action("clock_gettime")
+        && let Some(Action::ShiftClock(seconds)) = next_action("clock_gettime")
     {
-        // SAFETY: the call has filled it in.
+        // SAFETY: the original function has returned 0, so it has filled in `time`.
         unsafe { (*time).tv_sec += seconds };
     }
     result
