--- a/crates/balancer/tests/audit.rs
+++ b/crates/balancer/tests/audit.rs
@@ -1,21 +1,26 @@
-//! The audit's table (docs/terms-audit.md) names tests and files that exist, gives each row one of
-//! four statuses, and gives no row as holding without a test unless it says that it was read only.
+//! Checks the audit table (docs/terms-audit.md). The tests and files that it names must exist. Each
+//! row must have one of four statuses. A row with the status `holds` or `fixed` must name a test or
+//! say that it was checked by reading only.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
+/// The statuses that a row may have.
 const STATUSES: [&str; 4] = ["holds", "fixed", "open", "not reached"];
+/// Number of columns of the table.
 const COLUMNS: usize = 8;
 
-/// What the repository's Rust files have: their names and the names of their tests.
-struct Known {
+/// The Rust files of the repository's crates.
+struct SourceFiles {
+    /// File names without their directories.
     files: BTreeSet<String>,
+    /// Names of the test functions.
     tests: BTreeSet<String>,
 }
 
-impl Known {
+impl SourceFiles {
     fn read() -> Self {
-        let mut known = Known {
+        let mut sources = SourceFiles {
             files: BTreeSet::new(),
             tests: BTreeSet::new(),
         };
@@ -26,11 +31,11 @@
                 if path.is_dir() {
                     folders.push(path);
                 } else if path.extension().is_some_and(|extension| extension == "rs") {
-                    known.add(&path);
+                    sources.add(&path);
                 }
             }
         }
-        known
+        sources
     }
 
     fn add(&mut self, path: &PathBuf) {
@@ -55,8 +60,8 @@
     }
 }
 
-/// What is wrong with a table.
-fn faults(page: &str, known: &Known) -> Vec<String> {
+/// Returns a message for each fault of the table.
+fn faults(page: &str, sources: &SourceFiles) -> Vec<String> {
     let mut faults = Vec::new();
     let mut counts = [0; STATUSES.len()];
     for line in page
@@ -66,27 +71,27 @@
     {
         let cells: Vec<&str> = line.trim_matches('|').split('|').map(str::trim).collect();
         let [id, _, _, _, code, tests, status, note] = cells[..] else {
-            faults.push(format!("{COLUMNS} columns are wanted: {line}"));
+            faults.push(format!("expected {COLUMNS} columns, found the row: {line}"));
             continue;
         };
-        match STATUSES.iter().position(|known| *known == status) {
-            Some(place) => counts[place] += 1,
-            None => faults.push(format!("{id}: no status: {status}")),
+        match STATUSES.iter().position(|allowed| *allowed == status) {
+            Some(index) => counts[index] += 1,
+            None => faults.push(format!("{id}: unknown status: {status}")),
         }
         let named: Vec<&str> = tests.split('`').skip(1).step_by(2).collect();
-        let missing = named.iter().filter(|test| !known.tests.contains(**test));
+        let missing = named.iter().filter(|test| !sources.tests.contains(**test));
         faults.extend(missing.map(|test| format!("{id}: no such test: {test}")));
         if ["holds", "fixed"].contains(&status) && named.is_empty() && !note.contains("by reading")
         {
             faults.push(format!(
-                "{id}: {status} without a test, and not said to be read only"
+                "{id}: status {status} without a test and without the note 'by reading'"
             ));
         }
         let words = code.split([' ', ',', ';', ':']);
         let files = words
             .filter(|word| word.ends_with(".rs"))
             .map(|word| word.rsplit('/').next().unwrap());
-        let missing = files.filter(|file| !known.files.contains(*file));
+        let missing = files.filter(|file| !sources.files.contains(*file));
         faults.extend(missing.map(|file| format!("{id}: no such file: {file}")));
     }
     let totals: Vec<String> = counts
@@ -96,44 +101,50 @@
         .collect();
     let totals = format!("{}.", totals.join(", "));
     if !page.trim_end().ends_with(&totals) {
-        faults.push(format!("the last line is not: {totals}"));
+        faults.push(format!("the last line must end with: {totals}"));
     }
     faults
 }
 
 #[test]
-fn the_table_names_what_exists() {
+fn the_audit_table_has_no_faults() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/terms-audit.md");
-    let faults = faults(&std::fs::read_to_string(page).unwrap(), &Known::read());
+    let faults = faults(
+        &std::fs::read_to_string(page).unwrap(),
+        &SourceFiles::read(),
+    );
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
 #[test]
-fn a_table_that_names_what_does_not_exist_is_found_out() {
-    let known = Known {
+fn every_kind_of_fault_in_an_audit_table_is_reported() {
+    let sources = SourceFiles {
         files: BTreeSet::from(["send.rs".to_string()]),
         tests: BTreeSet::from(["one_test".to_string()]),
     };
     let page = |row: &str, totals: &str| {
         format!("| # | a | b | c | d | e | f | g |\n| --- |\n{row}\n\n{totals}\n")
     };
-    let good = "1 rows holds, 0 rows fixed, 0 rows open, 0 rows not reached.";
+    let correct_totals = "1 rows holds, 0 rows fixed, 0 rows open, 0 rows not reached.";
     let row = "| 1 | p | c | r | send.rs send | `one_test` | holds | - |";
-    assert_eq!(faults(&page(row, good), &known), Vec::<String>::new());
-    for (bad, totals) in [
-        (row.replace("one_test", "no_test"), good),
-        (row.replace("send.rs", "sent.rs"), good),
-        (row.replace("holds", "held"), good),
-        (row.replace("`one_test`", "-"), good),
-        (row.replace("| c ", ""), good),
+    assert_eq!(
+        faults(&page(row, correct_totals), &sources),
+        Vec::<String>::new()
+    );
+    for (faulty_row, totals) in [
+        (row.replace("one_test", "no_test"), correct_totals),
+        (row.replace("send.rs", "sent.rs"), correct_totals),
+        (row.replace("holds", "held"), correct_totals),
+        (row.replace("`one_test`", "-"), correct_totals),
+        (row.replace("| c ", ""), correct_totals),
         (
             row.to_string(),
             "2 rows holds, 0 rows fixed, 0 rows open, 0 rows not reached.",
         ),
     ] {
         assert!(
-            !faults(&page(&bad, totals), &known).is_empty(),
-            "{bad} {totals}"
+            !faults(&page(&faulty_row, totals), &sources).is_empty(),
+            "{faulty_row} {totals}"
         );
     }
 }
--- a/crates/balancer/tests/configuration.rs
+++ b/crates/balancer/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration and the operator's file at the start: what may be missing, what is named as
-//! faulty, and what is ignored.
+//! The configuration and the operator's file at the start: which keys are optional, which faults
+//! are reported, and what is ignored.
 
 mod common;
 
@@ -13,8 +13,8 @@
 use common::{EXAMPLE, TestBalancer, unused_address, wait_for, with_settings};
 use serde_json::{Value, json};
 
-/// What may be missing at the top of the settings.
-const OPTIONAL: [&str; 11] = [
+/// The optional keys at the top level of the settings.
+const OPTIONAL_SETTINGS: [&str; 11] = [
     "zone",
     "areas",
     "models",
@@ -28,31 +28,33 @@
     "specifics",
 ];
 
-/// Starts it with these settings, lets it serve a flow of each traffic class, and ends it.
-fn serves_and_ends(what: &str, changes: &[(&str, Value)]) {
+/// Starts a balancer with these changes to the settings. Asserts that it serves a flow of each
+/// traffic class, and that it ends within 6 s of SIGTERM.
+fn assert_serves_and_ends(case: &str, changes: &[(&str, Value)]) {
     let mut balancer = TestBalancer::with_config(2, |config| with_settings(&config, changes));
     for class in ["chat", "order"] {
-        wait_for(what, || {
+        wait_for(case, || {
             balancer
                 .client(&format!("c={class},d=900,g=room"))
                 .receives("UP 1")
         });
     }
     balancer.terminate();
-    let since = Instant::now();
+    let signal_sent = Instant::now();
     let status = balancer.process.wait().unwrap();
     assert!(
-        status.success() && since.elapsed() < Duration::from_secs(6),
-        "{what}: {status}"
+        status.success() && signal_sent.elapsed() < Duration::from_secs(6),
+        "{case}: {status}"
     );
 }
 
-/// Guards against a start that is refused, or a balancer that serves nobody, since a setting that
-/// this deployment has is left out, is null or is written otherwise at another.
+/// Deployments differ in their settings: one leaves out a setting, sets it to null or writes it in
+/// another form than the next. Guards against a balancer that does not start or does not serve
+/// because of this.
 #[test]
-fn a_setting_may_be_missing_and_each_kind_may_stand_there() {
-    let gone = |path: &'static str| (path.to_string(), vec![(path, Value::Null)]);
-    let inside = [
+fn missing_settings_and_all_variants_of_a_setting_are_accepted() {
+    let without = |path: &'static str| (path.to_string(), vec![(path, Value::Null)]);
+    let optional_nested = [
         "contract/start-capacity",
         "contract/warm-up",
         "contract/fall-multiple",
@@ -69,8 +71,11 @@
         "service-types/0/value",
         "service-types/0/repeat",
     ];
-    let mut cases: Vec<(String, Vec<(&str, Value)>)> =
-        OPTIONAL.into_iter().chain(inside).map(gone).collect();
+    let mut cases: Vec<(String, Vec<(&str, Value)>)> = OPTIONAL_SETTINGS
+        .into_iter()
+        .chain(optional_nested)
+        .map(without)
+        .collect();
     let class = |repeat: &str, group: &str| json!({"name": "chat", "repeat": repeat, "group": group, "window": 500_000, "setup-target": 300_000, "value": 2.0, "hard-limit": 1_000_000});
     for (repeat, group) in [
         ("free", "all"),
@@ -86,11 +91,11 @@
     }
     cases.extend([
         (
-            "a list that is asked for".into(),
+            "an endpoint list that is polled".into(),
             vec![("discovery", json!("ask"))],
         ),
         (
-            "zones that the list doesn't name".into(),
+            "zones that the endpoint list doesn't name".into(),
             vec![("areas", json!(["x", "y"])), ("zone", json!(1))],
         ),
         (
@@ -105,7 +110,7 @@
             vec![("replicas-of-me", json!(1024)), ("me", json!(1023))],
         ),
         (
-            "times that sums run over at".into(),
+            "times whose sums would overflow".into(),
             vec![
                 ("contract/warm-up", json!(1e300)),
                 ("limits/max-retry-after", json!(u64::MAX)),
@@ -114,27 +119,27 @@
             ],
         ),
         (
-            "nothing but service types".into(),
-            OPTIONAL.map(|path| (path, Value::Null)).to_vec(),
+            "no settings but service types".into(),
+            OPTIONAL_SETTINGS.map(|path| (path, Value::Null)).to_vec(),
         ),
     ]);
     let cases: Vec<_> = cases
         .into_iter()
-        .map(|(what, changes)| {
+        .map(|(name, changes)| {
             (
-                what.clone(),
-                thread::spawn(move || serves_and_ends(&what, &changes)),
+                name.clone(),
+                thread::spawn(move || assert_serves_and_ends(&name, &changes)),
             )
         })
         .collect();
-    for (what, case) in cases {
-        assert!(case.join().is_ok(), "{what}");
+    for (name, case) in cases {
+        assert!(case.join().is_ok(), "{name}");
     }
 }
 
-/// Guards against a value that can't be read and is taken for none.
+/// Guards against a setting with an invalid value that is treated as missing.
 #[test]
-fn a_setting_that_cannot_be_read_is_named() {
+fn an_invalid_setting_is_reported_with_its_key() {
     for (path, value, key) in [
         ("zone", json!("first"), "'settings.zone'"),
         ("discovery", json!(1), "'settings.discovery'"),
@@ -193,7 +198,8 @@
 }
 
 #[test]
-fn a_faulty_configuration_is_named_by_its_key() {
+fn an_invalid_configuration_is_reported_with_the_key_at_fault() {
+    // Returns whether `nettlemux check` succeeds, and what it prints.
     let check = |config: &str| {
         let file =
             std::env::temp_dir().join(format!("nettlemux-check-{}.json", std::process::id()));
@@ -243,14 +249,15 @@
             "'setings': unknown; is 'settings' meant?",
         ),
     ] {
-        let (good, text) = check(&EXAMPLE.replacen(from, to, 1));
+        let (valid, text) = check(&EXAMPLE.replacen(from, to, 1));
         assert!(
-            !good && text.contains(key) && !text.contains("panicked"),
+            !valid && text.contains(key) && !text.contains("panicked"),
             "{key}: {text}"
         );
     }
-    // Guards against a limit that a misspelt key removes in silence, and a fleet that doesn't start
-    // since the platform has keys that this version doesn't know.
+    // Unknown keys are reported but are no error. Guards against a misspelt key that silently
+    // removes a limit, and against a fleet that does not start because the platform has added keys
+    // that this version does not know.
     for (from, to, key) in [
         (
             "\"limits\"",
@@ -273,44 +280,49 @@
             "nettlemux: listens at",
         ),
     ] {
-        let (good, text) = check(&EXAMPLE.replacen(from, to, 1));
-        assert!(good && text.contains(key), "{key}: {text}");
+        let (valid, text) = check(&EXAMPLE.replacen(from, to, 1));
+        assert!(valid && text.contains(key), "{key}: {text}");
     }
 }
 
-/// Guards against a start or a reload that is refused since the configuration has keys that this
-/// version doesn't know, as on a deployment whose balancers may gossip.
+/// Guards against a start or a reload that fails because the configuration has keys that this
+/// version does not know, such as those of a deployment whose balancers may gossip.
 #[test]
-fn keys_that_nothing_reads_are_no_reason_not_to_serve() {
-    let more = "\"peer_listen\": \"127.0.0.1:7200\", \"more\": {\"a\": [1, null]}, \"limits\": {\"threads\": 4, ";
-    let balancer = TestBalancer::with_config(1, |config| config.replacen("\"limits\": {", more, 1));
-    let (other, server) = (
+fn unknown_configuration_keys_prevent_neither_a_start_nor_a_reload() {
+    let unknown_keys = "\"peer_listen\": \"127.0.0.1:7200\", \"more\": {\"a\": [1, null]}, \"limits\": {\"threads\": 4, ";
+    let balancer = TestBalancer::with_config(1, |config| {
+        config.replacen("\"limits\": {", unknown_keys, 1)
+    });
+    let (other_agent, server) = (
         DiscoveryAgent::start("127.0.0.1:0").unwrap(),
         ToyServer::start("127.0.0.1:0").unwrap(),
     );
-    other.publish("s-other", server.address, "Ready");
-    let moved = balancer.config.replace(
+    other_agent.publish("s-other", server.address, "Ready");
+    let changed_config = balancer.config.replace(
         &balancer.agent.address.to_string(),
-        &other.address.to_string(),
+        &other_agent.address.to_string(),
     );
-    balancer.reload(&moved);
-    wait_for("the other agent's list", || {
+    balancer.reload(&changed_config);
+    wait_for("the other agent's endpoint list", || {
         balancer.client("c=chat,d=900").receives("UP 1") && !server.first_lines().is_empty()
     });
 }
 
 #[test]
-fn the_operators_file_is_read_and_the_log_comes_as_objects() {
-    let name = |kind| {
+fn the_operators_file_is_validated_and_selects_the_json_log() {
+    let temporary_file = |kind| {
         std::env::temp_dir().join(format!("nettlemux-operator-{}-{kind}", std::process::id()))
     };
-    let (config, operator) = (name("config.json"), name("operator.toml"));
-    let at = unused_address().to_string();
-    std::fs::write(&config, EXAMPLE.replace("127.0.0.1:7000", &at)).unwrap();
-    let command = |word: &str| {
+    let (config, operator) = (
+        temporary_file("config.json"),
+        temporary_file("operator.toml"),
+    );
+    let address = unused_address().to_string();
+    std::fs::write(&config, EXAMPLE.replace("127.0.0.1:7000", &address)).unwrap();
+    let command = |subcommand: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
         command
-            .arg(word)
+            .arg(subcommand)
             .arg("--config")
             .arg(&config)
             .arg("--operator")
@@ -327,7 +339,7 @@
     std::fs::write(&operator, "[log]\nformat = \"json\"\n").unwrap();
     assert!(command("check").status().unwrap().success());
     let mut child = command("serve").stderr(Stdio::piped()).spawn().unwrap();
-    wait_for("PONG", || TcpStream::connect(&at).is_ok());
+    wait_for("the listener", || TcpStream::connect(&address).is_ok());
     assert!(
         Command::new("kill")
             .args(["-TERM", &child.id().to_string()])
@@ -345,7 +357,7 @@
         .unwrap();
     let objects: Vec<serde_json::Value> = log
         .lines()
-        .map(|line| serde_json::from_str(line).expect("an object a line"))
+        .map(|line| serde_json::from_str(line).expect("each log line is a JSON object"))
         .collect();
     assert!(
         objects
--- a/crates/balancer/tests/known_failures.rs
+++ b/crates/balancer/tests/known_failures.rs
@@ -1,4 +1,5 @@
-//! The script that lets CI pass over known failures, shown to fail in each way in which it has to.
+//! The script by which CI tolerates known test failures. The tests check that it fails the run in
+//! every other case.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -6,7 +7,7 @@
 
 const SCRIPT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/test-verdict");
 
-/// A run of two test programs, of whose three tests one fails.
+/// The output of a run with two test programs and three tests, one of which fails.
 const ONE_FAILS: &str = "     Running tests/a.rs (target/a)\n\ntest one ... ok\ntest two ... FAILED\n\n\
     test result: FAILED. 1 passed; 1 failed\n   Doc-tests b\n\ntest three - should panic ... ok\n\n\
     test result: ok. 1 passed; 0 failed\n";
@@ -18,8 +19,8 @@
 
 impl TemporaryFile {
     fn new(text: &str) -> Self {
-        static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        static FILES_CREATED: AtomicUsize = AtomicUsize::new(0);
+        let number = FILES_CREATED.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("nettlemux-verdict-{}-{number}", std::process::id()));
         std::fs::write(&path, text).unwrap();
@@ -37,7 +38,7 @@
     }
 }
 
-/// Runs the script on this log, exit code and list of known failures.
+/// Runs the script with this log, exit code and list of known failures.
 fn run_verdict(log: &str, status: i32, known: &str) -> Output {
     let log = TemporaryFile::new(log);
     let known = TemporaryFile::new(known);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_known_failure_is_printed_with_all_its_fields_and_passed_over() {
+fn a_known_failure_is_printed_with_all_its_fields_and_tolerated() {
     let list = "two | cargo test two, seed 7 | 3 of 5 answered | #47\n";
     let verdict = run_verdict(ONE_FAILS, 101, list);
     let printed = String::from_utf8(verdict.stdout).unwrap();
@@ -74,9 +75,9 @@
     assert!(printed.contains("did not fail: three"), "{printed}");
 }
 
-/// Guards against a list that passes over more than it names, however long it is.
+/// Guards against a list with several lines that tolerates tests it does not name.
 #[test]
-fn a_longer_list_passes_over_its_own_tests_alone() {
+fn a_list_of_several_known_failures_tolerates_only_the_tests_it_names() {
     let names = ["five", "six", "seven", "eight"];
     let all_fail: String = names
         .map(|name| format!("test {name} ... FAILED\n"))
@@ -96,10 +97,10 @@
 }
 
 #[test]
-fn whatever_is_no_known_failure_fails() {
+fn anything_but_a_listed_failure_fails_the_run() {
     let all_pass = ONE_FAILS.replace("two ... FAILED", "two ... ok");
     assert!(run_verdict(&all_pass, 0, "").status.success());
-    let twice = ONE_FAILS.replace("test one", "test two");
+    let two_tests_of_one_name = ONE_FAILS.replace("test one", "test two");
     let without_result = ONE_FAILS.replace("test result: ok. 1 passed; 0 failed\n", "");
     let cases = [
         (
@@ -118,7 +119,7 @@
         ),
         (
             "a name that two tests have",
-            &twice,
+            &two_tests_of_one_name,
             101,
             "two | command | seen | #47\n",
             "2 tests are named",
@@ -180,7 +181,7 @@
             "can't be read",
         ),
         (
-            "a program without a result",
+            "a test program without a result line",
             &without_result,
             101,
             "two | command | seen | #47\n",
