--- a/crates/balancer/tests/common/recorder.rs
+++ b/crates/balancer/tests/common/recorder.rs
@@ -67,8 +67,8 @@
             .expect("at least one of the test's own lines was recorded")
     }
 
-    /// Asserts that every attempt has received its first line and that each line is an `OPEN` whose
-    /// values begin with `staying`. `what` names the case in the panic message.
+    /// Asserts that every attempt has received its first line, and that each of these lines begins
+    /// with `OPEN` and the text `staying`. `what` names the case in the panic message.
     pub fn assert_only_from(&self, staying: &str, what: &str) {
         for attempt in self.attempts.lock().unwrap().iter() {
             let line = attempt.line.as_ref().map(|(_, line)| line.as_str());
--- a/crates/balancer/tests/common/scripted_server.rs
+++ b/crates/balancer/tests/common/scripted_server.rs
@@ -68,7 +68,7 @@
     }
 
     /// Starts a balancer whose only server drains, without health checks. Clients of the first
-    /// traffic class wait up to 4 s for another server.
+    /// traffic class have a set-up target of 4 s, so they wait long for another server.
     pub fn without_ready_servers() -> Self {
         let balancer = TestBalancer::with_config(1, |config| {
             with_settings(
