--- a/crates/balancer/tests/crossings.rs
+++ b/crates/balancer/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! Two events that cross, forced on the real program: balancer-ins hold back what is to come late
-//! until the other event has happened, and where both have to come at once the program is stopped
-//! meanwhile (SIGSTOP). docs/design/crossings.md is the table of which order does harm and what
+//! Races between two events, forced on the real program. Test servers delay one event until the
+//! other has happened. Where both events have to arrive at once, the program is stopped (SIGSTOP)
+//! while they happen. docs/design/crossings.md lists which order of events does harm and what
 //! guards against it.
 
 mod common;
@@ -16,9 +16,9 @@
 use common::{Client, LateServer, TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
-/// A balancer that knows this server alone, without health checks, and has long connect timeouts
-/// and latency objectives.
-fn with_only(late: &LateServer, may_cancel: bool) -> TestBalancer {
+/// Starts a balancer whose only listed server is this one. It makes no health checks and has long
+/// connect timeouts and latency objectives.
+fn balancer_with_only_server(late: &LateServer, may_cancel: bool) -> TestBalancer {
     let balancer = TestBalancer::with_config(1, |config| {
         with_settings(
             &config,
@@ -34,43 +34,46 @@
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Gone");
-    // Its own entry comes with the other's end.
-    wait_for("the new list", || {
+    // The entry of the late server is known as soon as the removal of the other one is.
+    wait_for("the new endpoint list", || {
         balancer.client("c=chat,d=60").read_line() != "UP 1"
     });
     balancer
 }
 
-/// A client that leaves while its connection to a server comes up: nothing is forwarded, whatever
-/// the settings allow. Without the look before the line is written, the server gets it a second
-/// after the client's leave.
+/// A client disconnects while the connection to its server is pending. Its first line must not be
+/// forwarded, whether or not the settings allow the balancer to cancel attempts (`may-cancel`). If
+/// the balancer didn't check the client before it writes the line, the server would get the line
+/// one second after the client disconnected.
 #[test]
-fn a_client_that_leaves_while_its_server_is_dialled_is_not_forwarded() {
+fn first_line_is_not_forwarded_if_its_client_disconnects_during_connect() {
     thread::scope(|scope| {
         for may_cancel in [false, true] {
-            for leave in ["end", "reset", "end after more", "half"] {
+            for disconnect in ["close", "reset", "close after data", "half-close"] {
                 scope.spawn(move || {
                     let late = LateServer::new();
-                    let balancer = with_only(&late, may_cancel);
-                    wait_for("no pending connect", || !late.has_pending_connect());
+                    let balancer = balancer_with_only_server(&late, may_cancel);
+                    wait_for("end of the pending connects", || {
+                        !late.has_pending_connect()
+                    });
                     let mut client = balancer.client("c=chat,d=4500");
-                    wait_for("a connection begun", || late.has_pending_connect());
-                    let linger = |time| {
+                    wait_for("a pending connect", || late.has_pending_connect());
+                    let set_linger = |time| {
                         socket2::SockRef::from(&client.stream)
                             .set_linger(time)
                             .unwrap()
                     };
-                    match leave {
-                        "half" => client.stream.shutdown(Shutdown::Write).unwrap(),
-                        "reset" => linger(Some(Duration::ZERO)),
-                        "end after more" => client.send("hello\r\n"),
+                    match disconnect {
+                        "half-close" => client.stream.shutdown(Shutdown::Write).unwrap(),
+                        "reset" => set_linger(Some(Duration::ZERO)),
+                        "close after data" => client.send("hello\r\n"),
                         _ => {}
                     }
-                    if leave == "half" {
+                    if disconnect == "half-close" {
                         assert_eq!(
                             (client.read_line(), client.read_line()),
                             ("ERR".into(), "end".into()),
-                            "{may_cancel}"
+                            "may-cancel={may_cancel}: expected ERR, then the end of the stream"
                         );
                     }
                     drop(client);
@@ -78,7 +81,7 @@
                     assert_eq!(
                         late.accept_first_line(),
                         "",
-                        "{leave}, {may_cancel}: forwarded for a client that left"
+                        "{disconnect}, may-cancel={may_cancel}: expected no first line"
                     );
                 });
             }
@@ -86,13 +89,14 @@
     });
 }
 
-/// A client's end that comes in one with its line causes no event of its own. Without a look of its
-/// own it is waited for, and forwarded once a server is ready.
+/// The end of a client's stream that arrives together with its first line causes no separate
+/// readiness event. If the balancer didn't check for it, the flow would stay in the queue and would
+/// be forwarded once a server is ready.
 #[test]
-fn a_client_whose_end_comes_with_its_line_is_not_waited_for() {
+fn client_that_ends_its_stream_with_its_first_line_gets_err_at_once_and_is_not_forwarded() {
     let balancer = TestBalancer::without_ready_servers();
     let since = Instant::now();
-    // Taken in before, so that the line and the end are one event.
+    // Accepted before, so that the line and the end of the stream are one event.
     let mut clients: Vec<Client> = (0..5)
         .map(|_| Client::new(balancer.address, b"PING\r\n"))
         .collect();
@@ -113,40 +117,45 @@
     }
     assert!(
         since.elapsed() < Duration::from_millis(1500),
-        "{:?}",
+        "expected all answers within 1.5 s, took {:?}",
         since.elapsed()
     );
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Ready");
-    wait_for("the server", || {
+    wait_for("the ready server", || {
         balancer.client("c=chat,d=900").receives("UP 1")
     });
     let seen = balancer.servers[0].first_lines();
     assert!(
         seen.iter().all(|line| !line.starts_with("OPEN e")),
-        "{seen:?}"
+        "expected no line of the clients that ended their streams: {seen:?}"
     );
 }
 
-/// A retry that is placed in time, to a server whose connection comes up only once the first
-/// server's memory of the flow may be over: it is not sent. Without its limit the second server
-/// gets it a second later.
+/// A retry is placed within the deduplication window, but its connection is established only after
+/// the window, when the first server may have forgotten the flow. The retry must not be sent. If
+/// the window didn't limit the time to connect, the second server would get the line one second
+/// later.
 #[test]
-fn a_retry_whose_connection_comes_up_too_late_is_not_sent() {
-    /// The connection to the second server comes up a second after its first try, so after the
-    /// window.
-    const WINDOW: Duration = Duration::from_secs(2);
-    /// The first attempt is cut off so long after it was made: late enough for a busy machine to
-    /// set all up before, and early enough for the second to be dialled in time.
-    const CUT_AFTER: Duration = Duration::from_millis(1400);
+fn retry_is_not_sent_if_its_connection_is_established_after_the_deduplication_window() {
+    /// The connection to the second server is established one second after the first try to
+    /// connect, which is after this window.
+    const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(2);
+    /// Time from the first attempt until its connection is closed. Long enough for a busy machine
+    /// to finish the setup before, and short enough for the second attempt to start connecting
+    /// within the window.
+    const CLOSE_FIRST_ATTEMPT_AFTER: Duration = Duration::from_millis(1400);
     let late = LateServer::new();
     let balancer = TestBalancer::with_config(1, |config| {
         let order = json!({"name": "order", "setup-target": 4_000_000, "value": 1.0, "repeat": "guarded", "group": "all",
-            "window": WINDOW.as_micros() as u64});
+            "window": DEDUPLICATION_WINDOW.as_micros() as u64});
         let order = ("service-types/1", order);
-        let dial = ("limits/dial-timeout", json!(5_000_000));
-        with_settings(&config, &[order, dial, ("limits/probes", json!(false))])
+        let connect_timeout = ("limits/dial-timeout", json!(5_000_000));
+        with_settings(
+            &config,
+            &[order, connect_timeout, ("limits/probes", json!(false))],
+        )
     });
     balancer.servers[0].set_behavior(ServerBehavior::Silent);
     let mut client = balancer.client("c=order,d=4000");
@@ -156,49 +165,55 @@
             .last()
             .is_some_and(|line| line.contains("c=order"))
     });
-    let first = Instant::now();
-    // Others are served meanwhile: timeouts would decrease the attempts in flight, and nothing
-    // would be retried.
+    let first_attempt_at = Instant::now();
+    // Other clients are served meanwhile: their timeouts would decrease the limit of attempts in
+    // flight, and nothing would be retried.
     balancer.servers[0].set_behavior(ServerBehavior::Serving);
     balancer.agent.publish("s-late", late.address, "Ready");
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Terminating");
-    wait_for("the new list", || {
-        let _asked = balancer.client("c=chat,d=60");
+    wait_for("the new endpoint list", || {
+        let _client = balancer.client("c=chat,d=60");
         (0..5).any(|_| {
             thread::sleep(Duration::from_millis(5));
             late.has_pending_connect()
         })
     });
-    wait_for("no pending connect", || !late.has_pending_connect());
-    let set_up_in = first.elapsed();
+    wait_for("end of the pending connects", || {
+        !late.has_pending_connect()
+    });
+    let setup_time = first_attempt_at.elapsed();
     assert!(
-        set_up_in < CUT_AFTER,
-        "the machine took {set_up_in:?} to set this up"
+        setup_time < CLOSE_FIRST_ATTEMPT_AFTER,
+        "expected the setup within {CLOSE_FIRST_ATTEMPT_AFTER:?}, took {setup_time:?}"
     );
-    thread::sleep(CUT_AFTER - set_up_in);
-    // Cut off: it may have run there.
+    thread::sleep(CLOSE_FIRST_ATTEMPT_AFTER - setup_time);
+    // Closed without an answer: the server may have executed the request.
     balancer.servers[0].send_and_close("");
     wait_for("the second attempt", || late.has_pending_connect());
-    assert_eq!(late.accept_first_line(), "", "sent again too late");
-    // Nor is the client rejected, which would say that trying again is safe: servers have forgotten
-    // the first attempt.
+    assert_eq!(
+        late.accept_first_line(),
+        "",
+        "expected no retry after the deduplication window"
+    );
+    // `BUSY` would tell the client that it can retry safely. It can't, since servers have forgotten
+    // the first attempt by now.
     assert_eq!(
         (client.read_line(), client.read_line()),
         ("ERR".into(), "end".into())
     );
 }
 
-/// A server whose second answer to a health check comes some milliseconds after the first, and
-/// reports an overload.
-fn answers_twice() -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a server that answers each health check twice. The second answer comes 20 ms after the
+/// first and reports an overload. Returns its address and the number of health checks answered.
+fn start_server_that_answers_checks_twice() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, asked) = (
+    let (address, checks_answered) = (
         listener.local_addr().unwrap(),
         Arc::new(AtomicUsize::new(0)),
     );
-    let count = asked.clone();
+    let count = checks_answered.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let count = count.clone();
@@ -217,59 +232,71 @@
             });
         }
     });
-    (address, asked)
+    (address, checks_answered)
 }
 
-/// A second answer to one health check is not the answer to the next. Without the look before a
-/// question, the server that answers twice is taken for overloaded from the second health check on,
-/// and no client is served.
+/// A second answer to one health check must not count as the answer to the next one. If the
+/// balancer didn't check for unread answers before it sends a health check, a server that answers
+/// twice would count as overloaded from the second health check on, and no client would be served.
 #[test]
-fn a_second_answer_to_a_health_check_is_not_the_next_ones() {
+fn second_answer_to_a_health_check_does_not_count_as_answer_to_the_next_check() {
     let balancer = TestBalancer::new(1);
-    let (twice, asked) = answers_twice();
-    balancer.agent.publish("s-twice", twice, "Ready");
+    let (address, checks_answered) = start_server_that_answers_checks_twice();
+    balancer.agent.publish("s-twice", address, "Ready");
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Gone");
-    wait_for("two health checks", || asked.load(Ordering::SeqCst) >= 2);
+    wait_for("two health checks", || {
+        checks_answered.load(Ordering::SeqCst) >= 2
+    });
     thread::sleep(Duration::from_millis(50));
     assert_eq!(balancer.client("c=chat,d=900").read_line(), "UP 1");
 }
 
-/// A server that drains, goes, or returns at another address while an attempt to it comes up gets
-/// nothing; the flow goes to the next one.
+/// A server drains, is removed from the endpoint list or moves to another address while an attempt
+/// to it is connecting. It must not get the first line; the flow is placed on the next server.
 #[test]
-fn a_server_that_goes_while_it_is_dialled_gets_nothing() {
+fn server_that_drains_or_is_removed_during_connect_gets_no_first_line() {
     thread::scope(|scope| {
-        for how in ["Terminating", "Gone", "elsewhere"] {
+        for change in ["Terminating", "Gone", "new address"] {
             scope.spawn(move || {
                 let late = LateServer::new();
-                let balancer = with_only(&late, true);
-                wait_for("no pending connect", || !late.has_pending_connect());
+                let balancer = balancer_with_only_server(&late, true);
+                wait_for("end of the pending connects", || {
+                    !late.has_pending_connect()
+                });
                 let mut client = balancer.client("c=order,d=4000");
-                wait_for("a connection begun", || late.has_pending_connect());
+                wait_for("a pending connect", || late.has_pending_connect());
                 let server = balancer.servers[0].address;
-                match how {
-                    "elsewhere" => balancer.agent.publish("s-late", server, "Ready"),
-                    how => {
+                match change {
+                    "new address" => balancer.agent.publish("s-late", server, "Ready"),
+                    state => {
                         balancer.agent.publish("s-0", server, "Ready");
-                        balancer.agent.publish("s-late", late.address, how);
+                        balancer.agent.publish("s-late", late.address, state);
                     }
                 }
-                // Known once others are served there, one after the other.
+                // The balancer knows the new list once several clients in a row are served there.
                 let served = || balancer.client("c=chat,d=60").receives("UP 1");
-                wait_for("the new list", || (0..4).all(|_| served()));
-                assert_eq!(late.accept_first_line(), "", "{how}");
-                assert_eq!(client.read_line(), "UP 1", "{how}");
+                wait_for("the new endpoint list", || (0..4).all(|_| served()));
+                assert_eq!(
+                    late.accept_first_line(),
+                    "",
+                    "{change}: expected no first line"
+                );
+                assert_eq!(
+                    client.read_line(),
+                    "UP 1",
+                    "{change}: expected service by the next server"
+                );
             });
         }
     });
 }
 
-/// `UP` that comes with the client's leave: no client is served, and the server's connection is
-/// closed.
+/// `UP` arrives at the same time as the client's disconnect. There is no client to serve any more,
+/// so the balancer must close the connection to the server.
 #[test]
-fn up_that_comes_with_the_clients_leave_is_given_back() {
+fn server_connection_is_closed_if_up_arrives_as_the_client_disconnects() {
     for _ in 0..5 {
         let balancer = TestBalancer::with_config(1, |config| {
             with_settings(&config, &[("limits/may-cancel", json!(false))])
@@ -282,26 +309,26 @@
                 .last()
                 .is_some_and(|line| line.contains("d=2"))
         });
-        let (open, before) = (balancer.servers[0].closed_connections(), Instant::now());
+        let (closed_before, since) = (balancer.servers[0].closed_connections(), Instant::now());
         balancer.while_stopped(|| {
             drop(client);
             balancer.servers[0].send_to_all("UP 1\r\n");
         });
-        wait_for("the end at the server", || {
-            balancer.servers[0].closed_connections() > open
+        wait_for("close of the server's connection", || {
+            balancer.servers[0].closed_connections() > closed_before
         });
         assert!(
-            before.elapsed() < Duration::from_millis(1500),
-            "{:?}",
-            before.elapsed()
+            since.elapsed() < Duration::from_millis(1500),
+            "expected the close within 1.5 s, took {:?}",
+            since.elapsed()
         );
     }
 }
 
-/// `UP` that has come by the time an attempt's time is up is the answer: the server holds the
-/// connection.
+/// `UP` has arrived by the time the balancer handles the timeout of the attempt. `UP` must count as
+/// the answer, since the server already holds the connection open.
 #[test]
-fn up_that_has_come_as_the_time_is_up_is_passed_on() {
+fn up_received_before_the_attempt_timeout_is_handled_is_forwarded() {
     for _ in 0..5 {
         let balancer = TestBalancer::new(1);
         balancer.servers[0].set_behavior(ServerBehavior::Silent);
--- a/crates/balancer/tests/deadlines.rs
+++ b/crates/balancer/tests/deadlines.rs
@@ -1,5 +1,5 @@
-//! Deadlines at their edges: requests with hardly any time left, and descriptors and discovery that
-//! are both gone at once.
+//! Edge cases of deadlines: requests with very short deadlines, and clients that ask while the
+//! descriptors are exhausted and discovery is down at once.
 
 mod common;
 
@@ -11,13 +11,14 @@
 use common::{Client, TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
-/// Each time limit is so much longer on sockets; and what the test's own threads may be late by.
-const SLACK: Duration = Duration::from_millis(50 + 100);
+/// Tolerance over the deadline: 50 ms by which each time limit is longer on sockets, and 100 ms by
+/// which the test's own threads may be delayed.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(50 + 100);
 
-/// With hardly any time left, a request gets its one answer by its deadline, whatever its server
-/// does with it: serve it, drop it without an answer, refuse it, or end the connection.
+/// A request with a deadline of 1 to 40 ms gets exactly one answer by its deadline, whatever its
+/// server does: serve it, never answer, reject it, fail it or close the connection.
 #[test]
-fn requests_with_hardly_any_time_left_get_their_one_answer() {
+fn requests_with_very_short_deadlines_get_exactly_one_answer_in_time() {
     let balancer = TestBalancer::with_config(2, |config| {
         with_settings(&config, &[("limits/probes", json!(false))])
     });
@@ -39,27 +40,36 @@
                 let answer = client.read_line();
                 let took = since.elapsed();
                 let answered = answer == "UP 1" || answer == "ERR" || answer.starts_with("BUSY");
-                assert!(answered, "{behavior:?} {class} {ms}: {answer}");
                 assert!(
-                    took < Duration::from_millis(ms) + SLACK,
-                    "{behavior:?} {class} {ms}: {answer} after {took:?}"
+                    answered,
+                    "{behavior:?} {class} {ms} ms: expected UP 1, ERR or BUSY, got {answer}"
+                );
+                assert!(
+                    took < Duration::from_millis(ms) + DEADLINE_TOLERANCE,
+                    "{behavior:?} {class} {ms} ms: expected an answer by the deadline, \
+                     got {answer} after {took:?}"
                 );
                 if answer != "UP 1" {
-                    assert_eq!(client.read_line(), "end", "{behavior:?} {class} {ms}");
+                    assert_eq!(
+                        client.read_line(),
+                        "end",
+                        "{behavior:?} {class} {ms} ms: expected the end after {answer}"
+                    );
                 }
             }
         }
     }
 }
 
-/// Idle clients fill the descriptors while discovery is down, and a server drains meanwhile: known
-/// at the return of discovery, the drain is kept from the grace on, and clients that ask are
-/// answered all the time.
+/// Idle clients use up the descriptors while discovery is down, and a server starts to drain
+/// meanwhile. Clients that ask must be answered all the time. Once discovery is back, the balancer
+/// must learn of the drain and, from the end of the grace on, place nobody on that server.
 #[test]
-fn a_drain_is_kept_though_idle_clients_filled_the_descriptors_while_discovery_was_down() {
-    /// More than the balancer takes of those who say nothing.
-    const IDLE: usize = 400;
-    /// Longest time until a change is known, from when discovery had it and could be reached.
+fn drain_is_respected_after_discovery_returns_though_idle_clients_used_up_the_descriptors() {
+    /// More silent clients than the balancer keeps open.
+    const IDLE_CLIENTS: usize = 400;
+    /// The grace: the longest time from when discovery has the change and is reachable until the
+    /// balancer knows it.
     const CHANGE_KNOWN_AFTER_MAX: Duration = Duration::from_secs(6);
     let balancer = TestBalancer::with_config(2, |config| {
         let config = with_settings(&config, &[("limits/probes", json!(false))]);
@@ -67,18 +77,18 @@
     });
     assert!(balancer.config.contains("\"sockets\":256"));
     balancer.agent.silence();
-    let idle: Vec<TcpStream> = (0..IDLE)
+    let idle: Vec<TcpStream> = (0..IDLE_CLIENTS)
         .filter_map(|_| TcpStream::connect(balancer.address).ok())
         .collect();
     balancer
         .agent
         .publish("s-1", balancer.servers[1].address, "Terminating");
     let until = Instant::now() + Duration::from_secs(4);
-    let asks = |client: Option<Client>| {
+    let is_answered = |client: Option<Client>| {
         let answer = client.map(|mut client| client.read_line());
         answer.is_some_and(|answer| answer == "UP 1" || answer.starts_with("BUSY"))
     };
-    let ask = || {
+    let connect = || {
         static IDS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let id = IDS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         Client::try_new(
@@ -87,19 +97,22 @@
         )
     };
     while Instant::now() < until {
-        assert!(asks(ask()), "a client that asks in the crowd is answered");
+        assert!(
+            is_answered(connect()),
+            "expected UP 1 or BUSY for a client that asks among idle ones"
+        );
         thread::sleep(Duration::from_millis(100));
     }
     balancer.agent.resume();
-    let returned = Instant::now();
-    wait_for("the drain", || {
+    let back_at = Instant::now();
+    wait_for("end of placements on the draining server", || {
         let before = balancer.servers[1].first_lines().len();
-        (0..6).all(|_| asks(ask())) && balancer.servers[1].first_lines().len() == before
+        (0..6).all(|_| is_answered(connect())) && balancer.servers[1].first_lines().len() == before
     });
     assert!(
-        returned.elapsed() < CHANGE_KNOWN_AFTER_MAX,
-        "{:?}",
-        returned.elapsed()
+        back_at.elapsed() < CHANGE_KNOWN_AFTER_MAX,
+        "expected the drain to be known within {CHANGE_KNOWN_AFTER_MAX:?}, took {:?}",
+        back_at.elapsed()
     );
     drop(idle);
 }
