--- a/crates/balancer/tests/first_lines.rs
+++ b/crates/balancer/tests/first_lines.rs
@@ -1,5 +1,5 @@
-//! Clients before they are served: malformed and overlong first lines, clients that send nothing,
-//! too much or their end.
+//! Clients before they are served: malformed and overlong first lines, and clients that send
+//! nothing, send too much or end their stream.
 
 mod common;
 
@@ -11,18 +11,19 @@
 use common::toy::ServerBehavior;
 use common::{Client, TestBalancer};
 
-/// Guards against a client that fails since it would wait for minutes, which no setting forbids.
+/// Guards against a built-in limit that fails clients whose deadline is minutes away, although no
+/// setting limits it.
 #[test]
-fn clients_may_wait_for_minutes_where_the_settings_have_no_limit() {
+fn client_with_a_deadline_of_minutes_is_served_if_the_settings_have_no_limit() {
     let balancer = TestBalancer::new(1);
     for wait_ms in [60_000, 60_001, 120_000, 3_599_999] {
         let mut client = balancer.client(&format!("c=chat,d={wait_ms}"));
-        assert_eq!(client.read_line(), "UP 1", "{wait_ms}");
+        assert_eq!(client.read_line(), "UP 1", "deadline of {wait_ms} ms");
     }
 }
 
 #[test]
-fn what_is_no_first_line_is_answered_and_ended() {
+fn malformed_first_line_gets_err_and_the_connection_is_closed() {
     let balancer = TestBalancer::new(1);
     let overlong = [
         b"OPEN 1 k c=chat,d=900,x=".as_slice(),
@@ -36,12 +37,13 @@
         &b"HELLO\r\n"[..],
         b"OPEN\r\n",
         b"OPEN 1 k c=none,d=9\r\n",
-        // More than any client of the class waits.
+        // A longer deadline than any client of the class may have.
         b"OPEN 1 k c=chat,d=3600000\r\n",
         b"OPEN 1 k c=chat,d=0\r\n",
         b"\xff\xfe\r\n",
         &overlong,
-        // Another client's id while that is open; many commands at once, also as questions.
+        // The id of another client that is still open; several commands at once (see also the
+        // `PING`s below).
         b"OPEN aa k c=chat,d=900\r\n",
         b"OPEN 1 k c=chat,d=900\r\nOPEN 2 k c=chat,d=900\r\n",
     ] {
@@ -49,11 +51,11 @@
         assert_eq!(
             (client.read_line(), client.read_line()),
             ("ERR".into(), "end".into()),
-            "{:?}",
+            "expected ERR, then the end of the stream, for {:?}",
             &bad[..bad.len().min(30)]
         );
     }
-    // None of them has come to a server, and the one that is served hasn't noticed.
+    // None of these lines was forwarded to a server, and the client that is served is unaffected.
     assert_eq!(
         balancer.servers[0]
             .first_lines()
@@ -66,17 +68,17 @@
     let mut flood = Client::new(balancer.address, &b"PING\r\n".repeat(300));
     assert!(
         (0..20).map(|_| flood.read_line()).any(|line| line == "ERR"),
-        "hundreds of commands at once"
+        "expected ERR after hundreds of commands at once"
     );
-    let mut front = Client::new(balancer.address, b"PING\r\nPI");
-    assert_eq!(front.read_line(), "PONG");
-    front.send("NG\r\n");
-    assert_eq!(front.read_line(), "PONG");
+    let mut split = Client::new(balancer.address, b"PING\r\nPI");
+    assert_eq!(split.read_line(), "PONG");
+    split.send("NG\r\n");
+    assert_eq!(split.read_line(), "PONG");
     assert_eq!(balancer.client("c=chat,d=900").read_line(), "UP 1");
 }
 
 #[test]
-fn a_client_that_goes_on_before_it_is_served_is_rejected() {
+fn client_that_sends_further_lines_before_it_is_served_gets_err() {
     let balancer = TestBalancer::new(1);
     balancer.servers[0].set_behavior(ServerBehavior::Silent);
     let mut client = balancer.client("c=chat,d=900");
@@ -84,7 +86,8 @@
     client.send(&"OPEN 2 k c=chat,d=900\r\n".repeat(200));
     let since = Instant::now();
     thread::sleep(Duration::from_millis(200));
-    // What it sent is still unread: the end comes before the reset, so the answer holds.
+    // The lines sent are still unread by the balancer. The client must see the answer and the end
+    // of the stream before the reset.
     assert_eq!(
         (client.read_line(), client.read_line()),
         ("ERR".into(), "end".into())
@@ -92,10 +95,10 @@
     assert!(since.elapsed() < Duration::from_millis(500));
 }
 
-/// Guards against silent connections that hold all descriptors, clients who find none left, and 60
-/// MB that are read to their end.
+/// Guards against silent connections that hold all descriptors so that other clients find none
+/// left, and against a balancer that reads an endless first line (60 MB) to its end.
 #[test]
-fn silent_and_endless_clients_keep_nobody_out() {
+fn clients_are_served_in_time_beside_silent_clients_and_endless_first_lines() {
     let balancer = TestBalancer::with_config(1, |config| {
         config.replace("\"sockets\": 1024", "\"sockets\": 256")
     });
@@ -103,7 +106,7 @@
     let mut silent: Vec<Client> = (0..300)
         .map(|_| Client::new(balancer.address, b""))
         .collect();
-    let mut half = Client::new(balancer.address, b"OPEN 1 k c=ch");
+    let mut incomplete = Client::new(balancer.address, b"OPEN 1 k c=ch");
     let endless: Vec<_> = (0..4)
         .map(|_| {
             let mut client = Client::new(balancer.address, b"OPEN 1 k c=chat,d=900,x=");
@@ -120,27 +123,30 @@
         assert_eq!(balancer.client("c=chat,d=900").read_line(), "UP 1");
         assert!(
             since.elapsed() < Duration::from_millis(800),
-            "{:?}",
+            "expected UP 1 within 0.8 s, took {:?}",
             since.elapsed()
         );
     }
-    for client in silent.iter_mut().chain([&mut half]) {
+    for client in silent.iter_mut().chain([&mut incomplete]) {
         assert!(["BUSY", "end", "reset"].contains(&client.read_line().as_str()));
     }
     assert!(
         since.elapsed() < Duration::from_secs(3),
-        "{:?}",
+        "expected all silent clients to be answered or closed within 3 s, took {:?}",
         since.elapsed()
     );
     for (sent, answer) in endless {
         assert_eq!(answer.join().unwrap(), "ERR");
-        assert!(sent.join().unwrap().is_err(), "nobody reads 60 MB");
+        assert!(
+            sent.join().unwrap().is_err(),
+            "expected the balancer not to read 60 MB"
+        );
     }
     assert!(since.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
-fn a_client_that_ends_its_sending_is_answered() {
+fn client_that_half_closes_before_it_is_served_gets_err() {
     let balancer = TestBalancer::new(1);
     balancer.servers[0].set_behavior(ServerBehavior::Silent);
     let mut client = balancer.client("c=order,d=900");
@@ -151,42 +157,44 @@
     );
 }
 
-/// Guards against a close over a line that comes in the moment of `BUSY`: the reset takes the
-/// answer with it.
+/// Guards against closing a connection while a line is unread that arrived as `BUSY` was sent. Such
+/// a close resets the connection, and the reset discards the answer.
 #[test]
-fn a_line_that_comes_as_its_client_is_rejected_does_not_reset_the_answer() {
+fn rejected_client_reads_its_answer_if_its_line_arrives_during_the_rejection() {
     let balancer = TestBalancer::new(1);
-    let mut resting = TcpStream::connect(balancer.address).unwrap();
-    resting
-        .set_read_timeout(Some(Duration::from_secs(4)))
-        .unwrap();
-    // Its answer has come, and isn't read yet.
-    assert!(resting.peek(&mut [0; 8]).unwrap() > 0);
-    resting
-        .write_all(b"OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=900\r\n")
+    let mut idle = TcpStream::connect(balancer.address).unwrap();
+    idle.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
+    // The answer has arrived; `peek` leaves it unread.
+    assert!(idle.peek(&mut [0; 8]).unwrap() > 0);
+    idle.write_all(b"OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=900\r\n")
         .unwrap();
-    // A reset would have come by now, and this would meet it.
+    // A reset would have arrived by now, and the next write would fail.
     thread::sleep(Duration::from_millis(100));
-    resting.write_all(b"hello\r\n").expect("no reset");
-    resting.shutdown(Shutdown::Write).expect("no reset");
+    idle.write_all(b"hello\r\n")
+        .expect("the connection is not reset");
+    idle.shutdown(Shutdown::Write)
+        .expect("the connection is not reset");
     let mut answer = String::new();
-    BufReader::new(resting)
+    BufReader::new(idle)
         .read_to_string(&mut answer)
-        .expect("no reset");
-    assert_eq!(answer, "BUSY\r\n", "one answer, and nothing after it");
+        .expect("the connection is not reset");
+    assert_eq!(
+        answer, "BUSY\r\n",
+        "expected one answer and nothing after it"
+    );
     assert!(
         !balancer.servers[0]
             .first_lines()
             .iter()
             .any(|line| line.contains("9b1f03aa5c7e2d41")),
-        "never forwarded"
+        "expected the line not to be forwarded"
     );
 }
 
-/// A client that sends more before it is served gets its answer, however much it has sent: what is
-/// unread must not reset the connection and take the answer along.
+/// A client sends further data before it is served. It must get its answer, however much it has
+/// sent: unread data must not reset the connection, which would discard the answer.
 #[test]
-fn a_client_that_sends_much_before_it_is_served_reads_its_answer() {
+fn client_that_sends_up_to_60_kb_before_it_is_served_reads_its_answer() {
     let balancer = TestBalancer::without_ready_servers();
     for size in [300, 20_000, 60_000] {
         let mut client = balancer.client("c=chat,d=3000");
@@ -196,7 +204,7 @@
         assert_eq!(
             (client.read_line(), client.read_line()),
             ("ERR".into(), "end".into()),
-            "{size}"
+            "expected ERR, then the end of the stream, after {size} bytes"
         );
     }
 }
--- a/crates/balancer/tests/leave.rs
+++ b/crates/balancer/tests/leave.rs
@@ -1,6 +1,6 @@
-//! Clients that leave before they are served, at each stage from the event to the dial: no attempt,
-//! neither a connection nor a line, may begin at a server more than 0.1 s after its client has
-//! gone.
+//! Clients that disconnect before they are served, at each stage from the readiness event to the
+//! connect. No attempt may begin at a server, neither with a connection nor with a line, more than
+//! 0.1 s after its client has disconnected.
 
 mod common;
 
@@ -17,43 +17,48 @@
 use serde_json::json;
 use socket2::SockRef;
 
-/// An attempt that begins later than this after its client has gone is a break.
-const AFTER_LEAVE: Duration = Duration::from_millis(100);
+/// Longest time after a client's disconnect at which an attempt for it may begin.
+const ATTEMPT_AFTER_DISCONNECT_MAX: Duration = Duration::from_millis(100);
 
-/// What the test's own threads may be late by on a machine that is busy with the other tests.
-const SLACK: Duration = Duration::from_millis(100);
+/// Time by which the test's own threads may be delayed on a machine that is busy with other tests.
+const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// What would cause an attempt comes so long after the leave, so that none is in doubt for the
-/// test's own clock.
-const TRIGGER: Duration = Duration::from_millis(300);
+/// Time from the disconnect until the event that could cause an attempt, long enough that the
+/// test's own clock tells for certain which came first.
+const TRIGGER_DELAY: Duration = Duration::from_millis(300);
 
-/// A connection that isn't up by then won't be; long enough for a busy machine to see that it has
-/// begun.
-const DIAL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time after which the balancer gives up a pending connect, long enough for a busy machine to see
+/// that the connect has begun.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// So long attempts are waited for.
-const WATCHED: Duration = Duration::from_millis(1000);
+/// How long the tests watch for attempts.
+const OBSERVATION_TIME: Duration = Duration::from_millis(1000);
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leave {
-    End,
+enum Disconnect {
+    Close,
     Reset,
-    Half,
-    EndAfterMore,
+    HalfClose,
+    CloseAfterData,
 }
 
-const LEAVES: [Leave; 4] = [Leave::End, Leave::Reset, Leave::Half, Leave::EndAfterMore];
+const DISCONNECTS: [Disconnect; 4] = [
+    Disconnect::Close,
+    Disconnect::Reset,
+    Disconnect::HalfClose,
+    Disconnect::CloseAfterData,
+];
 
-/// Goes, and keeps the connection where only its sending has ended.
-fn leave(mut client: Client, how: Leave) -> Option<Client> {
+/// Disconnects a client. Returns it if it is only half-closed, so that its connection stays open.
+fn disconnect(mut client: Client, how: Disconnect) -> Option<Client> {
     match how {
-        Leave::End => {}
-        Leave::Reset => SockRef::from(&client.stream)
+        Disconnect::Close => {}
+        Disconnect::Reset => SockRef::from(&client.stream)
             .set_linger(Some(Duration::ZERO))
             .unwrap(),
-        Leave::EndAfterMore => client.send("hello\r\n"),
-        Leave::Half => {
+        Disconnect::CloseAfterData => client.send("hello\r\n"),
+        Disconnect::HalfClose => {
             client.stream.shutdown(Shutdown::Write).unwrap();
             return Some(client);
         }
@@ -61,17 +66,18 @@
     None
 }
 
-fn leave_all(clients: Vec<Client>) -> Vec<Client> {
+/// Disconnects the clients in each of the four ways in turn. Returns those that are half-closed.
+fn disconnect_all(clients: Vec<Client>) -> Vec<Client> {
     clients
         .into_iter()
-        .zip(LEAVES.into_iter().cycle())
-        .filter_map(|(client, how)| leave(client, how))
+        .zip(DISCONNECTS.into_iter().cycle())
+        .filter_map(|(client, how)| disconnect(client, how))
         .collect()
 }
 
-/// A balancer without health checks, whose clients wait long, and a recorder that it doesn't know
-/// yet.
-fn balancer(may_cancel: bool) -> (TestBalancer, Recorder) {
+/// Starts a balancer without health checks whose clients have a long latency objective, and a
+/// recorder that is not in its endpoint list yet.
+fn start_balancer_and_recorder(may_cancel: bool) -> (TestBalancer, Recorder) {
     let balancer = TestBalancer::with_config(1, |config| {
         with_settings(
             &config,
@@ -80,7 +86,7 @@
                 ("limits/probes", json!(false)),
                 (
                     "limits/dial-timeout",
-                    json!(DIAL_TIMEOUT.as_micros() as u64),
+                    json!(CONNECT_TIMEOUT.as_micros() as u64),
                 ),
                 ("service-types/0/setup-target", json!(4_000_000)),
             ],
@@ -89,17 +95,18 @@
     (balancer, Recorder::start())
 }
 
-/// From now on nobody is placed.
-fn no_server(balancer: &TestBalancer) {
+/// Drains the only server and waits until no client is placed any more.
+fn drain_only_server(balancer: &TestBalancer) {
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Terminating");
-    wait_for("no server", || {
+    wait_for("end of placements", || {
         balancer.client("c=chat,d=60").read_line() != "UP 1"
     });
 }
 
-fn clients(balancer: &TestBalancer, name: &str, count: usize) -> Vec<Client> {
+/// Connects this many clients whose ids begin with this name.
+fn connect_clients(balancer: &TestBalancer, name: &str, count: usize) -> Vec<Client> {
     // An id is new with every connection.
     static IDS: AtomicU64 = AtomicU64::new(0);
     let open = |i| {
@@ -111,26 +118,32 @@
         .collect()
 }
 
-/// Those that have no answer yet, of which there have to be some.
-fn waiting(clients: Vec<Client>) -> Vec<Client> {
-    let waits = |client: &Client| {
+/// Returns the clients that have no answer yet, which must be at least four.
+fn unanswered(clients: Vec<Client>) -> Vec<Client> {
+    let has_no_answer = |client: &Client| {
         client.stream.set_nonblocking(true).unwrap();
-        let nothing = client
+        let no_data = client
             .stream
             .peek(&mut [0])
             .is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
         client.stream.set_nonblocking(false).unwrap();
-        nothing
+        no_data
     };
-    let waiting: Vec<Client> = clients.into_iter().filter(waits).collect();
-    assert!(waiting.len() >= 4, "{} wait", waiting.len());
-    waiting
+    let unanswered: Vec<Client> = clients.into_iter().filter(has_no_answer).collect();
+    assert!(
+        unanswered.len() >= 4,
+        "expected at least 4 clients without an answer, found {}",
+        unanswered.len()
+    );
+    unanswered
 }
 
-/// The balancer still places whoever stays, and on the recorder.
-fn still_serves(balancer: &TestBalancer, recorder: &Recorder) {
-    wait_for("the recorder", || {
-        clients(balancer, "staying", 1).remove(0).receives("UP 1")
+/// Asserts that the balancer still serves a client that stays, and places it on the recorder.
+fn assert_staying_client_is_served(balancer: &TestBalancer, recorder: &Recorder) {
+    wait_for("a client served by the recorder", || {
+        connect_clients(balancer, "staying", 1)
+            .remove(0)
+            .receives("UP 1")
     });
     let seen = recorder.attempts.lock().unwrap();
     assert!(seen.iter().any(|attempt| {
@@ -141,77 +154,80 @@
     }));
 }
 
-/// They wait since no server is ready, some of them in the queue of admission control, until one
-/// is.
+/// Clients disconnect while they wait for a ready server, in the policy queue or in the queue of
+/// admission control. Their flows must not be placed once a server is ready.
 #[test]
-fn waiting_and_queued_flows_are_not_placed_after_their_clients_leave() {
+fn queued_flows_are_not_placed_after_their_clients_disconnect() {
     thread::scope(|scope| {
         for admission in [None, Some("[admission]\nby = \"client\"\nheld = 2\n")] {
             scope.spawn(move || {
-                let (mut balancer, recorder) = balancer(true);
-                let operator = balancer.config_file.with_extension("toml");
+                let (mut balancer, recorder) = start_balancer_and_recorder(true);
+                let operator_file = balancer.config_file.with_extension("toml");
                 if let Some(text) = admission {
-                    std::fs::write(&operator, text).unwrap();
-                    balancer.restart_with_arguments(&["--operator", operator.to_str().unwrap()]);
-                    wait_for("a list", || {
+                    std::fs::write(&operator_file, text).unwrap();
+                    balancer
+                        .restart_with_arguments(&["--operator", operator_file.to_str().unwrap()]);
+                    wait_for("an endpoint list", || {
                         balancer.client("c=chat,d=1000").receives("UP 1")
                     });
                 }
-                no_server(&balancer);
-                let leaving = clients(&balancer, "leaving", 20);
+                drain_only_server(&balancer);
+                let leaving = connect_clients(&balancer, "leaving", 20);
                 thread::sleep(Duration::from_millis(150));
-                let _half = leave_all(waiting(leaving));
-                thread::sleep(TRIGGER);
+                let _half = disconnect_all(unanswered(leaving));
+                thread::sleep(TRIGGER_DELAY);
                 balancer.agent.publish("s-new", recorder.address, "Ready");
-                thread::sleep(WATCHED);
+                thread::sleep(OBSERVATION_TIME);
                 recorder.assert_only_from("staying", "waiting");
-                still_serves(&balancer, &recorder);
-                let _ = std::fs::remove_file(operator);
+                assert_staying_client_is_served(&balancer, &recorder);
+                let _ = std::fs::remove_file(operator_file);
             });
         }
     });
 }
 
-/// All at once: their ends, the server that they waited for, and lines of many open connections,
-/// which keep the worker busy. Some of the waiting flows stay.
+/// The disconnects of waiting clients, the server that they waited for and the lines of many open
+/// connections, which keep the worker busy, are all processed at once. Flows whose clients have
+/// disconnected must not be placed; some of the clients that stay must be served.
 #[test]
-fn a_busy_worker_places_nobody_who_has_left_meanwhile() {
+fn busy_worker_places_no_flow_whose_client_has_disconnected_meanwhile() {
     thread::scope(|scope| {
         for ready_first in [false, true] {
             scope.spawn(move || {
-                let (balancer, recorder) = balancer(true);
+                let (balancer, recorder) = start_balancer_and_recorder(true);
                 let mut busy: Vec<Client> = (0..300)
                     .map(|_| balancer.client("c=chat,d=900"))
-                    .filter_map(|mut c| c.receives("UP 1").then_some(c))
+                    .filter_map(|mut client| client.receives("UP 1").then_some(client))
                     .collect();
-                no_server(&balancer);
+                drain_only_server(&balancer);
                 let (leaving, staying) = (
-                    clients(&balancer, "leaving", 10),
-                    clients(&balancer, "staying", 10),
+                    connect_clients(&balancer, "leaving", 10),
+                    connect_clients(&balancer, "staying", 10),
                 );
                 thread::sleep(Duration::from_millis(300));
-                let (leaving, mut staying) = (waiting(leaving), waiting(staying));
-                let ready = || balancer.agent.publish("s-new", recorder.address, "Ready");
+                let (leaving, mut staying) = (unanswered(leaving), unanswered(staying));
+                let publish_server = || balancer.agent.publish("s-new", recorder.address, "Ready");
                 let _half = balancer.while_stopped(|| {
                     busy.iter_mut()
                         .for_each(|client| client.send(&"a line of theirs\r\n".repeat(100)));
                     if ready_first {
-                        ready();
-                        thread::sleep(TRIGGER);
+                        publish_server();
+                        thread::sleep(TRIGGER_DELAY);
                     }
-                    let half = leave_all(leaving);
-                    thread::sleep(TRIGGER);
+                    let half = disconnect_all(leaving);
+                    thread::sleep(TRIGGER_DELAY);
                     if !ready_first {
-                        ready();
+                        publish_server();
                     }
                     half
                 });
                 let answers: Vec<String> = staying.iter_mut().map(Client::read_line).collect();
-                thread::sleep(WATCHED);
+                thread::sleep(OBSERVATION_TIME);
                 recorder.assert_only_from("staying", "busy");
                 assert!(
                     busy.len() >= 50 && answers.iter().any(|answer| answer == "UP 1"),
-                    "{} {answers:?}",
+                    "expected at least 50 open connections and UP 1 for a staying client, \
+                     found {} and {answers:?}",
                     busy.len()
                 );
             });
@@ -219,20 +235,20 @@
     });
 }
 
-/// Clients leave while the worker passes on the lines of many others, after the policy has placed
-/// them and before their own coroutines have run. Without the look before the dial their servers
-/// are dialled as late as the worker is.
+/// Clients disconnect while the worker forwards the lines of many others, after the policy has
+/// placed their flows and before the coroutines of these flows have run. If the balancer didn't
+/// check the client before it connects, it would connect as late as the worker is delayed.
 #[test]
-fn a_busy_worker_dials_for_nobody_who_has_left_meanwhile() {
-    let (balancer, recorder) = balancer(true);
+fn busy_worker_does_not_connect_for_clients_that_have_disconnected_meanwhile() {
+    let (balancer, recorder) = start_balancer_and_recorder(true);
     let mut busy: Vec<Client> = (0..300)
         .map(|_| balancer.client("c=chat,d=900"))
         .filter_map(|mut client| client.receives("UP 1").then_some(client))
         .collect();
-    no_server(&balancer);
-    let leaving = clients(&balancer, "leaving", 10);
+    drain_only_server(&balancer);
+    let leaving = connect_clients(&balancer, "leaving", 10);
     thread::sleep(Duration::from_millis(300));
-    let leaving = waiting(leaving);
+    let leaving = unanswered(leaving);
     balancer.while_stopped(|| {
         balancer.agent.publish("s-new", recorder.address, "Ready");
         thread::sleep(Duration::from_millis(50));
@@ -240,65 +256,66 @@
             .for_each(|client| client.send(&"a line of theirs\r\n".repeat(4000)));
     });
     thread::sleep(Duration::from_millis(5));
-    let _half = leave_all(leaving);
-    let left = Instant::now();
-    thread::sleep(WATCHED);
+    let _half = disconnect_all(leaving);
+    let disconnected_at = Instant::now();
+    thread::sleep(OBSERVATION_TIME);
     for attempt in recorder.attempts.lock().unwrap().iter() {
-        let late = attempt.at.saturating_duration_since(left);
+        let delay = attempt.at.saturating_duration_since(disconnected_at);
         assert!(
-            late <= AFTER_LEAVE + SLACK,
-            "{attempt:?}: {late:?} after their leave"
+            delay <= ATTEMPT_AFTER_DISCONNECT_MAX + SCHEDULING_TOLERANCE,
+            "expected no attempt this long after the disconnects: {attempt:?}, {delay:?} after"
         );
     }
 }
 
-/// Its attempt fails after it has left: connection lost, rejected, or never up. The next server
-/// gets none.
+/// An attempt ends without success after its client has disconnected: the server rejects it, fails
+/// it or closes the connection without an answer. The next server must get no attempt.
 #[test]
-fn a_flow_whose_attempt_fails_after_its_client_has_left_gets_no_other() {
+fn flow_is_not_retried_if_its_attempt_fails_after_its_client_has_disconnected() {
     thread::scope(|scope| {
         for may_cancel in [false, true] {
             for stopped in [false, true] {
                 for answer in ["BUSY\r\n", "ERR\r\n", ""] {
                     scope.spawn(move || {
-                        let (balancer, recorder) = balancer(may_cancel);
+                        let (balancer, recorder) = start_balancer_and_recorder(may_cancel);
                         balancer.servers[0].set_behavior(ServerBehavior::Silent);
-                        let leaving = clients(&balancer, "leaving", 8);
-                        let out = || {
+                        let leaving = connect_clients(&balancer, "leaving", 8);
+                        let first_server_has_line = || {
                             balancer.servers[0]
                                 .first_lines()
                                 .iter()
                                 .any(|line| line.contains("leaving"))
                         };
-                        wait_for("a line at the first server", out);
+                        wait_for("a line at the first server", first_server_has_line);
                         thread::sleep(Duration::from_millis(100));
                         balancer.agent.publish("s-new", recorder.address, "Ready");
                         balancer
                             .agent
                             .publish("s-0", balancer.servers[0].address, "Terminating");
-                        thread::sleep(TRIGGER);
-                        // Flows that waited meanwhile may have come to it.
+                        thread::sleep(TRIGGER_DELAY);
+                        // Flows that waited meanwhile may have been placed on the recorder.
                         let before = recorder.attempts.lock().unwrap().len();
-                        let goes = || {
-                            let half = leave_all(leaving);
-                            thread::sleep(TRIGGER);
+                        let disconnect_and_fail = || {
+                            let half = disconnect_all(leaving);
+                            thread::sleep(TRIGGER_DELAY);
                             balancer.servers[0].send_and_close(answer);
                             half
                         };
                         let _half = if stopped {
-                            balancer.while_stopped(goes)
+                            balancer.while_stopped(disconnect_and_fail)
                         } else {
-                            goes()
+                            disconnect_and_fail()
                         };
-                        thread::sleep(WATCHED);
+                        thread::sleep(OBSERVATION_TIME);
                         let after = recorder.attempts.lock().unwrap().clone();
                         assert_eq!(
                             after.len(),
                             before,
-                            "{may_cancel} {stopped} {answer}: {after:?}"
+                            "may-cancel={may_cancel} stopped={stopped} {answer:?}: \
+                             expected no further attempt, found {after:?}"
                         );
                         balancer.servers[0].set_behavior(ServerBehavior::Serving);
-                        still_serves(&balancer, &recorder);
+                        assert_staying_client_is_served(&balancer, &recorder);
                     });
                 }
             }
@@ -306,79 +323,89 @@
     });
 }
 
-/// The connection never comes up in its time, and the client leaves meanwhile; also in one with
-/// that time's end.
+/// A connect times out, and the client disconnects while it is pending. With the program stopped
+/// meanwhile, the disconnect and the timeout are processed at once. No further attempt may follow.
 #[test]
-fn a_flow_whose_dial_runs_out_after_its_client_has_left_gets_no_other() {
+fn flow_is_not_retried_if_its_connect_times_out_after_its_client_has_disconnected() {
     thread::scope(|scope| {
         for stopped in [false, true] {
-            for how in LEAVES {
+            for how in DISCONNECTS {
                 scope.spawn(move || {
                     let late = LateServer::new();
-                    let (balancer, recorder) = balancer(false);
+                    let (balancer, recorder) = start_balancer_and_recorder(false);
                     balancer.agent.publish("s-late", late.address, "Ready");
                     balancer
                         .agent
                         .publish("s-0", balancer.servers[0].address, "Gone");
-                    wait_for("the new list", || {
+                    wait_for("the new endpoint list", || {
                         balancer.client("c=chat,d=60").read_line() != "UP 1"
                     });
-                    wait_for("no pending connect", || !late.has_pending_connect());
-                    let leaving = clients(&balancer, "leaving", 1).remove(0);
-                    wait_for("a connection begun", || late.has_pending_connect());
-                    let goes = || {
-                        let half = leave(leaving, how);
+                    wait_for("end of the pending connects", || {
+                        !late.has_pending_connect()
+                    });
+                    let leaving = connect_clients(&balancer, "leaving", 1).remove(0);
+                    wait_for("a pending connect", || late.has_pending_connect());
+                    let disconnect_and_time_out = || {
+                        let half = disconnect(leaving, how);
                         balancer.agent.publish("s-new", recorder.address, "Ready");
-                        thread::sleep(DIAL_TIMEOUT + TRIGGER);
+                        thread::sleep(CONNECT_TIMEOUT + TRIGGER_DELAY);
                         half
                     };
                     let _half = if stopped {
-                        balancer.while_stopped(goes)
+                        balancer.while_stopped(disconnect_and_time_out)
                     } else {
-                        goes()
+                        disconnect_and_time_out()
                     };
-                    thread::sleep(WATCHED);
-                    recorder.assert_only_from("staying", &format!("{stopped} {how:?}"));
-                    assert_eq!(late.accept_first_line(), "", "{stopped} {how:?}: a line");
+                    thread::sleep(OBSERVATION_TIME);
+                    recorder.assert_only_from("staying", &format!("stopped={stopped} {how:?}"));
+                    assert_eq!(
+                        late.accept_first_line(),
+                        "",
+                        "stopped={stopped} {how:?}: expected no first line"
+                    );
                 });
             }
         }
     });
 }
 
-/// Clients leave at any moment while the balancer is kept busy by others that come and go: each
-/// attempt that a server has had began before its client's leave was 0.1 s old.
+/// Clients disconnect at any moment while others that connect and disconnect keep the balancer
+/// busy. Each attempt that the server has seen must have begun at most 0.1 s after its client
+/// disconnected.
 #[test]
-fn clients_that_leave_at_any_moment_are_not_forwarded_later() {
-    let (balancer, recorder) = balancer(true);
+fn no_attempt_begins_later_than_100_ms_after_a_client_disconnects_at_any_moment() {
+    let (balancer, recorder) = start_balancer_and_recorder(true);
     balancer.agent.publish("s-new", recorder.address, "Ready");
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Gone");
-    wait_for("the recorder", || {
-        clients(&balancer, "first", 1).remove(0).read_line();
+    wait_for("an attempt at the recorder", || {
+        connect_clients(&balancer, "first", 1).remove(0).read_line();
         !recorder.attempts.lock().unwrap().is_empty()
     });
     let until = Instant::now() + Duration::from_secs(3);
-    let (left, own) = (
+    let (disconnect_times, own_sent) = (
         Mutex::new(std::collections::BTreeMap::new()),
         Mutex::new(Vec::new()),
     );
     thread::scope(|scope| {
         for number in 0..4 {
-            let (balancer, left) = (&balancer, &left);
+            let (balancer, disconnect_times) = (&balancer, &disconnect_times);
             scope.spawn(move || {
                 for round in (0..200).take_while(|_| Instant::now() < until) {
                     let name = format!("any{number}x{round}x");
-                    let open = clients(balancer, &name, 2);
+                    let open = connect_clients(balancer, &name, 2);
                     thread::sleep(Duration::from_micros(round * 1370 % 20_000));
-                    let _half = leave_all(open);
-                    left.lock().unwrap().insert(name, Instant::now());
+                    let _half = disconnect_all(open);
+                    disconnect_times
+                        .lock()
+                        .unwrap()
+                        .insert(name, Instant::now());
                 }
             });
         }
-        // The test's own way to the recorder, from before a line to its record: other lines may be
-        // recorded as late.
+        // The test sends lines of its own to the recorder. The time from before a line is sent
+        // until it is recorded shows how late other lines may be recorded.
         scope.spawn(|| {
             let mut open = Vec::new();
             while Instant::now() < until {
@@ -390,31 +417,43 @@
                 open.push((since, stream));
                 thread::sleep(Duration::from_millis(5));
             }
-            own.lock()
+            own_sent
+                .lock()
                 .unwrap()
                 .extend(open.into_iter().map(|(since, _)| since));
         });
     });
-    thread::sleep(WATCHED);
-    let (left, own) = (left.into_inner().unwrap(), own.into_inner().unwrap());
-    let own_lateness = recorder.own_lateness(&own);
+    thread::sleep(OBSERVATION_TIME);
+    let (disconnect_times, own_sent) = (
+        disconnect_times.into_inner().unwrap(),
+        own_sent.into_inner().unwrap(),
+    );
+    let recording_delay = recorder.own_lateness(&own_sent);
     let mut matched = 0;
     for attempt in recorder.attempts.lock().unwrap().iter() {
         let Some((at, line)) = &attempt.line else {
             continue;
         };
-        let gone = left
+        let disconnected = disconnect_times
             .iter()
             .find(|(name, _)| line.contains(&format!("OPEN {name}")));
-        let Some((_, gone)) = gone else { continue };
+        let Some((_, disconnected_at)) = disconnected else {
+            continue;
+        };
         matched += 1;
-        let late = attempt.at.max(*at).saturating_duration_since(*gone);
-        // Twice, as the latest of those may not have been met.
-        let allowed = AFTER_LEAVE + SLACK + 2 * own_lateness;
+        let delay = attempt
+            .at
+            .max(*at)
+            .saturating_duration_since(*disconnected_at);
+        // Twice the delay, since the test's own lines may have missed the longest one.
+        let allowed = ATTEMPT_AFTER_DISCONNECT_MAX + SCHEDULING_TOLERANCE + 2 * recording_delay;
         assert!(
-            late <= allowed,
-            "{line}: {late:?} after its client had gone, {allowed:?} allowed"
+            delay <= allowed,
+            "{line}: expected at most {allowed:?} after its client disconnected, was {delay:?}"
         );
     }
-    assert!(matched > 0, "some were forwarded before they left");
+    assert!(
+        matched > 0,
+        "expected some clients to be forwarded before they disconnected"
+    );
 }
