--- a/crates/balancer/tests/reload.rs
+++ b/crates/balancer/tests/reload.rs
@@ -10,10 +10,10 @@
 use common::toy::{DiscoveryAgent, ServerBehavior};
 use common::{Client, TestBalancer, wait_for};
 
-/// Guards against a SIGHUP that ends the program, a new address that is not asked for its whole
-/// list, and a faulty file that changes anything.
+/// Guards against a SIGHUP that ends the program, a new discovery address that is not asked for the
+/// full endpoint list, and an invalid file that changes anything.
 #[test]
-fn a_new_configuration_moves_discovery_and_a_faulty_one_nothing() {
+fn reload_switches_to_a_new_discovery_address_and_ignores_an_invalid_file() {
     let mut balancer = TestBalancer::new(2);
     let other = DiscoveryAgent::start("127.0.0.1:0").unwrap();
     let first = balancer.config.clone();
@@ -21,7 +21,8 @@
         &balancer.agent.address.to_string(),
         &other.address.to_string(),
     );
-    // Nothing answers there: the old list holds. Several in a row: the last one counts.
+    // Nothing answers at this address, so the old list stays in use. Of several reloads in a row
+    // the last one counts.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     balancer.reload("{");
     balancer.reload(&first.replace(
@@ -30,25 +31,26 @@
     ));
     thread::sleep(Duration::from_millis(200));
     assert_eq!(balancer.client("c=chat,d=900").read_line(), "UP 1");
-    // A version far below the first agent's, and only one of the servers.
+    // The list of the other agent has a much lower version and only one of the servers.
     other.publish("s-1", balancer.servers[1].address, "Ready");
     balancer.reload(&moved);
     balancer.reload(&moved);
     let since = Instant::now();
-    wait_for("the other agent's list", || {
+    wait_for("the endpoint list of the other agent", || {
         let before = balancer.servers[0].first_lines().len();
         (0..4).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
             && balancer.servers[0].first_lines().len() == before
     });
     assert!(since.elapsed() < Duration::from_secs(2));
-    // A faulty one keeps what is followed now; so does the first agent's update.
+    // After an invalid file the balancer still follows the other agent, and it ignores the update
+    // of the first agent.
     balancer.reload(&moved.replace("\"sockets\": 1024", "\"sockets\": -1"));
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Ready");
     other.publish("s-1", balancer.servers[1].address, "Terminating");
     other.publish("s-2", balancer.servers[0].address, "Ready");
-    wait_for("its next update", || {
+    wait_for("the next update of the other agent", || {
         let before = balancer.servers[0].first_lines().len();
         balancer.client("c=chat,d=900").receives("UP 1")
             && balancer.servers[0].first_lines().len() == before + 1
@@ -57,26 +59,26 @@
     balancer.reload(&moved);
     assert!(
         balancer.process.wait().unwrap().success(),
-        "SIGHUP while it ends"
+        "expected exit status 0 after SIGHUP during the shutdown"
     );
 }
 
-/// Guards against admission limits that hold for the wrong client, that count clients that have
-/// gone, or that a faulty file changes.
+/// Guards against admission limits that apply to the wrong client, that count clients that have
+/// disconnected, or that an invalid file changes.
 #[test]
-fn admission_limits_by_client_and_takes_new_limits_on_sighup() {
+fn admission_control_limits_each_client_and_applies_new_limits_on_sighup() {
     let mut balancer = TestBalancer::new(1);
-    // The same balancer again, with an operator's file.
+    // The same balancer is restarted with an operator file.
     balancer.kill();
     let operator = balancer.config_file.with_extension("toml");
-    let configure = |table: &str, open: &str| {
+    let write_limit = |table: &str, open: &str| {
         std::fs::write(
             &operator,
             format!("[{table}]\nby = \"client\"\nopen = {open}\n"),
         )
         .unwrap()
     };
-    configure("admission", "1");
+    write_limit("admission", "1");
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
     command
         .args(["serve", "--config"])
@@ -84,45 +86,52 @@
         .arg("--operator")
         .arg(&operator);
     balancer.process = command.stderr(Stdio::null()).spawn().unwrap();
-    let own = |balancer: &TestBalancer| balancer.client("c=chat,d=900,g=mine");
-    wait_for("PONG", || TcpStream::connect(balancer.address).is_ok());
-    wait_for("a list", || {
+    let connect_limited = |balancer: &TestBalancer| balancer.client("c=chat,d=900,g=mine");
+    wait_for("the listener", || {
+        TcpStream::connect(balancer.address).is_ok()
+    });
+    wait_for("an endpoint list", || {
         balancer.client("c=chat,d=900,g=warm").receives("UP 1")
     });
-    let mut first = own(&balancer);
+    let mut first = connect_limited(&balancer);
     assert_eq!(first.read_line(), "UP 1");
-    let answer = own(&balancer).read_line();
+    let answer = connect_limited(&balancer).read_line();
     let ms: u64 = answer
         .strip_prefix("BUSY ")
         .and_then(|ms| ms.parse().ok())
-        .expect("a Retry-After");
-    assert!((500..=2000).contains(&ms), "{answer}");
+        .expect("BUSY with a Retry-After time");
+    assert!(
+        (500..=2000).contains(&ms),
+        "expected a Retry-After of 500 to 2000 ms, got {answer}"
+    );
     assert_eq!(balancer.client("c=chat,d=900,g=other").read_line(), "UP 1");
-    // A faulty file changes nothing; a good one counts from now on.
-    configure("admission", "-1");
+    // An invalid file changes nothing; a valid one applies at once.
+    write_limit("admission", "-1");
     balancer.signal("-HUP");
     thread::sleep(Duration::from_millis(200));
-    assert!(own(&balancer).read_line().starts_with("BUSY "));
-    // The name of an earlier version.
-    configure("door", "2");
+    assert!(connect_limited(&balancer).read_line().starts_with("BUSY "));
+    // Earlier versions call the `admission` table `door`.
+    write_limit("door", "2");
     balancer.signal("-HUP");
-    wait_for("the new limit", || own(&balancer).receives("UP 1"));
+    wait_for("the new limit", || {
+        connect_limited(&balancer).receives("UP 1")
+    });
     drop(first);
     balancer.terminate();
     assert!(balancer.process.wait().unwrap().success());
     let _ = std::fs::remove_file(operator);
 }
 
-/// Guards against a switch that needs a restart, loses or repeats what was accepted, or can't be
-/// taken back.
+/// Guards against a change of settings that needs a restart, that loses or repeats accepted
+/// requests, or that can't be reverted.
 #[test]
-fn other_settings_are_taken_on_sighup_and_taken_back_by_the_same_step() {
+fn new_settings_are_applied_on_sighup_and_reverted_by_another_sighup() {
     let mut balancer = TestBalancer::new(2);
     let first = balancer.config.clone();
-    // Another shape: traffic classes in another order, one of them new and one gone, balancers that
-    // may gossip, one attempt.
-    let mut other: serde_json::Value = serde_json::from_str(&first).unwrap();
-    let settings = &mut other["settings"];
+    // The second settings differ in structure: the traffic classes are in another order, one is new
+    // and one is removed, balancers may gossip, and only one attempt is allowed.
+    let mut changed: serde_json::Value = serde_json::from_str(&first).unwrap();
+    let settings = &mut changed["settings"];
     settings["areas"] = serde_json::json!(["b", "a"]);
     settings["replicas-of-me"] = 4.into();
     settings["limits"]["may-tell"] = true.into();
@@ -131,15 +140,15 @@
         {"name": "lab", "setup-target": 800000, "value": 3.0, "repeat": "free", "hard-limit": 4800000},
         {"name": "chat", "setup-target": 300000, "value": 1.0, "repeat": "free"}
     ]);
-    let second = other.to_string();
-    let mut standing: Vec<Client> = (0..4).map(|_| balancer.client("c=chat,d=900")).collect();
-    standing
+    let second = changed.to_string();
+    let mut open_clients: Vec<Client> = (0..4).map(|_| balancer.client("c=chat,d=900")).collect();
+    open_clients
         .iter_mut()
         .for_each(|client| assert_eq!(client.read_line(), "UP 1"));
     assert_eq!(
         balancer.client("c=lab,d=900").read_line(),
         "ERR",
-        "not known yet"
+        "expected ERR for a traffic class that is not configured yet"
     );
     let attempts = |balancer: &TestBalancer| {
         balancer
@@ -149,8 +158,8 @@
             .sum::<usize>()
     };
     for round in 0..3 {
-        // Accepted before the switch, answered after it: its attempt is in flight meanwhile, and is
-        // the only one.
+        // This request is accepted before the reload and answered after it. Its attempt is in
+        // flight meanwhile, and must stay the only one.
         balancer
             .servers
             .iter()
@@ -167,13 +176,17 @@
         assert_eq!(
             (waiting.read_line(), waiting.read_line()),
             ("ERR".into(), "end".into()),
-            "round {round}"
+            "round {round}: expected ERR, then the end of the stream"
+        );
+        assert_eq!(
+            attempts(&balancer),
+            before,
+            "round {round}: expected no second attempt"
         );
-        assert_eq!(attempts(&balancer), before, "round {round}: sent twice");
         wait_for("the new traffic class", || {
             balancer.client("c=lab,d=900").receives("UP 1")
         });
-        // One attempt only is allowed now.
+        // Now only one attempt is allowed.
         balancer
             .servers
             .iter()
@@ -185,25 +198,29 @@
                 .read_line()
                 .starts_with("BUSY")
         );
-        assert_eq!(attempts(&balancer), before + 1, "round {round}");
+        assert_eq!(
+            attempts(&balancer),
+            before + 1,
+            "round {round}: expected one attempt"
+        );
         balancer
             .servers
             .iter()
             .for_each(|server| server.set_behavior(ServerBehavior::Serving));
-        // What no settings can mean changes nothing.
-        for faulty in [
+        // Invalid settings change nothing.
+        for invalid in [
             second.replace("\"may-tell\":true", "\"may-tell\":\"yes\""),
             second.replace("\"name\":\"lab\"", "\"name\":\"chat\""),
             second.replace("\"start-capacity\":0.35", "\"start-capacity\":null"),
         ] {
-            assert_ne!(faulty, second);
-            balancer.reload(&faulty);
+            assert_ne!(invalid, second);
+            balancer.reload(&invalid);
         }
         thread::sleep(Duration::from_millis(100));
         wait_for("the second settings", || {
             balancer.client("c=lab,d=900").receives("UP 1")
         });
-        // The way back is the same step.
+        // A reload with the first settings reverts the change.
         balancer.reload(&first);
         wait_for("the first settings", || {
             balancer
@@ -211,21 +228,21 @@
                 .iter()
                 .for_each(|server| server.set_behavior(ServerBehavior::Busy));
             let before = attempts(&balancer);
-            let busy = balancer
+            let is_busy = balancer
                 .client("c=chat,d=900")
                 .read_line()
                 .starts_with("BUSY");
-            let more = attempts(&balancer) > before + 1;
+            let has_retried = attempts(&balancer) > before + 1;
             balancer
                 .servers
                 .iter()
                 .for_each(|server| server.set_behavior(ServerBehavior::Serving));
-            busy && more
+            is_busy && has_retried
         });
-        wait_for("recovery", || {
+        wait_for("a served client after the busy servers", || {
             balancer.client("c=order,d=1000").receives("UP 1")
         });
-        standing
+        open_clients
             .iter_mut()
             .for_each(|client| client.assert_echo("still here"));
     }
--- a/crates/balancer/tests/shutdown.rs
+++ b/crates/balancer/tests/shutdown.rs
@@ -1,6 +1,6 @@
-//! From SIGTERM to the end, at the earliest moment of SIGKILL: the longest deadline of the
-//! deployment, counted as 3 s at the most, and 0.7 s more. Clients go on using their connections
-//! until then.
+//! Graceful shutdown, from SIGTERM to the earliest time of SIGKILL. That is the longest deadline of
+//! the deployment, counted as 3 s at most, plus 0.7 s. Clients go on using their connections until
+//! then.
 
 mod common;
 
@@ -10,14 +10,14 @@
 use common::toy::ServerBehavior;
 use common::{Client, TestBalancer, deadline_settings, wait_for, with_settings};
 
-/// From the longest deadline after SIGTERM to the earliest SIGKILL.
+/// Time from the longest deadline after SIGTERM until the earliest SIGKILL.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
-/// A balancer with this longest deadline.
-fn balancer(deadline_ms: u64) -> TestBalancer {
+/// Starts a balancer whose traffic classes all have this longest deadline.
+fn start_balancer(deadline_ms: u64) -> TestBalancer {
     let mut balancer = TestBalancer::new(1);
     balancer.restart_with_settings(&deadline_settings(deadline_ms));
-    wait_for("a list", || {
+    wait_for("an endpoint list", || {
         balancer
             .client(&format!("c=chat,d={deadline_ms}"))
             .receives("UP 1")
@@ -25,13 +25,13 @@
     balancer
 }
 
-/// The kill comes by the deadlines that held when the end was asked for, or by shorter ones
-/// reloaded since; a client that is still open has been moved by then.
+/// SIGKILL comes at a time given by the deadlines that applied at SIGTERM, or by shorter ones
+/// reloaded since. The balancer must have migrated its open clients and exited by then.
 #[test]
-fn a_reload_does_not_put_off_the_end() {
+fn balancer_exits_before_sigkill_if_a_reload_changes_the_deadlines_around_sigterm() {
     std::thread::scope(|scope| {
-        // The longest deadline before and after, in ms; whether the reload comes before SIGTERM or
-        // after it.
+        // The longest deadline in ms before the reload and after it, and whether the reload comes
+        // before SIGTERM.
         for (before, after, reload_first) in [
             (400, 3000, false),
             (3000, 400, false),
@@ -39,7 +39,7 @@
             (700, 700, false),
         ] {
             scope.spawn(move || {
-                let mut balancer = balancer(before);
+                let mut balancer = start_balancer(before);
                 let mut client = balancer.client("c=chat,d=400");
                 assert_eq!(client.read_line(), "UP 1");
                 std::fs::write(
@@ -58,7 +58,7 @@
                 assert_eq!(
                     (client.read_line(), client.read_line()),
                     ("MOVE".into(), "end".into()),
-                    "{before} {after}"
+                    "deadline of {before} ms, then {after} ms: expected MOVE and the end"
                 );
                 drop(client);
                 let status = balancer.process.wait().unwrap();
@@ -66,17 +66,19 @@
                 let took = since.elapsed();
                 assert!(
                     status.success() && took < kill,
-                    "{before} {after} {reload_first}: {status} {took:?}"
+                    "deadline of {before} ms, then {after} ms, reload_first={reload_first}: \
+                     expected exit status 0 within {kill:?}, got {status} after {took:?}"
                 );
             });
         }
     });
 }
 
-/// A reload long before the end is no part of it.
+/// A reload long before SIGTERM is not part of the shutdown: if it made the deadlines longer, the
+/// longer ones apply.
 #[test]
-fn deadlines_that_a_reload_made_longer_hold_at_a_later_end() {
-    let mut balancer = balancer(300);
+fn longer_deadlines_of_a_reload_apply_to_a_later_shutdown() {
+    let mut balancer = start_balancer(300);
     std::fs::write(
         &balancer.config_file,
         with_settings(&balancer.config, &deadline_settings(1500)),
@@ -96,13 +98,17 @@
     std::thread::sleep(Duration::from_millis(900));
     balancer.servers[0].set_behavior(common::toy::ServerBehavior::Serving);
     balancer.servers[0].send_to_all("UP 1\r\n");
-    assert_eq!(client.read_line(), "UP 1", "its deadline had not passed");
+    assert_eq!(
+        client.read_line(),
+        "UP 1",
+        "expected service before the deadline"
+    );
     assert_eq!(client.read_line(), "MOVE");
     assert!(balancer.process.wait().unwrap().success());
 }
 
 #[test]
-fn on_sigterm_it_moves_its_clients_and_answers_what_comes() {
+fn on_sigterm_clients_are_migrated_spread_over_time_and_new_clients_are_answered() {
     let mut balancer = TestBalancer::new(2);
     let mut clients: Vec<Client> = (0..10).map(|_| balancer.client("c=chat,d=900")).collect();
     clients
@@ -114,7 +120,10 @@
     thread::sleep(Duration::from_millis(300));
     let mut late = balancer.client("c=chat,d=2500");
     let answer = late.read_line();
-    assert!(answer == "UP 1" || answer.starts_with("BUSY"), "{answer}");
+    assert!(
+        answer == "UP 1" || answer.starts_with("BUSY"),
+        "expected UP 1 or BUSY after SIGTERM, got {answer}"
+    );
     let mut moved = Vec::new();
     for client in &mut clients {
         assert_eq!(
@@ -123,11 +132,11 @@
         );
         moved.push(since.elapsed());
     }
-    // Guards against moves all at once, which other balancers get all at once.
+    // Guards against migrating all clients at once, which would hit other balancers all at once.
     let spread = moved[9] - moved[0];
     assert!(
         spread > Duration::from_millis(300) && moved[0] > Duration::from_millis(1200),
-        "{moved:?}"
+        "expected the first MOVE after 1.2 s and all of them spread over 0.3 s: {moved:?}"
     );
     if answer == "UP 1" {
         assert_eq!(late.read_line(), "MOVE");
@@ -135,16 +144,16 @@
     let status = balancer.process.wait().unwrap();
     assert!(
         status.success() && since.elapsed() < Duration::from_millis(3700),
-        "{status} {:?}",
+        "expected exit status 0 within 3.7 s, got {status} after {:?}",
         since.elapsed()
     );
 }
 
-/// The front goes on sending clients for 0.4 s after SIGTERM. Where all answers have been given
-/// before, since connect timeouts are short, they must not find a closed port, nor a line that is
-/// half there an end without an answer.
+/// The front end goes on sending clients for 0.4 s after SIGTERM. With short connect timeouts, all
+/// pending answers may have been given earlier. Even so, new clients must not find a closed port,
+/// and clients with an incomplete first line must not be disconnected without an answer.
 #[test]
-fn clients_that_come_after_sigterm_are_answered_however_short_timeouts_are() {
+fn clients_that_connect_after_sigterm_are_answered_even_with_short_deadlines() {
     thread::scope(|scope| {
         for (longest, behavior) in [
             (100, ServerBehavior::Serving),
@@ -155,9 +164,9 @@
             scope.spawn(move || {
                 let mut balancer = TestBalancer::new(1);
                 balancer.restart_with_settings(&deadline_settings(longest));
-                // Nobody is served yet, so that nothing keeps the balancer from its end.
+                // No client is served yet, so that no open connection delays the exit.
                 balancer.servers[0].set_behavior(ServerBehavior::Failing);
-                wait_for("a list", || {
+                wait_for("an endpoint list", || {
                     balancer
                         .client(&format!("c=order,d={longest}"))
                         .receives("ERR")
@@ -165,35 +174,45 @@
                 balancer.servers[0].set_behavior(behavior);
                 let since = Instant::now();
                 balancer.terminate();
-                let mut half = Client::new(balancer.address, b"OPEN half k c=chat,");
+                let mut incomplete = Client::new(balancer.address, b"OPEN half k c=chat,");
                 let mut last = Client::new(balancer.address, b"OPEN last k c=chat,");
                 thread::sleep(Duration::from_millis(390).saturating_sub(since.elapsed()));
                 let mut late = balancer.client(&format!("c=order,d={}", longest.min(90)));
-                half.send(&format!("d={}\r\n", longest.min(90)));
-                for client in [&mut late, &mut half] {
+                incomplete.send(&format!("d={}\r\n", longest.min(90)));
+                for client in [&mut late, &mut incomplete] {
                     let answer = client.read_line();
                     let answered =
                         answer == "UP 1" || answer == "ERR" || answer.starts_with("BUSY");
-                    assert!(answered, "{longest} {behavior:?}: {answer}");
+                    assert!(
+                        answered,
+                        "{longest} ms {behavior:?}: expected UP 1, ERR or BUSY, got {answer}"
+                    );
                     if answer == "UP 1" {
-                        assert_eq!(client.read_line(), "MOVE", "{longest} {behavior:?}");
+                        assert_eq!(
+                            client.read_line(),
+                            "MOVE",
+                            "{longest} ms {behavior:?}: expected MOVE after UP 1"
+                        );
                     }
                 }
-                // All are answered but one whose line is complete only now, and whose deadline is
-                // after the balancer's end.
-                drop((late, half));
+                // All clients are answered except one whose line is complete only now and whose
+                // deadline is after the balancer's exit.
+                drop((late, incomplete));
                 if longest == 250 {
                     thread::sleep(Duration::from_millis(620).saturating_sub(since.elapsed()));
                     last.send("d=250\r\n");
                     let answer = last.read_line();
-                    assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
+                    assert!(
+                        answer == "ERR" || answer.starts_with("BUSY"),
+                        "expected ERR or BUSY, got {answer}"
+                    );
                 }
                 let status = balancer.process.wait().unwrap();
-                // SIGKILL comes so long after SIGTERM.
+                // Earliest time of SIGKILL after SIGTERM.
                 let kill = Duration::from_millis(longest + 700);
                 assert!(
                     status.success() && since.elapsed() < kill,
-                    "{status} {:?}",
+                    "expected exit status 0 within {kill:?}, got {status} after {:?}",
                     since.elapsed()
                 );
             });
@@ -201,13 +220,13 @@
     });
 }
 
-/// One that was open before the run, and whose server says nothing, has its answer when the
-/// balancer ends, as have those that are still owed one at the last moment.
+/// A flow was open before the balancer started, and its server doesn't respond. Its client must be
+/// answered before the balancer exits, and so must every client whose answer is still pending then.
 #[test]
-fn who_waits_for_a_hung_server_is_answered_before_the_end() {
+fn clients_that_wait_for_an_unresponsive_server_are_answered_before_the_balancer_exits() {
     let mut balancer = TestBalancer::new(1);
     balancer.restart_with_settings(&deadline_settings(400));
-    wait_for("a list", || {
+    wait_for("an endpoint list", || {
         balancer.client("c=chat,d=400").receives("UP 1")
     });
     balancer.servers[0].set_behavior(ServerBehavior::Silent);
@@ -231,12 +250,13 @@
     assert!(balancer.process.wait().unwrap().success());
 }
 
-/// Clients that are moved while the front still sends new ones would come straight back.
+/// Guards against migrating clients while the front end still sends new ones to this balancer: the
+/// migrated clients would reconnect to it.
 #[test]
-fn nobody_is_moved_while_moved_clients_come_straight_back() {
+fn no_client_is_migrated_within_400_ms_after_sigterm() {
     let mut balancer = TestBalancer::new(1);
     balancer.restart_with_settings(&deadline_settings(200));
-    wait_for("a list", || {
+    wait_for("an endpoint list", || {
         balancer.client("c=chat,d=200").receives("UP 1")
     });
     let mut clients: Vec<Client> = (0..6).map(|_| balancer.client("c=chat,d=200")).collect();
@@ -252,7 +272,7 @@
         );
         assert!(
             since.elapsed() >= Duration::from_millis(400),
-            "{:?}",
+            "expected MOVE no earlier than 0.4 s after SIGTERM, got it after {:?}",
             since.elapsed()
         );
     }
