--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery that goes down and returns, on the real program with a balancer-in agent on loopback:
-//! how long until its updates are asked for and answered.
+//! Discovery that fails and recovers, tested on the real program with a discovery agent on
+//! loopback. Measures how long it takes until the balancer asks for updates again and gets an
+//! answer.
 
 mod common;
 
@@ -14,84 +15,90 @@
 use common::{TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
-/// Longest time until a change is known, from when discovery had it and could be reached.
+/// The longest time until the balancer knows a change, from when discovery has the change and is
+/// reachable.
 const CHANGE_KNOWN_AFTER_MAX: Duration = Duration::from_secs(6);
 
-/// The wait in the queue of a service that all balancers share, a little under the 2 s after which
-/// it rejects calls.
-const QUEUE: Duration = Duration::from_millis(1900);
+/// How long a call waits in the queue of a discovery service that all balancers share. The service
+/// rejects calls after 2 s in the queue, so this is just below that limit.
+const QUEUE_WAIT: Duration = Duration::from_millis(1900);
 
-/// How long a failing service keeps a call.
-const FAILING_CALL: Duration = Duration::from_secs(1);
+/// How long a failing discovery service holds a call before the call fails.
+const FAILING_CALL_DURATION: Duration = Duration::from_secs(1);
 
-/// Takes discovery down in that way, lets it return `after` the start of the second call that
-/// fails, and says how long after the return a call was answered.
-fn time_until_answered(down: AgentBehavior, after: Duration) -> Duration {
-    static PLAYS: AtomicU64 = AtomicU64::new(1);
-    let seed = format!("{:016x}", PLAYS.fetch_add(1, Ordering::Relaxed));
+/// Makes discovery fail with the behavior `failure` and recover `recovery_delay` after the start of
+/// the second failing call. Returns the time from the recovery until a call is answered.
+fn time_until_answered(failure: AgentBehavior, recovery_delay: Duration) -> Duration {
+    static RUNS: AtomicU64 = AtomicU64::new(1);
+    let seed = format!("{:016x}", RUNS.fetch_add(1, Ordering::Relaxed));
     let balancer = TestBalancer::with_config(1, |config| {
         with_settings(
             &config.replace("8c1f30d27a5be964", &seed),
             &[("discovery", json!("ask"))],
         )
     });
-    balancer.agent.set_behavior(down);
+    balancer.agent.set_behavior(failure);
     let before = balancer.agent.calls().len();
-    wait_for("second call that fails", || {
+    wait_for("second failing call", || {
         balancer.agent.calls().len() >= before + 2
     });
     let second = balancer.agent.calls()[before + 1];
-    thread::sleep(after.saturating_sub(second.received_at.elapsed()));
-    let returned = Instant::now();
+    thread::sleep(recovery_delay.saturating_sub(second.received_at.elapsed()));
+    let recovered_at = Instant::now();
     balancer
         .agent
         .publish("s-0", balancer.servers[0].address, "Terminating");
-    balancer.agent.set_behavior(AgentBehavior::Answering(QUEUE));
+    balancer
+        .agent
+        .set_behavior(AgentBehavior::Answering(QUEUE_WAIT));
     let answered = || {
         balancer.agent.calls()[before..]
             .iter()
-            .find_map(|call| call.answered_at.filter(|at| *at > returned))
+            .find_map(|call| call.answered_at.filter(|at| *at > recovered_at))
     };
-    // Waited for longer than is allowed, so that the time is reported where it is too long.
-    while answered().is_none() && returned.elapsed() < 3 * CHANGE_KNOWN_AFTER_MAX {
+    // Waits longer than the limit so that a time above the limit can be reported.
+    while answered().is_none() && recovered_at.elapsed() < 3 * CHANGE_KNOWN_AFTER_MAX {
         thread::sleep(Duration::from_millis(20));
     }
-    answered().map_or(returned.elapsed(), |at| at - returned)
+    answered().map_or(recovered_at.elapsed(), |at| at - recovered_at)
 }
 
-/// Whatever failed before, and at whatever moment of a failing call or of the pause after it
-/// discovery returns.
+/// Guards against late updates after an outage. How calls fail during the outage must not matter,
+/// and neither must when discovery recovers: during a failing call or in the pause after it.
 #[test]
-fn updates_are_answered_within_their_time_after_discovery_returns() {
+fn update_calls_are_answered_in_time_after_discovery_recovers() {
     let late = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for down in [
-            AgentBehavior::Rejecting(FAILING_CALL),
+        for failure in [
+            AgentBehavior::Rejecting(FAILING_CALL_DURATION),
             AgentBehavior::Silent,
-            AgentBehavior::Closing(FAILING_CALL),
+            AgentBehavior::Closing(FAILING_CALL_DURATION),
         ] {
             for ms in [200, 1200, 1700, 2300, 3000, 4000] {
                 let late = &late;
                 scope.spawn(move || {
-                    let took = time_until_answered(down, Duration::from_millis(ms));
+                    let took = time_until_answered(failure, Duration::from_millis(ms));
                     if took >= CHANGE_KNOWN_AFTER_MAX {
-                        late.lock()
-                            .unwrap()
-                            .push(format!("{down:?}, returned after {ms} ms: {took:?}"));
+                        late.lock().unwrap().push(format!(
+                            "{failure:?}, recovered after {ms} ms: answered {took:?} later"
+                        ));
                     }
                 });
             }
         }
     });
     let late = late.into_inner().unwrap();
-    assert!(late.is_empty(), "{late:#?}");
+    assert!(
+        late.is_empty(),
+        "expected an answer within {CHANGE_KNOWN_AFTER_MAX:?} of the recovery: {late:#?}"
+    );
 }
 
-/// An agent that was started again and whose new list has come to the very version that the
-/// balancer has: nothing shows it but the end of the connection. A drain that is published under
-/// such a version is received all the same.
+/// Guards against a missed drain after the agent restarts. The agent counts versions anew, and its
+/// different list reaches the same version that the balancer already has. Only the closed
+/// connection tells the balancer about the restart.
 #[test]
-fn an_agent_that_returns_at_the_known_version_with_another_list_is_found_out() {
+fn different_list_at_the_known_version_is_noticed_after_an_agent_restart() {
     let balancer = TestBalancer::new(2);
     let newest = balancer.agent.version();
     wait_for("call from the newest version", || {
@@ -105,7 +112,9 @@
         .agent
         .set_behavior(AgentBehavior::Closing(Duration::ZERO));
     let before = balancer.agent.calls().len();
-    wait_for("call that is cut", || balancer.agent.calls().len() > before);
+    wait_for("call whose connection is closed", || {
+        balancer.agent.calls().len() > before
+    });
     balancer
         .agent
         .publish("s-1", balancer.servers[1].address, "Terminating");
@@ -113,38 +122,40 @@
     assert_eq!(
         balancer.agent.version(),
         newest,
-        "the number alone shows nothing"
+        "the restarted agent must have the same version as before"
     );
     balancer
         .agent
         .set_behavior(AgentBehavior::Answering(Duration::ZERO));
-    wait_for("the drain", || {
+    wait_for("drain of server s-1", || {
         let before = balancer.servers[1].first_lines().len();
         (0..6).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
             && balancer.servers[1].first_lines().len() == before
     });
 }
 
-/// Guards against a whole list after each of many resets: 2 MB each where 12,000 servers are
-/// listed.
+/// Guards against a request for the full list after each of many closed connections. With 12,000
+/// servers each full list has 2 MB.
 #[test]
-fn an_agent_that_cuts_again_and_again_is_asked_for_its_whole_list_once() {
+fn agent_that_closes_connections_repeatedly_is_asked_for_the_full_list_once() {
     let balancer = TestBalancer::new(1);
     for _ in 0..10 {
         balancer
             .agent
             .set_behavior(AgentBehavior::Closing(Duration::ZERO));
         let before = balancer.agent.calls().len();
-        wait_for("call that is cut", || balancer.agent.calls().len() > before);
+        wait_for("call whose connection is closed", || {
+            balancer.agent.calls().len() > before
+        });
         balancer
             .agent
             .set_behavior(AgentBehavior::Answering(Duration::ZERO));
         let before = balancer.agent.calls().len();
-        // Woken by the update, so that the next call comes at once.
+        // The update answers a call that is held, so that the next call is made at once.
         balancer
             .agent
             .publish("s-0", balancer.servers[0].address, "Ready");
-        wait_for("call that is answered", || {
+        wait_for("answered call", || {
             balancer.agent.calls()[before..]
                 .iter()
                 .any(|call| call.answered_at.is_some())
@@ -153,74 +164,79 @@
             .agent
             .publish("s-0", balancer.servers[0].address, "Ready");
     }
-    let whole = balancer
+    let full_lists = balancer
         .agent
         .calls()
         .iter()
         .filter(|call| call.from_version.is_none() && call.answered_at.is_some())
         .count();
-    assert_eq!(whole, 2, "the first list, and one for all the resets");
+    assert_eq!(
+        full_lists, 2,
+        "expected one full list at the start and one for all closed connections"
+    );
 }
 
-/// An agent that is started again counts versions from one: what it published before they reached
-/// the known version must come all the same.
+/// Guards against missed changes after the agent restarts. The agent counts versions from one
+/// again, so its changes have versions below the version that the balancer knows.
 #[test]
-fn an_agent_that_restarts_its_versions_is_asked_for_its_whole_list() {
+fn agent_that_restarts_its_versions_is_asked_for_the_full_list() {
     let balancer = TestBalancer::new(2);
     for _ in 0..20 {
         balancer
             .agent
             .publish("s-0", balancer.servers[0].address, "Ready");
     }
-    wait_for("both", || {
+    wait_for("flow on the second server", || {
         let before = balancer.servers[1].first_lines().len();
         balancer.client("c=chat,d=900").read_line();
         balancer.servers[1].first_lines().len() > before
     });
-    // It has heard of the newest version, and of none after it. Guards against a new count that
-    // ends at the very number that it last received, which nothing shows.
+    // The balancer has the newest version before the agent restarts. Otherwise the new count could
+    // end at exactly the version that the balancer last received, and nothing would show the
+    // restart.
     let newest = balancer.agent.version();
-    let asked_newest = || {
+    let newest_is_asked_for = || {
         balancer
             .agent
             .calls()
             .last()
             .is_some_and(|call| call.from_version == Some(newest))
     };
-    wait_for("call from the newest version", asked_newest);
+    wait_for("call from the newest version", newest_is_asked_for);
     balancer.agent.silence();
-    let heard = balancer.agent.calls().len();
-    wait_for("call into the silence", || {
-        balancer.agent.calls().len() > heard && asked_newest()
+    let before = balancer.agent.calls().len();
+    wait_for("call to the silent agent", || {
+        balancer.agent.calls().len() > before && newest_is_asked_for()
     });
-    // A drain under a version that is past, shown by the new count alone.
+    // The drain gets a version below the known one. Only the lower version shows the restart.
     balancer
         .agent
         .publish("s-1", balancer.servers[1].address, "Terminating");
     balancer.agent.restart_versions();
     balancer.agent.resume();
-    wait_for("the drain", || {
+    wait_for("drain of server s-1", || {
         let before = balancer.servers[1].first_lines().len();
         (0..6).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
             && balancer.servers[1].first_lines().len() == before
     });
 }
 
-/// An agent that answers each call at once with this; how often it was called.
-fn agent_that_says(status: &str, body: String) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts an agent that answers each call at once with this status and body. Returns its address
+/// and its number of calls.
+fn start_fixed_answer_agent(status: &str, body: String) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, calls) = (
         listener.local_addr().unwrap(),
         Arc::new(AtomicUsize::new(0)),
     );
-    let counted = calls.clone();
+    let served_calls = calls.clone();
     let answer = format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (calls, answer) = (counted.clone(), answer.clone());
+            let (calls, answer) = (served_calls.clone(), answer.clone());
             thread::spawn(move || {
                 for line in BufReader::new(&stream).lines().map_while(Result::ok) {
                     if line.is_empty() {
@@ -234,36 +250,37 @@
     (address, calls)
 }
 
-/// Guards against a balancer that an agent's answers end or keep busy: the old list holds, and it
-/// is asked again, but not without end.
+/// Guards against a balancer that ends, or calls the agent in a busy loop, because of the agent's
+/// answers: they are invalid or come at once instead of after a hold. The balancer has to keep the
+/// old list and to call again at a limited rate.
 #[test]
-fn an_agent_that_talks_nonsense_or_holds_no_call_stops_nothing() {
+fn invalid_or_immediate_agent_answers_neither_end_nor_busy_the_balancer() {
     let balancer = TestBalancer::new(1);
-    let mut now = balancer.agent.address.to_string();
+    let mut configured_address = balancer.agent.address.to_string();
     let mut config = balancer.config.clone();
     for (what, body) in [
         (
-            "nothing new",
+            "no changes, answered at once",
             r#"{"generation":7,"reset":false,"instances":[]}"#.to_string(),
         ),
-        ("too deep to read", "[".repeat(100_000)),
+        ("nested too deep to parse", "[".repeat(100_000)),
         (
-            "as deep as is read",
+            "nested as deep as the parser allows",
             format!(
                 r#"{{"generation":8,"reset":false,"instances":[{}{}]}}"#,
                 "[".repeat(125),
                 "]".repeat(125)
             ),
         ),
-        ("no text", "\u{0}\u{1}\u{2}".repeat(1000)),
+        ("control characters", "\u{0}\u{1}\u{2}".repeat(1000)),
         (
-            "numbers that are none",
+            "invalid numbers",
             r#"{"generation":-1,"reset":1e999,"instances":{}}"#.to_string(),
         ),
     ] {
-        let (address, calls) = agent_that_says("200 OK", body);
-        config = config.replace(&now, &address.to_string());
-        now = address.to_string();
+        let (address, calls) = start_fixed_answer_agent("200 OK", body);
+        config = config.replace(&configured_address, &address.to_string());
+        configured_address = address.to_string();
         balancer.reload(&config);
         wait_for(what, || calls.load(Ordering::Relaxed) > 3);
         let before = calls.load(Ordering::Relaxed);
@@ -271,24 +288,25 @@
         let made = calls.load(Ordering::Relaxed) - before;
         assert!(
             (3..=30).contains(&made),
-            "{what}: {made} calls in half a second"
+            "{what}: expected 3 to 30 calls in half a second, made {made}"
         );
         assert_eq!(
             balancer.client("c=chat,d=900").read_line(),
             "UP 1",
-            "{what}"
+            "{what}: the old list must stay in use"
         );
     }
 }
 
-/// Guards against a hundred balancers that call a service they share again at once, keep its queue
-/// full and learn nothing from then on. An agent on the same machine costs nothing and is asked
-/// again at once: a change that it has must become known in time.
+/// Guards against a hundred balancers that repeat failed calls to a shared discovery service at
+/// once: they keep its queue full and receive no update from then on. Calls to a shared service
+/// (`ask`) therefore back off. An agent on the same machine (`push`) costs nothing and is called
+/// again at once, since its changes must become known in time.
 #[test]
-fn a_list_that_is_asked_for_is_called_for_less_and_less_while_calls_fail() {
+fn failed_calls_back_off_to_a_shared_service_but_not_to_a_local_agent() {
     let balancer = TestBalancer::new(1);
-    for (discovery, least, most) in [("push", 30, 80), ("ask", 2, 22)] {
-        let (address, calls) = agent_that_says("503 Busy", String::new());
+    for (discovery, calls_min, calls_max) in [("push", 30, 80), ("ask", 2, 22)] {
+        let (address, calls) = start_fixed_answer_agent("503 Busy", String::new());
         let config = balancer
             .config
             .replace(&balancer.agent.address.to_string(), &address.to_string());
@@ -298,57 +316,65 @@
         thread::sleep(Duration::from_secs(3));
         let made = calls.load(Ordering::Relaxed) - before;
         assert!(
-            (least..=most).contains(&made),
-            "{discovery}: {made} calls in 3 s"
+            (calls_min..=calls_max).contains(&made),
+            "{discovery}: expected {calls_min} to {calls_max} calls in 3 s, made {made}"
         );
         assert_eq!(
             balancer.client("c=chat,d=900").read_line(),
             "UP 1",
-            "{discovery}: the old list holds"
+            "{discovery}: the old list must stay in use"
         );
     }
 }
 
-/// Guards against a list that is no longer followed after discovery was away for more than a
-/// minute, and against clients that are turned away meanwhile, where it goes after a quiet time.
+/// Guards against a balancer that ignores list changes after discovery was down for more than a
+/// minute, and against clients that are rejected during the outage. The outage begins after a time
+/// without clients and list changes.
 #[test]
-fn a_drain_is_kept_after_discovery_was_away_for_over_a_minute() {
-    /// Without clients, and without changes of the list.
-    const QUIET: Duration = Duration::from_secs(10);
+fn drain_is_followed_after_a_discovery_outage_of_over_a_minute() {
+    /// Time without clients and without list changes before the outage.
+    const QUIET_TIME: Duration = Duration::from_secs(10);
     const OUTAGE: Duration = Duration::from_secs(63);
-    /// By then a call that was held as discovery went away is over.
-    const HELD_CALL: Duration = Duration::from_millis(1500);
-    let ways = [
+    /// A call that was held when the outage began is over after this time.
+    const HELD_CALL_MAX: Duration = Duration::from_millis(1500);
+    let outages = [
         ("push", AgentBehavior::Silent),
         ("ask", AgentBehavior::Closing(Duration::from_millis(50))),
     ];
     thread::scope(|scope| {
-        for (discovery, away) in ways {
+        for (discovery, outage) in outages {
             scope.spawn(move || {
                 let balancer = TestBalancer::with_config(2, |config| {
                     with_settings(&config, &[("discovery", json!(discovery))])
                 });
-                thread::sleep(QUIET);
-                balancer.agent.set_behavior(away);
-                thread::sleep(HELD_CALL);
+                thread::sleep(QUIET_TIME);
+                balancer.agent.set_behavior(outage);
+                thread::sleep(HELD_CALL_MAX);
                 balancer
                     .agent
                     .publish("s-1", balancer.servers[1].address, "Terminating");
-                let returns_at = Instant::now() + OUTAGE;
-                while Instant::now() < returns_at {
+                let recovers_at = Instant::now() + OUTAGE;
+                while Instant::now() < recovers_at {
                     let mut client = balancer.client("c=chat,d=900");
-                    assert_eq!(client.read_line(), "UP 1", "{discovery}: while it is away");
+                    assert_eq!(
+                        client.read_line(),
+                        "UP 1",
+                        "{discovery}: clients must be served during the outage"
+                    );
                     thread::sleep(Duration::from_millis(500));
                 }
-                let returned = Instant::now();
+                let recovered_at = Instant::now();
                 balancer.agent.resume();
-                wait_for("the drain", || {
+                wait_for("drain of server s-1", || {
                     let before = balancer.servers[1].first_lines().len();
                     (0..6).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
                         && balancer.servers[1].first_lines().len() == before
                 });
-                let took = returned.elapsed();
-                assert!(took < CHANGE_KNOWN_AFTER_MAX, "{discovery}: {took:?}");
+                let took = recovered_at.elapsed();
+                assert!(
+                    took < CHANGE_KNOWN_AFTER_MAX,
+                    "{discovery}: expected the drain in {CHANGE_KNOWN_AFTER_MAX:?}, took {took:?}"
+                );
             });
         }
     });
