--- a/crates/balancer/tests/gossip.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between balancers.
+//! Gossip between balancers about the home servers of groups.
 
 mod common;
 
@@ -24,9 +24,10 @@
     }
 }
 
-/// Guards against messages that are not sent, not received, or accepted from strangers.
+/// Guards against gossip messages that are not sent, not received, or accepted from senders that
+/// are not configured as peers.
 #[test]
-fn balancers_gossip_where_a_group_is_held() {
+fn peer_places_groups_on_home_servers_known_by_gossip() {
     let agent = DiscoveryAgent::start("127.0.0.1:0").unwrap();
     let servers: Vec<Arc<ToyServer>> = (0..6)
         .map(|_| ToyServer::start("127.0.0.1:0").unwrap())
@@ -47,13 +48,13 @@
         let mut config: serde_json::Value = serde_json::from_str(&config).unwrap();
         config["settings"]["limits"]["may-tell"] = true.into();
         config["settings"]["replicas-of-me"] = 2.into();
-        // No seed in common: what they agree on is gossip.
+        // The seeds differ, so the balancers can agree only by gossip.
         config["seed"] = format!("{:x}", 77 + number).into();
         let name =
             |kind| std::env::temp_dir().join(format!("nettlemux-gossip-{}-{kind}", address.ip()));
         let (file, operator) = (name("config.json"), name("operator.toml"));
         std::fs::write(&file, config.to_string()).unwrap();
-        // The second file has the key under the name of an earlier version.
+        // The second file uses the key's name from an earlier version.
         let key = ["addresses", "to"][number];
         std::fs::write(
             &operator,
@@ -77,11 +78,11 @@
     }
     for address in &addresses {
         wait_for("PONG", || TcpStream::connect(address).is_ok());
-        wait_for("a list", || {
+        wait_for("endpoint list", || {
             Client::open(*address, "c=chat,d=1000").receives("UP 1")
         });
     }
-    let holder = |address: SocketAddr, group: &str| {
+    let open_flow = |address: SocketAddr, group: &str| {
         let before: Vec<usize> = servers
             .iter()
             .map(|server| server.first_lines().len())
@@ -96,35 +97,37 @@
             .unwrap();
         (server, client)
     };
-    // One server alone is ready as the first balancer gets the groups, so that no order agreed on
-    // beforehand can have brought the second one's to the same.
-    let others =
+    // Only one server is ready while the first balancer places the groups. Otherwise both balancers
+    // could place the groups alike by a common order of servers instead of by gossip.
+    let publish_others =
         |state| (0..5).for_each(|i| agent.publish(&format!("s-{i}"), servers[i].address, state));
-    others("Terminating");
-    wait_for("the one server", || holder(addresses[0], "none").0 == 5);
-    // At most two messages are saved up: those of the wait above must not cost the first group its
-    // own.
+    publish_others("Terminating");
+    wait_for("flow on the only ready server", || {
+        open_flow(addresses[0], "none").0 == 5
+    });
+    // The gossip rate limit allows a burst of at most two messages. The pause restores it after the
+    // messages of the wait above, so that the message about the first group is sent.
     thread::sleep(Duration::from_millis(300));
     let mut open = Vec::new();
     for group in 0..6 {
-        open.push(holder(addresses[0], &format!("group-{group}")));
+        open.push(open_flow(addresses[0], &format!("group-{group}")));
         thread::sleep(Duration::from_millis(100));
     }
-    others("Ready");
-    // A stranger's messages, of many groups: ignored.
-    let stranger = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
+    publish_others("Ready");
+    // Messages about many groups from a sender that is not a peer: they must be ignored.
+    let unknown_sender = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     for number in 0..=u16::MAX {
         let [high, low] = number.to_be_bytes();
-        let _ = stranger.send_to(&[1, high, low, b's', b'-', b'0'], &peers[1]);
+        let _ = unknown_sender.send_to(&[1, high, low, b's', b'-', b'0'], &peers[1]);
     }
     thread::sleep(Duration::from_millis(1200));
     for group in 0..6 {
-        open.push(holder(addresses[1], &format!("group-{group}")));
+        open.push(open_flow(addresses[1], &format!("group-{group}")));
     }
-    let on: Vec<usize> = open.iter().map(|(server, _)| *server).collect();
+    let used_servers: Vec<usize> = open.iter().map(|(server, _)| *server).collect();
     assert_eq!(
-        on, [5; 12],
-        "the second places where the first has gossiped"
+        used_servers, [5; 12],
+        "expected both balancers to place all groups on server 5"
     );
     drop(children);
     files
@@ -132,11 +135,11 @@
         .for_each(|file| drop(std::fs::remove_file(file)));
 }
 
-/// Guards against a policy that relies on gossip where the settings allow it and no peers are
-/// configured: it has to place as where gossip is not allowed, and so pass over a server that holds
-/// well over its mean of the balancer's connections.
+/// Guards against a policy that relies on gossip if the settings allow gossip but no peers are
+/// configured. It has to place flows as if gossip were not allowed: it skips a server that has well
+/// over the mean number of the balancer's connections.
 #[test]
-fn gossip_without_peers_counts_as_not_allowed() {
+fn gossip_without_peers_is_treated_as_not_allowed() {
     let balancer = TestBalancer::with_config(6, |config| {
         with_settings(
             &config,
@@ -151,13 +154,16 @@
         open.push(balancer.client("c=chat,d=900,g=one"));
         assert_eq!(open.last_mut().unwrap().read_line(), "UP 1");
     }
-    let of_group = |server: &Arc<ToyServer>| {
+    let flows_of_group = |server: &Arc<ToyServer>| {
         server
             .first_lines()
             .iter()
             .filter(|line| line.contains("g=one"))
             .count()
     };
-    let counts: Vec<usize> = balancer.servers.iter().map(of_group).collect();
-    assert!(counts.iter().all(|count| *count <= 6), "{counts:?}");
+    let counts: Vec<usize> = balancer.servers.iter().map(flows_of_group).collect();
+    assert!(
+        counts.iter().all(|count| *count <= 6),
+        "expected at most 6 flows of the group on a server: {counts:?}"
+    );
 }
