--- a/crates/balancer/tests/timers.rs
+++ b/crates/balancer/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Timed waits of the real program: each ends in time, whatever its threads are held up by.
+//! Timed waits of the real program: each ends in time, even if threads of the program are delayed.
 
 mod common;
 
@@ -14,16 +14,18 @@
 use common::{TestBalancer, with_settings};
 use serde_json::json;
 
-/// Each time limit is so much longer on sockets; and what the test's own threads may be late by.
+/// The allowed lateness: 50 ms that each time limit is extended by on sockets, and 100 ms by which
+/// the test's own threads may be late.
 const SLACK: Duration = Duration::from_millis(50 + 100);
-/// The deadlines of flows that come at once.
+/// The deadlines of the flows that are opened at once.
 const DEADLINES_MS: Range<u64> = 40..50;
-/// How often so many flows come.
+/// How often these flows are opened.
 const ROUNDS: usize = 100;
-/// Lines that a client sends at once, and the bytes of each.
+/// The number of lines that a client sends at once.
 const LINES: usize = 40_000;
+/// The length of each line with its line end.
 const LINE_BYTES: usize = 100;
-/// Longest time until all of them have reached the server.
+/// The longest time until all lines have reached the server.
 const TRANSFER_TIME_MAX: Duration = Duration::from_secs(3);
 
 fn balancer(servers: usize) -> TestBalancer {
@@ -31,40 +33,44 @@
     TestBalancer::start(servers, change, Some(Faults::none()))
 }
 
-/// Guards against flows that are never answered: the timer of a wait expires while the thread that
-/// has started it is held up before the coroutine can be woken.
+/// Guards against flows that are never answered. This happens if the thread that starts a timed
+/// wait is delayed, and the timer expires before the coroutine can be woken.
 #[test]
-fn flows_on_silent_servers_are_answered_in_time_though_threads_are_held_up() {
+fn flows_on_silent_servers_are_answered_in_time_when_threads_are_delayed() {
     let balancer = balancer(2);
     balancer.wait_until_serving();
     for server in &balancer.servers {
         server.set_behavior(ServerBehavior::Silent);
     }
     balancer.faults().set("futex_wake stall 35 0 29");
-    let mut wrong = Vec::new();
+    let mut errors = Vec::new();
     for _ in 0..ROUNDS {
-        wrong.extend(ask_at_once(&balancer));
+        errors.extend(open_flows(&balancer));
     }
-    assert!(wrong.is_empty(), "{}: {wrong:#?}", wrong.len());
+    assert!(
+        errors.is_empty(),
+        "expected one answer in time on each flow, {} flows differ: {errors:#?}",
+        errors.len()
+    );
 }
 
-/// Opens two flows of each deadline at once; returns what was wrong.
-fn ask_at_once(balancer: &TestBalancer) -> Vec<String> {
+/// Opens two flows of each deadline at once and returns their errors.
+fn open_flows(balancer: &TestBalancer) -> Vec<String> {
     thread::scope(|scope| {
-        let asked: Vec<_> = DEADLINES_MS
+        let flows: Vec<_> = DEADLINES_MS
             .chain(DEADLINES_MS)
-            .map(|ms| scope.spawn(move || ask(balancer, ms)))
+            .map(|ms| scope.spawn(move || open_flow(balancer, ms)))
             .collect();
-        let answers = asked.into_iter().map(|asked| asked.join().unwrap());
+        let answers = flows.into_iter().map(|flow| flow.join().unwrap());
         answers.filter_map(Result::err).collect()
     })
 }
 
-/// Opens a flow and reads its answers to the end.
+/// Opens a flow with this deadline and reads its answers to the end.
 ///
 /// # Errors
-/// What came, and when, where it wasn't one answer in time.
-fn ask(balancer: &TestBalancer, ms: u64) -> Result<(), String> {
+/// If there wasn't exactly one final answer in time: the answers and the time of the first.
+fn open_flow(balancer: &TestBalancer, ms: u64) -> Result<(), String> {
     let since = Instant::now();
     let mut client = balancer.client(&format!("c=order,d={ms}"));
     let answer = client.read_line();
@@ -74,13 +80,15 @@
     if is_final && next == "end" && took < Duration::from_millis(ms) + SLACK {
         return Ok(());
     }
-    Err(format!("{ms} ms: {answer:?} after {took:?}, then {next:?}"))
+    Err(format!(
+        "deadline {ms} ms: {answer:?} after {took:?}, then {next:?}"
+    ))
 }
 
-/// Guards against lines that stay in the balancer: the wait between two turns of a relay never
-/// ends.
+/// Guards against lines that stay in the balancer because the wait between two turns of a relay
+/// never ends.
 #[test]
-fn lines_reach_a_server_that_answers_nothing_though_threads_are_held_up() {
+fn lines_reach_a_server_that_sends_nothing_back_when_threads_are_delayed() {
     let balancer = balancer(0);
     let (address, complete) = start_reading_server();
     balancer.agent.publish("s-0", address, "Ready");
@@ -90,12 +98,15 @@
     assert_eq!(client.read_line(), "UP 1");
     let line = format!("{}\r\n", "x".repeat(LINE_BYTES - 2));
     client.send(&line.repeat(LINES));
-    let came = complete.recv_timeout(TRANSFER_TIME_MAX);
-    assert!(came.is_ok(), "the lines did not come in time");
+    let received = complete.recv_timeout(TRANSFER_TIME_MAX);
+    assert!(
+        received.is_ok(),
+        "expected all lines at the server within {TRANSFER_TIME_MAX:?}"
+    );
 }
 
-/// Starts a server that accepts each client and then only reads; it says when it has read all lines
-/// of one.
+/// Starts a server that accepts each client and then only reads. Returns its address and a channel
+/// on which it reports that it has read all lines of a client.
 fn start_reading_server() -> (SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/balancer/tests/wall_clock.rs
+++ b/crates/balancer/tests/wall_clock.rs
@@ -1,6 +1,6 @@
-//! A machine's wall clock may be stepped, forward or back, by seconds or by an hour, before the
-//! program starts or while it runs; the monotonic clock runs on. Servers in slow start, deadlines
-//! and waits go by the latter.
+//! The wall clock of a machine may be stepped forward or back, by seconds or by an hour, before the
+//! program starts or while it runs. The monotonic clock is not stepped. Slow start, deadlines and
+//! waits have to follow the monotonic clock.
 
 mod common;
 
@@ -12,12 +12,11 @@
 use common::{TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
-/// Servers that are warm from the start.
-const WARM: usize = 4;
-/// Clients a second.
-const RATE: u32 = 40;
-/// How far a wall clock may be off, in seconds.
-const STEPS: [i64; 5] = [0, 5, -5, 3600, -3600];
+/// Number of servers that are warm from the start.
+const WARM_SERVERS: usize = 4;
+const CLIENTS_PER_SECOND: u32 = 40;
+/// Steps of the wall clock in seconds.
+const CLOCK_STEPS_S: [i64; 5] = [0, 5, -5, 3600, -3600];
 
 fn unix_ms() -> u64 {
     SystemTime::now()
@@ -26,8 +25,8 @@
         .as_millis() as u64
 }
 
-/// A balancer on a machine whose wall clock is so far off, among servers that are warm after so
-/// long.
+/// Starts a balancer whose wall clock is `step` seconds ahead, with servers whose warm-up takes
+/// `warm_up`.
 fn balancer(step: i64, start_capacity: f64, warm_up: Duration) -> TestBalancer {
     let faults = Faults::none();
     faults.set(&format!("clock_gettime step {step}"));
@@ -43,60 +42,64 @@
             ],
         )
     };
-    let balancer = TestBalancer::start(WARM, config, Some(faults));
+    let balancer = TestBalancer::start(WARM_SERVERS, config, Some(faults));
     balancer.wait_until_serving();
     balancer
 }
 
-/// Clients come for so long, each served and gone; how many of them this server had.
-fn clients_for(balancer: &TestBalancer, time: Duration, counted: &ToyServer) -> usize {
-    let before = counted.first_lines().len();
+/// Opens clients one after another for this time; each is served and disconnects. Returns how many
+/// of them `server` got.
+fn count_clients(balancer: &TestBalancer, time: Duration, server: &ToyServer) -> usize {
+    let before = server.first_lines().len();
     let since = Instant::now();
     for number in 0.. {
-        let at = Duration::from_secs(1) * number / RATE;
+        let at = Duration::from_secs(1) * number / CLIENTS_PER_SECOND;
         if at >= time {
             break;
         }
         thread::sleep(at.saturating_sub(since.elapsed()));
         balancer.client("c=chat,d=900").read_line();
     }
-    counted.first_lines().len() - before
+    server.first_lines().len() - before
 }
 
-/// A server that starts during the watch is in slow start, by all settings, whatever the wall clock
-/// makes of its start.
+/// Guards against a new server that gets full traffic because a stepped wall clock makes its start
+/// look long past. A server that starts while the balancer watches the endpoint list is in slow
+/// start, with every step of the clock.
 #[test]
-fn a_server_that_starts_during_the_watch_is_in_slow_start() {
+fn server_that_starts_while_the_balancer_runs_is_in_slow_start() {
     thread::scope(|scope| {
-        for step in STEPS {
+        for step in CLOCK_STEPS_S {
             scope.spawn(move || {
                 let (start_capacity, window) = (0.05, Duration::from_secs(2));
                 let balancer = balancer(step, start_capacity, Duration::from_secs(60));
                 let fresh = ToyServer::start("127.0.0.1:0").unwrap();
-                clients_for(&balancer, Duration::from_secs(3), &fresh);
+                count_clients(&balancer, Duration::from_secs(3), &fresh);
                 balancer
                     .agent
                     .publish_started("s-fresh", fresh.address, "Ready", unix_ms());
-                let sent = clients_for(&balancer, window, &fresh);
-                // What the settings allow it, by what a warm one gets, and the chance that the
-                // operators put down to few.
-                let allowed = start_capacity * f64::from(RATE) / WARM as f64 * window.as_secs_f64();
-                let most = allowed + 3.0 * allowed.sqrt() + 3.0;
+                let sent = count_clients(&balancer, window, &fresh);
+                // The start capacity allows this fraction of a warm server's clients. The rest of
+                // the limit is for chance, which is large with few clients.
+                let allowed = start_capacity * f64::from(CLIENTS_PER_SECOND) / WARM_SERVERS as f64
+                    * window.as_secs_f64();
+                let sent_max = allowed + 3.0 * allowed.sqrt() + 3.0;
                 assert!(
-                    sent as f64 <= most,
-                    "clock {step} s off: {sent} sent, {most:.1} at the most"
+                    sent as f64 <= sent_max,
+                    "wall clock {step} s ahead: expected at most {sent_max:.1} clients, sent {sent}"
                 );
             });
         }
     });
 }
 
-/// And it is warm once its warm-up has passed, also where it was on the first list, with a start in
-/// the balancer's future.
+/// Guards against a server that stays in slow start because a stepped wall clock makes its start
+/// look too late. The server has to be warm after its warm-up, even if it is on the first list with
+/// a start in the balancer's future.
 #[test]
-fn a_server_is_warm_after_its_warm_up() {
+fn server_is_warm_after_its_warm_up() {
     thread::scope(|scope| {
-        for (step, first_list) in STEPS
+        for (step, on_first_list) in CLOCK_STEPS_S
             .into_iter()
             .flat_map(|step| [(step, false), (step, true)])
         {
@@ -107,40 +110,43 @@
                 balancer
                     .agent
                     .publish_started("s-fresh", fresh.address, "Ready", unix_ms());
-                if first_list {
+                if on_first_list {
                     balancer.restart_with_arguments(&[]);
                     balancer.wait_until_serving();
                 }
-                clients_for(&balancer, warm_up + Duration::from_millis(1500), &fresh);
+                count_clients(&balancer, warm_up + Duration::from_millis(1500), &fresh);
                 let span = Duration::from_secs(2);
-                let sent = clients_for(&balancer, span, &fresh);
-                let share = f64::from(RATE) * span.as_secs_f64() / (WARM + 1) as f64;
+                let sent = count_clients(&balancer, span, &fresh);
+                let share =
+                    f64::from(CLIENTS_PER_SECOND) * span.as_secs_f64() / (WARM_SERVERS + 1) as f64;
                 assert!(
                     sent as f64 >= share / 2.0,
-                    "clock {step} s off, {first_list}: {sent} of {share}"
+                    "wall clock {step} s ahead, on first list {on_first_list}: expected at least \
+                     half of {share} clients, sent {sent}"
                 );
             });
         }
     });
 }
 
-/// Deadlines are spans of real time, whatever becomes of the wall clock meanwhile.
+/// Guards against deadlines that end early or late because the wall clock is stepped while a flow
+/// is open. Deadlines are spans of monotonic time.
 #[test]
-fn a_flow_is_answered_by_its_deadline_while_the_clock_is_stepped() {
+fn flow_is_answered_by_its_deadline_when_the_wall_clock_is_stepped() {
     let balancer = balancer(0, 0.35, Duration::from_secs(8));
     balancer
         .servers
         .iter()
         .for_each(|server| server.set_behavior(ServerBehavior::Silent));
-    for step in STEPS {
+    for step in CLOCK_STEPS_S {
         let since = Instant::now();
         let mut client = balancer.client("c=order,d=600");
         thread::sleep(Duration::from_millis(200));
         balancer.faults().set(&format!("clock_gettime step {step}"));
         let answer = client.read_line();
         let took = since.elapsed().as_millis();
-        // A flow that was forwarded has all its time; one that waits, since the others were not
-        // answered, may be answered before.
+        // A flow that was forwarded uses its whole deadline. A flow that waits, because earlier
+        // flows were not answered, may be rejected before its deadline.
         let in_time = if answer == "ERR" {
             (500..700).contains(&took)
         } else {
@@ -148,15 +154,20 @@
         };
         assert!(
             in_time && (answer == "ERR" || answer.starts_with("BUSY")),
-            "{step}: {answer} {took} ms"
+            "wall clock {step} s ahead: expected ERR after 500 to 700 ms or BUSY before 700 ms, \
+             found {answer} after {took} ms"
+        );
+        assert_eq!(
+            client.read_line(),
+            "end",
+            "wall clock {step} s ahead: expected one answer only"
         );
-        assert_eq!(client.read_line(), "end", "{step}");
     }
     balancer
         .servers
         .iter()
         .for_each(|server| server.set_behavior(ServerBehavior::Serving));
-    wait_for("a client served", || {
+    wait_for("served client", || {
         balancer.client("c=chat,d=900").receives("UP 1")
     });
 }
