--- a/crates/balancer/tests/sockets.rs
+++ b/crates/balancer/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The balancer as it is run, on loopback between toy servers, a toy discovery agent and clients.
-//! Each wait is bounded; what each case guards against stands beside it.
+//! The real program on loopback between toy servers, a toy discovery agent and clients. Each wait
+//! is bounded.
 
 mod common;
 
@@ -10,15 +10,17 @@
 use common::toy::ServerBehavior;
 use common::{TestBalancer, wait_for};
 
+/// Guards against wrong answers to failed attempts: a second attempt or a rejection of a
+/// non-idempotent flow that may have run, or an answer after the deadline.
 #[test]
-fn each_outcome_of_an_attempt() {
+fn client_gets_one_answer_for_each_server_behavior() {
     let balancer = TestBalancer::new(2);
     for (class, behavior, expected, attempts) in [
-        // Rejected: it never ran, so any flow may be tried elsewhere and rejected in the end.
+        // A rejected flow has not run, so it may be sent to another server and rejected in the end.
         ("chat", ServerBehavior::Busy, "BUSY", 2..=3),
         ("order", ServerBehavior::Busy, "BUSY", 2..=3),
-        // It may have run: non-idempotent flows get no second attempt and no reject, which would
-        // say that trying again is safe.
+        // The flow may have run. A non-idempotent flow then gets no second attempt, and no
+        // rejection, which would tell the client that a retry is safe.
         ("order", ServerBehavior::Failing, "ERR", 1..=1),
         ("order", ServerBehavior::Closing, "ERR", 1..=1),
         ("order", ServerBehavior::Silent, "ERR", 1..=1),
@@ -38,13 +40,17 @@
         let answer = client.read_line();
         assert!(
             answer.starts_with(expected),
-            "{class} {behavior:?}: {answer}"
+            "{class} {behavior:?}: expected {expected}, found {answer}"
         );
         assert!(
             since.elapsed() < Duration::from_millis(750),
-            "{class} {behavior:?}: late"
+            "{class} {behavior:?}: expected an answer within 750 ms"
+        );
+        assert_eq!(
+            client.read_line(),
+            "end",
+            "expected one answer and then the end"
         );
-        assert_eq!(client.read_line(), "end", "one answer, nothing after it");
         let after: usize = balancer
             .servers
             .iter()
@@ -52,24 +58,25 @@
             .sum();
         assert!(
             attempts.contains(&(after - before)),
-            "{class} {behavior:?}: {} attempts",
+            "{class} {behavior:?}: expected {attempts:?} attempts, found {}",
             after - before
         );
         balancer
             .servers
             .iter()
             .for_each(|server| server.set_behavior(ServerBehavior::Serving));
-        // Servers are ejected after failures; the next case starts once they are back.
+        // Servers are ejected after failures. The next case starts when a client is served again.
         wait_for("recovery", || {
             balancer.client("c=chat,d=1000").receives("UP 1")
         });
     }
 }
 
+/// Guards against clients that wait because a listed server refuses connections.
 #[test]
-fn a_server_that_refuses_is_passed_over_at_once() {
+fn server_that_refuses_connections_is_skipped_at_once() {
     let balancer = TestBalancer::new(1);
-    // Nothing listens there any more.
+    // Nothing listens at this address after the listener is dropped.
     let dead = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -79,12 +86,15 @@
     for _ in 0..8 {
         let since = Instant::now();
         assert_eq!(balancer.client("c=order,d=1500").read_line(), "UP 1");
-        assert!(since.elapsed() < Duration::from_millis(300));
+        assert!(
+            since.elapsed() < Duration::from_millis(300),
+            "expected an answer within 300 ms"
+        );
     }
 }
 
 #[test]
-fn the_list_is_followed_and_a_silent_agent_asked_again() {
+fn list_changes_are_followed_even_after_the_agent_was_silent() {
     let balancer = TestBalancer::new(2);
     balancer
         .agent
@@ -97,9 +107,9 @@
     assert_eq!(
         balancer.servers[0].first_lines().len(),
         before,
-        "nothing new to a draining server"
+        "expected no new flow on a draining server"
     );
-    // Guards against a watch that waits for good on an agent that has stopped talking.
+    // Guards against a balancer that waits forever for an agent that has stopped answering.
     balancer.agent.silence();
     thread::sleep(Duration::from_millis(1200));
     balancer
@@ -109,15 +119,17 @@
         .agent
         .publish("s-1", balancer.servers[1].address, "Gone");
     balancer.agent.resume();
-    wait_for("the new list", || {
+    wait_for("flow after the new endpoint list", || {
         let before = balancer.servers[0].first_lines().len();
         assert_eq!(balancer.client("c=chat,d=900").read_line(), "UP 1");
         balancer.servers[0].first_lines().len() > before
     });
 }
 
+/// Guards against clients that are moved to another server: a client that was connected before the
+/// balancer started names its server as `at=`.
 #[test]
-fn connections_from_before_the_run_go_back_to_their_server() {
+fn connections_from_before_the_balancer_started_return_to_their_server() {
     let balancer = TestBalancer::new(3);
     for i in [2, 0, 1, 2] {
         let before = balancer.servers[i].first_lines().len();
@@ -126,7 +138,7 @@
         let seen = balancer.servers[i].first_lines();
         assert!(
             seen.len() == before + 1 && seen[before].ends_with(&format!(" 7f3a c=chat,at=s-{i}")),
-            "{seen:?}"
+            "expected one more first line, with at=s-{i}: {seen:?}"
         );
         client.assert_echo("still here");
     }
--- a/crates/balancer/tests/system_calls.rs
+++ b/crates/balancer/tests/system_calls.rs
@@ -1,6 +1,6 @@
-//! System calls that fail for a moment in the ways that Linux documents, put into the real program
-//! by a preloaded library (`tests/preload/faults.rs`): whoever's line was read gets one final
-//! answer, open connections go on, and no update is missed.
+//! System calls that fail temporarily in the ways that Linux documents. A preloaded library
+//! (`tests/preload/faults.rs`) injects the failures into the real program. Each client whose first
+//! line was read gets one final answer, open connections continue, and no update is missed.
 
 mod common;
 
@@ -13,95 +13,97 @@
 use common::{Client, TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
-/// Clients that come while calls fail.
+/// Number of clients that connect while system calls fail.
 const CLIENTS: usize = 60;
-/// So many come at once where all of them have to be served.
-const BATCH: usize = 6;
-/// How long calls fail for a moment.
-const MOMENT: Duration = Duration::from_millis(500);
-/// No line may be held back for longer.
-const HELD_BACK_MAX: Duration = Duration::from_secs(1);
+/// Number of clients that connect at once if all of them have to be served.
+const BATCH_CLIENTS: usize = 6;
+/// How long system calls fail during a start.
+const FAILURE_TIME: Duration = Duration::from_millis(500);
+/// The longest time until a line comes back from the server.
+const ECHO_TIME_MAX: Duration = Duration::from_secs(1);
 
-/// A balancer without health checks, so that its calls are those for clients, their servers and
-/// discovery.
+/// Starts a balancer without health checks, so that it makes system calls only for clients, their
+/// servers and discovery.
 fn balancer() -> TestBalancer {
     TestBalancer::with_faults(2, |config| {
         with_settings(&config, &[("limits/probes", json!(false))])
     })
 }
 
-/// Each of these clients is served, and its lines come back. They come in batches that the first
-/// window of attempts in flight takes: more at once would wait for one another, each attempt being
-/// slowed, and some rightly get a Retry-After.
-fn all_are_served(balancer: &TestBalancer, what: &str) {
-    for _ in 0..CLIENTS / BATCH {
-        let mut clients: Vec<Client> = (0..BATCH)
+/// Asserts that each client is served and that its line comes back. The clients connect in batches
+/// that fit the initial limit of attempts in flight. More clients at once would wait for one
+/// another, since each attempt is slowed down, and some of them would rightly get a Retry-After.
+fn assert_all_served(balancer: &TestBalancer, what: &str) {
+    for _ in 0..CLIENTS / BATCH_CLIENTS {
+        let mut clients: Vec<Client> = (0..BATCH_CLIENTS)
             .map(|_| balancer.client("c=chat,d=2000"))
             .collect();
         let answers: Vec<String> = clients.iter_mut().map(Client::read_line).collect();
         let others: Vec<&String> = answers.iter().filter(|answer| *answer != "UP 1").collect();
         assert!(
             others.is_empty(),
-            "{what}: {} of {BATCH} not served: {others:?}",
+            "{what}: expected UP 1 for all clients, {} of {BATCH_CLIENTS} got {others:?}",
             others.len()
         );
         for client in &mut clients {
             let since = Instant::now();
             client.assert_echo("hello");
             assert!(
-                since.elapsed() < HELD_BACK_MAX,
-                "{what}: held back {:?}",
+                since.elapsed() < ECHO_TIME_MAX,
+                "{what}: expected the line back within {ECHO_TIME_MAX:?}, took {:?}",
                 since.elapsed()
             );
         }
     }
 }
 
-/// `epoll_ctl` may want memory: a connection that the selector doesn't take at once is looked at by
-/// a timer until it does.
+/// Guards against connections that are never served because `epoll_ctl` is out of memory. A
+/// connection that can't be registered with the selector at once is checked by a timer until it is
+/// registered.
 #[test]
-fn connections_that_the_selector_does_not_take_are_served() {
+fn connections_are_served_when_the_selector_cannot_register_them_at_once() {
     let balancer = balancer();
     for every in [1, 2, 7] {
         let plan = format!("epoll_ctl fail {ENOMEM} 0 {every} 40");
         balancer.faults().set(&plan);
-        all_are_served(&balancer, &plan);
+        assert_all_served(&balancer, &plan);
     }
 }
 
-/// What is set on a connection that has been accepted may be refused for a moment.
+/// Guards against accepted connections that are dropped because a call that sets their options
+/// fails temporarily.
 #[test]
-fn accepted_connections_are_served_although_setting_them_up_fails_at_first() {
+fn accepted_connections_are_served_when_setting_their_options_fails_at_first() {
     let balancer = balancer();
     for call in ["ioctl", "fcntl"] {
         let plan = format!("{call} fail {EINTR} 0 3 60");
         balancer.faults().set(&plan);
-        all_are_served(&balancer, &plan);
+        assert_all_served(&balancer, &plan);
     }
 }
 
-/// Short writes and reads move the rest at once: no event comes for room that was there all the
-/// time.
+/// Guards against connections that stall after a short read or write. The rest has to be
+/// transferred at once, since no event comes for a socket that was ready all the time.
 #[test]
-fn short_reads_and_writes_are_gone_on_with() {
+fn short_reads_and_writes_are_continued_at_once() {
     let balancer = balancer();
-    for (plan, d) in [
+    for (plan, deadline_ms) in [
         ("send short 1 0 1", 2000),
         ("recv short 1 0 1", 2000),
         ("send short 3 0 2\nrecv short 2 0 3", 1500),
     ] {
         balancer.faults().set(plan);
-        all_are_served(&balancer, plan);
-        // An answer of the balancer, whole.
+        assert_all_served(&balancer, plan);
+        // An answer of the balancer itself has to arrive complete too.
         balancer
             .servers
             .iter()
             .for_each(|server| server.set_behavior(ServerBehavior::Failing));
-        let mut client = balancer.client(&format!("c=order,d={d}"));
+        let mut client = balancer.client(&format!("c=order,d={deadline_ms}"));
         assert_eq!(
             (client.read_line(), client.read_line()),
             ("ERR".into(), "end".into()),
-            "{plan}"
+            "{plan}: expected ERR and then the end"
         );
         balancer
             .servers
@@ -111,23 +113,24 @@
     }
 }
 
-/// A connection isn't broken since the system wants memory or buffers for a moment.
+/// Guards against connections that are closed because the system is out of memory or buffers for a
+/// moment.
 #[test]
-fn reads_and_writes_that_want_memory_are_tried_again() {
+fn reads_and_writes_are_retried_when_the_system_is_out_of_memory() {
     let balancer = balancer();
     for call in ["recv", "send"] {
         for errno in [ENOMEM, ENOBUFS] {
             let plan = format!("{call} fail {errno} 0 3 200");
             balancer.faults().set(&plan);
-            all_are_served(&balancer, &plan);
+            assert_all_served(&balancer, &plan);
         }
     }
 }
 
-/// Calls that the operators name: in the moment of the failure and after it, clients are served or
-/// rejected, and none is lost.
+/// Guards against clients that get no answer. While accept, socket, connect or epoll calls fail,
+/// each client is served or rejected. After the failure, clients are served.
 #[test]
-fn accepts_sockets_and_connects_may_fail_for_a_moment() {
+fn each_client_is_served_or_rejected_while_connection_calls_fail() {
     let balancer = balancer();
     let cases = [
         ("accept4", ECONNABORTED),
@@ -152,7 +155,7 @@
             let answer = client.read_line();
             assert!(
                 answer == "UP 1" || answer.starts_with("BUSY"),
-                "{plan}: {answer}"
+                "{plan}: expected UP 1 or BUSY, found {answer}"
             );
         }
         balancer.faults().clear();
@@ -160,9 +163,10 @@
     }
 }
 
-/// Guards against sound servers that are ejected since no connection could be made to them.
+/// Guards against healthy servers that are ejected because the balancer's machine could not connect
+/// to them.
 #[test]
-fn servers_serve_at_once_after_all_connects_have_failed_for_a_second() {
+fn servers_are_used_at_once_after_all_connects_failed_for_a_second() {
     let balancer = balancer();
     for errno in [ENETUNREACH, EADDRNOTAVAIL, ENOBUFS] {
         balancer.faults().set(&format!("connect fail {errno}"));
@@ -172,7 +176,7 @@
             let answer = client.read_line();
             assert!(
                 answer.starts_with("BUSY"),
-                "{errno}: nothing has run, so it may come again: {answer}"
+                "errno {errno}: expected BUSY, since nothing has run, found {answer}"
             );
             thread::sleep(Duration::from_millis(20));
         }
@@ -182,42 +186,43 @@
             .collect();
         assert!(
             answers.iter().all(|answer| answer == "UP 1"),
-            "{errno}: {answers:?}"
+            "errno {errno}: expected UP 1 for all clients, found {answers:?}"
         );
     }
 }
 
-/// made at once: others would never get their turn.
+/// Guards against a worker thread that is kept busy. If each connect to discovery is interrupted
+/// and the next one is made at once, other coroutines never get their turn.
 #[test]
-fn interrupted_calls_to_discovery_do_not_keep_the_worker_from_its_work() {
+fn interrupted_connects_to_discovery_do_not_keep_the_worker_busy() {
     let faults = Faults::none();
     faults.set(&format!("connect fail {EINTR}"));
     let balancer = TestBalancer::start(1, |config| config, Some(faults));
-    let answers = || {
+    let is_answering = || {
         Client::try_new(balancer.address, b"PING\r\n")
             .is_some_and(|mut client| client.receives("PONG"))
     };
-    wait_for("PONG", answers);
+    wait_for("PONG", is_answering);
     balancer.faults().clear();
     balancer.wait_until_serving();
 }
 
-/// In whatever way the end of its connection shows, an agent that may have been started anew is
-/// asked for its whole list.
+/// Guards against missed updates of an agent that may have restarted. The system reports the end of
+/// its connection by different errors. After each of them the balancer has to ask for the full list.
 #[test]
-fn an_agent_whose_connection_broke_is_asked_for_its_whole_list() {
+fn agent_is_asked_for_the_full_list_after_its_connection_failed() {
     for errno in [ETIMEDOUT, EHOSTUNREACH, ENETUNREACH] {
         let balancer = balancer();
-        // Whoever was served at the start has gone, and reads no more.
-        let over = || {
+        // The clients that were served at the start have disconnected, so nothing is read for them.
+        let no_open_connections = || {
             balancer
                 .servers
                 .iter()
                 .all(|server| server.closed_connections() == server.first_lines().len())
         };
-        wait_for("the end of the first client", over);
+        wait_for("end of the first clients", no_open_connections);
         thread::sleep(Duration::from_millis(200));
-        let wholes = || {
+        let full_list_calls = || {
             balancer
                 .agent
                 .calls()
@@ -225,18 +230,18 @@
                 .filter(|call| call.from_version.is_none())
                 .count()
         };
-        let before = wholes();
-        // Nobody else reads: there are no clients and no health checks.
+        let before = full_list_calls();
+        // Without clients and health checks, the failing read is that of the discovery connection.
         balancer.faults().set(&format!("recv fail {errno} 0 1 1"));
-        wait_for("a call for the whole list", || wholes() > before);
+        wait_for("call for the full list", || full_list_calls() > before);
     }
 }
 
-/// Guards against a configuration that is lost since its file couldn't be read at the signal: a
-/// new address of discovery must be in use 4 s after it.
+/// Guards against a configuration that is lost because its file couldn't be read at the signal. A
+/// new discovery address must be in use 4 s after the signal.
 #[test]
-fn a_reload_that_meets_an_unreadable_file_is_made_good() {
-    for trouble in ["open64", "read", "half"] {
+fn reload_is_repeated_when_the_configuration_file_is_unreadable_at_first() {
+    for failure in ["open64", "read", "half"] {
         let balancer = balancer();
         let agent = DiscoveryAgent::start("127.0.0.1:0").unwrap();
         balancer
@@ -248,32 +253,32 @@
             &balancer.agent.address.to_string(),
             &agent.address.to_string(),
         );
-        match trouble {
+        match failure {
             "open64" => balancer
                 .faults()
                 .set(&format!("open64 fail {ENFILE} 0 1 2")),
             "read" => balancer.faults().set(&format!("read fail {EIO} 0 1 2")),
             _ => {}
         }
-        let begun = if trouble == "half" {
+        let first_text = if failure == "half" {
             &moved[..moved.len() / 2]
         } else {
             &moved
         };
-        balancer.reload(begun);
+        balancer.reload(first_text);
         thread::sleep(Duration::from_millis(400));
         std::fs::write(&balancer.config_file, &moved).unwrap();
-        wait_for(trouble, || !agent.calls().is_empty());
+        wait_for(failure, || !agent.calls().is_empty());
         assert!(
             balancer.client("c=chat,d=900").receives("UP 1"),
-            "{trouble}"
+            "{failure}: expected clients to be served after the reload"
         );
     }
 }
 
-/// A start that meets a call that fails for a moment succeeds a moment later.
+/// Guards against a start that ends because a system call fails temporarily.
 #[test]
-fn a_start_outlasts_calls_that_fail_for_a_moment() {
+fn start_succeeds_after_system_calls_failed_temporarily() {
     let cases = [
         ("open64", ENFILE),
         ("socket", ENFILE),
@@ -292,23 +297,23 @@
                 let faults = Faults::none();
                 faults.set(&format!("{call} fail {errno}"));
                 let balancer = TestBalancer::start(1, |config| config, Some(faults));
-                thread::sleep(MOMENT);
+                thread::sleep(FAILURE_TIME);
                 balancer.faults().clear();
-                let ready = || {
+                let is_answering = || {
                     Client::try_new(balancer.address, b"PING\r\n")
                         .is_some_and(|mut c| c.receives("PONG"))
                 };
-                wait_for(&format!("start after {call}"), ready);
+                wait_for(&format!("start after failed {call}"), is_answering);
                 balancer.wait_until_serving();
             });
         }
     });
 }
 
-/// The plan hits what it names and nothing else: without this, the tests above would pass with a
-/// library that does nothing.
+/// Guards against a fault library that does nothing: the tests above would pass with it. The plan
+/// has to affect the system call that it names, and no other.
 #[test]
-fn a_fault_that_stays_ends_a_start() {
+fn start_fails_when_listen_keeps_failing() {
     let faults = Faults::none();
     faults.set("listen fail 22");
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
@@ -318,19 +323,20 @@
     std::fs::write(&file, config).unwrap();
     command.args(["serve", "--config"]).arg(&file);
     faults.load_into(&mut command);
-    let ended = command.output().unwrap();
+    let output = command.output().unwrap();
     let _ = std::fs::remove_file(file);
-    let printed = String::from_utf8(ended.stderr).unwrap();
+    let printed = String::from_utf8(output.stderr).unwrap();
     assert!(
-        !ended.status.success() && printed.contains("can't listen"),
-        "{printed}"
+        !output.status.success() && printed.contains("can't listen"),
+        "expected a failure that says \"can't listen\", found {printed}"
     );
 }
 
-/// A coroutine's stack may not be had at this moment: clients that were accepted meanwhile are
-/// answered a little later. More clients stay than stacks are kept for.
+/// Guards against clients that get no answer because the stack of their coroutine can't be mapped.
+/// Clients that are accepted meanwhile are answered a little later. More clients stay connected
+/// than stacks are kept for reuse.
 #[test]
-fn clients_are_answered_although_stacks_cannot_be_mapped_at_first() {
+fn clients_are_answered_when_coroutine_stacks_cannot_be_mapped_at_first() {
     let balancer = balancer();
     let mut open = Vec::new();
     for every in [3, 2, 1] {
@@ -339,7 +345,12 @@
         for _ in 0..130 {
             let mut client = balancer.client("c=chat,d=2000");
             let answer = client.read_line();
-            assert_eq!(answer, "UP 1", "{plan}, {} open", open.len());
+            assert_eq!(
+                answer,
+                "UP 1",
+                "{plan}: expected to be served with {} clients connected",
+                open.len()
+            );
             open.push(client);
         }
     }
