--- a/crates/balancer/tests/system_calls.rs
+++ b/crates/balancer/tests/system_calls.rs
@@ -208,7 +208,8 @@
 }
 
 /// Guards against missed updates of an agent that may have restarted. The system reports the end of
-/// its connection by different errors. After each of them the balancer has to ask for the full list.
+/// its connection by different errors. After each of them the balancer has to ask for the full
+/// list.
 #[test]
 fn agent_is_asked_for_the_full_list_after_its_connection_failed() {
     for errno in [ETIMEDOUT, EHOSTUNREACH, ENETUNREACH] {
