--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -1,5 +1,5 @@
-//! Faults as data. Faults may overlap: each acts through the model's state and takes back only its
-//! own part of it. It owns the choice of a fault's targets, which is drawn from the seed.
+//! Faults as data, and the choice of their targets, which is drawn from the seed. Faults may overlap:
+//! each acts on the model's state, and its end reverts only its own effect.
 
 use nettlemux_policy::Time;
 use serde::{Deserialize, Serialize};
@@ -7,98 +7,102 @@
 use crate::rng::Rng;
 use crate::time::seconds;
 
-/// What goes wrong.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Servers' processes die: connections are reset, connections refused; they come back cold.
+    /// Servers' processes die: their connections are reset and new ones are refused. At the end they
+    /// restart and are in slow start.
     Crash,
-    /// Servers' machines go silent: nothing is reset, nothing answered; they come back cold.
+    /// Servers' machines stop responding: nothing is reset and nothing is answered. At the end the
+    /// servers restart and are in slow start.
     Vanish,
-    /// Servers have only `amount` of their capacity.
+    /// Servers have only the fraction `amount` of their capacity.
     Slow,
-    /// Servers lose capacity step by step down to `amount`, and then it is back.
+    /// Servers lose capacity step by step down to the fraction `amount`, and regain it at the end.
     Decay,
-    /// A neighbour takes `amount` of servers' capacity, on and off every two seconds.
+    /// A noisy neighbour takes the fraction `amount` of servers' capacity, on and off every two
+    /// seconds.
     Neighbour,
-    /// Servers' reports stay as they are.
+    /// Servers' load reports are no longer renewed.
     StuckReports,
-    /// Servers report `amount` whatever they carry.
+    /// Servers report the utilization `amount` whatever their load.
     AbsurdReports,
-    /// Servers answer attempts at once with an error.
+    /// Servers answer attempts immediately with an error.
     FastErrors,
-    /// Probes of servers fail; all else works.
+    /// Health checks of servers fail; everything else works.
     ProbesFail,
-    /// A zone (key `zone`) can't be reached from other zones, nor reach them.
+    /// A zone (key `zone`) is partitioned: no messages pass between it and other zones.
     #[serde(alias = "hall-cut")]
     ZoneCut,
-    /// The same, on and off every `amount` seconds.
+    /// A zone (key `zone`) is partitioned on and off every `amount` seconds.
     #[serde(alias = "hall-flaps")]
     ZoneFlaps,
-    /// The store serves only `amount` of its calls.
+    /// The store serves only the fraction `amount` of its rate.
     StoreSlow,
-    /// Discovery tells nothing.
+    /// Discovery does not answer.
     ListSilent,
-    /// Discovery tells `amount` seconds later than usual.
+    /// Discovery delivers changes `amount` seconds later than usual.
     ListLate,
-    /// Discovery lists servers that are well as gone.
+    /// Discovery lists healthy servers as removed.
     ListWrong,
-    /// Further servers (`share` of the fleet) join, cold.
+    /// Further servers (the fraction `share` of the fleet) join, and are in slow start.
     Grow,
-    /// Servers drain and leave; `amount` seconds pass from the drain to the end.
+    /// Servers drain and then stop, `amount` seconds after the start of the drain.
     Shrink,
-    /// Servers are replaced in turn: each drains, leaves and comes back cold within the fault's
-    /// time.
+    /// Servers are restarted one after another, spread over the fault's duration: each drains, stops
+    /// and restarts in slow start.
     Roll,
-    /// Balancers are restarted in turn within the fault's time, `amount` seconds away each, asked
-    /// to end first.
+    /// Balancers are restarted one after another within the fault's duration, each by a graceful
+    /// shutdown. Each is down for `amount` seconds.
     RestartInTurn,
-    /// Balancers die at once and are away for the fault's time.
+    /// Balancers are killed and are down for the fault's duration.
     BalancersDie,
-    /// New clients come at `amount` times their rate.
+    /// New clients arrive at `amount` times the usual rate.
     Surge,
-    /// One tenant's clients come at `amount` times their rate beside the others.
+    /// The clients of the first tenant arrive at `amount` times their usual rate, beside those of the
+    /// other tenants.
     #[serde(alias = "customer-surge")]
     TenantSurge,
 }
 
-/// How a draining server treats the connections that it has.
+/// How a draining server treats its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainBehavior {
-    /// Keeps them until it goes, and then cuts off what is left.
+    /// Keeps its connections until it stops, and then resets those that remain.
     #[default]
     #[serde(alias = "keeps")]
     KeepsConnections,
-    /// Sends them away bit by bit.
+    /// Tells its clients to migrate in steps, a part of them in each.
     #[serde(alias = "bit-by-bit")]
     MigratesGradually,
-    /// Sends them all away a second after the drain began.
+    /// Tells all its clients to migrate, a second after the start of the drain.
     #[serde(alias = "all-at-once")]
     MigratesAtOnce,
 }
 
-/// A fault: what goes wrong, when, for how long, on what, and how badly.
+/// A fault of a scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub what: FaultKind,
-    /// The time at which it begins, in seconds from the start.
+    /// When it starts, in seconds from the start of the run.
     pub at: f64,
     /// How long it lasts, in seconds.
     #[serde(default = "default_duration", rename = "for")]
     pub lasts: f64,
-    /// The fraction of the servers or balancers that it acts on; 0: all.
+    /// The fraction of the servers or balancers that it acts on; 0 stands for all of them.
     #[serde(default)]
     pub share: f64,
-    /// The servers or balancers that it acts on, by index, in place of a fraction.
+    /// The servers or balancers that it acts on, by index. If not empty, it replaces `share`.
     #[serde(default)]
     pub who: Vec<usize>,
     /// The zone that it acts on.
     #[serde(default, alias = "hall")]
     pub zone: usize,
-    /// How badly it acts; what it means depends on the kind.
+    /// The intensity of the fault. Its meaning and unit depend on the kind.
     #[serde(default)]
     pub amount: f64,
     /// How draining servers treat their connections.
@@ -112,11 +116,11 @@
 
 impl FaultKind {
     /// Whether the fault acts on balancers, not on servers.
-    pub(crate) fn concerns_balancers(self) -> bool {
+    pub(crate) fn acts_on_balancers(self) -> bool {
         matches!(self, FaultKind::RestartInTurn | FaultKind::BalancersDie)
     }
 
-    /// Whether the fault does nothing without an amount.
+    /// Whether the fault needs an `amount` above 0.
     pub(crate) fn needs_amount(self) -> bool {
         matches!(
             self,
@@ -131,33 +135,33 @@
 }
 
 impl Fault {
-    /// Returns when the fault begins, in nanoseconds from the start of the run.
-    pub fn begins(&self) -> Time {
+    /// Returns when the fault starts, in nanoseconds from the start of the run.
+    pub fn start(&self) -> Time {
         seconds(self.at)
     }
 
     /// Returns when the fault ends, in nanoseconds from the start of the run.
-    pub fn ends(&self) -> Time {
+    pub fn end(&self) -> Time {
         seconds(self.at + self.lasts)
     }
 
-    /// Returns the servers or balancers that the fault acts on, out of `of`, in the order in which
-    /// it does.
-    pub fn targets(&self, of: usize, rng: &mut Rng) -> Vec<usize> {
+    /// Returns the indices of the servers or balancers that the fault acts on, in the order in which
+    /// it acts on them. `total` is the number of existing servers or balancers.
+    pub fn targets(&self, total: usize, rng: &mut Rng) -> Vec<usize> {
         if !self.who.is_empty() {
             return self.who.clone();
         }
         let count = if self.share > 0.0 {
-            ((of as f64 * self.share).round() as usize).max(1)
+            ((total as f64 * self.share).round() as usize).max(1)
         } else {
-            of
+            total
         };
-        let mut all: Vec<usize> = (0..of).collect();
-        for i in 0..count.min(of) {
-            let other = i + rng.index_below(of - i);
-            all.swap(i, other);
+        let mut indices: Vec<usize> = (0..total).collect();
+        for i in 0..count.min(total) {
+            let other = i + rng.index_below(total - i);
+            indices.swap(i, other);
         }
-        all.truncate(count);
-        all
+        indices.truncate(count);
+        indices
     }
 }
--- a/crates/fleet-model/src/front_end.rs
+++ b/crates/fleet-model/src/front_end.rs
@@ -1,37 +1,42 @@
-//! The front end before the balancers. It owns which balancers it takes for alive, and must never
-//! know a client or a server. It notices late that a balancer has died.
+//! The front end, which assigns clients to balancers. It tracks which balancers it assumes to be
+//! alive, and detects the death of a balancer with a delay. It must not depend on clients or
+//! servers.
 
 use nettlemux_policy::Time;
 
-/// The front end: picks balancers in turn among those of the client's zone that it takes for alive.
+/// The front end. Picks balancers round-robin among those in the client's zone that it assumes to be
+/// alive.
 pub struct FrontEnd {
-    zones: Vec<Vec<usize>>,
-    /// When it notices that a balancer has died; none while it is well.
-    notices: Vec<Option<Time>>,
-    turns: Vec<usize>,
+    /// The balancers of each zone.
+    balancers_by_zone: Vec<Vec<usize>>,
+    /// When the front end detects the death of each balancer; `None` for a balancer that is alive.
+    death_detected_at: Vec<Option<Time>>,
+    /// The position of the balancer that was last picked in each zone.
+    last_picked: Vec<usize>,
 }
 
 impl FrontEnd {
-    /// Makes a front end for balancers that are dealt to the zones in turn.
+    /// Creates a front end for balancers that are distributed to the zones round-robin.
     pub fn new(balancers: usize, zones: usize) -> Self {
-        let of = |zone: usize| (0..balancers).filter(|b| b % zones == zone).collect();
+        let in_zone = |zone: usize| (0..balancers).filter(|b| b % zones == zone).collect();
         FrontEnd {
-            zones: (0..zones).map(of).collect(),
-            notices: vec![None; balancers],
-            turns: vec![0; zones],
+            balancers_by_zone: (0..zones).map(in_zone).collect(),
+            death_detected_at: vec![None; balancers],
+            last_picked: vec![0; zones],
         }
     }
 
-    /// Picks the balancer for a client of that zone, or of the next zone where its own has none.
+    /// Picks the balancer for a client in `zone`. If no balancer of that zone is assumed to be alive,
+    /// picks one of the next zone that has one. Returns `None` if there is none in any zone.
     pub fn pick_balancer(&mut self, now: Time, zone: usize) -> Option<usize> {
-        let zones = self.zones.len();
-        for other in 0..zones {
-            let zone = (zone + other) % zones;
-            let among = &self.zones[zone];
-            for _ in 0..among.len() {
-                self.turns[zone] = (self.turns[zone] + 1) % among.len();
-                let balancer = among[self.turns[zone]];
-                if self.notices[balancer].is_none_or(|at| now < at) {
+        let zones = self.balancers_by_zone.len();
+        for offset in 0..zones {
+            let zone = (zone + offset) % zones;
+            let balancers = &self.balancers_by_zone[zone];
+            for _ in 0..balancers.len() {
+                self.last_picked[zone] = (self.last_picked[zone] + 1) % balancers.len();
+                let balancer = balancers[self.last_picked[zone]];
+                if self.death_detected_at[balancer].is_none_or(|at| now < at) {
                     return Some(balancer);
                 }
             }
@@ -39,14 +44,15 @@
         None
     }
 
-    /// Takes a balancer that has died for alive until `noticed`, and for dead from then on.
-    pub fn mark_dead(&mut self, balancer: usize, noticed: Time) {
-        self.notices[balancer] = Some(noticed);
+    /// Records the death of a balancer, which the front end detects at `detected_at`. Until then, the
+    /// balancer is assumed to be alive.
+    pub fn mark_dead(&mut self, balancer: usize, detected_at: Time) {
+        self.death_detected_at[balancer] = Some(detected_at);
     }
 
-    /// Takes a balancer for alive from now on.
+    /// Records that a balancer is alive.
     pub fn mark_alive(&mut self, balancer: usize) {
-        self.notices[balancer] = None;
+        self.death_detected_at[balancer] = None;
     }
 }
 
--- a/crates/fleet-model/src/model.rs
+++ b/crates/fleet-model/src/model.rs
@@ -1,9 +1,9 @@
-//! The fleet as it is now: servers, their store, the list of servers, the zones, and the faults
-//! that act on them.
+//! The current state of the fleet: servers, their store, the endpoint list, the zones, and the
+//! faults that act on them.
 //!
-//! A driver calls [`FleetModel::tick`] often (each 100 ms) and carries out what has happened. Each
-//! fault takes back what it did and nothing else, so that faults may overlap. The fleet never
-//! touches a client or a balancer itself.
+//! A driver calls [`FleetModel::tick`] often (every 100 ms) and carries out the events that it
+//! returns. The end of a fault reverts only the effect of that fault, so that faults may overlap.
+//! The model never acts on clients or balancers itself.
 
 mod degradation;
 mod faults;
@@ -19,72 +19,72 @@
 use crate::scenario::{Scenario, Weights};
 use crate::server::{Server, ServerStatus};
 use crate::store::Store;
-use degradation::WEIGHT_INTERVAL;
+use degradation::WEIGHT_REFRESH_INTERVAL;
 use faults::ActiveFault;
 use list::ServerList;
 use schedule::{Schedule, Task};
 
-/// Servers to a cell.
-const CELL_SIZE: usize = 4;
-/// The random stream of the fleet.
+/// The number of servers in a cell.
+const SERVERS_PER_CELL: usize = 4;
+/// The random stream of the fleet model.
 const RNG_STREAM: u64 = 1;
 
-/// Something that has happened in the fleet and that a driver has to carry out.
+/// An event in the fleet that a driver has to carry out.
 ///
-/// Servers, balancers and zones are named by their index, connections by their flow's number; times
-/// are nanoseconds.
+/// Servers, balancers and zones are identified by their index, connections by the number of their
+/// flow. Times are in nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(
     missing_docs,
-    reason = "the fields' meanings stand above and at each variant"
+    reason = "the fields are described above and at each variant"
 )]
 pub enum FleetEvent {
     /// A server has reset these connections.
     ConnectionsReset { server: usize, ids: Vec<u64> },
-    /// These connections have fallen silent: their server's machine is gone.
+    /// The machine of a server no longer responds. Its connections stay open without an answer.
     ConnectionsSilenced { server: usize, ids: Vec<u64> },
     /// A draining server has told the clients of these connections to migrate.
     ClientsMigrated { server: usize, ids: Vec<u64> },
-    /// A server has joined or restarted, and begins its slow start.
+    /// A server has joined or restarted, and is in slow start.
     ServerStarted { server: usize },
     /// A server in slow start has collapsed.
     ServerCollapsed { server: usize },
-    /// The list of servers has changed and is to be delivered to the balancers.
+    /// The endpoint list has changed and must be delivered to the balancers.
     EndpointsChanged,
     /// Discovery answers again.
     DiscoveryRecovered,
-    /// A zone has been cut off from the others, or is reachable again.
+    /// A zone has been partitioned from the others (`cut`), or is reachable again.
     ZoneConnectivityChanged { zone: usize, cut: bool },
-    /// A balancer is asked to shut down, and starts again after `away`.
+    /// A balancer must be shut down gracefully, and restarted `away` after it has ended.
     BalancerRestartRequested { balancer: usize, away: Time },
-    /// A balancer is killed, and starts again after `away`.
+    /// A balancer must be killed, and restarted after `away`.
     BalancerKilled { balancer: usize, away: Time },
 }
 
 /// The model of the fleet.
 pub struct FleetModel {
-    /// What the fleet was made from.
+    /// The scenario that the fleet was created from.
     pub scenario: Scenario,
-    /// All servers that have ever been there, by index.
+    /// All servers that have ever existed, by index.
     pub servers: Vec<Server>,
     /// The store that all servers share.
     pub store: Store,
-    /// The factor on the usual rate of new clients.
+    /// The factor on the usual arrival rate of new clients.
     pub surge: f64,
-    /// The same for the first tenant's clients alone.
+    /// The factor on the usual arrival rate of the first tenant's clients.
     pub tenant_surge: f64,
     faults: Vec<ActiveFault>,
     schedule: Schedule,
     list: ServerList,
-    /// How many faults cut off each zone now.
-    cuts: Vec<usize>,
+    /// The number of faults that partition each zone now.
+    cuts_by_zone: Vec<usize>,
     rng: Rng,
-    /// What has happened and was not yet returned to the driver.
+    /// Events that have not been returned to the driver yet.
     events: Vec<FleetEvent>,
 }
 
 impl FleetModel {
-    /// The fleet at time 0, with the scenario's faults scheduled.
+    /// Creates the fleet at time 0, with the scenario's faults scheduled.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = Rng::new(seed, RNG_STREAM);
         let count = scenario.fleet.servers;
@@ -98,7 +98,7 @@
             faults: Vec::new(),
             schedule: Schedule::default(),
             list: ServerList::new(count),
-            cuts: vec![0; scenario.zones.number],
+            cuts_by_zone: vec![0; scenario.zones.number],
             servers,
             rng,
             events: Vec::new(),
@@ -106,15 +106,17 @@
         };
         model.schedule_faults();
         if model.scenario.discovery.weights == Weights::Live {
-            model.schedule.add(WEIGHT_INTERVAL, Task::RefreshWeights);
+            model
+                .schedule
+                .add(WEIGHT_REFRESH_INTERVAL, Task::RefreshWeights);
         }
         model
     }
 
-    /// Advances to now and returns what has happened.
+    /// Advances the fleet to `now`. Returns the events since the last call.
     pub fn tick(&mut self, now: Time) -> Vec<FleetEvent> {
         while let Some(task) = self.schedule.pop_due(now) {
-            self.perform(now, task);
+            self.run_task(now, task);
         }
         for server in 0..self.servers.len() {
             self.advance_server(now, server);
@@ -122,7 +124,7 @@
         std::mem::take(&mut self.events)
     }
 
-    fn perform(&mut self, now: Time, task: Task) {
+    fn run_task(&mut self, now: Time, task: Task) {
         match task {
             Task::BeginFault { fault } => self.begin_fault(now, fault),
             Task::EndFault { fault } => self.end_fault(now, fault),
@@ -131,18 +133,21 @@
                 drain_behavior,
                 until,
             } => self.drain(now, server, drain_behavior, until),
-            Task::SendAway { server, steps_left } => self.send_away(now, server, steps_left),
-            Task::Leave { server } => self.leave(server),
+            Task::MigrateClients { server, steps_left } => {
+                self.migrate_clients(now, server, steps_left)
+            }
+            Task::StopDrained { server } => self.stop_drained(server),
             Task::Start { server } => self.start(now, server),
-            Task::ListDeath { server } => self.list_death(server),
-            Task::Decay { fault, step } => self.decay(now, fault, step),
-            Task::Neighbour { fault, present } => self.set_neighbour(now, fault, present),
-            Task::FlapZone { fault, cut } => self.flap_zone(now, fault, cut),
+            Task::DelistDead { server } => self.delist_dead(server),
+            Task::DecayStep { fault, step } => self.decay_step(now, fault, step),
+            Task::ToggleNeighbour { fault, present } => self.set_neighbour(now, fault, present),
+            Task::ToggleZoneCut { fault, cut } => self.toggle_zone_cut(now, fault, cut),
             Task::RefreshWeights => self.refresh_weights(now),
         }
     }
 
-    /// Lets work pile up at a server. One that is overloaded drops some of its connections.
+    /// Updates the backlog of a server. If the backlog is at its limit, the server resets some of its
+    /// connections.
     fn advance_server(&mut self, now: Time, server: usize) {
         let state = &mut self.servers[server];
         let ids = state.advance(&self.scenario.fleet, now);
@@ -156,16 +161,16 @@
             .push(FleetEvent::ConnectionsReset { server, ids });
     }
 
-    /// The server for a connection that stands when the run starts: of two random ones in that
-    /// zone, or in all zones where it has none, the one with the lower utilization.
+    /// Chooses the server for a connection that is open when the run starts: the one with the lower
+    /// utilization of two random servers in `zone`, or in all zones if `zone` has no servers.
     pub fn stood_at(&self, zone: usize, rng: &mut Rng) -> usize {
-        let all = 0..self.servers.len();
-        let local: Vec<usize> = all
+        let all_servers = 0..self.servers.len();
+        let local: Vec<usize> = all_servers
             .clone()
             .filter(|server| self.servers[*server].zone == zone)
             .collect();
         let candidates = if local.is_empty() {
-            all.collect()
+            all_servers.collect()
         } else {
             local
         };
@@ -179,43 +184,49 @@
         }
     }
 
-    /// The worth of the messages that are answered in time now, each second.
+    /// Returns the value per second of the messages that are answered within their latency objective
+    /// now.
     pub fn served(&self, now: Time) -> f64 {
         self.servers
             .iter()
-            .map(|server| self.served_by(server, now))
+            .map(|server| self.server_served(server, now))
             .sum()
     }
 
-    fn served_by(&self, server: &Server, now: Time) -> f64 {
+    fn server_served(&self, server: &Server, now: Time) -> f64 {
         let types = &self.scenario.types;
-        let worth = server
-            .worth
+        let value_by_class = server
+            .value_by_class
             .iter()
             .zip(types)
-            .filter(|(worth, _)| **worth > 0.0);
-        worth
-            .map(|(worth, class)| {
-                worth * server.in_time(&self.scenario.fleet, now, class.message_target)
+            .filter(|(value, _)| **value > 0.0);
+        value_by_class
+            .map(|(value, class)| {
+                value
+                    * server.fraction_answered_within(
+                        &self.scenario.fleet,
+                        now,
+                        class.message_target,
+                    )
             })
             .sum()
     }
 
-    /// The utilization of each running server that does not drain.
+    /// Returns the utilization of each running server that is not draining.
     pub fn utilizations(&self, now: Time) -> impl Iterator<Item = f64> + '_ {
-        let up = self
+        let running = self
             .servers
             .iter()
             .filter(|server| server.status == ServerStatus::Up && !server.draining);
-        up.map(move |server| server.utilization(&self.scenario.fleet, now))
+        running.map(move |server| server.utilization(&self.scenario.fleet, now))
     }
 }
 
-/// A warm server; zones are filled in turn, cells one after another.
+/// Creates a warm server. Indices are assigned to zones round-robin and to cells in blocks.
 fn new_server(scenario: &Scenario, index: usize, rng: &mut Rng) -> Server {
     let zone = index % scenario.zones.number;
-    let place = (zone, index / CELL_SIZE, 0);
-    Server::new(&scenario.fleet, scenario.types.len(), place, rng)
+    let location = (zone, index / SERVERS_PER_CELL, 0);
+    Server::new(&scenario.fleet, scenario.types.len(), location, rng)
 }
 
 #[cfg(test)]
--- a/crates/fleet-model/src/model/faults.rs
+++ b/crates/fleet-model/src/model/faults.rs
@@ -1,42 +1,42 @@
-//! The beginning and the end of each kind of fault.
+//! The start and the end of each kind of fault.
 
 use nettlemux_policy::{SEC, Time};
 
-use super::lifecycle::{CRASH_NOTICE, SILENCE_NOTICE};
+use super::lifecycle::{CRASH_DETECTION_DELAY, UNRESPONSIVE_DETECTION_DELAY};
 use super::schedule::Task;
 use super::{FleetEvent, FleetModel};
 use crate::fault::{Fault, FaultKind};
 use crate::server::{Server, ServerStatus};
 use crate::time::seconds;
 
-/// How long a rolled server is away between its end and its cold start.
+/// How long a server is down between its stop and its restart in a roll.
 const ROLL_DOWNTIME: Time = SEC;
-/// Seconds from the beginning of a drain to the end of a server, where the fault does not say.
-const DRAIN_SECONDS: f64 = 4.0;
-/// The least factor on a server's capacity that is taken back; guards against a division by zero.
-const FACTOR_MIN: f64 = 1e-3;
+/// The time from the start of a server's drain until it stops, if the fault has no `amount`.
+const DEFAULT_DRAIN_SECONDS: f64 = 4.0;
+/// The lowest factor on a server's capacity that is reverted. Prevents a division by zero.
+const CAPACITY_FACTOR_MIN: f64 = 1e-3;
 
-/// A fault of the scenario with its state.
+/// A fault of the scenario and its state.
 pub(super) struct ActiveFault {
     pub(super) fault: Fault,
-    /// The servers or balancers that it acts on, chosen when it begins.
+    /// The servers or balancers that it acts on, chosen when it starts.
     pub(super) targets: Vec<usize>,
-    /// It acts now; faults that come and go do not always.
-    pub(super) acting: bool,
+    /// Whether it has an effect now. A periodic fault has pauses.
+    pub(super) in_effect: bool,
 }
 
 impl FleetModel {
-    /// Schedules the beginning and the end of all faults.
+    /// Schedules the start and the end of all faults.
     pub(super) fn schedule_faults(&mut self) {
         for (index, fault) in self.scenario.faults.clone().into_iter().enumerate() {
             self.schedule
-                .add(fault.begins(), Task::BeginFault { fault: index });
+                .add(fault.start(), Task::BeginFault { fault: index });
             self.schedule
-                .add(fault.ends(), Task::EndFault { fault: index });
+                .add(fault.end(), Task::EndFault { fault: index });
             self.faults.push(ActiveFault {
                 fault,
                 targets: Vec::new(),
-                acting: false,
+                in_effect: false,
             });
         }
     }
@@ -48,29 +48,38 @@
         }
     }
 
-    /// Begins a fault.
+    /// Starts a fault.
     pub(super) fn begin_fault(&mut self, now: Time, index: usize) {
         let fault = self.faults[index].fault.clone();
         self.faults[index].targets = self.choose_targets(now, &fault);
-        self.faults[index].acting = true;
+        self.faults[index].in_effect = true;
         let amount = fault.amount;
         match fault.what {
-            FaultKind::Crash => self.kill_targets(now, index, ServerStatus::Down, CRASH_NOTICE),
-            FaultKind::Vanish => {
-                self.kill_targets(now, index, ServerStatus::Unresponsive, SILENCE_NOTICE)
+            FaultKind::Crash => {
+                self.kill_targets(now, index, ServerStatus::Down, CRASH_DETECTION_DELAY)
             }
+            FaultKind::Vanish => self.kill_targets(
+                now,
+                index,
+                ServerStatus::Unresponsive,
+                UNRESPONSIVE_DETECTION_DELAY,
+            ),
             FaultKind::Slow => self.change_targets(index, |server| server.speed *= amount),
-            FaultKind::Decay => self.decay(now, index, 1),
+            FaultKind::Decay => self.decay_step(now, index, 1),
             FaultKind::Neighbour => self.set_neighbour(now, index, true),
-            FaultKind::StuckReports => self.change_targets(index, |server| server.stuck = true),
+            FaultKind::StuckReports => {
+                self.change_targets(index, |server| server.reports_stuck = true)
+            }
             FaultKind::AbsurdReports => {
-                self.change_targets(index, |server| server.absurd = Some(amount))
+                self.change_targets(index, |server| server.reported_utilization = Some(amount))
             }
             FaultKind::FastErrors => self.change_targets(index, |server| server.fast_errors = true),
-            FaultKind::ProbesFail => self.change_targets(index, |server| server.probes_fail = true),
+            FaultKind::ProbesFail => {
+                self.change_targets(index, |server| server.health_checks_fail = true)
+            }
             FaultKind::ZoneCut => self.set_zone_cut(fault.zone, true),
-            FaultKind::ZoneFlaps => self.flap_zone(now, index, true),
-            FaultKind::StoreSlow => self.store.health *= amount,
+            FaultKind::ZoneFlaps => self.toggle_zone_cut(now, index, true),
+            FaultKind::StoreSlow => self.store.rate_factor *= amount,
             FaultKind::ListSilent => self.list.outages += 1,
             FaultKind::ListLate => self.list.extra_delay += amount,
             FaultKind::ListWrong => self.hide_targets(index),
@@ -83,28 +92,36 @@
         }
     }
 
-    /// Ends a fault: takes back what it has done and is not over by itself.
+    /// Ends a fault: reverts its effect, unless the effect ends without that.
     pub(super) fn end_fault(&mut self, now: Time, index: usize) {
         let fault = self.faults[index].fault.clone();
-        let was_acting = std::mem::take(&mut self.faults[index].acting);
+        let was_in_effect = std::mem::take(&mut self.faults[index].in_effect);
         let amount = fault.amount;
         match fault.what {
             FaultKind::Crash | FaultKind::Vanish => self.start_targets(now, index),
             FaultKind::Slow | FaultKind::Decay => {
-                self.change_targets(index, |server| server.speed /= amount.max(FACTOR_MIN));
+                self.change_targets(index, |server| {
+                    server.speed /= amount.max(CAPACITY_FACTOR_MIN)
+                });
+            }
+            FaultKind::Neighbour => {
+                self.change_targets(index, |server| server.neighbour_share = 0.0)
+            }
+            FaultKind::StuckReports => {
+                self.change_targets(index, |server| server.reports_stuck = false)
+            }
+            FaultKind::AbsurdReports => {
+                self.change_targets(index, |server| server.reported_utilization = None)
             }
-            FaultKind::Neighbour => self.change_targets(index, |server| server.neighbour = 0.0),
-            FaultKind::StuckReports => self.change_targets(index, |server| server.stuck = false),
-            FaultKind::AbsurdReports => self.change_targets(index, |server| server.absurd = None),
             FaultKind::FastErrors => {
                 self.change_targets(index, |server| server.fast_errors = false)
             }
             FaultKind::ProbesFail => {
-                self.change_targets(index, |server| server.probes_fail = false)
+                self.change_targets(index, |server| server.health_checks_fail = false)
             }
             FaultKind::ZoneCut => self.set_zone_cut(fault.zone, false),
-            FaultKind::ZoneFlaps if was_acting => self.set_zone_cut(fault.zone, false),
-            FaultKind::StoreSlow => self.store.health /= amount,
+            FaultKind::ZoneFlaps if was_in_effect => self.set_zone_cut(fault.zone, false),
+            FaultKind::StoreSlow => self.store.rate_factor /= amount,
             FaultKind::ListSilent => self.end_discovery_outage(),
             FaultKind::ListLate => self.list.extra_delay -= amount,
             FaultKind::ListWrong => self.unhide_targets(index),
@@ -119,7 +136,8 @@
         }
     }
 
-    /// The servers or balancers that a fault acts on; for growth, the servers that join.
+    /// Chooses the servers or balancers that a fault acts on. For [`FaultKind::Grow`], adds the new
+    /// servers and returns them.
     fn choose_targets(&mut self, now: Time, fault: &Fault) -> Vec<usize> {
         let count = match fault.what {
             FaultKind::Grow => return self.join(now, fault.share),
@@ -129,10 +147,17 @@
         fault.targets(count, &mut self.rng)
     }
 
-    fn kill_targets(&mut self, now: Time, index: usize, status: ServerStatus, notice: Time) {
+    fn kill_targets(
+        &mut self,
+        now: Time,
+        index: usize,
+        status: ServerStatus,
+        detection_delay: Time,
+    ) {
         for server in self.faults[index].targets.clone() {
             self.kill(server, status);
-            self.schedule.add(now + notice, Task::ListDeath { server });
+            self.schedule
+                .add(now + detection_delay, Task::DelistDead { server });
         }
     }
 
@@ -145,14 +170,14 @@
     fn hide_targets(&mut self, index: usize) {
         for server in self.faults[index].targets.clone() {
             self.list.hide(server);
-            self.relist(server);
+            self.publish_entry(server);
         }
     }
 
     fn unhide_targets(&mut self, index: usize) {
         for server in self.faults[index].targets.clone() {
             self.list.unhide(server);
-            self.relist(server);
+            self.publish_entry(server);
         }
     }
 
@@ -161,14 +186,14 @@
         self.events.push(FleetEvent::DiscoveryRecovered);
     }
 
-    /// Schedules the drains of servers one after another over the fault's time, with their return
-    /// where they are rolled.
+    /// Schedules the drains of servers one after another over the fault's duration. In a roll, also
+    /// schedules their restarts.
     fn schedule_drains(&mut self, now: Time, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let drain_time = seconds(if fault.amount > 0.0 {
             fault.amount
         } else {
-            DRAIN_SECONDS
+            DEFAULT_DRAIN_SECONDS
         });
         for (position, server) in targets.iter().copied().enumerate() {
             let at = now + seconds(fault.lasts) * position as u64 / targets.len() as u64;
@@ -188,8 +213,8 @@
         }
     }
 
-    /// Asks for the restart of balancers, all now: the driver does them one after another, since
-    /// only it knows when one is back.
+    /// Requests the restarts of all targeted balancers at once. The driver performs them one after
+    /// another, since only the driver knows when a balancer is running again.
     fn restart_targets(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
         let away = seconds(fault.amount);
--- a/crates/fleet-model/src/model/lifecycle.rs
+++ b/crates/fleet-model/src/model/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How servers join, drain, leave, die and start again.
+//! How servers join, drain, stop, die and restart.
 
 use nettlemux_policy::{EndpointState, MS, SEC, Time};
 
@@ -7,19 +7,19 @@
 use crate::fault::DrainBehavior;
 use crate::server::ServerStatus;
 
-/// From the end of a server's process to discovery's notice of it; a process's end is noticed
-/// sooner than a machine's silence.
-pub(super) const CRASH_NOTICE: Time = 2 * SEC;
-/// From a machine's silence to discovery's notice of it.
-pub(super) const SILENCE_NOTICE: Time = 4 * SEC;
-/// How often a draining server sends away another part of its connections.
-const SEND_AWAY_INTERVAL: Time = 200 * MS;
-/// From the beginning of a drain to the moment at which a server sends away all its connections,
-/// where it does so at once.
-const SEND_AWAY_DELAY: Time = SEC;
+/// The time until discovery detects that a server's process has died. That is detected sooner than
+/// an unresponsive machine.
+pub(super) const CRASH_DETECTION_DELAY: Time = 2 * SEC;
+/// The time until discovery detects that a server's machine is unresponsive.
+pub(super) const UNRESPONSIVE_DETECTION_DELAY: Time = 4 * SEC;
+/// The time between two steps of a gradual migration away from a draining server.
+const MIGRATION_STEP_INTERVAL: Time = 200 * MS;
+/// The time from the start of a drain until a server that migrates all its clients at once does so.
+const MIGRATION_AT_ONCE_DELAY: Time = SEC;
 
 impl FleetModel {
-    /// Adds cold servers, a part of the current number but at least one. Returns their indices.
+    /// Adds servers in slow start: the fraction `share` of the current number, but at least one.
+    /// Returns their indices.
     pub(super) fn join(&mut self, now: Time, share: f64) -> Vec<usize> {
         let first = self.servers.len();
         let count = ((first as f64 * share).round() as usize).max(1);
@@ -30,12 +30,12 @@
             self.servers.push(state);
             self.list.add();
             self.events.push(FleetEvent::ServerStarted { server });
-            self.set_listed(server, EndpointState::Ready);
+            self.set_listed_state(server, EndpointState::Ready);
         }
         joined.collect()
     }
 
-    /// A running server begins to drain.
+    /// Starts to drain a server, if it is running.
     pub(super) fn drain(
         &mut self,
         now: Time,
@@ -48,31 +48,32 @@
             return;
         }
         state.draining = true;
-        self.set_listed(server, EndpointState::Draining);
+        self.set_listed_state(server, EndpointState::Draining);
         match drain_behavior {
             DrainBehavior::KeepsConnections => {}
             DrainBehavior::MigratesGradually => {
-                let steps_left = (until.saturating_sub(now) / SEND_AWAY_INTERVAL).max(1);
+                let steps_left = (until.saturating_sub(now) / MIGRATION_STEP_INTERVAL).max(1);
                 self.schedule.add(
-                    now + SEND_AWAY_INTERVAL,
-                    Task::SendAway { server, steps_left },
+                    now + MIGRATION_STEP_INTERVAL,
+                    Task::MigrateClients { server, steps_left },
                 );
             }
             DrainBehavior::MigratesAtOnce => {
                 self.schedule.add(
-                    now + SEND_AWAY_DELAY,
-                    Task::SendAway {
+                    now + MIGRATION_AT_ONCE_DELAY,
+                    Task::MigrateClients {
                         server,
                         steps_left: 1,
                     },
                 );
             }
         }
-        self.schedule.add(until, Task::Leave { server });
+        self.schedule.add(until, Task::StopDrained { server });
     }
 
-    /// A server sends away its part of the connections that it has left.
-    pub(super) fn send_away(&mut self, now: Time, server: usize, steps_left: u64) {
+    /// Performs a step of a migration: a server tells the clients of its share of the remaining
+    /// connections to migrate.
+    pub(super) fn migrate_clients(&mut self, now: Time, server: usize, steps_left: u64) {
         let state = &mut self.servers[server];
         let count = state.connections.len().div_ceil(steps_left.max(1) as usize);
         let ids: Vec<u64> = state.connections.keys().copied().take(count).collect();
@@ -84,21 +85,21 @@
                 .push(FleetEvent::ClientsMigrated { server, ids });
         }
         if steps_left > 1 && self.servers[server].draining {
-            let next = Task::SendAway {
+            let next = Task::MigrateClients {
                 server,
                 steps_left: steps_left - 1,
             };
-            self.schedule.add(now + SEND_AWAY_INTERVAL, next);
+            self.schedule.add(now + MIGRATION_STEP_INTERVAL, next);
         }
     }
 
-    /// A drained server ends and is taken off the list.
-    pub(super) fn leave(&mut self, server: usize) {
-        self.set_listed(server, EndpointState::Removed);
+    /// Stops a drained server and lists it as removed.
+    pub(super) fn stop_drained(&mut self, server: usize) {
+        self.set_listed_state(server, EndpointState::Removed);
         self.kill(server, ServerStatus::Down);
     }
 
-    /// A running server ends: its process, or its machine.
+    /// Stops a running server. `status` says whether its process or its machine is gone.
     pub(super) fn kill(&mut self, server: usize, status: ServerStatus) {
         if self.servers[server].status != ServerStatus::Up {
             return;
@@ -110,8 +111,8 @@
         });
     }
 
-    /// A server that is down starts again. It is listed anew even if its end was never listed, so
-    /// that balancers learn of the start.
+    /// Restarts a server that is not running. A new version of its entry is published even if its end
+    /// was never listed, so that balancers learn of the restart.
     pub(super) fn start(&mut self, now: Time, server: usize) {
         let state = &mut self.servers[server];
         if state.status == ServerStatus::Up || !state.start(now) {
@@ -119,6 +120,6 @@
         }
         self.events.push(FleetEvent::ServerStarted { server });
         self.list.set_state(server, EndpointState::Ready);
-        self.relist(server);
+        self.publish_entry(server);
     }
 }
--- a/crates/fleet-model/src/model/list.rs
+++ b/crates/fleet-model/src/model/list.rs
@@ -1,28 +1,28 @@
-//! The list of servers that discovery keeps, with the version of each entry.
+//! The endpoint list that discovery maintains, with a version for each entry.
 
 use nettlemux_policy::EndpointState;
 
-/// One server's entry.
+/// The entry of one server.
 struct Entry {
     state: EndpointState,
-    /// The version of the list that the entry changed with.
+    /// The version of the list at which the entry last changed.
     version: u64,
-    /// How many faults make discovery list the server as gone.
+    /// The number of faults that make discovery list the server as removed.
     hidden_by: usize,
 }
 
-/// The list and the faults of its delivery.
+/// The endpoint list, and the faults that affect its delivery.
 pub(super) struct ServerList {
     entries: Vec<Entry>,
     version: u64,
-    /// How many faults keep discovery from answering.
+    /// The number of faults that keep discovery from answering.
     pub(super) outages: usize,
-    /// Seconds that faults add to the delay of a delivery.
+    /// Seconds that faults add to the delivery delay.
     pub(super) extra_delay: f64,
 }
 
 impl ServerList {
-    /// A list of so many ready servers, at version 1.
+    /// Creates a list of `servers` ready servers, at version 1.
     pub(super) fn new(servers: usize) -> Self {
         let entry = |_| Entry {
             state: EndpointState::Ready,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// The current version.
+    /// Returns the current version of the list.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Adds a server that has not been listed yet.
+    /// Adds an entry for a new server, which is not listed yet.
     pub(super) fn add(&mut self) {
         self.entries.push(Entry {
             state: EndpointState::Removed,
@@ -51,37 +51,37 @@
         });
     }
 
-    /// Sets a server's state. Returns whether it was another one.
+    /// Sets a server's state. Returns whether the state has changed.
     pub(super) fn set_state(&mut self, server: usize, state: EndpointState) -> bool {
         let before = std::mem::replace(&mut self.entries[server].state, state);
         before != state
     }
 
-    /// Hides a server once more.
+    /// Adds a fault that hides a server.
     pub(super) fn hide(&mut self, server: usize) {
         self.entries[server].hidden_by += 1;
     }
 
-    /// Takes back one hiding of a server.
+    /// Removes a fault that hides a server.
     pub(super) fn unhide(&mut self, server: usize) {
         self.entries[server].hidden_by -= 1;
     }
 
-    /// Gives a server's entry a new version.
-    pub(super) fn touch(&mut self, server: usize) {
+    /// Increments the version of the list and assigns it to a server's entry.
+    pub(super) fn bump_version(&mut self, server: usize) {
         self.version += 1;
         self.entries[server].version = self.version;
     }
 
-    /// Gives all entries one new version.
-    pub(super) fn touch_all(&mut self) {
+    /// Increments the version of the list and assigns it to all entries.
+    pub(super) fn bump_all_versions(&mut self) {
         self.version += 1;
         for entry in &mut self.entries {
             entry.version = self.version;
         }
     }
 
-    /// The state that discovery tells of a server.
+    /// Returns the state that discovery lists for a server.
     pub(super) fn visible_state(&self, server: usize) -> EndpointState {
         let entry = &self.entries[server];
         if entry.hidden_by > 0 {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The servers whose entries changed after one version and up to another.
+    /// Returns the servers whose entries changed after version `after`, up to and including `up_to`.
     pub(super) fn changed_between(
         &self,
         after: u64,
--- a/crates/fleet-model/src/model/listing.rs
+++ b/crates/fleet-model/src/model/listing.rs
@@ -1,5 +1,5 @@
-//! Discovery as balancers see it: what it lists, when it answers, and the changes that the fleet
-//! makes to the list.
+//! Discovery as balancers see it: what it lists and when it answers, and how the fleet changes the
+//! list.
 
 use nettlemux_policy::{Endpoint, EndpointState, Time};
 
@@ -8,11 +8,12 @@
 use crate::server::{Server, ServerStatus};
 use crate::time::seconds;
 
-/// The number of connections at which a live weight has fallen to a half.
+/// The number of connections at which a live weight is a half.
 const HALF_WEIGHT_CONNECTIONS: f64 = 10.0;
 
 impl FleetModel {
-    /// How late discovery delivers a change that is made now; none while it does not answer.
+    /// Draws the delivery delay of a change that is made now. Returns `None` while discovery does not
+    /// answer.
     pub fn discovery(&mut self) -> Option<Time> {
         if self.list.outages > 0 {
             return None;
@@ -23,13 +24,13 @@
         ))
     }
 
-    /// The version of the list.
+    /// Returns the current version of the endpoint list.
     pub fn version(&self) -> u64 {
         self.list.version()
     }
 
-    /// The entries that changed after a version, as they are now; after 0, all but those that are
-    /// gone.
+    /// Returns the current entries of the servers that changed after `version`. If `version` is 0,
+    /// returns all entries except those of removed servers.
     pub fn since(&self, version: u64) -> Vec<Endpoint> {
         let mut entries = self.entries_between(version, self.list.version());
         if version == 0 {
@@ -38,10 +39,11 @@
         entries
     }
 
-    /// The entries that changed after one version and up to another, as they are now.
-    pub fn entries_between(&self, version: u64, upto: u64) -> Vec<Endpoint> {
+    /// Returns the current entries of the servers that changed after `version`, up to and including
+    /// `up_to`.
+    pub fn entries_between(&self, version: u64, up_to: u64) -> Vec<Endpoint> {
         self.list
-            .changed_between(version, upto)
+            .changed_between(version, up_to)
             .map(|server| self.entry(server))
             .collect()
     }
@@ -59,7 +61,8 @@
         }
     }
 
-    /// A server's weight on the list; a live one falls with the connections that it holds.
+    /// Returns a server's weight in the list. A live weight decreases with the number of connections
+    /// on the server.
     fn weight(&self, server: &Server) -> f64 {
         match self.scenario.discovery.weights {
             Weights::Nominal => 1.0,
@@ -70,23 +73,23 @@
         }
     }
 
-    /// Lists a server in a state, where it is listed in another.
-    pub(super) fn set_listed(&mut self, server: usize, state: EndpointState) {
+    /// Sets the listed state of a server, and publishes its entry if the state has changed.
+    pub(super) fn set_listed_state(&mut self, server: usize, state: EndpointState) {
         if self.list.set_state(server, state) {
-            self.relist(server);
+            self.publish_entry(server);
         }
     }
 
-    /// Lists a server anew.
-    pub(super) fn relist(&mut self, server: usize) {
-        self.list.touch(server);
+    /// Publishes a new version of a server's entry.
+    pub(super) fn publish_entry(&mut self, server: usize) {
+        self.list.bump_version(server);
         self.events.push(FleetEvent::EndpointsChanged);
     }
 
-    /// Discovery notices a server's death, unless the server runs again.
-    pub(super) fn list_death(&mut self, server: usize) {
+    /// Lists a server as removed when discovery detects its death, unless the server is running again.
+    pub(super) fn delist_dead(&mut self, server: usize) {
         if self.servers[server].status != ServerStatus::Up {
-            self.set_listed(server, EndpointState::Removed);
+            self.set_listed_state(server, EndpointState::Removed);
         }
     }
 }
--- a/crates/fleet-model/src/model/network.rs
+++ b/crates/fleet-model/src/model/network.rs
@@ -1,20 +1,20 @@
-//! The network between zones, and attempts that arrive at servers over it.
+//! The network between zones, and the arrival of attempts at servers.
 
 use nettlemux_policy::Time;
 
-use super::lifecycle::CRASH_NOTICE;
+use super::lifecycle::CRASH_DETECTION_DELAY;
 use super::schedule::Task;
 use super::{FleetEvent, FleetModel};
 use crate::server::{AttemptResponse, ServerStatus};
 use crate::time::seconds;
 
 impl FleetModel {
-    /// Whether messages get from one zone to another.
+    /// Returns whether messages from one zone reach the other.
     pub fn reaches(&self, from: usize, to: usize) -> bool {
-        from == to || self.cuts[from] == 0 && self.cuts[to] == 0
+        from == to || self.cuts_by_zone[from] == 0 && self.cuts_by_zone[to] == 0
     }
 
-    /// How long a message takes from one zone to another.
+    /// Returns the one-way delay of a message from one zone to another.
     pub fn way(&self, from: usize, to: usize) -> Time {
         let zones = &self.scenario.zones;
         seconds(if from == to {
@@ -24,8 +24,9 @@
         })
     }
 
-    /// An attempt arrives at a server, from a balancer in that zone. Returns what the server makes
-    /// of it, and what has happened with it.
+    /// Delivers an attempt from a balancer in `zone` to a server. Returns the server's response and
+    /// the events that have not been returned to the driver yet, which include a collapse that the
+    /// attempt caused.
     pub fn offer(
         &mut self,
         now: Time,
@@ -35,31 +36,31 @@
         if !self.reaches(zone, self.servers[server].zone) {
             return (AttemptResponse::NoResponse, Vec::new());
         }
-        let (offer, fell) = self.servers[server].offer(&self.scenario.fleet, now);
-        if fell {
-            self.fall(now, server);
+        let (response, collapsed) = self.servers[server].offer(&self.scenario.fleet, now);
+        if collapsed {
+            self.collapse(now, server);
         }
-        let offer = match offer {
-            AttemptResponse::Accepted(took) => {
-                AttemptResponse::Accepted(took + self.store.call(now))
+        let response = match response {
+            AttemptResponse::Accepted(seconds) => {
+                AttemptResponse::Accepted(seconds + self.store.call(now))
             }
             other => other,
         };
-        (offer, std::mem::take(&mut self.events))
+        (response, std::mem::take(&mut self.events))
     }
 
-    /// A cold server has been asked for more than it can bear, and crashes.
-    fn fall(&mut self, now: Time, server: usize) {
+    /// Crashes a server in slow start that got more attempts than it can handle.
+    fn collapse(&mut self, now: Time, server: usize) {
         self.events.push(FleetEvent::ServerCollapsed { server });
         self.kill(server, ServerStatus::Down);
         self.schedule
-            .add(now + CRASH_NOTICE, Task::ListDeath { server });
+            .add(now + CRASH_DETECTION_DELAY, Task::DelistDead { server });
     }
 
-    /// One more fault, or one fault less, cuts a zone off. Drivers are told when that makes a
-    /// difference.
+    /// Adds (`cut`) or removes a fault that partitions a zone. Emits an event if the connectivity of
+    /// the zone changes.
     pub(super) fn set_zone_cut(&mut self, zone: usize, cut: bool) {
-        let cuts = &mut self.cuts[zone];
+        let cuts = &mut self.cuts_by_zone[zone];
         let was_cut = *cuts > 0;
         *cuts = if cut {
             *cuts + 1
--- a/crates/fleet-model/src/model/schedule.rs
+++ b/crates/fleet-model/src/model/schedule.rs
@@ -1,4 +1,5 @@
-//! What the fleet has scheduled, in order of time and, at the same time, of scheduling.
+//! The scheduled tasks of the fleet, ordered by time. Tasks of the same time keep the order in which
+//! they were added.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,7 @@
 
 use crate::fault::DrainBehavior;
 
-/// Something to do at a scheduled time. Faults and servers are named by their index.
+/// A scheduled task. Faults and servers are identified by their index.
 #[derive(Clone, Debug)]
 pub(super) enum Task {
     BeginFault {
@@ -15,64 +16,65 @@
     EndFault {
         fault: usize,
     },
-    /// A server begins to drain, and leaves at a later time.
+    /// Start to drain a server that stops at `until`.
     Drain {
         server: usize,
         drain_behavior: DrainBehavior,
         until: Time,
     },
-    /// A draining server sends away part of its connections, so that all are gone after the steps
-    /// that are left.
-    SendAway {
+    /// Let a draining server tell part of its clients to migrate, so that all have been told after
+    /// the remaining steps.
+    MigrateClients {
         server: usize,
         steps_left: u64,
     },
-    /// A drained server ends.
-    Leave {
+    /// Stop a drained server.
+    StopDrained {
         server: usize,
     },
-    /// A server starts again.
+    /// Restart a server.
     Start {
         server: usize,
     },
-    /// Discovery notices a server's death.
-    ListDeath {
+    /// Let discovery list a dead server as removed.
+    DelistDead {
         server: usize,
     },
-    /// A decaying server loses another part of its capacity.
-    Decay {
+    /// Let decaying servers lose another part of their capacity.
+    DecayStep {
         fault: usize,
         step: u64,
     },
-    /// A neighbour begins or stops to take capacity.
-    Neighbour {
+    /// Start or stop a neighbour that takes capacity.
+    ToggleNeighbour {
         fault: usize,
         present: bool,
     },
-    /// A zone is cut off, or reachable again, for a while.
-    FlapZone {
+    /// Partition a flapping zone, or make it reachable again.
+    ToggleZoneCut {
         fault: usize,
         cut: bool,
     },
-    /// The list gets new weights.
+    /// Refresh the weights in the endpoint list.
     RefreshWeights,
 }
 
-/// The tasks that are still to be done.
+/// The pending tasks.
 #[derive(Default)]
 pub(super) struct Schedule {
     tasks: BTreeMap<(Time, u64), Task>,
-    sequence: u64,
+    /// The sequence number of the task that was added last.
+    last_sequence: u64,
 }
 
 impl Schedule {
-    /// Adds a task for a time.
+    /// Schedules a task at a time.
     pub(super) fn add(&mut self, at: Time, task: Task) {
-        self.sequence += 1;
-        self.tasks.insert((at, self.sequence), task);
+        self.last_sequence += 1;
+        self.tasks.insert((at, self.last_sequence), task);
     }
 
-    /// Removes the first task whose time has come.
+    /// Removes and returns the first task if it is due at `now`.
     pub(super) fn pop_due(&mut self, now: Time) -> Option<Task> {
         let first = self.tasks.first_entry()?;
         let (at, _) = *first.key();
--- a/crates/fleet-model/src/model/tests.rs
+++ b/crates/fleet-model/src/model/tests.rs
@@ -1,4 +1,4 @@
-//! Faults on the fleet: what each does, what it takes back, and what discovery then lists.
+//! Effects of faults on the fleet, their reversal, and what discovery lists.
 
 use nettlemux_policy::{EndpointState, MS, SEC};
 
@@ -13,37 +13,37 @@
     FleetModel::new(serde_json::from_str(&text).unwrap(), 1)
 }
 
-fn until(model: &mut FleetModel, end: f64) -> Vec<FleetEvent> {
+fn run_until(model: &mut FleetModel, end: f64) -> Vec<FleetEvent> {
     (0..=(end * 10.0) as u64)
-        .flat_map(|k| model.tick(k * 100 * MS))
+        .flat_map(|step| model.tick(step * 100 * MS))
         .collect()
 }
 
 #[test]
-fn a_restart_that_discovery_misses_is_listed_with_its_start() {
+fn restart_before_discovery_detects_the_crash_publishes_the_new_start_time() {
     let mut model = model(r#"[{"what": "crash", "at": 5, "for": 1, "who": [2]}]"#);
-    until(&mut model, 10.0);
-    let told = model.since(1);
+    run_until(&mut model, 10.0);
+    let changed = model.since(1);
     assert_eq!(
         (
-            told.len(),
-            told[0].server_id,
-            told[0].state,
-            told[0].started
+            changed.len(),
+            changed[0].server_id,
+            changed[0].state,
+            changed[0].started
         ),
         (1, 2, EndpointState::Ready, 6 * SEC)
     );
 }
 
 #[test]
-fn a_server_that_dies_is_listed_gone_late_and_comes_back_cold() {
+fn unresponsive_server_is_listed_as_removed_after_a_delay_and_as_ready_after_its_restart() {
     let mut model = model(r#"[{"what": "vanish", "at": 5, "for": 10, "who": [1]}]"#);
-    until(&mut model, 8.0);
+    run_until(&mut model, 8.0);
     assert!(model.since(1).is_empty() && model.servers[1].status == ServerStatus::Unresponsive);
-    until(&mut model, 9.0);
+    run_until(&mut model, 9.0);
     assert_eq!(model.since(1)[0].state, EndpointState::Removed);
-    assert_eq!(model.since(0).len(), 3, "a whole list leaves it out");
-    until(&mut model, 15.0);
+    assert_eq!(model.since(0).len(), 3, "the full list omits the server");
+    run_until(&mut model, 15.0);
     assert_eq!(
         (model.since(1)[0].state, model.servers[1].status),
         (EndpointState::Ready, ServerStatus::Up)
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn faults_overlap_and_each_takes_back_its_own() {
+fn overlapping_faults_revert_only_their_own_effects() {
     let mut model = model(
         r#"[{"what": "slow", "at": 2, "for": 8, "who": [0], "amount": 0.5},
         {"what": "decay", "at": 4, "for": 10, "who": [0], "amount": 0.2},
@@ -62,18 +62,20 @@
         {"what": "zone-cut", "at": 1, "for": 4, "zone": 1},
         {"what": "zone-flaps", "at": 2, "for": 9, "zone": 1, "amount": 1}]"#,
     );
-    until(&mut model, 5.5);
-    assert!((model.store.health - 0.05).abs() < 1e-9 && model.servers[0].speed < 0.5);
+    run_until(&mut model, 5.5);
+    assert!((model.store.rate_factor - 0.05).abs() < 1e-9 && model.servers[0].speed < 0.5);
     assert_eq!(model.since(1)[0].state, EndpointState::Removed);
-    assert_eq!(model.reaches(0, 1), model.cuts[1] == 0);
-    until(&mut model, 20.0);
-    assert!((model.store.health - 1.0).abs() < 1e-9 && (model.servers[0].speed - 1.0).abs() < 1e-9);
+    assert_eq!(model.reaches(0, 1), model.cuts_by_zone[1] == 0);
+    run_until(&mut model, 20.0);
+    assert!(
+        (model.store.rate_factor - 1.0).abs() < 1e-9 && (model.servers[0].speed - 1.0).abs() < 1e-9
+    );
     assert!(model.reaches(0, 1) && model.since(1)[0].state == EndpointState::Ready);
 }
 
 #[test]
-fn drains_are_of_three_kinds() {
-    for (drain_behavior, sent_away, cut) in [
+fn draining_server_migrates_or_resets_its_connections_by_drain_behavior() {
+    for (drain_behavior, migrated_expected, reset_expected) in [
         ("keeps-connections", 0, 6),
         ("migrates-gradually", 6, 0),
         ("migrates-at-once", 6, 0),
@@ -91,18 +93,22 @@
             };
             model.servers[0].attach(id, connection);
         }
-        let events = until(&mut model, 10.0);
+        let events = run_until(&mut model, 10.0);
         let count =
             |pick: fn(&FleetEvent) -> Option<usize>| events.iter().filter_map(pick).sum::<usize>();
-        let away = count(|h| match h {
+        let migrated = count(|event| match event {
             FleetEvent::ClientsMigrated { ids, .. } => Some(ids.len()),
             _ => None,
         });
-        let reset = count(|h| match h {
+        let reset = count(|event| match event {
             FleetEvent::ConnectionsReset { ids, .. } => Some(ids.len()),
             _ => None,
         });
-        assert_eq!((away, reset), (sent_away, cut), "{drain_behavior}");
+        assert_eq!(
+            (migrated, reset),
+            (migrated_expected, reset_expected),
+            "{drain_behavior}"
+        );
         assert_eq!(model.since(1)[0].state, EndpointState::Removed);
     }
 }
--- a/crates/fleet-model/src/observation.rs
+++ b/crates/fleet-model/src/observation.rs
@@ -1,29 +1,30 @@
-//! What the stand-ins observed: the facts that the rules are checked by. It owns their form in a
-//! record (JSON lines, one fact a line, the first a header with the version) and must never hold
-//! anything that a balancer says of itself. The aliases read records of earlier versions.
+//! The observations that the drivers record and that the rules are checked against. A record is
+//! stored as JSON lines, one observation per line; the first line is a header with the version. A
+//! record must not contain anything that a balancer states about itself. The serde aliases are the
+//! names in records of earlier versions.
 
 use nettlemux_policy::Time;
 use serde::{Deserialize, Serialize};
 
-/// The version of the record's form. A reader rejects any other.
+/// The version of the record format. A reader rejects any other version.
 pub const VERSION: u32 = 1;
 
-/// Whether a flow may be repeated, as the scenario says of its traffic class.
+/// Whether a flow may be repeated, as the scenario specifies for its traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// Repeats are harmless.
     #[serde(alias = "repeatable")]
     Idempotent,
-    /// Servers drop repeats for a while.
+    /// Servers drop repeats for a limited time.
     #[serde(alias = "referenced")]
     Deduplicated {
-        /// The servers that drop each other's repeats.
+        /// The servers that drop repeats of each other's attempts.
         scope: DeduplicationScope,
-        /// How long after the first attempt that may have run, in nanoseconds.
+        /// How long servers drop repeats, from the first attempt that may have run, in nanoseconds.
         window: Time,
     },
-    /// A repeat has its effect again.
+    /// A repeat takes effect again.
     #[serde(alias = "once-only")]
     NonIdempotent,
 }
@@ -48,14 +49,14 @@
     /// The flow is connected to a server.
     #[serde(alias = "established")]
     Connected,
-    /// None of its attempts has run.
+    /// None of the flow's attempts has run.
     Rejected,
-    /// An attempt may have run.
+    /// One of the flow's attempts may have run.
     #[serde(alias = "aborted")]
     Failed,
 }
 
-/// The side that ended a connection first.
+/// The side that closed a connection first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClosedBy {
@@ -67,25 +68,25 @@
     Balancer,
 }
 
-/// One observed fact.
+/// An observation.
 ///
-/// Times (`at`) are nanoseconds from the start of the run. Balancers and servers are named by their
-/// index, flows by a number that is unique over all balancers.
+/// Times (`at`) are nanoseconds from the start of the run. Balancers and servers are identified by
+/// their index, flows by a number that is unique across all balancers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 #[allow(
     missing_docs,
-    reason = "the fields' meanings stand above and at each variant"
+    reason = "the fields are described above and at each variant"
 )]
 pub enum Observation {
-    /// The first line of a record: its version, and the run that it is of.
+    /// The first line of a record: the format version, and the run that was recorded.
     Header {
         version: u32,
         scenario: String,
         seed: u64,
         program: String,
     },
-    /// A server that is there from the start on, or joins.
+    /// A server exists from the start of the run, or joins.
     Server {
         at: Time,
         server: usize,
@@ -94,13 +95,13 @@
         cell: usize,
         machine: usize,
     },
-    /// A server has just started and begins its slow start.
+    /// A server has just started, and is in slow start.
     #[serde(alias = "started")]
     ServerStarted { at: Time, server: usize },
-    /// A server in slow start got more attempts than it can bear, and crashed.
+    /// A server in slow start got more attempts than it can handle, and crashed.
     #[serde(alias = "fell")]
     ServerCollapsed { at: Time, server: usize },
-    /// A balancer was notified whether a server is ready.
+    /// A balancer was notified that a server is ready, or that it is not.
     #[serde(alias = "told")]
     EndpointNotified {
         at: Time,
@@ -108,7 +109,7 @@
         server: usize,
         ready: bool,
     },
-    /// A balancer has accepted a flow, which has to be answered by its deadline.
+    /// A balancer has accepted a flow, which must be answered by its deadline.
     #[serde(alias = "taken")]
     Accepted {
         at: Time,
@@ -119,17 +120,17 @@
         #[serde(alias = "give_up")]
         deadline: Time,
     },
-    /// A flow's client has got an answer.
+    /// A flow's client has received the final answer.
     Answered {
         at: Time,
         flow: u64,
         #[serde(alias = "with")]
         answer: FinalAnswer,
     },
-    /// A flow's client left before it was answered.
+    /// A flow's client has disconnected before it was answered.
     #[serde(alias = "left")]
     ClientLeft { at: Time, flow: u64 },
-    /// The last byte of an attempt has come to a server.
+    /// The last byte of an attempt has arrived at a server.
     #[serde(alias = "connect")]
     Attempt {
         at: Time,
@@ -138,8 +139,8 @@
         number: usize,
         server: usize,
     },
-    /// An attempt is no longer in flight. `known_unexecuted`: its balancer could know that it had
-    /// not run.
+    /// An attempt is no longer in flight. `known_unexecuted`: whether its balancer could know that the
+    /// attempt had not run.
     #[serde(alias = "connect-ended")]
     AttemptEnded {
         at: Time,
@@ -148,8 +149,8 @@
         #[serde(alias = "never_ran")]
         known_unexecuted: bool,
     },
-    /// A connection has ended. `client_notified`: its client had been told to migrate;
-    /// `server_healthy`: its server still answered.
+    /// A connection has closed. `client_notified`: whether its client had been told to migrate.
+    /// `server_healthy`: whether its server still answered.
     #[serde(alias = "ended")]
     ConnectionClosed {
         at: Time,
@@ -160,7 +161,7 @@
         #[serde(alias = "sound")]
         server_healthy: bool,
     },
-    /// A balancer's process has ended, as planned or not. It owes no more answers.
+    /// A balancer's process has ended, as planned or not. Its flows no longer need an answer.
     BalancerEnded {
         at: Time,
         balancer: usize,
@@ -169,7 +170,7 @@
 }
 
 impl Observation {
-    /// Returns when the fact was observed, or `None` for the header.
+    /// Returns the time of the observation, or `None` for the header.
     pub fn at(&self) -> Option<Time> {
         match self {
             Observation::Header { .. } => None,
--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -1,5 +1,5 @@
-//! The clients. It owns who they are, what each wants and when it tries again, and must never know
-//! a server.
+//! The clients: their properties, how long each stays, and when it retries. This module must not
+//! depend on servers.
 
 use std::collections::BTreeMap;
 
@@ -12,44 +12,44 @@
 use crate::server::ServerConnection;
 use crate::time::seconds;
 
-/// The shortest and the longest delay of a client that was told to migrate.
-const MIGRATED_DELAY: [Time; 2] = [50 * MS, 500 * MS];
-/// The same for a client whose connection broke.
-const BROKEN_DELAY: [Time; 2] = [100 * MS, SEC];
-/// The shortest delay of a client whose balancer refused it; the longest is twice this.
-const REFUSED_DELAY: Time = 200 * MS;
+/// The shortest and the longest reconnect delay of a client that was told to migrate.
+const MIGRATED_RECONNECT_DELAY: [Time; 2] = [50 * MS, 500 * MS];
+/// The shortest and the longest reconnect delay of a client whose connection broke.
+const BROKEN_RECONNECT_DELAY: [Time; 2] = [100 * MS, SEC];
+/// The shortest delay of a client whose connection a balancer refused; the longest is twice this.
+const REFUSED_RETRY_DELAY_MIN: Time = 200 * MS;
 
-/// A client, from its arrival until it has got what it wanted or has given up.
+/// A client, from its arrival until its planned end or until it gives up.
 #[derive(Clone, Debug)]
 pub struct Client {
     /// The index of its traffic class.
     pub class: usize,
     /// The index of its tenant.
     pub tenant: usize,
-    /// Its group, where clients have groups.
+    /// Its group; `None` if the scenario has no groups.
     pub group: Option<u32>,
     /// The index of its zone.
     pub zone: usize,
-    /// The load that its connection brings.
+    /// The load of its connection.
     pub load: f64,
-    /// Worth of a second of good service to it.
+    /// The value of one second of good service to it.
     pub value: f64,
-    /// When it has got what it wanted.
+    /// When it plans to disconnect for good.
     pub ends: Time,
-    /// How often it has tried since it was last connected.
+    /// The number of rejected and failed tries since it was last connected.
     pub tries: usize,
     /// Whether its connection broke or was migrated.
     pub reconnecting: bool,
-    /// Whether it follows a Retry-After.
+    /// Whether its next try follows a Retry-After that it was told.
     pub told: bool,
-    /// Since when it has wanted to be connected.
+    /// Since when it has been trying to connect.
     pub since: Time,
-    /// Whether it has given up for good or has got what it wanted.
+    /// Whether it has given up for good.
     pub gone: bool,
 }
 
 impl Client {
-    /// Returns what the client's connection is to a server.
+    /// Returns the client's connection as a server has it.
     pub fn connection(&self) -> ServerConnection {
         ServerConnection {
             load: self.load,
@@ -60,27 +60,28 @@
     }
 }
 
-/// All clients that are there.
+/// All current clients.
 pub struct ClientPopulation {
     clients: BTreeMap<u64, Client>,
-    next: u64,
+    /// The number of the next client.
+    next_id: u64,
     rng: Rng,
-    /// Worth of a second of good service to all who are there, served or not.
+    /// The value of one second of good service to all current clients, whether they are served or not.
     pub wanted: f64,
 }
 
 impl ClientPopulation {
-    /// Makes an empty population with the random stream of this seed.
+    /// Creates an empty population whose draws derive from this seed.
     pub fn new(seed: u64) -> Self {
         ClientPopulation {
             clients: BTreeMap::new(),
-            next: 1,
+            next_id: 1,
             rng: Rng::new(seed, 2),
             wanted: 0.0,
         }
     }
 
-    /// Returns a client that is still there.
+    /// Returns a client, or `None` if it has been removed.
     pub fn get(&self, id: u64) -> Option<&Client> {
         self.clients.get(&id)
     }
@@ -105,10 +106,10 @@
         let scenario = &model.scenario;
         let class = self
             .rng
-            .weighted_index(scenario.types.iter().map(|t| t.share));
-        let of = &scenario.types[class];
+            .weighted_index(scenario.types.iter().map(|class| class.share));
+        let traffic_class = &scenario.types[class];
         let shares = &scenario.clients.tenants;
-        // What a tenant brings beyond its quota is worth less.
+        // Flows of a tenant beyond its quota have less value.
         let extra = shares
             .first()
             .map_or(0.0, |share| share * (model.tenant_surge - 1.0).max(0.0));
@@ -119,15 +120,18 @@
             false => self.rng.weighted_index(shares.iter().copied()),
         };
         let groups = scenario.clients.groups;
-        // Few groups are large: squared, so that the first tenth holds a third of the clients.
+        // The draw is squared so that few groups are large: the first tenth of the groups has a third of
+        // the clients.
         let group = (groups > 0).then(|| (self.rng.uniform().powi(2) * groups as f64) as u32);
         let client = Client {
             class,
             tenant,
             group,
             zone: self.rng.index_below(scenario.zones.number),
-            load: self.rng.log_normal(of.load, scenario.clients.load_spread),
-            value: of.value
+            load: self
+                .rng
+                .log_normal(traffic_class.load, scenario.clients.load_spread),
+            value: traffic_class.value
                 * if surplus {
                     scenario.clients.surplus_weight
                 } else {
@@ -141,13 +145,13 @@
             gone: false,
         };
         self.wanted += client.value;
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.clients.insert(id, client);
         id
     }
 
-    /// Removes a client that wants nothing more. Every client leaves here.
+    /// Removes a client that has ended or given up. Every client is removed here.
     pub fn remove(&mut self, id: u64) {
         if let Some(client) = self.clients.remove(&id) {
             self.wanted = if self.clients.is_empty() {
@@ -169,49 +173,53 @@
         Some((client.load, wait))
     }
 
-    /// Draws the time until the first change of a connection's load, where loads change.
+    /// Draws the time until the first change of a connection's load, or returns `None` if loads do not
+    /// change.
     pub fn first_change(&mut self, scenario: &Scenario) -> Option<Time> {
-        let every = scenario.clients.load_change_interval;
-        (every > 0.0).then(|| seconds(self.rng.exponential(every)).max(MS))
+        let interval = scenario.clients.load_change_interval;
+        (interval > 0.0).then(|| seconds(self.rng.exponential(interval)).max(MS))
     }
 
-    /// Returns whether a client's flow may be repeated.
+    /// Returns whether a client's flow may be repeated. An unknown client's flow may.
     pub fn idempotency(&self, id: u64, scenario: &Scenario) -> Idempotency {
-        self.clients.get(&id).map_or(Idempotency::Idempotent, |c| {
-            scenario.types[c.class].idempotency()
-        })
+        self.clients
+            .get(&id)
+            .map_or(Idempotency::Idempotent, |client| {
+                scenario.types[client.class].idempotency()
+            })
     }
 
-    /// Notes that a client is connected.
+    /// Records that a client is connected.
     pub fn connected(&mut self, id: u64) {
         if let Some(client) = self.clients.get_mut(&id) {
             (client.tries, client.told) = (0, false);
         }
     }
 
-    fn spread(&mut self, [from, to]: [Time; 2]) -> Time {
+    /// Draws a time between two times.
+    fn draw_between(&mut self, [from, to]: [Time; 2]) -> Time {
         from + (self.rng.uniform() * (to - from) as f64) as Time
     }
 
-    /// Notes that a client was rejected. Returns how long it waits before it retries, or `None`
-    /// where it gives up.
+    /// Records that a client was rejected. Returns how long it waits before it retries, or `None` if
+    /// it gives up.
     pub fn rejected(
         &mut self,
         id: u64,
         retry_after: Option<Time>,
         scenario: &Scenario,
     ) -> Option<Time> {
-        let own = seconds(scenario.clients.retry_interval);
-        let own = self.spread([own, 2 * own]);
+        let interval = seconds(scenario.clients.retry_interval);
+        let interval = self.draw_between([interval, 2 * interval]);
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
         client.tries += 1;
         client.gone = client.tries >= scenario.clients.tries;
         client.told = retry_after.is_some();
-        (!client.gone).then(|| retry_after.unwrap_or(own << client.tries.min(4)))
+        (!client.gone).then(|| retry_after.unwrap_or(interval << client.tries.min(4)))
     }
 
-    /// Notes that a client's flow failed. Returns how long it waits before it retries, or `None`
-    /// where it gives up, as it does where a repeat would have its effect again.
+    /// Records that a client's flow failed. Returns how long the client waits before it retries, or
+    /// `None` if it gives up. It always gives up if the flow is non-idempotent.
     pub fn failed(&mut self, id: u64, scenario: &Scenario) -> Option<Time> {
         if self.idempotency(id, scenario) == Idempotency::NonIdempotent {
             self.clients.get_mut(&id)?.gone = true;
@@ -220,17 +228,21 @@
         self.rejected(id, None, scenario)
     }
 
-    /// Notes that a client was told to migrate or that its connection broke. Returns how long it
-    /// waits before it reconnects, or `None` where it has gone.
-    pub fn reconnect_delay(&mut self, now: Time, id: u64, moved: bool) -> Option<Time> {
-        let wait = self.spread(if moved { MIGRATED_DELAY } else { BROKEN_DELAY });
+    /// Records that a client was told to migrate (`migrated`) or that its connection broke. Returns how
+    /// long it waits before it reconnects, or `None` if it has given up or been removed.
+    pub fn reconnect_delay(&mut self, now: Time, id: u64, migrated: bool) -> Option<Time> {
+        let wait = self.draw_between(if migrated {
+            MIGRATED_RECONNECT_DELAY
+        } else {
+            BROKEN_RECONNECT_DELAY
+        });
         let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
         (client.reconnecting, client.told, client.since) = (true, false, now);
         Some(wait)
     }
 
-    /// Draws how long a client waits whose balancer refused it.
+    /// Draws how long a client waits before it retries if a balancer refused its connection.
     pub fn refused(&mut self) -> Time {
-        self.spread([REFUSED_DELAY, 2 * REFUSED_DELAY])
+        self.draw_between([REFUSED_RETRY_DELAY_MIN, 2 * REFUSED_RETRY_DELAY_MIN])
     }
 }
--- a/crates/fleet-model/src/rng.rs
+++ b/crates/fleet-model/src/rng.rs
@@ -1,6 +1,6 @@
-//! Seeded chance. It owns one generator whose stream is the same on every machine, and must never
-//! be seeded from anything but a scenario's seed and a purpose, so that one more draw for one
-//! purpose changes no other's.
+//! Seeded random numbers. A generator yields the same numbers on every machine. It must be seeded
+//! only from a scenario's seed and the number of a purpose: each purpose has its own stream, so that
+//! an additional draw for one purpose does not change the draws for another.
 
 use rand::{Rng as _, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,7 +10,7 @@
 pub struct Rng(ChaCha8Rng);
 
 impl Rng {
-    /// Makes the generator for one purpose of a run.
+    /// Creates the generator for one purpose of a run: the random stream of that number.
     pub fn new(seed: u64, purpose: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(purpose);
@@ -27,7 +27,7 @@
         low + (high - low) * self.uniform()
     }
 
-    /// Draws an index below `count`; 0 where there is none.
+    /// Draws an index below `count`. Returns 0 if `count` is 0.
     pub fn index_below(&mut self, count: usize) -> usize {
         if count == 0 {
             0
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Draws a whole number.
+    /// Draws a 64-bit integer.
     pub fn number(&mut self) -> u64 {
         self.0.random::<u64>()
     }
@@ -54,14 +54,14 @@
         mean * (spread * normal - spread * spread / 2.0).exp()
     }
 
-    /// Draws an index by weight.
+    /// Draws an index with a probability proportional to its weight.
     pub fn weighted_index(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
-        let mut left = self.uniform() * weights.clone().sum::<f64>();
+        let mut remaining = self.uniform() * weights.clone().sum::<f64>();
         let mut last = 0;
         for (i, weight) in weights.enumerate() {
             last = i;
-            left -= weight;
-            if left < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 break;
             }
         }
--- a/crates/fleet-model/src/scenario/validate.rs
+++ b/crates/fleet-model/src/scenario/validate.rs
@@ -199,7 +199,7 @@
             let reason = format!("there are {} zones", scenario.zones.number);
             return Err(InvalidKey::new("zone", reason));
         }
-        let number = match self.what.concerns_balancers() {
+        let number = match self.what.acts_on_balancers() {
             true => scenario.balancers.number,
             false => scenario.fleet.servers,
         };
--- a/crates/fleet-model/src/server/tests.rs
+++ b/crates/fleet-model/src/server/tests.rs
@@ -1,4 +1,4 @@
-//! A server's load, overload, cold start and reports.
+//! Load, overload, slow start and load reports of a server.
 
 use super::*;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn load_and_common_work_come_and_go() {
+fn load_follows_connections_and_their_groups() {
     let (fleet, mut server, _) = server();
     server.attach(1, connection(2.0, Some(5)));
     server.attach(2, connection(1.0, Some(5)));
@@ -34,42 +34,45 @@
     assert_eq!(server.utilization(&fleet, 0), 0.6);
     server.detach(2);
     server.detach(3);
-    assert_eq!((server.utilization(&fleet, 0), server.worth[0]), (0.0, 0.0));
+    assert_eq!(
+        (server.utilization(&fleet, 0), server.value_by_class[0]),
+        (0.0, 0.0)
+    );
 }
 
 #[test]
-fn one_that_is_asked_for_too_much_slows_and_drops_its_heaviest() {
+fn overloaded_server_slows_down_and_drops_the_connections_with_the_highest_load() {
     let (fleet, mut server, _) = server();
     (1..=40).for_each(|id| server.attach(id, connection(0.5 + id as f64 / 100.0, None)));
-    assert!(server.in_time(&fleet, 0, 0.2) < 0.5);
+    assert!(server.fraction_answered_within(&fleet, 0, 0.2) < 0.5);
     assert!(server.advance(&fleet, SEC).is_empty() && server.message_seconds(&fleet, SEC) > 1.0);
     assert_eq!(server.advance(&fleet, 4 * SEC), [40, 39]);
-    assert_eq!(server.in_time(&fleet, 4 * SEC, 0.2), 0.0);
+    assert_eq!(server.fraction_answered_within(&fleet, 4 * SEC, 0.2), 0.0);
 }
 
 #[test]
-fn a_cold_one_falls_over_under_a_flood_and_a_warm_one_says_busy() {
+fn burst_of_attempts_collapses_a_server_in_slow_start_and_a_warm_server_rejects_it() {
     let (fleet, mut server, _) = server();
-    let offers: Vec<AttemptResponse> = (0..60).map(|_| server.offer(&fleet, SEC).0).collect();
+    let responses: Vec<AttemptResponse> = (0..60).map(|_| server.offer(&fleet, SEC).0).collect();
     assert_eq!(
-        offers
+        responses
             .iter()
-            .filter(|offer| **offer == AttemptResponse::Overloaded)
+            .filter(|response| **response == AttemptResponse::Overloaded)
             .count(),
         56
     );
     server.stop(ServerStatus::Down);
     assert_eq!(server.offer(&fleet, 2 * SEC).0, AttemptResponse::Refused);
     assert!(server.start(10 * SEC));
-    // 3 times 0.35 of 4 a second for 3 s, and the slack: 16.6.
-    let fell = (0..20).position(|_| server.offer(&fleet, 10 * SEC).1);
-    assert_eq!(fell, Some(16));
+    // The budget is 3 times 0.35 of 4 attempts per second for 3 s, plus the slack: 16.6.
+    let collapsed_at = (0..20).position(|_| server.offer(&fleet, 10 * SEC).1);
+    assert_eq!(collapsed_at, Some(16));
     server.stop(ServerStatus::Down);
-    assert!(!server.start(20 * SEC), "it stays down");
+    assert!(!server.start(20 * SEC), "a collapsed server stays down");
 }
 
 #[test]
-fn reports_are_refreshed_now_and_then_or_stuck_or_absurd() {
+fn load_report_is_renewed_after_its_interval_unless_stuck_or_overridden() {
     let (fleet, mut server, mut rng) = server();
     server.attach(1, connection(5.0, None));
     let first = server
@@ -86,7 +89,7 @@
             .utilization,
         Some(first)
     );
-    server.stuck = true;
+    server.reports_stuck = true;
     assert_eq!(
         server
             .report(&fleet, 9 * SEC, &mut rng)
@@ -94,7 +97,7 @@
             .utilization,
         Some(first)
     );
-    (server.stuck, server.absurd) = (false, Some(7.5));
+    (server.reports_stuck, server.reported_utilization) = (false, Some(7.5));
     assert_eq!(
         server
             .report(&fleet, 10 * SEC, &mut rng)
@@ -102,6 +105,6 @@
             .utilization,
         Some(7.5)
     );
-    server.probes_fail = true;
+    server.health_checks_fail = true;
     assert_eq!(server.report(&fleet, 11 * SEC, &mut rng), None);
 }
