--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -56,7 +56,7 @@
     /// Balancers are restarted one after another within the fault's duration, each by a graceful
     /// shutdown. Each is down for `amount` seconds.
     RestartInTurn,
-    /// Balancers are killed and are down for the fault's duration.
+    /// Balancers are killed at the same time, and are down for the fault's duration.
     BalancersDie,
     /// New clients arrive at `amount` times the usual rate.
     Surge,
--- a/crates/fleet-model/src/model.rs
+++ b/crates/fleet-model/src/model.rs
@@ -113,7 +113,7 @@
         model
     }
 
-    /// Advances the fleet to `now`. Returns the events since the last call.
+    /// Advances the fleet to `now`. Returns the events that have not been returned yet.
     pub fn tick(&mut self, now: Time) -> Vec<FleetEvent> {
         while let Some(task) = self.schedule.pop_due(now) {
             self.run_task(now, task);
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -1,8 +1,9 @@
-//! A scenario: sizes, what clients want, which faults occur when, and the figures that are
-//! expected. It owns the names, units and defaults of its keys and must never read a file: whoever
-//! does names the place. The aliases read scenarios of earlier versions.
+//! A scenario: the sizes of the fleet, the demand of the clients, the faults and their times, and the
+//! expected ranges of figures. This module defines the names, units and defaults of the keys. It
+//! must not read files: the caller does, and names the file in error messages. The serde aliases are
+//! the keys in scenarios of earlier versions.
 //!
-//! Keys that are times are seconds, where nothing else is said.
+//! Times are in seconds unless stated otherwise.
 
 mod defaults;
 mod validate;
@@ -19,13 +20,13 @@
 
 pub use validate::InvalidKey;
 
-/// A whole scenario, as its file has it.
+/// A complete scenario as written in its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The scenario's name, by which records and reports call it.
+    /// The scenario's name in records and reports.
     pub name: String,
-    /// What the scenario shows.
+    /// A description of what the scenario demonstrates.
     #[serde(default)]
     pub about: String,
     /// The seed of all random draws.
@@ -33,7 +34,7 @@
     pub seed: u64,
     /// The length of the run.
     pub seconds: f64,
-    /// The time from which on figures count.
+    /// The time from which figures are counted.
     #[serde(default)]
     pub settle: f64,
     /// The balancers.
@@ -43,7 +44,7 @@
     /// The store that all servers share.
     #[serde(default)]
     pub store: StoreKeys,
-    /// The service that keeps the endpoint list.
+    /// The discovery service, which maintains the endpoint list.
     #[serde(default)]
     pub discovery: Discovery,
     /// The zones that servers, balancers and clients are in.
@@ -53,16 +54,17 @@
     pub clients: Clients,
     /// The traffic classes.
     pub types: Vec<Type>,
-    /// What balancers may do.
+    /// The limits on what balancers may do.
     #[serde(default)]
     pub limits: Limits,
-    /// The balancers' admission control as the operator's file has it, where there is one.
+    /// The settings of the balancers' admission control, with the keys of the operator's file; `None`
+    /// if they have no admission control.
     #[serde(default, alias = "door")]
     pub admission: Option<AdmissionSettings>,
     /// The faults, in any order.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// The range that each figure is expected in, by the figure's name.
+    /// The expected range of each figure, by the figure's name.
     #[serde(default)]
     pub expect: BTreeMap<String, Expect>,
 }
@@ -71,9 +73,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Balancers {
-    /// How many balancers there are.
+    /// The number of balancers.
     pub number: usize,
-    /// How long the front end takes to notice that one has died.
+    /// The time that the front end takes to detect that a balancer has died.
     #[serde(default = "defaults::death_notice")]
     pub notice: f64,
 }
@@ -82,26 +84,26 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// How many servers there are at the start.
+    /// The number of servers at the start.
     pub servers: usize,
     /// The load that a warm server can carry.
     pub capacity: f64,
-    /// The fraction by which servers' capacities differ, up and down.
+    /// The largest deviation of a server's capacity from `capacity`, as a fraction of it, up or down.
     #[serde(default, rename = "differ")]
     pub capacity_spread: f64,
-    /// How many connections a server holds at most.
+    /// The largest number of connections on a server.
     #[serde(default = "defaults::slots")]
     pub slots: usize,
-    /// How many connections a second a warm server can set up.
+    /// The number of connections per second that a warm server can set up.
     #[serde(default = "defaults::connection_rate", alias = "newcomers")]
     pub connection_rate: f64,
-    /// The load that the first connection of a group brings beside its own.
+    /// The additional load on a server for each group that has connections there.
     #[serde(default)]
     pub group_load: f64,
-    /// The time that a message takes on an idle server.
+    /// The mean response time of a message on an idle server.
     #[serde(default = "defaults::message_time")]
     pub message: f64,
-    /// The time that an attempt takes on an idle server, beside the store's call.
+    /// The time that an idle server takes to set up a connection, without the call to the store.
     #[serde(default = "defaults::setup_time")]
     pub setup: f64,
     /// The fraction of its capacity that a server has when it starts.
@@ -110,28 +112,28 @@
     /// The length of a server's slow start.
     #[serde(default = "defaults::warm_up")]
     pub warm_up: f64,
-    /// A server in slow start collapses when it gets more attempts than this multiple of what it
-    /// can set up within the collapse window.
+    /// A server in slow start collapses if the number of attempts within the collapse window exceeds
+    /// this multiple of the number that it can set up in that time.
     #[serde(default = "defaults::collapse_multiple", rename = "fall_multiple")]
     pub collapse_multiple: f64,
     /// The window in which the attempts of a server in slow start are counted.
     #[serde(default = "defaults::collapse_window", rename = "fall")]
     pub collapse_window: f64,
-    /// How often a server's load report is renewed.
+    /// The interval at which a server's load report is renewed.
     #[serde(default = "defaults::report_interval", rename = "refresh")]
     pub report_interval: f64,
-    /// The fraction by which a load report errs, up and down.
+    /// The largest error of a load report, as a fraction of the utilization, up or down.
     #[serde(default = "defaults::report_noise", rename = "noise")]
     pub report_noise: f64,
 }
 
-/// The store that every attempt costs one call.
+/// The store, which is called once for each attempt.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreKeys {
-    /// How many calls a second it serves.
+    /// The number of calls that it serves per second.
     pub rate: f64,
-    /// The time of a call that waits for no other.
+    /// The time of a call that does not wait for other calls.
     #[serde(rename = "alone")]
     pub call_time: f64,
 }
@@ -145,11 +147,12 @@
     }
 }
 
-/// The service that keeps the endpoint list.
+/// The discovery service, which maintains the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// The time from a change to its delivery. Each delivery takes from half of it to all of it.
+    /// The longest time from a change to its delivery. The delay of each delivery is drawn from half of
+    /// this to this.
     pub delay: f64,
     /// How endpoints are weighted.
     pub weights: Weights,
@@ -159,9 +162,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Weights {
-    /// By a constant.
+    /// All endpoints have the same constant weight.
     Nominal,
-    /// By a weight that falls with the connections that the server holds.
+    /// The weight decreases with the number of connections on the server.
     Live,
 }
 
@@ -178,11 +181,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Zones {
-    /// How many zones there are.
+    /// The number of zones.
     pub number: usize,
-    /// The time of a message within a zone, one way.
+    /// The one-way delay of a message within a zone.
     pub inside: f64,
-    /// The time of a message between two zones, one way.
+    /// The one-way delay of a message between two zones.
     pub between: f64,
 }
 
@@ -200,39 +203,40 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// How many new clients come in a second.
+    /// The number of new clients per second.
     pub rate: f64,
-    /// The mean time that a client stays.
+    /// The mean time between the arrival and the planned end of a client.
     pub life: f64,
-    /// How many connections stand at the start.
+    /// The number of connections that are open at the start.
     #[serde(default)]
     pub standing: usize,
     /// The standard deviation of the logarithm of a connection's load.
     #[serde(default = "defaults::load_spread", rename = "spread")]
     pub load_spread: f64,
-    /// The mean time between changes of a connection's load; 0: it never changes.
+    /// The mean time between changes of a connection's load; 0 if it never changes.
     #[serde(default = "defaults::load_change_interval", rename = "changes")]
     pub load_change_interval: f64,
-    /// How many groups clients belong to; 0: none.
+    /// The number of client groups; 0 if clients have no groups.
     #[serde(default)]
     pub groups: usize,
-    /// Each tenant's share of the clients; empty: there are no tenants.
+    /// Each tenant's share of the clients; empty if there are no tenants.
     #[serde(default, alias = "customers")]
     pub tenants: Vec<f64>,
-    /// The priority weight of the part of a tenant's flows that is over its quota.
+    /// The priority weight of those flows of a tenant that are over its quota.
     #[serde(default = "defaults::one", rename = "surplus")]
     pub surplus_weight: f64,
-    /// How often a client tries before it gives up for good.
+    /// The number of tries after which a client gives up for good.
     #[serde(default = "defaults::tries")]
     pub tries: usize,
-    /// How long a client waits before it retries without a Retry-After. Each wait is drawn from
-    /// this to twice this.
+    /// The base of a client's wait before a retry if it was told no Retry-After. The wait is drawn
+    /// from this to twice this, and then doubled once for each unsuccessful try, at most four times.
     #[serde(default = "defaults::retry_interval", rename = "again")]
     pub retry_interval: f64,
     /// The mean time between two lines of a client.
     #[serde(default = "defaults::line_interval", rename = "lines")]
     pub line_interval: f64,
-    /// The fraction of the clients whose first line comes in two pieces; on sockets only.
+    /// The fraction of the clients that send their first line in two pieces. Only applies to real
+    /// sockets.
     #[serde(default, rename = "stutter")]
     pub split_lines: f64,
 }
@@ -243,10 +247,10 @@
 pub struct Type {
     /// The class's name.
     pub name: String,
-    /// The class's part of the clients, beside the shares of the other classes.
+    /// The class's share of the clients, relative to the shares of the other classes.
     #[serde(default = "defaults::one")]
     pub share: f64,
-    /// The worth of a second of good service.
+    /// The value of one second of good service to a client.
     #[serde(default = "defaults::one")]
     pub value: f64,
     /// The mean load of a connection.
@@ -255,7 +259,7 @@
     /// The latency objective of a flow's answer.
     #[serde(default = "defaults::latency_objective")]
     pub target: f64,
-    /// How long a client waits for its answer.
+    /// The time that a client waits for the answer to its flow.
     #[serde(default = "defaults::deadline")]
     pub wait: f64,
     /// The latency objective of a message.
@@ -264,7 +268,7 @@
     /// Whether a flow may be repeated.
     #[serde(default = "defaults::idempotency", alias = "repeat")]
     pub idempotency: IdempotencySetting,
-    /// How long servers drop repeats of a deduplicated flow.
+    /// The time for which servers drop repeats of a deduplicated flow.
     #[serde(default = "defaults::deduplication_window")]
     pub window: f64,
 }
@@ -273,25 +277,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum IdempotencySetting {
-    /// Repeats do no harm.
+    /// Repeats are harmless.
     #[serde(alias = "repeatable")]
     Idempotent,
-    /// All servers drop each other's repeats.
+    /// All servers drop repeats of each other's attempts.
     #[serde(alias = "referenced-all")]
     DeduplicatedAll,
-    /// The servers of a zone drop each other's repeats.
+    /// The servers of a zone drop repeats of each other's attempts.
     #[serde(alias = "referenced-zone", alias = "referenced-hall")]
     DeduplicatedInZone,
-    /// The servers of a cell drop each other's repeats.
+    /// The servers of a cell drop repeats of each other's attempts.
     #[serde(alias = "referenced-cell")]
     DeduplicatedInCell,
-    /// A repeat has its effect again.
+    /// A repeat takes effect again.
     #[serde(alias = "once-only")]
     NonIdempotent,
 }
 
 impl Type {
-    /// Returns whether a flow of this class may be repeated, with its window.
+    /// Returns whether a flow of this class may be repeated, with the deduplication window.
     pub fn idempotency(&self) -> Idempotency {
         let window = seconds(self.window);
         let deduplicated = |scope| Idempotency::Deduplicated { scope, window };
@@ -305,11 +309,11 @@
     }
 }
 
-/// What balancers may do, as the platform's settings have it.
+/// The limits on what balancers may do, as in the platform's settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// How many attempts a flow may have.
+    /// The largest number of attempts of a flow.
     #[serde(alias = "connects")]
     pub attempts: usize,
     /// Whether a flow may have two attempts in flight.
@@ -320,14 +324,14 @@
     /// Whether balancers may check servers' health.
     #[serde(alias = "probes")]
     pub health_checks: bool,
-    /// What a health check costs, as a fraction of a flow's worth. Balancers that see few flows
-    /// check less often then.
+    /// The cost of a health check, as a fraction of the value of a flow. If it is above 0, balancers
+    /// with few flows check less often.
     #[serde(alias = "probe_price")]
     pub health_check_price: f64,
-    /// The longest Retry-After that clients may be told; 0: none is told.
+    /// The longest Retry-After that clients may be told; 0 if they are told none.
     #[serde(alias = "come_back")]
     pub retry_after: f64,
-    /// How long after the notice of a drain a balancer may still send there.
+    /// The time after the notice of a drain in which a balancer may still send to the server.
     pub grace: f64,
 }
 
@@ -345,13 +349,13 @@
     }
 }
 
-/// The range that a figure is expected in.
+/// The expected range of a figure.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// The least value that is expected.
+    /// The lowest expected value; `None` for no lower bound.
     pub min: Option<f64>,
-    /// The largest value that is expected.
+    /// The highest expected value; `None` for no upper bound.
     pub max: Option<f64>,
 }
 
--- a/crates/fleet-model/src/scenario/defaults.rs
+++ b/crates/fleet-model/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! What a scenario's keys stand for where the file leaves them out. Times are seconds.
+//! Default values of the keys that a scenario file omits. Times are in seconds.
 
 use super::IdempotencySetting;
 
--- a/crates/fleet-model/src/scenario/validate.rs
+++ b/crates/fleet-model/src/scenario/validate.rs
@@ -1,4 +1,4 @@
-//! The checks of a scenario that its form alone does not make.
+//! Validation of a scenario beyond what deserialization checks.
 
 use nettlemux_policy::MS;
 use thiserror::Error;
@@ -9,16 +9,16 @@
 
 /// The longest run, in seconds.
 const RUN_SECONDS_MAX: f64 = 86_400.0;
-/// The largest number of servers, balancers, clients and so on.
+/// The largest number of balancers, servers, zones, connections and attempts.
 const COUNT_MAX: usize = 1_000_000;
 
-/// A key of a scenario whose value cannot be used.
+/// A key of a scenario with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("key '{key}': {reason}")]
 pub struct InvalidKey {
-    /// The key, with the tables that it stands in.
+    /// The full path of the key, with the tables that contain it.
     pub key: String,
-    /// Why its value cannot be used.
+    /// What was expected and what was found.
     pub reason: String,
 }
 
@@ -32,10 +32,10 @@
 }
 
 impl Scenario {
-    /// Checks what the form of the file does not.
+    /// Validates the values beyond what deserialization checks.
     ///
     /// # Errors
-    /// Names the first key whose value cannot be used.
+    /// Returns the first key with an invalid value.
     pub fn check(&self) -> Result<(), InvalidKey> {
         self.check_times()?;
         self.check_counts()?;
@@ -44,11 +44,11 @@
         self.check_non_negative()?;
         self.check_types()?;
         for (index, fault) in self.faults.iter().enumerate() {
-            let in_list = |error: InvalidKey| InvalidKey {
+            let with_path = |error: InvalidKey| InvalidKey {
                 key: format!("faults[{index}].{}", error.key),
                 ..error
             };
-            fault.check(self).map_err(in_list)?;
+            fault.check(self).map_err(with_path)?;
         }
         Ok(())
     }
@@ -56,11 +56,17 @@
     fn check_times(&self) -> Result<(), InvalidKey> {
         positive("seconds", self.seconds)?;
         if self.seconds > RUN_SECONDS_MAX {
-            let reason = format!("{} is over {RUN_SECONDS_MAX}", self.seconds);
+            let reason = format!(
+                "expected at most {RUN_SECONDS_MAX} s, found {} s",
+                self.seconds
+            );
             return Err(InvalidKey::new("seconds", reason));
         }
         if !(0.0..self.seconds).contains(&self.settle) {
-            let reason = format!("{} is not from 0 to the run's end", self.settle);
+            let reason = format!(
+                "expected a time from 0 s to before the end of the run at {} s, found {} s",
+                self.seconds, self.settle
+            );
             return Err(InvalidKey::new("settle", reason));
         }
         Ok(())
@@ -73,7 +79,10 @@
         count("zones.number", self.zones.number)?;
         count("limits.attempts", self.limits.attempts)?;
         if self.clients.standing > COUNT_MAX {
-            let reason = format!("{} is over {COUNT_MAX}", self.clients.standing);
+            let reason = format!(
+                "expected at most {COUNT_MAX}, found {}",
+                self.clients.standing
+            );
             return Err(InvalidKey::new("clients.standing", reason));
         }
         Ok(())
@@ -129,7 +138,10 @@
 
     fn check_types(&self) -> Result<(), InvalidKey> {
         if self.types.is_empty() {
-            return Err(InvalidKey::new("types", "there is none"));
+            return Err(InvalidKey::new(
+                "types",
+                "expected at least one traffic class, found none",
+            ));
         }
         for (index, class) in self.types.iter().enumerate() {
             class.check(index)?;
@@ -149,7 +161,10 @@
             positive(&format!("types[{index}].{key}"), value)?;
         }
         if seconds(self.wait) < 50 * MS {
-            let reason = "under 0.05 s nothing can be answered";
+            let reason = format!(
+                "expected at least 0.05 s, as no answer can arrive earlier, found {} s",
+                self.wait
+            );
             return Err(InvalidKey::new(format!("types[{index}].wait"), reason));
         }
         Ok(())
@@ -157,19 +172,25 @@
 }
 
 impl Fault {
-    /// Checks a fault of this scenario.
+    /// Validates a fault of this scenario.
     ///
     /// # Errors
-    /// Names the first key of the fault whose value cannot be used.
+    /// Returns the first key of the fault with an invalid value.
     pub fn check(&self, scenario: &Scenario) -> Result<(), InvalidKey> {
         self.check_numbers(scenario)?;
         self.check_targets(scenario)?;
         if self.what.needs_amount() && self.amount <= 0.0 {
-            let reason = "this kind of fault needs one above 0";
+            let reason = format!(
+                "expected a number above 0 for this kind of fault, found {}",
+                self.amount
+            );
             return Err(InvalidKey::new("amount", reason));
         }
         if self.what == FaultKind::TenantSurge && scenario.clients.tenants.is_empty() {
-            return Err(InvalidKey::new("what", "there are no tenants"));
+            return Err(InvalidKey::new(
+                "what",
+                "tenant-surge requires 'clients.tenants', which is missing or empty",
+            ));
         }
         Ok(())
     }
@@ -184,11 +205,14 @@
             non_negative(key, value)?;
         }
         if self.at >= scenario.seconds {
-            let reason = format!("{} is past the run's end", self.at);
+            let reason = format!(
+                "expected a time before the end of the run at {} s, found {} s",
+                scenario.seconds, self.at
+            );
             return Err(InvalidKey::new("at", reason));
         }
         if self.share > 1.0 && self.what != FaultKind::Grow {
-            let reason = format!("{} is over 1", self.share);
+            let reason = format!("expected a number from 0 to 1, found {}", self.share);
             return Err(InvalidKey::new("share", reason));
         }
         Ok(())
@@ -196,15 +220,21 @@
 
     fn check_targets(&self, scenario: &Scenario) -> Result<(), InvalidKey> {
         if self.zone >= scenario.zones.number {
-            let reason = format!("there are {} zones", scenario.zones.number);
+            let reason = format!(
+                "expected the index of one of {} zones ('zones.number'), found {}",
+                scenario.zones.number, self.zone
+            );
             return Err(InvalidKey::new("zone", reason));
         }
-        let number = match self.what.acts_on_balancers() {
-            true => scenario.balancers.number,
-            false => scenario.fleet.servers,
+        let (total, kind) = match self.what.acts_on_balancers() {
+            true => (scenario.balancers.number, "balancers"),
+            false => (scenario.fleet.servers, "servers"),
         };
-        match self.who.iter().find(|who| **who >= number) {
-            Some(who) => Err(InvalidKey::new("who", format!("there is no number {who}"))),
+        match self.who.iter().find(|who| **who >= total) {
+            Some(who) => {
+                let reason = format!("expected indices of {total} {kind}, found {who}");
+                Err(InvalidKey::new("who", reason))
+            }
             None => Ok(()),
         }
     }
@@ -214,27 +244,36 @@
     if value.is_finite() && value > 0.0 {
         return Ok(());
     }
-    Err(InvalidKey::new(key, format!("{value} is not above 0")))
+    Err(InvalidKey::new(
+        key,
+        format!("expected a finite number above 0, found {value}"),
+    ))
 }
 
 fn non_negative(key: &str, value: f64) -> Result<(), InvalidKey> {
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(InvalidKey::new(key, format!("{value} is under 0")))
+    Err(InvalidKey::new(
+        key,
+        format!("expected a finite number of at least 0, found {value}"),
+    ))
 }
 
 fn fraction(key: &str, value: f64) -> Result<(), InvalidKey> {
     if (0.0..=1.0).contains(&value) {
         return Ok(());
     }
-    Err(InvalidKey::new(key, format!("{value} is not from 0 to 1")))
+    Err(InvalidKey::new(
+        key,
+        format!("expected a number from 0 to 1, found {value}"),
+    ))
 }
 
 fn count(key: &str, value: usize) -> Result<(), InvalidKey> {
     if (1..=COUNT_MAX).contains(&value) {
         return Ok(());
     }
-    let reason = format!("{value} is not from 1 to {COUNT_MAX}");
+    let reason = format!("expected a number from 1 to {COUNT_MAX}, found {value}");
     Err(InvalidKey::new(key, reason))
 }
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -1,5 +1,5 @@
-//! The keys of scenarios and records: what is written now, and what earlier versions have written
-//! and is still read.
+//! The keys of scenarios and records: the current names, and the names of earlier versions, which
+//! must still be read.
 
 use nettlemux_fleet_model::fault::{DrainBehavior, Fault, FaultKind};
 use nettlemux_fleet_model::observation::{
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 #[test]
-fn scenarios_of_earlier_versions_say_hall_for_a_zone() {
+fn scenario_with_the_old_name_hall_is_read_as_zone() {
     for (zones, cut, flaps, zone, idempotency) in [
         (
             "zones",
@@ -46,9 +46,9 @@
     }
 }
 
-/// A hunt writes the faults that it has found into a scenario.
+/// The search for failures (`hunt`) writes the faults that it found into a scenario.
 #[test]
-fn faults_are_written_under_the_keys_that_are_read() {
+fn fault_is_serialized_under_the_keys_that_are_deserialized() {
     let text = json!({"what": "zone-flaps", "at": 1.0, "for": 2.0, "share": 0.0, "who": [], "zone": 1,
         "amount": 0.5, "drain_behavior": "keeps-connections"});
     let fault: Fault = serde_json::from_value(text.clone()).unwrap();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_faulty_key_is_named_as_it_is_called_now() {
+fn invalid_key_is_reported_under_its_current_name() {
     let mut scenario: Scenario = serde_json::from_value(json!({
         "name": "keys", "seconds": 60, "balancers": {"number": 1}, "zones": {"number": 2},
         "fleet": {"servers": 4, "capacity": 10}, "clients": {"rate": 1, "life": 9},
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn records_of_earlier_versions_say_hall_for_a_zone() {
+fn record_with_the_old_name_hall_is_read_as_zone() {
     let server = Observation::Server {
         at: 1,
         server: 2,
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn scenarios_of_earlier_versions_say_customer_for_a_tenant() {
+fn scenario_with_the_old_name_customer_is_read_as_tenant() {
     for (tenants, surge, by) in [
         ("tenants", "tenant-surge", "tenant"),
         ("customers", "customer-surge", "customer"),
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn earlier_versions_say_connect_for_an_attempt() {
+fn old_name_connect_is_read_as_attempt() {
     let attempt = Observation::Attempt {
         at: 1,
         balancer: 2,
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn earlier_versions_say_how_a_flow_may_be_repeated() {
+fn old_names_of_idempotency_are_read() {
     use IdempotencySetting::*;
     for (earlier, now, want) in [
         ("repeatable", "idempotent", Idempotent),
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn records_of_earlier_versions_say_when_a_flow_is_given_up() {
+fn accepted_record_with_old_names_is_read() {
     let accepted = Observation::Accepted {
         at: 1,
         balancer: 2,
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn records_of_earlier_versions_say_established_and_aborted() {
+fn final_answer_with_old_names_established_and_aborted_is_read() {
     for (text, want) in [
         (r#""established""#, FinalAnswer::Connected),
         (r#""connected""#, FinalAnswer::Connected),
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn earlier_versions_say_leaving_and_newcomers() {
+fn old_names_of_drain_behavior_and_connection_rate_are_read() {
     for (earlier, now, want) in [
         (
             "keeps",
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn records_of_earlier_versions_are_read() {
+fn observations_with_old_names_are_read_and_written_under_current_names() {
     for (earlier, now) in [
         (
             r#""started","at":1,"server":2"#,
