--- a/crates/fleet-model/src/front_end.rs
+++ b/crates/fleet-model/src/front_end.rs
@@ -9,7 +9,7 @@
 pub struct FrontEnd {
     /// The balancers of each zone.
     balancers_by_zone: Vec<Vec<usize>>,
-    /// When the front end detects the death of each balancer; `None` for a balancer that is alive.
+    /// From when the front end assumes each balancer to be dead; `None` for a balancer that is alive.
     death_detected_at: Vec<Option<Time>>,
     /// The position of the balancer that was last picked in each zone.
     last_picked: Vec<usize>,
@@ -44,13 +44,13 @@
         None
     }
 
-    /// Records the death of a balancer, which the front end detects at `detected_at`. Until then, the
-    /// balancer is assumed to be alive.
+    /// Assumes that a balancer, which has died or is shutting down, is alive until `detected_at` and
+    /// dead from then on.
     pub fn mark_dead(&mut self, balancer: usize, detected_at: Time) {
         self.death_detected_at[balancer] = Some(detected_at);
     }
 
-    /// Records that a balancer is alive.
+    /// Assumes that a balancer is alive from now on.
     pub fn mark_alive(&mut self, balancer: usize) {
         self.death_detected_at[balancer] = None;
     }
