--- a/crates/testbed/src/capacity_command.rs
+++ b/crates/testbed/src/capacity_command.rs
@@ -1,4 +1,4 @@
-//! `nettlemux-testbed capacity`: its arguments, and what is printed.
+//! `nettlemux-testbed capacity`: its arguments and its output.
 
 use std::path::PathBuf;
 
@@ -12,23 +12,23 @@
     /// The stored scale run
     #[bpaf(argument("FILE"), fallback(PathBuf::from("docs/scale/run.jsonl")))]
     run: PathBuf,
-    /// What is taken for granted beside it
+    /// The assumptions that the page combines with the run
     #[bpaf(
         argument("FILE"),
         fallback(PathBuf::from("docs/scale/assumptions.toml"))
     )]
     assumptions: PathBuf,
-    /// Writes the generated blocks of the page anew
+    /// Rewrites the generated blocks of the page
     write: bool,
-    /// The page, docs/CAPACITY.md where none is named
+    /// The page; the default is docs/CAPACITY.md
     #[bpaf(positional("PAGE"), fallback(PathBuf::from("docs/CAPACITY.md")))]
     page: PathBuf,
 }
 
-/// What to print, and whether the page is as it should be.
+/// Checks or rewrites the page. Returns the text to print and whether the page is up to date.
 ///
 /// # Errors
-/// Names the file, line and key at fault.
+/// Names the invalid file, line and key.
 pub fn run(arguments: &Arguments) -> Result<(String, bool), CapacityError> {
     let Arguments {
         run,
@@ -48,14 +48,17 @@
     }
     let stale = capacity::check(&files)?;
     match stale.is_empty() {
-        true => Ok((format!("{page}: as run and assumptions give\n"), true)),
+        true => Ok((
+            format!("{page}: matches the stored run and the assumptions\n"),
+            true,
+        )),
         false => {
             let text = format!(
-                "{page}: not as run and assumptions give: {}\n",
+                "{page}: does not match the stored run and the assumptions: {}\n",
                 stale.join(", ")
             );
             Ok((
-                text + "nettlemux-testbed capacity --write writes it anew\n",
+                text + "nettlemux-testbed capacity --write updates it\n",
                 false,
             ))
         }
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -10,40 +10,51 @@
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
-/// the testbed of nettlemux: scenarios, experiments, and the rule checker of the rules
+/// the testbed of nettlemux: scenarios, experiments and the rule checker
 pub enum Command {
-    /// Runs a scenario in virtual time; exit code 0 only if all expectations and the rules hold
+    /// Runs a scenario in virtual time
+    ///
+    ///
+    /// Exits with 0 only if all expectations are met and no rule is broken.
     #[bpaf(command)]
     Simulate(#[bpaf(external(simulate_arguments))] SimulateArguments),
-    /// The same seeds under two policies, or two programs on sockets, with the paired difference
-    /// and its 95 % interval
+    /// Compares two policies, or two programs on sockets, over the same seeds
+    ///
+    ///
+    /// Prints the paired difference of each figure with its 95 % confidence interval.
     #[bpaf(command)]
     Compare(#[bpaf(external(compare_arguments))] CompareArguments),
-    /// One key of a scenario over several values
+    /// Runs a scenario with several values of one key
     #[bpaf(command)]
     Sweep(#[bpaf(external(sweep_arguments))] SweepArguments),
-    /// Looks for the faults that are worst for the policy and cuts them down to a small scenario
+    /// Searches for the faults that hurt the policy most and minimizes the scenario
     #[bpaf(command)]
     Hunt(#[bpaf(external(hunt_arguments))] HuntArguments),
-    /// Judges a record by the rules
+    /// Checks a recorded run against the rules
     #[bpaf(command)]
     Judge(#[bpaf(external(judge_arguments))] JudgeArguments),
-    /// Runs a scenario on sockets with real balancers; exit code 3 if the machine was too slow for
-    /// a result
+    /// Runs a scenario on sockets with real balancers
+    ///
+    ///
+    /// Exits with 3 if the machine was too slow for a valid result.
     #[bpaf(command)]
     Run(#[bpaf(external(run_arguments))] RunArguments),
-    /// Grows one count at a time and measures what a balancer takes and sends at each size
+    /// Increases one count at a time and measures a balancer's resources and traffic
     #[bpaf(command)]
     Scale(#[bpaf(external(scale_arguments))] ScaleArguments),
-    /// Runs balancers that break one rule each and fails unless each is caught and a sound one
-    /// passes
+    /// Verifies the rule checker against balancers that break one rule each
+    ///
+    ///
+    /// Fails unless every broken rule is detected and a correct balancer passes.
     #[bpaf(command("self-check"))]
     SelfCheck(#[bpaf(external(self_check_arguments))] SelfCheckArguments),
-    /// Checks the generated blocks of docs/CAPACITY.md against the stored run; exit code 1 if they
-    /// differ
+    /// Checks the generated blocks of docs/CAPACITY.md against the stored run
+    ///
+    ///
+    /// Exits with 1 if they differ.
     #[bpaf(command)]
     Capacity(#[bpaf(external(capacity_command::arguments))] capacity_command::Arguments),
-    /// A small balancer on sockets that is sound or breaks one rule
+    /// Runs a minimal balancer on sockets that is correct or breaks one rule
     #[bpaf(command("faulty-balancer"), hide)]
     FaultyBalancer(#[bpaf(external(faulty_balancer_arguments))] FaultyBalancerArguments),
 }
@@ -52,16 +63,16 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(simulate_arguments), ignore_rustdoc)]
 pub struct SimulateArguments {
-    /// Draws from this seed in place of the scenario's
+    /// Random seed, instead of the scenario's
     #[bpaf(argument("N"))]
     pub seed: Option<u64>,
-    /// What decides: module, random, round-robin, least-connections or power-of-two
+    /// Policy: module, random, round-robin, least-connections or power-of-two
     #[bpaf(argument("NAME"), fallback(PolicyKind::Nettlemux))]
     pub policy: PolicyKind,
-    /// Writes the record there
+    /// Writes the record of the run to this file
     #[bpaf(argument("FILE"))]
     pub record: Option<PathBuf>,
-    /// Prints the figures as JSON
+    /// Prints the result as JSON
     pub json: bool,
     #[bpaf(positional("SCENARIO"))]
     pub scenario: PathBuf,
@@ -71,20 +82,22 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(compare_arguments), ignore_rustdoc)]
 pub struct CompareArguments {
-    /// A policy's name, or a program's path
+    /// First side: a policy's name or a program's path
     #[bpaf(
         long("a"),
         argument("NAME|PATH"),
         fallback(Side::Policy(PolicyKind::Nettlemux))
     )]
     pub a: Side,
-    /// All baselines where it is not given
+    /// Second side; all baseline policies if it is not given
     #[bpaf(long("b"), argument("NAME|PATH"))]
     pub b: Option<Side>,
+    /// Number of seeds, from the scenario's on
     #[bpaf(argument("N"), fallback(5))]
     pub seeds: u64,
     #[bpaf(external)]
     pub threads: usize,
+    /// Prints the result as JSON
     pub json: bool,
     #[bpaf(positional("SCENARIO"))]
     pub scenario: PathBuf,
@@ -94,18 +107,21 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(sweep_arguments), ignore_rustdoc)]
 pub struct SweepArguments {
-    /// The key's path, for example clients.rate or faults.0.amount
+    /// Path of the key, for example clients.rate or faults.0.amount
     #[bpaf(argument("KEY"))]
     pub key: String,
-    /// Values, set apart by commas
+    /// Numbers, separated by commas
     #[bpaf(argument("V,V,…"))]
     pub values: String,
+    /// Policy: module, random, round-robin, least-connections or power-of-two
     #[bpaf(argument("NAME"), fallback(PolicyKind::Nettlemux))]
     pub policy: PolicyKind,
+    /// Number of seeds for each value, from the scenario's on
     #[bpaf(argument("N"), fallback(3))]
     pub seeds: u64,
     #[bpaf(external)]
     pub threads: usize,
+    /// Prints the result as JSON
     pub json: bool,
     #[bpaf(positional("SCENARIO"))]
     pub scenario: PathBuf,
@@ -115,11 +131,13 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(hunt_arguments), ignore_rustdoc)]
 pub struct HuntArguments {
+    /// Number of random sets of faults to try
     #[bpaf(argument("N"), fallback(30))]
     pub tries: usize,
+    /// Random seed of the search
     #[bpaf(argument("N"), fallback(1))]
     pub seed: u64,
-    /// Writes the scenario there
+    /// Writes the scenario found to this file
     #[bpaf(argument("FILE"))]
     pub out: Option<PathBuf>,
     #[bpaf(external)]
@@ -132,7 +150,7 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(judge_arguments), ignore_rustdoc)]
 pub struct JudgeArguments {
-    /// Milliseconds by which each time limit is longer: 50 for a record from sockets
+    /// Milliseconds to add to each time limit: 50 for a record of a run on sockets
     #[bpaf(argument("MS"), fallback(0))]
     pub slack: u64,
     #[bpaf(positional("SCENARIO"))]
@@ -147,14 +165,16 @@
 pub struct RunArguments {
     #[bpaf(external)]
     pub program: PathBuf,
+    /// Random seed, instead of the scenario's
     #[bpaf(argument("N"))]
     pub seed: Option<u64>,
-    /// Writes the record there
+    /// Writes the record of the run to this file
     #[bpaf(argument("FILE"))]
     pub record: Option<PathBuf>,
-    /// Keeps the balancers' logs there
+    /// Keeps the balancers' logs in this folder
     #[bpaf(argument("FOLDER"))]
     pub logs: Option<PathBuf>,
+    /// Prints the result as JSON
     pub json: bool,
     #[bpaf(positional("SCENARIO"))]
     pub scenario: PathBuf,
@@ -166,10 +186,10 @@
 pub struct ScaleArguments {
     #[bpaf(external)]
     pub program: PathBuf,
-    /// Writes the lines there, the table and the plot beside them
+    /// Writes the results to this file, and a table and a plot next to it
     #[bpaf(argument("FILE"), fallback(PathBuf::from("scale.jsonl")))]
     pub out: PathBuf,
-    /// Names the text that is measured, for the first line
+    /// Name of the measured version, for the first line of the file
     #[bpaf(argument("NAME"), fallback(env!("CARGO_PKG_VERSION").to_string()))]
     pub text: String,
     #[bpaf(positional("SCENARIO"))]
@@ -180,7 +200,7 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(self_check_arguments), ignore_rustdoc)]
 pub struct SelfCheckArguments {
-    /// On sockets too, with the balancer itself among the sound ones
+    /// Checks on sockets too, with the real balancer as a correct one
     pub sockets: bool,
     #[bpaf(external)]
     pub program: PathBuf,
@@ -194,22 +214,22 @@
     pub name: String,
 }
 
-/// The program that is run as the balancers; the `nettlemux` beside this one where none is named.
+/// The balancer program. The default is the `nettlemux` in the directory of this executable.
 fn program() -> impl Parser<PathBuf> {
-    let beside = std::env::current_exe()
+    let default = std::env::current_exe()
         .unwrap_or_default()
         .with_file_name("nettlemux");
-    let help = "The balancer's program; without it, the nettlemux beside this one";
+    let help = "Balancer program; the default is nettlemux in this executable's directory";
     bpaf::long("program")
         .help(help)
         .argument::<PathBuf>("PATH")
-        .fallback(beside)
+        .fallback(default)
 }
 
 fn threads() -> impl Parser<usize> {
     let all = std::thread::available_parallelism().map_or(1, usize::from);
     bpaf::long("threads")
-        .help("Runs at a time")
+        .help("Number of concurrent runs")
         .argument::<usize>("N")
         .fallback(all)
 }
--- a/crates/testbed/src/commands/comparison.rs
+++ b/crates/testbed/src/commands/comparison.rs
@@ -33,14 +33,14 @@
         (Side::Policy(a), None) => plan.compare_policies(a, &PolicyKind::BASELINES, threads),
         (Side::Policy(a), Some(Side::Policy(b))) => plan.compare_policies(a, &[b], threads),
         (Side::Program(a), Some(Side::Program(b))) => plan.compare_programs(&a, &b),
-        _ => Err(CommandError::UnlikeSides),
+        _ => Err(CommandError::MismatchedSides),
     }
 }
 
-/// What both kinds of comparison have in common.
+/// The arguments that both kinds of comparison share.
 struct ComparisonPlan<'a> {
     scenario: &'a Path,
-    /// How many seeds, at least one.
+    /// Number of seeds, at least 1.
     seeds: u64,
     json: bool,
 }
@@ -84,14 +84,15 @@
         };
         let mut text = comparison.output(self.json);
         if void > 0 {
-            writeln!(text, "{void} of {seeds} pairs were void").expect("a string takes all");
+            writeln!(text, "{void} of {seeds} pairs were void")
+                .expect("writing to a string cannot fail");
         }
         Ok(Output::new(text, true))
     }
 }
 
-/// Runs two programs in turn on the same seeds. Pairs of which one is void are left out and
-/// counted.
+/// Runs two programs alternately on the same seeds. Returns the compared figures and the number of
+/// pairs that were skipped because one of their runs was void.
 fn run_pairs(
     scenario: &Scenario,
     a: &Path,
--- a/crates/testbed/src/commands/error.rs
+++ b/crates/testbed/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command cannot do what it is asked.
+//! Errors of the commands.
 
 use std::io;
 use std::path::PathBuf;
@@ -13,10 +13,10 @@
 use nettlemux_testbed::sockets::SocketRunError;
 use nettlemux_testbed::sockets::faulty::FaultyBalancerError;
 
-/// Why a command cannot do what it is asked.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A scenario's file is faulty.
+    /// A scenario file is invalid.
     #[error(transparent)]
     ScenarioFile(#[from] ScenarioFileError),
     /// A file cannot be read or written.
@@ -27,28 +27,28 @@
     Record {
         /// The record's file.
         file: PathBuf,
-        /// What is wrong in it.
+        /// Why it cannot be read.
         source: RecordError,
     },
-    /// A value to sweep over that is no number.
-    #[error("--values: '{value}' is no number")]
+    /// A value of a sweep is not a number.
+    #[error("--values: expected a number, found '{value}'")]
     SweepValue {
-        /// The value as it was given.
+        /// The value as given.
         value: String,
     },
-    /// A key to sweep that the scenario does not have.
+    /// The scenario has no such key to sweep.
     #[error("--key: {0}")]
     SweepKey(#[source] SetKeyError),
-    /// Two sides that cannot be compared.
-    #[error("--a and --b must both be policies, or both be programs' paths")]
-    UnlikeSides,
-    /// A comparison on sockets without a result.
-    #[error("every pair was void: the machine was too slow")]
+    /// A policy and a program cannot be compared.
+    #[error("--a and --b must both be policies or both be paths of programs")]
+    MismatchedSides,
+    /// A comparison on sockets has no valid pair of runs.
+    #[error("no valid pair of runs: the machine was too slow for every pair")]
     EveryPairVoid,
-    /// A run on sockets could not be made.
+    /// A run on sockets failed.
     #[error(transparent)]
     SocketRun(#[from] SocketRunError),
-    /// A scenario that was found cannot be written as TOML.
+    /// A scenario found by `hunt` cannot be written as TOML.
     #[error(transparent)]
     Toml(#[from] toml::ser::Error),
     /// A scale run ended early.
@@ -57,22 +57,22 @@
     /// The plot of a scale run cannot be drawn.
     #[error(transparent)]
     Plot(#[from] PlotError),
-    /// The check of the rule checker could not be made.
+    /// The self-check of the rule checker failed to run.
     #[error(transparent)]
     Check(#[from] CheckError),
-    /// The path of this program is not known.
+    /// The path of this executable is not known.
     #[error(transparent)]
-    OwnPath(io::Error),
-    /// An input of the capacity page is faulty.
+    OwnPathUnknown(io::Error),
+    /// An input of the capacity page is invalid.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
-    /// A faulty balancer of an unknown kind.
-    #[error("'{name}' is no mutant")]
+    /// No mutant has this name.
+    #[error("unknown mutant '{name}'")]
     UnknownMutant {
-        /// The name that was given.
+        /// The name as given.
         name: String,
     },
-    /// A faulty balancer could not serve.
+    /// A faulty balancer failed to start.
     #[error(transparent)]
     FaultyBalancer(#[from] FaultyBalancerError),
 }
--- a/crates/testbed/src/commands/files.rs
+++ b/crates/testbed/src/commands/files.rs
@@ -7,16 +7,16 @@
 use nettlemux_testbed::file_error::FileError;
 use nettlemux_testbed::record::Writer;
 
-/// Reads a scenario's file.
+/// Reads a scenario file.
 ///
 /// # Errors
-/// Names the file and the key at fault.
+/// Names the file and the invalid key.
 pub fn load_scenario(file: &Path) -> Result<Scenario, ScenarioFileError> {
     let (scenario, _) = file::load(file)?;
     Ok(scenario)
 }
 
-/// Creates the file of a record, where one is asked for.
+/// Creates the file of a record if one is requested.
 ///
 /// # Errors
 /// The file cannot be created.
--- a/crates/testbed/src/commands/simulated.rs
+++ b/crates/testbed/src/commands/simulated.rs
@@ -45,7 +45,7 @@
     Ok(report.output(json))
 }
 
-/// Looks for the faults that are worst for the policy.
+/// Searches for the faults that hurt the policy most.
 pub fn hunt(arguments: &HuntArguments) -> Result<Output, CommandError> {
     let (scenario, mut table) = file::load(&arguments.scenario)?;
     let found = experiment::hunt(
@@ -67,14 +67,14 @@
         show(found.badness - found.verdict.violations.len() as f64),
     );
     let summary = format!(
-        "{text}\n# {tried} days tried; worst: the best baseline serves {lost} of the worth more \
+        "{text}\n# {tried} scenarios tried; worst: the best baseline serves {lost} of the worth more \
          than the policy, {}\n",
         rules(&found.verdict)
     );
     Ok(Output::new(summary, found.verdict.kept()))
 }
 
-/// Checks a record by the rules.
+/// Checks a record against the rules.
 pub fn check_record(arguments: &JudgeArguments) -> Result<Output, CommandError> {
     let scenario = load_scenario(&arguments.scenario)?;
     let file = &arguments.record;
@@ -88,7 +88,7 @@
     let end = read.seen.iter().filter_map(|seen| seen.at()).max();
     let verdict: Verdict = checker.finish(end.unwrap_or(0));
     let cut = read.cut.map_or(String::new(), |line| {
-        format!("the record is cut off at line {line}\n")
+        format!("the record is truncated at line {line}\n")
     });
     let text = format!("{cut}{}{}\n", violations(&verdict), rules(&verdict));
     Ok(Output::new(text, verdict.kept()))
--- a/crates/testbed/src/commands/sockets.rs
+++ b/crates/testbed/src/commands/sockets.rs
@@ -40,7 +40,11 @@
         simulated: false,
     };
     let run = report.output(json);
-    let died: String = outcome.died.iter().map(|why| format!("{why}\n")).collect();
+    let died: String = outcome
+        .died
+        .iter()
+        .map(|report| format!("{report}\n"))
+        .collect();
     let void = outcome.void.map_or(String::new(), |void| {
         format!("VOID: {}: {void}\n", scenario.name)
     });
@@ -51,8 +55,8 @@
     })
 }
 
-/// Makes a scale run. The table and the plot are written also where it ends early, from what was
-/// measured by then.
+/// Makes a scale run. If it ends early, the table and the plot are still written from what has been
+/// measured until then.
 pub fn run_scale(arguments: &ScaleArguments) -> Result<Output, CommandError> {
     let out = &arguments.out;
     let scenario = ScaleScenario::load(&arguments.scenario)?;
@@ -73,11 +77,11 @@
     Ok(Output::new(table, true))
 }
 
-/// Checks the rule checker itself.
+/// Checks the rule checker against balancers that break one rule each.
 pub fn self_check(arguments: &SelfCheckArguments) -> Result<Output, CommandError> {
     let (mut text, mut passed) = check::self_check()?;
     if arguments.sockets {
-        let testbed = std::env::current_exe().map_err(CommandError::OwnPath)?;
+        let testbed = std::env::current_exe().map_err(CommandError::OwnPathUnknown)?;
         let (on_sockets, all_passed) = check::on_sockets(&testbed, Some(&arguments.program))?;
         text += &on_sockets;
         passed &= all_passed;
@@ -85,7 +89,7 @@
     Ok(Output::new(text, passed))
 }
 
-/// Serves as a small balancer that is sound or breaks one rule.
+/// Runs a minimal balancer that is correct or breaks one rule.
 pub fn run_faulty_balancer(name: &str) -> Result<Output, CommandError> {
     let mutant = Mutant::ALL.into_iter().find(|mutant| mutant.name() == name);
     if mutant.is_none() && name != "sound" {
--- a/crates/testbed/src/commands/sweep.rs
+++ b/crates/testbed/src/commands/sweep.rs
@@ -20,7 +20,7 @@
     "rules_broken",
 ];
 
-/// Runs a scenario with one key at one value after another.
+/// Runs a scenario once for each value of one key.
 pub fn sweep(arguments: &SweepArguments) -> Result<Output, CommandError> {
     let path = &arguments.scenario;
     let (_, table) = file::load(path)?;
@@ -32,13 +32,18 @@
         let mut table = table.clone();
         file::set(&mut table, &arguments.key, number).map_err(CommandError::SweepKey)?;
         let scenario = file::read(&table, path)?;
-        text += &line(arguments, &scenario, value, number);
+        text += &output_line(arguments, &scenario, value, number);
     }
     Ok(Output::new(text, true))
 }
 
-/// The line of one value.
-fn line(arguments: &SweepArguments, scenario: &Scenario, value: &str, number: f64) -> String {
+/// Runs all seeds with one value and returns its output line.
+fn output_line(
+    arguments: &SweepArguments,
+    scenario: &Scenario,
+    value: &str,
+    number: f64,
+) -> String {
     let choice = PolicyChoice::Policy(arguments.policy);
     let runs: Vec<_> = (0..arguments.seeds.max(1))
         .map(|k| (scenario.clone(), scenario.seed + k, choice))
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,5 @@
-//! `nettlemux-testbed`: the command line of the testbed. It owns arguments, what is printed and the
-//! exit code, and nothing else.
+//! `nettlemux-testbed`: the command line of the testbed. It parses arguments, prints the output and
+//! sets the exit code, and does nothing else.
 
 mod capacity_command;
 mod cli;
@@ -11,19 +11,19 @@
 
 use nettlemux_testbed::scale::allocation::CountingAllocator;
 
-/// Counts what the policy keeps, for scale runs.
+/// Counts the memory that the policy holds, for scale runs.
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// The exit code of a command that cannot do what it is asked.
-const EXIT_FAULT: u8 = 2;
-/// The exit code of a run that is no result, as the machine was too slow.
+/// Exit code of a command that failed with an error.
+const EXIT_ERROR: u8 = 2;
+/// Exit code of a run without a valid result because the machine was too slow.
 const EXIT_VOID: u8 = 3;
 
 fn main() -> ExitCode {
     match commands::run(cli::command().run()) {
         Ok(output) => {
-            // A reader that has seen enough is no fault.
+            // A reader may close the pipe early: this is not an error.
             let _ = std::io::stdout().write_all(output.text.as_bytes());
             match output.passed {
                 _ if output.void => ExitCode::from(EXIT_VOID),
@@ -33,7 +33,7 @@
         }
         Err(error) => {
             eprintln!("nettlemux-testbed: {error}");
-            ExitCode::from(EXIT_FAULT)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -123,7 +123,7 @@
     let output = scratch.command(&[]);
     assert_eq!(output.status.code(), Some(1), "{}", text_of(&output));
     assert!(
-        text_of(&output).contains("not as run and assumptions give: balancer\n"),
+        text_of(&output).contains("does not match the stored run and the assumptions: balancer\n"),
         "{}",
         text_of(&output)
     );
