--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -1,6 +1,6 @@
-//! Stand-in clients: each asks a balancer that the front end deals it, and comes again when it is
-//! moved, rejected or cut off. It owns its socket and notes what reaches it; an open flow is
-//! [`ClientFlow`]'s.
+//! Stand-in clients. Each connects to a balancer that the front end picks. It reconnects when it is
+//! migrated, rejected or disconnected. A client owns its socket and records what it receives. An
+//! open flow is handled by [`ClientFlow`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,17 @@
 use super::client_flow::{ClientFlow, FlowOutcome};
 use super::run_state::FlowState;
 use super::shared_run::SharedRun;
-use super::span;
+use super::to_duration;
 
-/// A balancer's machine takes a connection by then or never.
-const DIAL: Duration = Duration::from_secs(1);
-/// One that was open before the run is waited for so long.
-const STANDING: Time = 40 * SEC;
-/// Between the two pieces of a first line.
+/// Time limit of a connect to a balancer's machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Deadline of a flow that is opened before the run.
+const STANDING_DEADLINE: Time = 40 * SEC;
+/// Pause between the two pieces of a split first line.
 const SPLIT_LINE_PAUSE: Duration = Duration::from_millis(50);
-/// New clients come for as long as the run lasts.
-pub async fn arrive(shared: Arc<SharedRun>) {
+
+/// Starts new clients at the rate of the scenario until the run ends.
+pub async fn spawn_arriving_clients(shared: Arc<SharedRun>) {
     let mut next = shared.now();
     loop {
         let wait = {
@@ -32,28 +33,29 @@
             inner.population.next_arrival(&inner.model)
         };
         next += wait;
-        tokio::time::sleep(span(next.saturating_sub(shared.now()))).await;
+        tokio::time::sleep(to_duration(next.saturating_sub(shared.now()))).await;
         let id = {
             let inner = &mut *shared.lock();
             inner.population.arrive(shared.now(), &inner.model)
         };
-        tokio::spawn(live(shared.clone(), id, None));
+        tokio::spawn(run_client(shared.clone(), id, None));
     }
 }
 
-/// A client whose connection stood before the run: at a server with less load of two.
-pub fn stand(shared: &Arc<SharedRun>) {
+/// Starts a client whose connection is opened before the run, at the less utilized of two random
+/// servers.
+pub fn start_standing_client(shared: &Arc<SharedRun>) {
     let (id, server) = {
         let inner = &mut *shared.lock();
         let id = inner.population.arrive(0, &inner.model);
         let zone = inner.population.get(id).map_or(0, |client| client.zone);
         (id, inner.model.stood_at(zone, &mut inner.rng))
     };
-    tokio::spawn(live(shared.clone(), id, Some(server)));
+    tokio::spawn(run_client(shared.clone(), id, Some(server)));
 }
 
-/// One client, from its coming to the end of what it wants.
-async fn live(shared: Arc<SharedRun>, id: u64, mut standing: Option<usize>) {
+/// Runs one client from its arrival until it is served or gives up.
+async fn run_client(shared: Arc<SharedRun>, id: u64, mut standing: Option<usize>) {
     loop {
         let client = shared.lock().population.get(id).cloned();
         let Some(client) = client.filter(|client| !client.gone) else {
@@ -63,15 +65,16 @@
             FlowOutcome::Done => break,
             FlowOutcome::Retry(Some(wait)) => {
                 let left = client.ends.saturating_sub(shared.now());
-                tokio::time::sleep(span(wait.min(left))).await;
+                tokio::time::sleep(to_duration(wait.min(left))).await;
                 if wait >= left {
                     break;
                 }
             }
             FlowOutcome::Retry(None) => {
-                // What it still wanted is lost, and counts until its end.
+                // The client has given up. It stays in the population until its end, so that the
+                // service that it still wanted counts as lost.
                 shared.lock().figures.clients_lost += 1;
-                tokio::time::sleep(span(client.ends.saturating_sub(shared.now()))).await;
+                tokio::time::sleep(to_duration(client.ends.saturating_sub(shared.now()))).await;
                 break;
             }
         }
@@ -79,7 +82,7 @@
     shared.lock().population.remove(id);
 }
 
-/// What a client opens a flow with.
+/// A client's request to open a flow.
 struct OpenRequest<'a> {
     id: u64,
     client: &'a Client,
@@ -87,11 +90,11 @@
     balancer: usize,
     /// From the first line until the deadline.
     wait: Time,
-    /// The server of a connection that stood before the run.
+    /// The server of a connection that is opened before the run.
     standing: Option<usize>,
 }
 
-/// Opens one flow of a client and sees it to its end.
+/// Opens one flow of a client and handles it until it ends.
 async fn run_flow(
     shared: &Arc<SharedRun>,
     id: u64,
@@ -99,7 +102,7 @@
     standing: Option<usize>,
 ) -> FlowOutcome {
     let refused = || FlowOutcome::Retry(Some(shared.lock().population.refused()));
-    let Some((balancer, stream)) = dial(shared, client).await else {
+    let Some((balancer, stream)) = connect_to_balancer(shared, client).await else {
         return refused();
     };
     let _ = stream.set_nodelay(true);
@@ -111,7 +114,7 @@
         flow: shared.lock().next_flow(),
         balancer,
         wait: match standing {
-            Some(_) => STANDING,
+            Some(_) => STANDING_DEADLINE,
             None => seconds(shared.scenario.types[client.class].wait),
         },
         standing,
@@ -121,14 +124,14 @@
         standing.is_none() && shared.lock().rng.uniform() < shared.scenario.clients.split_lines;
     let (first, rest) = line.split_at(if split { line.len() / 2 } else { 0 });
     if split {
-        // Its balancer may die meanwhile: nothing was asked of it then.
+        // If the balancer dies in between, the flow was never requested.
         if out.write_all(first.as_bytes()).await.is_err() {
             return refused();
         }
         tokio::time::sleep(SPLIT_LINE_PAUSE).await;
     }
-    // The balancer may have died since it took the connection: no process is there to read the line.
-    let Some(flow) = accept_flow(shared, &request) else {
+    // The balancer may have died since it accepted the connection. No process reads the line then.
+    let Some(flow) = register_flow(shared, &request) else {
         return refused();
     };
     let outcome = match out.write_all(rest.as_bytes()).await {
@@ -137,7 +140,7 @@
                 .await
         }
         Err(_) => {
-            // Never complete at the balancer: it has nothing to answer.
+            // The line is incomplete at the balancer, so that no answer is due.
             shared.observe(Observation::ClientLeft {
                 at: shared.now(),
                 flow: request.flow,
@@ -150,19 +153,24 @@
     outcome
 }
 
-/// Connects to the balancer that the front end deals; none where there is none or it refuses.
-async fn dial(shared: &SharedRun, client: &Client) -> Option<(usize, TcpStream)> {
+/// Connects to the balancer that the front end picks. Returns `None` if the front end has no
+/// balancer or the connect fails.
+async fn connect_to_balancer(shared: &SharedRun, client: &Client) -> Option<(usize, TcpStream)> {
     let balancer = {
         let state = &mut *shared.lock();
         state.front.pick_balancer(shared.now(), client.zone)?
     };
     let connecting = TcpStream::connect(shared.addresses.balancer(balancer));
-    let stream = tokio::time::timeout(DIAL, connecting).await.ok()?.ok()?;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
+        .await
+        .ok()?
+        .ok()?;
     Some((balancer, stream))
 }
 
-/// Enters a flow as its first line is about to be complete; none where its balancer has died.
-fn accept_flow<'a>(
+/// Registers a flow immediately before its first line is complete. Returns `None` if its balancer
+/// has died.
+fn register_flow<'a>(
     shared: &'a Arc<SharedRun>,
     request: &OpenRequest<'_>,
 ) -> Option<ClientFlow<'a>> {
@@ -178,14 +186,14 @@
     if !state.alive[balancer] {
         return None;
     }
-    let known = FlowState {
+    let flow_state = FlowState {
         client: id,
         balancer,
         server: standing,
-        by_server: None,
+        closed_by_server: None,
         signals: None,
     };
-    state.flows.insert(flow, known);
+    state.flows.insert(flow, flow_state);
     let idempotency = state.population.idempotency(id, &shared.scenario);
     let accepted_at = shared.now();
     if standing.is_none() {
@@ -215,6 +223,7 @@
     })
 }
 
+/// Formats the first line of a flow.
 fn first_line(shared: &SharedRun, request: &OpenRequest<'_>) -> String {
     let &OpenRequest {
         id,
@@ -224,8 +233,12 @@
         standing,
         ..
     } = request;
-    let of = &shared.scenario.types[client.class];
-    let mut line = format!("OPEN {flow:016x} {id:016x} c={},d={}", of.name, wait / MS);
+    let class = &shared.scenario.types[client.class];
+    let mut line = format!(
+        "OPEN {flow:016x} {id:016x} c={},d={}",
+        class.name,
+        wait / MS
+    );
     if let Some(group) = client.group {
         line += &format!(",g=g{group}");
     }
--- a/crates/testbed/src/sockets/client_flow.rs
+++ b/crates/testbed/src/sockets/client_flow.rs
@@ -1,5 +1,5 @@
-//! A stand-in client's flow: waits for its one answer, sends a line now and then, and notes how it
-//! ends. It believes nothing of a balancer that it can check.
+//! A stand-in client's flow. It waits for its single answer, sends lines at an interval and records
+//! how it ends. It checks what the balancer sends and relies on none of it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,33 +12,32 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
 use super::shared_run::SharedRun;
-use super::span;
+use super::to_duration;
 
-/// How long past its deadline a client goes on listening: what comes then is late, or a second
-/// answer.
+/// How long a client listens past its deadline. An answer in this time is late or a second answer.
 const LATE_ANSWER_TIMEOUT: Time = 300 * MS;
-/// How long a second answer is listened for after a rejection or a failure.
+/// How long a client listens for a second answer after a rejection or a failure.
 const SECOND_ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long the other side has to close a connection whose client it sent away.
+/// How long a client waits for the connection to close after it was told to migrate.
 const MIGRATION_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A balancer's process that has died is noticed by then: until it is, an end without an answer
-/// isn't counted.
+/// How long it takes until the death of a balancer's process is noticed. A connection that is closed
+/// without an answer is only counted after this time, if the balancer is still alive.
 const BALANCER_DEATH_NOTICE: Duration = Duration::from_millis(400);
-/// Lines that wait for their answers at most.
+/// Number of sent lines that may wait for their answers.
 const PENDING_LINES_MAX: usize = 64;
 
-/// The lines that a balancer sends.
+/// Reader of the lines that a balancer sends.
 type Lines = tokio::io::Lines<BufReader<OwnedReadHalf>>;
 
-/// What a flow came to.
+/// The outcome of a flow.
 pub enum FlowOutcome {
-    /// When to try again; none: never.
+    /// Retry after this time, or never if `None`.
     Retry(Option<Time>),
-    /// The client has had what it wanted.
+    /// The client has ended the flow and does not retry.
     Done,
 }
 
-/// A flow that its client has asked for.
+/// A flow that its client has requested.
 pub struct ClientFlow<'a> {
     /// The run.
     pub shared: &'a Arc<SharedRun>,
@@ -46,18 +45,18 @@
     pub id: u64,
     /// The flow's number.
     pub flow: u64,
-    /// Whether an attempt may be repeated.
+    /// Whether the flow may be repeated.
     pub idempotency: Idempotency,
     /// When the first line was written.
     pub accepted_at: Time,
-    /// From then until the deadline.
+    /// Time from the first line until the deadline.
     pub wait: Time,
-    /// The balancer that was asked.
+    /// The balancer that the flow was requested from.
     pub balancer: usize,
 }
 
 impl ClientFlow<'_> {
-    /// Waits for the one final answer, and goes on from there.
+    /// Waits for the single final answer. If it is `UP`, handles the open flow until it ends.
     pub async fn wait(
         &self,
         lines: &mut Lines,
@@ -66,45 +65,45 @@
         standing: bool,
     ) -> FlowOutcome {
         let shared = self.shared;
-        let patience = span(self.wait + LATE_ANSWER_TIMEOUT);
+        let answer_timeout = to_duration(self.wait + LATE_ANSWER_TIMEOUT);
         let ends = match standing {
-            true => patience,
-            false => span(client.ends.saturating_sub(shared.now())),
+            true => answer_timeout,
+            false => to_duration(client.ends.saturating_sub(shared.now())),
         };
         let answer = tokio::select! {
-            answer = tokio::time::timeout(patience, lines.next_line()) => answer,
+            answer = tokio::time::timeout(answer_timeout, lines.next_line()) => answer,
             () = tokio::time::sleep(ends) => {
                 shared.observe(Observation::ClientLeft { at: shared.now(), flow: self.flow });
                 return FlowOutcome::Done;
             }
         };
         let Ok(Ok(Some(answer))) = answer else {
-            // Nothing, or an end without an answer: lost, unless the balancer has died.
-            shared.lock().figures.unanswered += u64::from(!self.balancer_gone().await);
+            // No answer, or closed without an answer. It counts unless the balancer has died.
+            shared.lock().figures.unanswered += u64::from(!self.balancer_died().await);
             let inner = &mut *shared.lock();
             return FlowOutcome::Retry(inner.population.failed(self.id, &shared.scenario));
         };
         let now = shared.now();
         let (word, rest) = answer.split_once(' ').unwrap_or((&answer, ""));
-        let with = match word {
+        let final_answer = match word {
             "UP" => FinalAnswer::Connected,
             "BUSY" => FinalAnswer::Rejected,
             _ => FinalAnswer::Failed,
         };
         if !standing {
-            self.observe_answer(now, client, with);
+            self.observe_answer(now, client, final_answer);
         }
-        if with == FinalAnswer::Connected {
+        if final_answer == FinalAnswer::Connected {
             {
                 let mut inner = shared.lock();
                 inner.population.connected(self.id);
                 inner.standing += usize::from(standing);
             }
-            return self.open(lines, out, client).await;
+            return self.run_open(lines, out, client).await;
         }
-        self.second_answer(lines).await;
+        self.observe_second_answer(lines).await;
         let inner = &mut *shared.lock();
-        FlowOutcome::Retry(match (with, self.idempotency) {
+        FlowOutcome::Retry(match (final_answer, self.idempotency) {
             (FinalAnswer::Rejected, _) => {
                 let retry_after = rest.trim().parse::<u64>().ok().map(|ms| ms * MS);
                 inner
@@ -116,26 +115,26 @@
         })
     }
 
-    /// Records the answer of a flow that was not open before the run.
-    fn observe_answer(&self, now: Time, client: &Client, with: FinalAnswer) {
+    /// Records the answer to a flow that is not a standing one.
+    fn observe_answer(&self, now: Time, client: &Client, answer: FinalAnswer) {
         let target = seconds(self.shared.scenario.types[client.class].target);
         let mut inner = self.shared.lock();
         inner
             .figures
-            .answered(now, with, now - self.accepted_at, target);
-        inner.figures.of_client(now, client, with);
+            .answered(now, answer, now - self.accepted_at, target);
+        inner.figures.of_client(now, client, answer);
         inner.observe(Observation::Answered {
             at: now,
             flow: self.flow,
-            answer: with,
+            answer,
         });
     }
 
-    /// Listens a little longer: nothing may come after the one answer.
-    async fn second_answer(&self, lines: &mut Lines) {
-        let more = tokio::time::timeout(SECOND_ANSWER_TIMEOUT, lines.next_line()).await;
-        if let Ok(Ok(Some(line))) = more {
-            let with = if line.starts_with("BUSY") {
+    /// Listens a little longer and records a second answer, which breaks a rule.
+    async fn observe_second_answer(&self, lines: &mut Lines) {
+        let next = tokio::time::timeout(SECOND_ANSWER_TIMEOUT, lines.next_line()).await;
+        if let Ok(Ok(Some(line))) = next {
+            let answer = if line.starts_with("BUSY") {
                 FinalAnswer::Rejected
             } else {
                 FinalAnswer::Failed
@@ -143,35 +142,37 @@
             self.shared.observe(Observation::Answered {
                 at: self.shared.now(),
                 flow: self.flow,
-                answer: with,
+                answer,
             });
         }
     }
 
-    async fn balancer_gone(&self) -> bool {
+    /// Whether the balancer has died, checked after the time in which a death is noticed.
+    async fn balancer_died(&self) -> bool {
         tokio::time::sleep(BALANCER_DEATH_NOTICE).await;
         !self.shared.lock().alive[self.balancer]
     }
 
-    /// Sends a line now and then and looks at what comes back, until one side ends.
-    async fn open(
+    /// Sends lines at the interval of the scenario and processes the received lines, until one side
+    /// closes the connection.
+    async fn run_open(
         &self,
         lines: &mut Lines,
         out: &mut OwnedWriteHalf,
         client: &Client,
     ) -> FlowOutcome {
         let shared = self.shared;
-        let every = seconds(shared.scenario.clients.line_interval);
-        let mut next = shared.now() + (every as f64 * shared.lock().rng.uniform()) as Time;
-        let mut waiting = std::collections::VecDeque::new();
-        let mut count = 0u64;
+        let interval = seconds(shared.scenario.clients.line_interval);
+        let mut next = shared.now() + (interval as f64 * shared.lock().rng.uniform()) as Time;
+        let mut pending = std::collections::VecDeque::new();
+        let mut lines_sent = 0u64;
         loop {
             let now = shared.now();
-            if shared.begun() && now >= client.ends {
+            if shared.has_started() && now >= client.ends {
                 self.observe_client_close(now);
                 return FlowOutcome::Done;
             }
-            let wake = if shared.begun() {
+            let wake = if shared.has_started() {
                 next.min(client.ends)
             } else {
                 next
@@ -179,36 +180,36 @@
             tokio::select! {
                 line = lines.next_line() => match line {
                     Ok(Some(line)) if line == "MOVE" => {
-                        // The other side closes it soon.
+                        // The server or the balancer closes the connection soon.
                         let _ = tokio::time::timeout(MIGRATION_CLOSE_TIMEOUT, lines.next_line()).await;
-                        return self.ended(true).await;
+                        return self.handle_close(true).await;
                     }
                     Ok(Some(line)) if line.starts_with("ok ") => {
-                        if let Some(sent) = waiting.pop_front() {
-                            self.message_answered(client, sent);
+                        if let Some(sent) = pending.pop_front() {
+                            self.record_line_answer(client, sent);
                         }
                     }
                     Ok(Some(line)) if line.starts_with("LOAD ") => {}
                     Ok(Some(line)) => {
-                        // No stand-in server wrote it.
-                        let with = if line.starts_with("UP") { FinalAnswer::Connected } else { FinalAnswer::Failed };
-                        shared.observe(Observation::Answered { at: shared.now(), flow: self.flow, answer: with });
+                        // Stand-in servers send no such line: it is an answer of the balancer.
+                        let answer = if line.starts_with("UP") { FinalAnswer::Connected } else { FinalAnswer::Failed };
+                        shared.observe(Observation::Answered { at: shared.now(), flow: self.flow, answer });
                     }
-                    Ok(None) | Err(_) => return self.ended(false).await,
+                    Ok(None) | Err(_) => return self.handle_close(false).await,
                 },
-                () = tokio::time::sleep(span(wake.saturating_sub(now))) => {
+                () = tokio::time::sleep(to_duration(wake.saturating_sub(now))) => {
                     let now = shared.now();
                     if now < next {
                         continue;
                     }
-                    next = now + every;
-                    count += 1;
+                    next = now + interval;
+                    lines_sent += 1;
                     shared.lock().figures.steps += 1;
-                    if waiting.len() < PENDING_LINES_MAX {
-                        waiting.push_back(now);
-                        let line = format!("m{count}\r\n");
+                    if pending.len() < PENDING_LINES_MAX {
+                        pending.push_back(now);
+                        let line = format!("m{lines_sent}\r\n");
                         if out.write_all(line.as_bytes()).await.is_err() {
-                            return self.ended(false).await;
+                            return self.handle_close(false).await;
                         }
                     }
                 }
@@ -216,8 +217,8 @@
         }
     }
 
-    /// Records the answer to a line that was sent at that time.
-    fn message_answered(&self, client: &Client, sent: Time) {
+    /// Records the answer to a line that was sent at `sent`.
+    fn record_line_answer(&self, client: &Client, sent: Time) {
         let scenario = &self.shared.scenario;
         let target = seconds(scenario.types[client.class].message_target);
         let now = self.shared.now();
@@ -239,20 +240,20 @@
         });
     }
 
-    /// The connection has ended without the client's doing.
-    async fn ended(&self, told: bool) -> FlowOutcome {
+    /// Handles the end of a connection that the client did not close.
+    async fn handle_close(&self, migrated: bool) -> FlowOutcome {
         let shared = self.shared;
-        if told || !self.balancer_gone().await {
+        if migrated || !self.balancer_died().await {
             let mut inner = shared.lock();
             let at = shared.now();
-            inner.connection_broken(at, self.flow, told);
+            inner.record_connection_closed(at, self.flow, migrated);
         }
         let inner = &mut *shared.lock();
-        let by_server = inner
+        let closed_by_server = inner
             .flows
             .get(&self.flow)
-            .is_some_and(|known| known.by_server.is_some());
-        match (told, by_server) {
+            .is_some_and(|state| state.closed_by_server.is_some());
+        match (migrated, closed_by_server) {
             (true, false) => inner.figures.moves += 1,
             (false, _) => inner.figures.lost += 1,
             _ => {}
@@ -260,7 +261,7 @@
         FlowOutcome::Retry(
             inner
                 .population
-                .reconnect_delay(shared.now(), self.id, told),
+                .reconnect_delay(shared.now(), self.id, migrated),
         )
     }
 }
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -1,6 +1,7 @@
-//! The stand-in discovery agent, one for each balancer: HTTP/1.1 with held calls, as the platform
-//! has it. It owns its listener, tells what the balancer may see by now, and notes it as told when
-//! it writes it. While discovery is down it says nothing.
+//! The stand-in discovery agent, one for each balancer. It speaks HTTP/1.1 with long polling, like
+//! the platform's agent. It owns its listener, sends the part of the endpoint list that is visible
+//! to the balancer and records each entry as notified when it is sent. During an outage of
+//! discovery it does not answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,13 +12,13 @@
 use super::error::SocketRunError;
 use super::shared_run::SharedRun;
 
-/// Holds no call for longer.
-const LONGEST: u64 = 60_000;
+/// Longest time that a request is held.
+const HOLD_MAX_MS: u64 = 60_000;
 
 /// Starts one balancer's agent.
 ///
 /// # Errors
-/// Its address can't be had.
+/// The agent can't listen at its address.
 pub async fn start(shared: &Arc<SharedRun>, balancer: usize) -> Result<(), SocketRunError> {
     let address = shared.addresses.discovery(balancer);
     let listener = TcpListener::bind(address)
@@ -26,13 +27,17 @@
     let shared = shared.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(talk(shared.clone(), balancer, stream));
+            tokio::spawn(serve_connection(shared.clone(), balancer, stream));
         }
     });
     Ok(())
 }
 
-async fn talk(shared: Arc<SharedRun>, balancer: usize, stream: TcpStream) -> Option<()> {
+async fn serve_connection(
+    shared: Arc<SharedRun>,
+    balancer: usize,
+    stream: TcpStream,
+) -> Option<()> {
     let (read, mut out) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
     loop {
@@ -46,21 +51,24 @@
                 .find(|(key, _)| *key == name)
                 .and_then(|(_, value)| value.parse::<u64>().ok())
         };
-        let (from, hold) = (value("from"), value("hold_ms").unwrap_or(0).min(LONGEST));
-        let mut news = shared.news.subscribe();
-        let newer = async {
-            while from.is_some_and(|from| shared.lock().visible[balancer] <= from) {
-                if news.changed().await.is_err() {
+        let (from, hold) = (
+            value("from"),
+            value("hold_ms").unwrap_or(0).min(HOLD_MAX_MS),
+        );
+        let mut updates = shared.list_updates.subscribe();
+        let newer_version = async {
+            while from.is_some_and(|from| shared.lock().visible_versions[balancer] <= from) {
+                if updates.changed().await.is_err() {
                     return;
                 }
             }
         };
-        let _ = tokio::time::timeout(Duration::from_millis(hold), newer).await;
+        let _ = tokio::time::timeout(Duration::from_millis(hold), newer_version).await;
         if shared.lock().model.discovery().is_none() {
-            // Silent: the call is held for good.
+            // Discovery is down: the request is never answered.
             std::future::pending::<()>().await;
         }
-        let body = shared.list(balancer, from).to_string();
+        let body = shared.endpoint_list(balancer, from).to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         out.write_all((head + &body).as_bytes()).await.ok()?;
     }
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -1,4 +1,4 @@
-//! Why a run on sockets cannot be made.
+//! Errors of a run on sockets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,37 +6,37 @@
 
 use crate::file_error::FileError;
 
-/// Why a run on sockets cannot be made.
+/// Why a run on sockets failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketRunError {
     /// The threads of the stand-ins did not start.
     #[error("can't start threads: {0}")]
     Threads(#[source] io::Error),
-    /// All loopback blocks are held by other runs.
-    #[error("no block of loopback addresses is free")]
+    /// Other runs hold all blocks of loopback addresses.
+    #[error("no free block of loopback addresses: other runs hold all of them")]
     NoFreeAddresses,
-    /// A stand-in cannot listen.
+    /// A stand-in cannot listen at its address.
     #[error("can't listen at {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The program to run as the balancers is not there.
-    #[error("{}: there is no such program", .path.display())]
+    /// The balancer program does not exist.
+    #[error("{}: no such program", .path.display())]
     NoProgram {
         /// The program's path.
         path: PathBuf,
     },
-    /// A file or the program cannot be used.
+    /// A file cannot be accessed, or the program cannot be started.
     #[error(transparent)]
     File(#[from] FileError),
     /// The operator's file cannot be written as TOML.
     #[error(transparent)]
     OperatorFile(#[from] toml::ser::Error),
-    /// A balancer did not answer in time.
-    #[error("balancer {balancer} isn't ready in time:\n{log_end}")]
+    /// A balancer did not answer a `PING` in time.
+    #[error("balancer {balancer} isn't ready within the time limit; end of its log:\n{log_end}")]
     NotReady {
         /// The balancer's number.
         balancer: usize,
@@ -47,6 +47,6 @@
     #[error("the record can't be written: {0}")]
     Record(#[source] io::Error),
     /// The thread of the run panicked.
-    #[error("it panicked")]
+    #[error("the thread of the run panicked")]
     Panicked,
 }
--- a/crates/testbed/src/sockets/faulty.rs
+++ b/crates/testbed/src/sockets/faulty.rs
@@ -1,7 +1,7 @@
-//! Small balancers on sockets that break one rule each on purpose, and a sound one beside them: a
-//! process of its own each, started by `self-check` to show that the rule checker catches them
-//! where they cross real stand-ins. They place in turn, know no load, and are never part of a run
-//! that isn't asked for them.
+//! Minimal balancers on sockets, each in a process of its own: one for each mutant, which breaks one
+//! rule on purpose, and a correct one. `self-check` starts them to show that the rule checker detects
+//! the broken rules in runs with the stand-ins on sockets. They place flows in rotation and ignore
+//! load. They are used only in runs that request them.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,49 +17,53 @@
 use crate::file_error::FileError;
 use crate::mutants::Mutant;
 
-/// Answers so long before the client's time is up.
-const MARGIN: Duration = Duration::from_millis(40);
-const DIAL: Duration = Duration::from_millis(250);
-/// Connects to one server in slow start come this far apart.
-const COLD: Duration = Duration::from_secs(1);
-/// How long a connection lasts at one that cuts them off.
-const CUT: Duration = Duration::from_millis(700);
-/// Connects for one flow.
-const TRIES: usize = 3;
+/// How long before the deadline a flow is answered.
+const ANSWER_MARGIN: Duration = Duration::from_millis(40);
+/// Time limit of a connect to a server.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval between two attempts at one server in slow start.
+const SLOW_START_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a connection lasts at the mutant that closes connections without `MOVE`.
+const CUT_CONNECTION_LIFETIME: Duration = Duration::from_millis(700);
+/// Number of attempts for one flow.
+const ATTEMPTS_MAX: usize = 3;
 
 #[derive(Clone)]
 struct Server {
     address: SocketAddr,
     state: String,
     started: u64,
-    sent: Option<Instant>,
+    /// Time of the last attempt.
+    last_attempt: Option<Instant>,
 }
 
 struct Shared {
     mutant: Option<Mutant>,
+    /// The servers by their ids, the number of choices so far, and the number of flows so far.
     servers: Mutex<(BTreeMap<String, Server>, usize, usize)>,
-    once_only: Vec<String>,
+    /// Names of the traffic classes that are non-idempotent.
+    non_idempotent: Vec<String>,
 }
 
-/// Why a faulty balancer cannot serve.
+/// Why a faulty balancer failed to start.
 #[derive(Debug, thiserror::Error)]
 pub enum FaultyBalancerError {
-    /// The configuration's file is not named.
+    /// The environment variable that names the configuration file is not set.
     #[error("LB_CONFIG is not set")]
     NoConfig,
-    /// The configuration's file cannot be read.
+    /// The configuration file cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The configuration is no JSON.
+    /// The configuration file is not valid JSON.
     #[error("{file}: {source}")]
     NotJson {
         /// The configuration's file.
         file: String,
-        /// What the JSON reader found.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A key without an address.
-    #[error("{file}: key '{key}': no address")]
+    /// A key has no valid address.
+    #[error("{file}: key '{key}': expected an IP address with a port")]
     NoAddress {
         /// The configuration's file.
         file: String,
@@ -69,20 +73,20 @@
     /// The runtime did not start.
     #[error(transparent)]
     Runtime(io::Error),
-    /// There is no listening at the address.
-    #[error("{address}: {source}")]
+    /// The balancer cannot listen at its address.
+    #[error("can't listen at {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
 }
 
-/// Serves by the configuration that `LB_CONFIG` names, until it is killed.
+/// Serves with the configuration file that `LB_CONFIG` names, until the process is killed.
 ///
 /// # Errors
-/// The configuration or an address can't be had.
+/// The configuration can't be read or is invalid, or its address can't be listened at.
 pub fn run(mutant: Option<Mutant>) -> Result<(), FaultyBalancerError> {
     let file = std::env::var("LB_CONFIG").map_err(|_| FaultyBalancerError::NoConfig)?;
     let text = std::fs::read_to_string(&file).map_err(FileError::at(Path::new(&file)))?;
@@ -104,14 +108,16 @@
         .as_array()
         .cloned()
         .unwrap_or_default();
-    let once_only = types.iter().filter(|one| one["repeat"] == "single_shot");
-    let once_only = once_only
-        .filter_map(|one| one["name"].as_str().map(String::from))
+    let non_idempotent = types
+        .iter()
+        .filter(|class| class["repeat"] == "single_shot");
+    let non_idempotent = non_idempotent
+        .filter_map(|class| class["name"].as_str().map(String::from))
         .collect();
     let shared = Arc::new(Shared {
         mutant,
         servers: Mutex::default(),
-        once_only,
+        non_idempotent,
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -126,7 +132,7 @@
                         address: listen,
                         source,
                     })?;
-            tokio::spawn(watch(shared.clone(), discovery));
+            tokio::spawn(follow_discovery(shared.clone(), discovery));
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
                     tokio::spawn(serve(shared.clone(), stream));
@@ -135,29 +141,30 @@
         })
 }
 
-async fn watch(shared: Arc<Shared>, discovery: SocketAddr) {
+/// Updates the servers from discovery for as long as the process runs.
+async fn follow_discovery(shared: Arc<Shared>, discovery: SocketAddr) {
     let mut from = None;
     loop {
-        match news(discovery, from).await {
+        match fetch_endpoints(discovery, from).await {
             Some(value) => {
                 from = value["generation"].as_u64();
-                let mut held = shared
+                let mut guard = shared
                     .servers
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner);
-                for one in value["instances"].as_array().into_iter().flatten() {
-                    let text = |key: &str| one[key].as_str().unwrap_or_default().to_string();
+                for entry in value["instances"].as_array().into_iter().flatten() {
+                    let text = |key: &str| entry[key].as_str().unwrap_or_default().to_string();
                     let Ok(address) = text("hostPort").parse() else {
                         continue;
                     };
-                    let started = one["startedAtMs"].as_u64().unwrap_or(0);
+                    let started = entry["startedAtMs"].as_u64().unwrap_or(0);
                     let server = Server {
                         address,
                         state: text("lifecycle"),
                         started,
-                        sent: None,
+                        last_attempt: None,
                     };
-                    held.0.insert(text("instanceId"), server);
+                    guard.0.insert(text("instanceId"), server);
                 }
             }
             None => tokio::time::sleep(Duration::from_millis(50)).await,
@@ -165,7 +172,8 @@
     }
 }
 
-async fn news(discovery: SocketAddr, from: Option<u64>) -> Option<Value> {
+/// Fetches the endpoint list, or the changes since a version. Returns `None` if this fails.
+async fn fetch_endpoints(discovery: SocketAddr, from: Option<u64>) -> Option<Value> {
     let mut stream = TcpStream::connect(discovery).await.ok()?;
     let path = from.map_or("/api/targets".into(), |from| {
         format!("/api/targets?from={from}&hold_ms=500")
@@ -200,64 +208,72 @@
         self.mutant == Some(mutant)
     }
 
-    /// A server in turn that may be sent to, or what mutant makes of that; and the number of this
-    /// question.
+    /// Returns the next server in rotation that may get an attempt, or the server that the mutant
+    /// picks instead. Returns `None` if there is none. `tried` are the servers that have already had
+    /// an attempt of the flow.
     fn choose(&self, tried: &[SocketAddr]) -> Option<SocketAddr> {
-        let mut held = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
-        held.1 += 1;
-        let turn = held.1;
+        let mut guard = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
+        guard.1 += 1;
+        let turn = guard.1;
         let now = Instant::now();
-        let floods = self.is(Mutant::FloodsCold);
-        if floods
-            && let Some(cold) = held
+        let floods_newest = self.is(Mutant::FloodsCold);
+        if floods_newest
+            && let Some(newest) = guard
                 .0
                 .values()
                 .filter(|s| s.state == "Ready")
                 .max_by_key(|s| s.started)
-            && cold.started > 0
+            && newest.started > 0
         {
-            return Some(cold.address);
+            return Some(newest.address);
         }
         let draining =
             |server: &Server| self.is(Mutant::SendsToDraining) && server.state == "Terminating";
-        // A mutant goes where it must not whenever it can.
-        if let Some(server) = held
+        // The mutant picks a draining server whenever there is one.
+        if let Some(server) = guard
             .0
             .values()
             .find(|server| draining(server) && !tried.contains(&server.address))
         {
             return Some(server.address);
         }
-        let spared =
-            |server: &Server| server.started == 0 || server.sent.is_none_or(|at| at + COLD < now);
+        let slow_start_allows = |server: &Server| {
+            server.started == 0
+                || server
+                    .last_attempt
+                    .is_none_or(|at| at + SLOW_START_INTERVAL < now)
+        };
         let fits = |server: &&mut Server| {
-            server.state == "Ready" && spared(server) && !tried.contains(&server.address)
+            server.state == "Ready" && slow_start_allows(server) && !tried.contains(&server.address)
         };
-        let mut fit: Vec<&mut Server> = held.0.values_mut().filter(fits).collect();
+        let mut fit: Vec<&mut Server> = guard.0.values_mut().filter(fits).collect();
         if fit.is_empty() {
             return None;
         }
         let count = fit.len();
         let server = &mut fit[turn % count];
-        server.sent = Some(now);
+        server.last_attempt = Some(now);
         Some(server.address)
     }
 
+    /// Whether the server at this address is ready.
     fn ready(&self, address: SocketAddr) -> bool {
-        let held = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
-        held.0
+        let guard = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
+        guard
+            .0
             .values()
             .any(|server| server.address == address && server.state == "Ready")
     }
 
-    /// Whether this flow is one of those on which mutant is done.
-    fn picked(&self) -> bool {
-        let mut held = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
-        held.2 += 1;
-        held.2.is_multiple_of(4)
+    /// Counts a flow. Returns whether the mutant breaks its rule on this flow, which is every fourth.
+    fn selects_flow(&self) -> bool {
+        let mut guard = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
+        guard.2 += 1;
+        guard.2.is_multiple_of(4)
     }
 }
 
+/// Answers health checks on a client's connection until a first line opens a flow, and serves it.
 async fn serve(shared: Arc<Shared>, stream: TcpStream) -> Option<()> {
     let _ = stream.set_nodelay(true);
     let (read, mut out) = stream.into_split();
@@ -275,88 +291,91 @@
         }
         out.write_all(b"PONG\r\n").await.ok()?;
     }
-    let taken = Instant::now();
+    let accepted_at = Instant::now();
     let value = |name: &str| {
         line.trim_end()
             .split([',', ' '])
             .find_map(|pair| pair.strip_prefix(name))
     };
     let wait = Duration::from_millis(value("d=").and_then(|ms| ms.parse().ok()).unwrap_or(1000));
-    let once_only = shared
-        .once_only
+    let non_idempotent = shared
+        .non_idempotent
         .iter()
         .any(|name| value("c=") == Some(name));
-    let careful = once_only && !shared.is(Mutant::RepeatsNonIdempotent);
-    // What stood before the run is set up soundly, so that the run can begin.
-    let picked = !line.contains(",at=") && shared.picked();
-    if picked && shared.is(Mutant::LosesAnswers) {
+    let never_repeats = non_idempotent && !shared.is(Mutant::RepeatsNonIdempotent);
+    // Standing connections are opened correctly, so that the run can begin.
+    let selected = !line.contains(",at=") && shared.selects_flow();
+    if selected && shared.is(Mutant::LosesAnswers) {
         tokio::time::sleep(2 * wait).await;
         return None;
     }
-    if picked && shared.is(Mutant::AnswersLate) {
+    if selected && shared.is(Mutant::AnswersLate) {
         tokio::time::sleep(wait + Duration::from_millis(150)).await;
         return out.write_all(b"BUSY\r\n").await.ok();
     }
-    if picked && shared.is(Mutant::AnswersTwice) {
+    if selected && shared.is(Mutant::AnswersTwice) {
         out.write_all(b"BUSY\r\n").await.ok()?;
         tokio::time::sleep(Duration::from_millis(10)).await;
         return out.write_all(b"ERR\r\n").await.ok();
     }
-    let (mut tried, mut ran) = (Vec::new(), false);
-    while tried.len() < TRIES && taken.elapsed() + MARGIN < wait {
+    let (mut tried, mut may_have_executed) = (Vec::new(), false);
+    while tried.len() < ATTEMPTS_MAX && accepted_at.elapsed() + ANSWER_MARGIN < wait {
         let Some(address) = shared.choose(&tried) else {
             break;
         };
         tried.push(address);
-        let left = (wait - MARGIN).saturating_sub(taken.elapsed());
-        let second = match picked && shared.is(Mutant::ConnectsTwice) {
+        let left = (wait - ANSWER_MARGIN).saturating_sub(accepted_at.elapsed());
+        let second = match selected && shared.is(Mutant::ConnectsTwice) {
             true => shared.choose(&tried),
             false => None,
         };
         match connect(&shared, address, second, &line, left).await {
-            TryOutcome::Up(server, first) => {
+            AttemptOutcome::Connected(server, first) => {
                 out.write_all(&first).await.ok()?;
                 let client = lines.into_inner().reunite(out).ok()?;
                 return relay(&shared, client, server).await;
             }
-            TryOutcome::NeverRan => {}
-            TryOutcome::MayHaveRun => ran = true,
+            AttemptOutcome::NotExecuted => {}
+            AttemptOutcome::MayHaveExecuted => may_have_executed = true,
         }
-        if ran && careful {
+        if may_have_executed && never_repeats {
             break;
         }
     }
-    let failed = ran && once_only && !shared.is(Mutant::RejectsWhatMayHaveRun);
+    let failed = may_have_executed && non_idempotent && !shared.is(Mutant::RejectsWhatMayHaveRun);
     out.write_all(if failed { b"ERR\r\n" } else { b"BUSY\r\n" })
         .await
         .ok()
 }
 
-enum TryOutcome {
-    Up(TcpStream, Vec<u8>),
-    NeverRan,
-    MayHaveRun,
+enum AttemptOutcome {
+    /// Connected. Holds the connection to the server and the bytes that it has sent.
+    Connected(TcpStream, Vec<u8>),
+    NotExecuted,
+    MayHaveExecuted,
 }
 
+/// Makes one attempt. With `second`, sends the line to a second server at the same time, which breaks
+/// a rule.
 async fn connect(
     shared: &Shared,
     address: SocketAddr,
     second: Option<SocketAddr>,
     line: &str,
     left: Duration,
-) -> TryOutcome {
+) -> AttemptOutcome {
     let Ok(Ok(mut server)) =
-        tokio::time::timeout(DIAL.min(left), TcpStream::connect(address)).await
+        tokio::time::timeout(CONNECT_TIMEOUT.min(left), TcpStream::connect(address)).await
     else {
-        return TryOutcome::NeverRan;
+        return AttemptOutcome::NotExecuted;
     };
-    let sound = !shared.is(Mutant::SendsToDraining) && !shared.is(Mutant::FloodsCold);
-    if sound && !shared.ready(address) {
-        return TryOutcome::NeverRan;
+    let checks_state = !shared.is(Mutant::SendsToDraining) && !shared.is(Mutant::FloodsCold);
+    if checks_state && !shared.ready(address) {
+        return AttemptOutcome::NotExecuted;
     }
     let _ = server.set_nodelay(true);
     if server.write_all(line.as_bytes()).await.is_err() {
-        return TryOutcome::NeverRan;
+        return AttemptOutcome::NotExecuted;
     }
     let mut copy = None;
     if let Some(second) = second
@@ -366,25 +385,26 @@
         copy = Some(stream);
     }
     let mut first = vec![0; 512];
-    let came = match tokio::time::timeout(left, server.read(&mut first)).await {
+    let outcome = match tokio::time::timeout(left, server.read(&mut first)).await {
         Ok(Ok(count)) if count > 0 => {
             first.truncate(count);
             match &first {
-                answer if answer.starts_with(b"UP ") => TryOutcome::Up(server, first),
-                answer if answer.starts_with(b"BUSY") => TryOutcome::NeverRan,
-                _ => TryOutcome::MayHaveRun,
+                answer if answer.starts_with(b"UP ") => AttemptOutcome::Connected(server, first),
+                answer if answer.starts_with(b"BUSY") => AttemptOutcome::NotExecuted,
+                _ => AttemptOutcome::MayHaveExecuted,
             }
         }
-        _ => TryOutcome::MayHaveRun,
+        _ => AttemptOutcome::MayHaveExecuted,
     };
     drop(copy);
-    came
+    outcome
 }
 
+/// Relays bytes in both directions until the connection ends.
 async fn relay(shared: &Shared, mut client: TcpStream, mut server: TcpStream) -> Option<()> {
     let both = tokio::io::copy_bidirectional(&mut client, &mut server);
     match shared.is(Mutant::CutsWithoutMove) {
-        true => drop(tokio::time::timeout(CUT, both).await),
+        true => drop(tokio::time::timeout(CUT_CONNECTION_LIFETIME, both).await),
         false => drop(both.await),
     }
     Some(())
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,8 +1,8 @@
-//! A scenario on sockets: real balancer processes between stand-ins for servers, discovery, the
-//! front end and clients, all in this process on a few threads, on loopback addresses of the run's
-//! own. The model is the same as in virtual time and is asked with the time that has passed. It
-//! owns the run's addresses, files and processes and gives them back at the end. A machine that
-//! can't keep up makes the run void, never a result.
+//! Runs a scenario on sockets. The balancers are real processes. The servers, the discovery agents,
+//! the front end and the clients are stand-ins in this process, on a few threads. Each run has
+//! loopback addresses of its own. The fleet model is the same as in virtual time and advances with
+//! the real time that has passed. A run owns its addresses, files and processes and releases them
+//! at the end. If the machine can't keep up, the run is void and has no valid result.
 
 mod addresses;
 mod client;
@@ -31,22 +31,23 @@
 use processes::Processes;
 use shared_run::SharedRun;
 
-/// How often the model is moved on.
-const TICK: Time = 100 * MS;
-/// Each time limit of the rules is so much longer on sockets.
-pub const SLACK: Time = 50 * MS;
-/// Standing connections that aren't up by then won't be.
-const STANDING: Duration = Duration::from_secs(40);
-/// A tick that comes later than this, but for a few, shows a machine that is too slow: a good part
-/// of the slack.
-const LATE: Time = 25 * MS;
-/// The part of ticks that may be so late, and how late none may be.
-const LATE_PART: f64 = 0.02;
-const LATEST: Time = 400 * MS;
-/// Threads of the stand-ins: the balancers need the cores.
-const THREADS: usize = 3;
-
-/// What is run as the balancers.
+/// Interval between two advances of the model.
+const TICK_INTERVAL: Time = 100 * MS;
+/// Added to each time limit of the rules on sockets.
+pub const TIME_LIMIT_TOLERANCE: Time = 50 * MS;
+/// How long the run waits until all standing connections are established.
+const STANDING_TIMEOUT: Duration = Duration::from_secs(40);
+/// A tick with a higher delay counts as late. The machine is too slow if more than a few ticks are
+/// late: the delay is a large part of the tolerance of the time limits.
+const LATE_TICK_THRESHOLD: Time = 25 * MS;
+/// The share of ticks that may be late.
+const LATE_TICK_SHARE_MAX: f64 = 0.02;
+/// The highest delay that a single tick may have.
+const TICK_DELAY_MAX: Time = 400 * MS;
+/// Threads of the stand-ins. There are few because the balancers need the cores.
+const STAND_IN_THREADS: usize = 3;
+
+/// The program that is run as each balancer.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// The program's path.
@@ -56,7 +57,7 @@
 }
 
 impl Program {
-    /// Returns a balancer's program, run to serve.
+    /// Returns the program at this path with the argument `serve`.
     pub fn serving(path: PathBuf) -> Self {
         Program {
             path,
@@ -65,30 +66,30 @@
     }
 }
 
-/// What a program says of its version; `unknown` where it says nothing.
+/// Returns the version that a program reports, or `unknown` if it reports none.
 pub fn version(program: &Program) -> String {
     processes::version(program)
 }
 
-/// What a run on sockets comes to.
+/// The outcome of a run on sockets.
 pub struct Outcome {
     /// The figures, from the settling time on.
     pub figures: Figures,
-    /// What the rule checker said of the run.
+    /// The verdict of the rule checker.
     pub verdict: Verdict,
-    /// Of each balancer: processor seconds for each second of the run, and its largest resident
-    /// memory in MB.
+    /// For each balancer, processor seconds per second of the run and peak resident memory in MB.
     pub balancers: Vec<(f64, f64)>,
-    /// Why it is no result: the machine was too slow, or not all that was to stand did.
+    /// Why the run has no valid result: the machine was too slow, or not all standing connections
+    /// were established.
     pub void: Option<String>,
-    /// Balancers that died by themselves, each with the end of its log.
+    /// One report for each balancer that exited unexpectedly, with the end of its log.
     pub died: Vec<String>,
 }
 
 /// Runs a scenario in real time.
 ///
 /// # Errors
-/// The program can't be started, or addresses or files can't be had.
+/// The program can't be started, no loopback addresses are free, or a file can't be used.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -97,16 +98,16 @@
     logs: Option<&Path>,
 ) -> Result<Outcome, SocketRunError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(THREADS)
+        .worker_threads(STAND_IN_THREADS)
         .enable_all()
         .build();
     let runtime = runtime.map_err(SocketRunError::Threads)?;
-    let outcome = runtime.block_on(play(scenario, seed, program, record, logs));
+    let outcome = runtime.block_on(run_scenario(scenario, seed, program, record, logs));
     runtime.shutdown_timeout(Duration::from_millis(500));
     outcome
 }
 
-async fn play(
+async fn run_scenario(
     scenario: &Scenario,
     seed: u64,
     program: &Program,
@@ -123,35 +124,35 @@
         program: version,
     });
     for server in 0..scenario.fleet.servers {
-        shared.joins(server);
+        shared.register_server(server);
     }
     for balancer in 0..scenario.balancers.number {
         discovery::start(&shared, balancer).await?;
     }
     let mut processes = Processes::new(&shared, program, logs)?;
     processes.start_all().await?;
-    let void = stand(&shared).await;
-    shared.begins();
-    let arrivals = tokio::spawn(client::arrive(shared.clone()));
-    let mut late = Vec::new();
+    let void = open_standing_connections(&shared).await;
+    shared.start_clock();
+    let arrivals = tokio::spawn(client::spawn_arriving_clients(shared.clone()));
+    let mut tick_delays = Vec::new();
     let (begun, end) = (Instant::now(), scenario.end());
-    let mut next = TICK;
+    let mut next = TICK_INTERVAL;
     while next <= end {
         tokio::time::sleep_until(begun + Duration::from_nanos(next)).await;
         let now = shared.now();
-        late.push(now.saturating_sub(next));
-        for events in shared.tick(now) {
-            processes.asked(events, now);
+        tick_delays.push(now.saturating_sub(next));
+        for event in shared.tick(now) {
+            processes.handle_event(event, now);
         }
-        processes.watch(now);
-        // A tick that was missed is not made up for: the model goes by the time that has passed.
-        next = next.max(now - now % TICK) + TICK;
+        processes.update(now);
+        // Missed ticks are skipped because the model advances by the time that has passed.
+        next = next.max(now - now % TICK_INTERVAL) + TICK_INTERVAL;
     }
     arrivals.abort();
     let balancers = processes.usage();
     let outcome = shared.finish(end, &balancers);
-    let died = processes.end();
-    let void = void.or_else(|| too_slow(&late));
+    let died = processes.take_died();
+    let void = void.or_else(|| too_slow(&tick_delays));
     let (figures, verdict) = outcome.map_err(SocketRunError::Record)?;
     Ok(Outcome {
         figures,
@@ -162,50 +163,54 @@
     })
 }
 
-/// Whether the machine kept up, by how late each tick came: a run on one that didn't is no result.
-fn too_slow(late: &[Time]) -> Option<String> {
-    let many = late.iter().filter(|late| **late > LATE).count();
-    let latest = late.iter().max().copied().unwrap_or(0);
-    let slow = many as f64 > LATE_PART * late.len() as f64 || latest > LATEST;
-    let all = late.len();
+/// Returns why the run is void if the delays of its ticks show that the machine did not keep up.
+fn too_slow(tick_delays: &[Time]) -> Option<String> {
+    let late = tick_delays
+        .iter()
+        .filter(|delay| **delay > LATE_TICK_THRESHOLD)
+        .count();
+    let highest = tick_delays.iter().max().copied().unwrap_or(0);
+    let slow =
+        late as f64 > LATE_TICK_SHARE_MAX * tick_delays.len() as f64 || highest > TICK_DELAY_MAX;
+    let all = tick_delays.len();
     slow.then(|| {
         format!(
-            "the machine was too slow: {many} of {all} ticks late, by {} ms at worst",
-            latest / MS
+            "the machine was too slow: {late} of {all} ticks late, by up to {} ms",
+            highest / MS
         )
     })
 }
 
-/// Sets up the connections that stand at the start, paced so that no queue overflows. Returns
-/// why the run is void where some can't be had.
-async fn stand(shared: &Arc<SharedRun>) -> Option<String> {
+/// Opens the standing connections before the run, paced so that no accept queue overflows. Returns
+/// why the run is void if some are not established.
+async fn open_standing_connections(shared: &Arc<SharedRun>) -> Option<String> {
     let count = shared.scenario.clients.standing;
     for k in 0..count {
-        client::stand(shared);
+        client::start_standing_client(shared);
         if k % 50 == 49 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    let until = Instant::now() + STANDING;
-    while shared.standing() < count && Instant::now() < until {
+    let until = Instant::now() + STANDING_TIMEOUT;
+    while shared.established_standing() < count && Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let up = shared.standing();
-    (up < count).then(|| {
+    let established = shared.established_standing();
+    (established < count).then(|| {
         format!(
-            "{up} of {count} standing connections came up within {} s",
-            STANDING.as_secs()
+            "{established} of {count} standing connections were established within {} s",
+            STANDING_TIMEOUT.as_secs()
         )
     })
 }
 
-/// A moment of the run as a span to wait.
-fn span(time: Time) -> Duration {
+/// Converts a time of the run to a duration.
+fn to_duration(time: Time) -> Duration {
     Duration::from_nanos(time)
 }
 
-/// Longest that anything of a run may wait for.
-const FOREVER: Time = 3600 * SEC;
+/// Longer than any run: for waits that never end within a run.
+const LONGER_THAN_ANY_RUN: Time = 3600 * SEC;
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -1,6 +1,6 @@
-//! The balancers' processes: their configurations, logs, planned ends and returns. It owns each
-//! child and its files, ends only what it has started, and reports one that dies by itself with the
-//! end of its log.
+//! The balancers' processes: their configurations, logs, planned restarts and kills. It owns each
+//! child process and its files, ends only processes that it has started, and reports a process that
+//! exits unexpectedly with the end of its log.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -23,24 +23,26 @@
 use crate::file;
 use crate::file_error::FileError;
 
-/// All balancers must be ready by then.
-const READY: Duration = Duration::from_secs(10);
-/// From SIGTERM to SIGKILL.
+/// Time limit for each balancer to answer a `PING` after the start.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time from SIGTERM to SIGKILL.
 const KILL_DELAY: Time = 4200 * MS;
-/// How long the front end goes on dealing connections after SIGTERM.
+/// How long the front end still picks a balancer after its SIGTERM.
 const FRONT_END_DELAY: Time = 300 * MS;
-/// Between one balancer's return and the next one's end when they are restarted in turn.
-const IN_TURN: Time = SEC;
-/// Descriptors of a balancer beside two for each connection that it may come to hold.
-const DESCRIPTORS: usize = 512;
-/// Memory of one: more than it needs, so that descriptors bind first.
-const MEMORY_MB: usize = 1024;
+/// Time between one balancer's restart and the next one's SIGTERM in a rolling restart.
+const ROLLING_RESTART_GAP: Time = SEC;
+/// Descriptors of a balancer in addition to two for each connection that it may hold.
+const BASE_DESCRIPTORS: usize = 512;
+/// Memory limit of a balancer in MB. It is more than the balancer needs, so that the limit of
+/// descriptors is reached first.
+const MEMORY_LIMIT_MB: usize = 1024;
 
 enum State {
-    Runs,
-    /// Asked to end at that time, to be back after so long.
-    Ending(Time, Time),
-    Away(Time),
+    Running,
+    /// Got SIGTERM at the first time. It is restarted when it has been down for the second.
+    Terminating(Time, Time),
+    /// Down until this time.
+    Down(Time),
 }
 
 struct BalancerProcess {
@@ -48,8 +50,9 @@
     state: State,
     log: PathBuf,
     config: PathBuf,
-    /// Processor time of its ended runs, and its largest memory.
+    /// Processor seconds of this balancer, summed over its processes.
     cpu: f64,
+    /// Peak resident memory in MB.
     memory: f64,
 }
 
@@ -57,15 +60,16 @@
     shared: Arc<SharedRun>,
     program: Program,
     folder: PathBuf,
-    /// Whether the folder was made for the run and is removed with it.
+    /// Whether the folder was created for the run and is removed at its end.
     owns_folder: bool,
     all: Vec<BalancerProcess>,
-    /// Planned ends to come: when, who, and how long away.
+    /// Planned restarts: the time of SIGTERM, the balancer, and how long it is down.
     planned: Vec<(Time, usize, Time)>,
+    /// One report for each balancer that exited unexpectedly or could not be restarted.
     died: Vec<String>,
 }
 
-/// What the program says of itself.
+/// Returns the output of the program's `version` command, or `unknown` if it fails.
 pub fn version(program: &Program) -> String {
     let report = Command::new(&program.path)
         .arg("version")
@@ -99,13 +103,13 @@
             }
         };
         std::fs::create_dir_all(&folder).map_err(FileError::at(&folder))?;
-        // As many descriptors as this process may have: each connection takes two of them.
+        // Raises the limit of descriptors to its maximum: each connection takes two in this process.
         let limit = rustix::process::getrlimit(Resource::Nofile);
-        let all = Rlimit {
+        let raised = Rlimit {
             current: limit.maximum,
             maximum: limit.maximum,
         };
-        let _ = rustix::process::setrlimit(Resource::Nofile, all);
+        let _ = rustix::process::setrlimit(Resource::Nofile, raised);
         Ok(Processes {
             shared: shared.clone(),
             program: program.clone(),
@@ -117,23 +121,25 @@
         })
     }
 
-    fn spawn(&self, b: usize, again: u64) -> Result<(Child, PathBuf, PathBuf), SocketRunError> {
+    /// Writes a balancer's configuration and starts its process. `seed_salt` makes the seed differ
+    /// between restarts. Returns the process and the paths of its log and its configuration.
+    fn spawn(&self, b: usize, seed_salt: u64) -> Result<(Child, PathBuf, PathBuf), SocketRunError> {
         let shared = &self.shared;
         let scenario = &shared.scenario;
         let expected = scenario
             .clients
             .standing
             .max((scenario.clients.rate * scenario.clients.life) as usize);
-        let sockets = DESCRIPTORS
+        let sockets = BASE_DESCRIPTORS
             + 6 * expected / scenario.balancers.number
             + 8 * shared.scenario.fleet.servers;
         let config = json!({
             "name": format!("b{b}"),
             "listen": shared.addresses.balancer(b).to_string(),
             "discovery": shared.addresses.discovery(b).to_string(),
-            "seed": format!("{:016x}", (b as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ scenario.seed ^ again),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets},
-            "known": shared.list(b, None),
+            "seed": format!("{:016x}", (b as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ scenario.seed ^ seed_salt),
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": sockets},
+            "known": shared.endpoint_list(b, None),
             "settings": file::settings(scenario, shared.zone(b)),
         });
         let at = |name: String| self.folder.join(name);
@@ -162,12 +168,13 @@
         Ok((child, log, path))
     }
 
+    /// Starts all balancers and waits until each answers a `PING`.
     pub async fn start_all(&mut self) -> Result<(), SocketRunError> {
         for b in 0..self.shared.scenario.balancers.number {
             let (child, log, config) = self.spawn(b, 0)?;
             self.all.push(BalancerProcess {
                 child,
-                state: State::Runs,
+                state: State::Running,
                 log,
                 config,
                 cpu: 0.0,
@@ -180,7 +187,7 @@
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             };
-            if tokio::time::timeout(READY, ready).await.is_err() {
+            if tokio::time::timeout(READY_TIMEOUT, ready).await.is_err() {
                 return Err(SocketRunError::NotReady {
                     balancer: b,
                     log_end: log_end(&self.all[b].log),
@@ -191,81 +198,84 @@
         Ok(())
     }
 
-    /// What a fault asks of the processes.
-    pub fn asked(&mut self, events: FleetEvent, now: Time) {
-        match events {
+    /// Carries out an event that concerns the balancers' processes.
+    pub fn handle_event(&mut self, event: FleetEvent, now: Time) {
+        match event {
             FleetEvent::BalancerRestartRequested { balancer, away } => {
-                let mine = |planned: &&(Time, usize, Time)| planned.0 >= now;
+                let pending = |planned: &&(Time, usize, Time)| planned.0 >= now;
                 let last = self
                     .planned
                     .iter()
-                    .filter(mine)
-                    .map(|p| p.0 + KILL_DELAY + p.2 + IN_TURN)
+                    .filter(pending)
+                    .map(|p| p.0 + KILL_DELAY + p.2 + ROLLING_RESTART_GAP)
                     .max();
                 self.planned.push((last.unwrap_or(now), balancer, away));
             }
             FleetEvent::BalancerKilled { balancer, away } => {
                 let _ = self.all[balancer].child.kill();
                 let _ = self.all[balancer].child.wait();
-                self.ended(balancer, now, false, away);
+                self.record_end(balancer, now, false, away);
             }
             _ => {}
         }
     }
 
-    /// Carries planned ends out and notices what has ended by itself.
-    pub fn watch(&mut self, now: Time) {
-        let due = |planned: &(Time, usize, Time)| planned.0 <= now;
-        let (soon, later): (Vec<_>, Vec<_>) = self.planned.drain(..).partition(due);
+    /// Carries out planned restarts and detects processes that have exited.
+    pub fn update(&mut self, now: Time) {
+        let is_due = |planned: &(Time, usize, Time)| planned.0 <= now;
+        let (due, later): (Vec<_>, Vec<_>) = self.planned.drain(..).partition(is_due);
         self.planned = later;
-        for (_, b, away) in soon {
-            if let (State::Runs, Some(pid)) = (
+        for (_, b, away) in due {
+            if let (State::Running, Some(pid)) = (
                 &self.all[b].state,
                 Pid::from_raw(self.all[b].child.id() as i32),
             ) {
-                self.usage_of(b);
+                self.record_usage(b);
                 let _ = rustix::process::kill_process(pid, Signal::TERM);
-                self.all[b].state = State::Ending(now, away);
+                self.all[b].state = State::Terminating(now, away);
                 self.shared.lock().front.mark_dead(b, now + FRONT_END_DELAY);
             }
         }
         for b in 0..self.all.len() {
             match self.all[b].state {
-                State::Runs | State::Ending(..) => {
+                State::Running | State::Terminating(..) => {
                     let ended = matches!(self.all[b].child.try_wait(), Ok(Some(_)));
                     match self.all[b].state {
-                        State::Ending(_, away) if ended => self.ended(b, now, true, away),
-                        State::Ending(since, away) if now >= since + KILL_DELAY => {
+                        State::Terminating(_, away) if ended => self.record_end(b, now, true, away),
+                        State::Terminating(since, away) if now >= since + KILL_DELAY => {
                             let _ = self.all[b].child.kill();
                             let _ = self.all[b].child.wait();
-                            self.ended(b, now, true, away);
+                            self.record_end(b, now, true, away);
                         }
                         _ if ended => {
-                            self.died
-                                .push(format!("balancer {b} died:\n{}", log_end(&self.all[b].log)));
-                            self.ended(b, now, false, SEC);
+                            self.died.push(format!(
+                                "balancer {b} died unexpectedly; end of its log:\n{}",
+                                log_end(&self.all[b].log)
+                            ));
+                            self.record_end(b, now, false, SEC);
                         }
                         _ => {}
                     }
                 }
-                State::Away(until) if until <= now => match self.spawn(b, now) {
+                State::Down(until) if until <= now => match self.spawn(b, now) {
                     Ok((child, ..)) => {
-                        (self.all[b].child, self.all[b].state) = (child, State::Runs);
+                        (self.all[b].child, self.all[b].state) = (child, State::Running);
                         self.shared.lock().alive[b] = true;
-                        tokio::spawn(mark_alive(self.shared.clone(), b));
+                        tokio::spawn(mark_alive_when_ready(self.shared.clone(), b));
                     }
                     Err(error) => {
                         self.died.push(error.to_string());
-                        self.all[b].state = State::Away(Time::MAX);
+                        self.all[b].state = State::Down(Time::MAX);
                     }
                 },
-                State::Away(_) => {}
+                State::Down(_) => {}
             }
         }
     }
 
-    fn ended(&mut self, b: usize, now: Time, planned: bool, away: Time) {
-        self.all[b].state = State::Away(now + away);
+    /// Records that a balancer's process has ended and will be down for `away`.
+    fn record_end(&mut self, b: usize, now: Time, planned: bool, away: Time) {
+        self.all[b].state = State::Down(now + away);
         let mut inner = self.shared.lock();
         inner.alive[b] = false;
         if !planned {
@@ -280,35 +290,36 @@
         });
     }
 
-    fn usage_of(&mut self, b: usize) {
+    /// Adds the usage of a balancer's current process to that of its balancer.
+    fn record_usage(&mut self, b: usize) {
         let usage = ProcessUsage::of(self.all[b].child.id());
         self.all[b].cpu += usage.cpu_seconds;
         self.all[b].memory = self.all[b].memory.max(usage.memory_peak_mb);
     }
 
-    /// Of each balancer: processor seconds for each second of the run, and its largest resident
+    /// Returns for each balancer its processor seconds per second of the run and its peak resident
     /// memory in MB.
     pub fn usage(&mut self) -> Vec<(f64, f64)> {
-        (0..self.all.len()).for_each(|b| self.usage_of(b));
+        (0..self.all.len()).for_each(|b| self.record_usage(b));
         let seconds = self.shared.scenario.seconds;
         self.all
             .iter()
-            .map(|one| (one.cpu / seconds, one.memory))
+            .map(|balancer| (balancer.cpu / seconds, balancer.memory))
             .collect()
     }
 
-    /// Ends what was started; what died by itself is told.
-    pub fn end(&mut self) -> Vec<String> {
+    /// Returns the reports of balancers that exited unexpectedly, and clears them.
+    pub fn take_died(&mut self) -> Vec<String> {
         std::mem::take(&mut self.died)
     }
 }
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        for one in &mut self.all {
-            let _ = one.child.kill();
-            let _ = one.child.wait();
-            let _ = std::fs::remove_file(&one.config);
+        for balancer in &mut self.all {
+            let _ = balancer.child.kill();
+            let _ = balancer.child.wait();
+            let _ = std::fs::remove_file(&balancer.config);
         }
         if self.owns_folder {
             let _ = std::fs::remove_dir_all(&self.folder);
@@ -316,7 +327,8 @@
     }
 }
 
-async fn mark_alive(shared: Arc<SharedRun>, b: usize) {
+/// Waits until a restarted balancer answers a `PING` and makes the front end pick it again.
+async fn mark_alive_when_ready(shared: Arc<SharedRun>, b: usize) {
     while !answers_ping(shared.addresses.balancer(b)).await {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/testbed/src/sockets/run_state.rs
+++ b/crates/testbed/src/sockets/run_state.rs
@@ -1,5 +1,5 @@
-//! The state of a run that its tasks share: the model, the clients, the rule checker, the figures and
-//! the record. Whoever holds it never waits.
+//! The state that the tasks of a run share: the model, the clients, the rule checker, the figures
+//! and the record. A task never awaits while it holds the lock of this state.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,35 +15,35 @@
 use nettlemux_policy::Time;
 use tokio::sync::{mpsc, watch};
 
-use super::{FOREVER, SLACK};
+use super::{LONGER_THAN_ANY_RUN, TIME_LIMIT_TOLERANCE};
 use crate::figures::{FigureCollector, Figures};
 use crate::record::Writer;
 use crate::rules::{RuleChecker, Verdict};
 
-/// A signal to a connection's stand-in at its server.
+/// A signal to the server's side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerSignal {
-    /// Ends the connection with a reset.
+    /// Resets the connection.
     Reset,
-    /// Writes and reads nothing any more.
+    /// Stops answering on the connection.
     Silence,
-    /// Sends the client away and ends the connection.
+    /// Tells the client to migrate and closes the connection.
     Migrate,
 }
 
-/// What the stand-ins know of a flow.
+/// The state of a flow that the stand-ins share.
 pub struct FlowState {
     pub client: u64,
     pub balancer: usize,
-    /// Where it is open, or an attempt is out.
+    /// The server at which the flow is open or has an attempt in progress.
     pub server: Option<usize>,
-    /// Its server has ended it, and whether it had sent the client away.
-    pub by_server: Option<bool>,
-    /// Signals to the connection's stand-in at its server.
+    /// `Some` if the server has closed the connection: whether it told the client to migrate.
+    pub closed_by_server: Option<bool>,
+    /// Sends signals to the server's side of the connection.
     pub signals: Option<mpsc::UnboundedSender<ServerSignal>>,
 }
 
-/// What all tasks of a run share behind one lock.
+/// The state that all tasks of a run share behind one lock.
 pub struct RunState {
     pub model: FleetModel,
     pub population: ClientPopulation,
@@ -51,56 +51,60 @@
     pub figures: FigureCollector,
     pub rng: Rng,
     pub flows: HashMap<u64, FlowState>,
-    /// By balancer: the version of the endpoint list that it may see, and whether it runs.
-    pub visible: Vec<u64>,
+    /// For each balancer, the version of the endpoint list that discovery shows it.
+    pub visible_versions: Vec<u64>,
+    /// For each balancer, whether its process is running.
     pub alive: Vec<bool>,
+    /// Number of standing connections that are established.
     pub standing: usize,
     /// Priority weight of messages answered in time since the last tick.
     pub served: f64,
     next_flow: u64,
     rules: Option<RuleChecker>,
     record: Option<Writer>,
-    failed: Option<io::Error>,
-    /// By server, for its listeners.
+    record_error: Option<io::Error>,
+    /// For each server, its status, which its listeners follow.
     pub statuses: Vec<watch::Sender<ServerStatus>>,
-    /// When the figures that walk all servers were taken last.
-    pub sampled: Time,
+    /// Time of the last sample of the utilization of all servers.
+    pub load_sampled_at: Time,
 }
 
 impl RunState {
-    /// Returns the state before the run.
+    /// Returns the state at the beginning of a run.
     pub fn new(scenario: &Scenario, seed: u64, record: Option<Writer>) -> Self {
-        // A fact is judged when it arrives, which may be later by the way between two zones.
-        let slack = SLACK + seconds(scenario.zones.between.max(scenario.zones.inside));
+        // An observation is checked when it is received, which may be later than the event by the
+        // network latency between two zones.
+        let tolerance =
+            TIME_LIMIT_TOLERANCE + seconds(scenario.zones.between.max(scenario.zones.inside));
         RunState {
             population: ClientPopulation::new(seed),
             front: FrontEnd::new(scenario.balancers.number, scenario.zones.number),
             figures: FigureCollector::new(seconds(scenario.settle)),
             rng: Rng::new(seed, 3),
             flows: HashMap::new(),
-            visible: vec![1; scenario.balancers.number],
+            visible_versions: vec![1; scenario.balancers.number],
             alive: vec![false; scenario.balancers.number],
             standing: 0,
             served: 0.0,
             next_flow: 0,
-            rules: Some(RuleChecker::new(scenario, slack)),
+            rules: Some(RuleChecker::new(scenario, tolerance)),
             record,
-            failed: None,
+            record_error: None,
             statuses: Vec::new(),
-            sampled: 0,
+            load_sampled_at: 0,
             model: FleetModel::new(scenario.clone(), seed),
         }
     }
 
-    /// Shows a fact to the rule checker and writes it to the record.
-    pub fn observe(&mut self, seen: Observation) {
+    /// Passes an observation to the rule checker and writes it to the record.
+    pub fn observe(&mut self, observation: Observation) {
         if let Some(rules) = &mut self.rules {
-            rules.observe(&seen);
+            rules.observe(&observation);
         }
         if let Some(record) = &mut self.record
-            && let Err(e) = record.write(&seen)
+            && let Err(e) = record.write(&observation)
         {
-            self.failed.get_or_insert(e);
+            self.record_error.get_or_insert(e);
         }
     }
 
@@ -110,28 +114,29 @@
         self.next_flow
     }
 
-    /// Records that a connection ended without its client's doing.
-    pub fn connection_broken(&mut self, at: Time, flow: u64, told: bool) {
-        let Some(known) = self.flows.get(&flow) else {
+    /// Records that a connection was closed by its server or its balancer.
+    pub fn record_connection_closed(&mut self, at: Time, flow: u64, client_notified: bool) {
+        let Some(state) = self.flows.get(&flow) else {
             return;
         };
-        let zone = known.balancer % self.model.scenario.zones.number;
-        let server_healthy = known.server.is_some_and(|server| {
-            let one = &self.model.servers[server];
-            one.status == ServerStatus::Up && self.model.reaches(zone, one.zone)
+        let zone = state.balancer % self.model.scenario.zones.number;
+        let server_healthy = state.server.is_some_and(|server| {
+            let server = &self.model.servers[server];
+            server.status == ServerStatus::Up && self.model.reaches(zone, server.zone)
         });
-        let (by, told) = match known.by_server {
-            Some(told) => (ClosedBy::Server, told),
-            None => (ClosedBy::Balancer, told),
+        let (by, client_notified) = match state.closed_by_server {
+            Some(client_notified) => (ClosedBy::Server, client_notified),
+            None => (ClosedBy::Balancer, client_notified),
         };
         self.observe(Observation::ConnectionClosed {
             at,
             flow,
             by,
-            client_notified: told,
+            client_notified,
             server_healthy,
         });
     }
+
     /// Ends the run and returns its figures and verdict.
     pub fn finish(
         &mut self,
@@ -144,8 +149,13 @@
             .iter()
             .map(|server| server.connections.len())
             .sum();
-        let verdict = self.rules.take().expect("finished once").finish(end);
-        let figures = std::mem::replace(&mut self.figures, FigureCollector::new(FOREVER));
+        let verdict = self
+            .rules
+            .take()
+            .expect("a run is finished only once")
+            .finish(end);
+        let figures =
+            std::mem::replace(&mut self.figures, FigureCollector::new(LONGER_THAN_ANY_RUN));
         let mut figures = figures.finish(standing, &verdict);
         let cpu = balancers.iter().map(|one| one.0).sum::<f64>() / balancers.len().max(1) as f64;
         figures.0.insert("balancer_cpu", cpu);
@@ -153,7 +163,7 @@
             "balancer_mb",
             balancers.iter().map(|one| one.1).fold(0.0, f64::max),
         );
-        match (self.failed.take(), self.record.take()) {
+        match (self.record_error.take(), self.record.take()) {
             (Some(e), _) => Err(e),
             (None, Some(record)) => record.finish().map(|()| (figures, verdict)),
             (None, None) => Ok((figures, verdict)),
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -1,7 +1,7 @@
-//! A stand-in server: listens at one address for each zone, answers health checks, takes attempts
-//! as the model says and answers lines in the time that the model takes. It owns each connection's
-//! end at the server and gives its place in the model back when that ends, in [`ConnectionSlot`].
-//! It never says more than the model does.
+//! A stand-in server. It listens at one address for each zone and answers health checks. The model
+//! decides how it responds to an attempt and how long it takes to answer a line. It owns the
+//! server's side of each connection; [`ConnectionSlot`] removes the connection from the model when
+//! it ends. It sends nothing that does not come from the model.
 
 use std::io;
 use std::sync::Arc;
@@ -18,16 +18,16 @@
 
 use super::run_state::{RunState, ServerSignal};
 use super::shared_run::SharedRun;
-use super::span;
+use super::to_duration;
 
-/// Connections that may wait to be accepted.
-const WAITING: u32 = 1024;
-/// An address may not be free at once when a server comes back.
-const AGAIN: Duration = Duration::from_millis(20);
-/// A first line is no longer than the platform's.
-const LONGEST: usize = 4096 + 2;
+/// Number of connections that may wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
+/// Interval between attempts to bind: after a restart of a server, its address may not be free yet.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest line in bytes: the platform's limit of a first line, with its CRLF.
+const LINE_BYTES_MAX: usize = 4096 + 2;
 
-/// Listens for as long as the run lasts, but for while the server's process is down.
+/// Listens until the run ends, except while the server's process is down.
 pub async fn listen(
     shared: Arc<SharedRun>,
     server: usize,
@@ -41,7 +41,7 @@
             }
         }
         let Ok(listener) = bind(shared.addresses.server(server, zone)) else {
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(BIND_RETRY_INTERVAL).await;
             continue;
         };
         loop {
@@ -52,7 +52,7 @@
                     Err(_) => return,
                 },
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                    tokio::spawn(talk(shared.clone(), server, zone, stream));
+                    tokio::spawn(serve_connection(shared.clone(), server, zone, stream));
                 },
             }
         }
@@ -63,30 +63,31 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
-    socket.listen(WAITING)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// Both halves of a connection.
-struct Wire {
+struct Connection {
     lines: BufReader<OwnedReadHalf>,
     out: OwnedWriteHalf,
     line: Vec<u8>,
 }
 
-impl Wire {
+impl Connection {
     fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         let (read, out) = stream.into_split();
-        Wire {
+        Connection {
             lines: BufReader::with_capacity(512, read),
             out,
             line: Vec::new(),
         }
     }
 
-    /// The next line without its end; none once the connection is over.
-    async fn line(&mut self) -> Option<&str> {
-        // What has been read of a line is kept where the wait for the rest is given up.
+    /// Reads the next line, without its line end. Returns `None` if the connection is closed or the
+    /// line is too long.
+    async fn read_line(&mut self) -> Option<&str> {
+        // An incomplete line is kept in `self.line` if this future is dropped.
         loop {
             let bytes = self
                 .lines
@@ -104,49 +105,54 @@
             if end.is_some() {
                 return std::str::from_utf8(&self.line).ok().map(str::trim_end);
             }
-            if self.line.len() > LONGEST {
+            if self.line.len() > LINE_BYTES_MAX {
                 return None;
             }
         }
     }
 
-    async fn say(&mut self, text: &str) -> bool {
+    /// Writes a text. Returns whether this succeeded.
+    async fn send(&mut self, text: &str) -> bool {
         self.out.write_all(text.as_bytes()).await.is_ok()
     }
 
-    /// Ends with a reset.
+    /// Closes the connection with a reset.
     fn reset(self) {
         let _ = self.out.as_ref().set_zero_linger();
     }
 
-    /// Says nothing any more until the server's machine is back or the other side goes.
-    async fn mute(mut self, shared: &SharedRun, server: usize) {
+    /// Sends nothing until the other side closes the connection, or resets the connection once the
+    /// server's machine is back.
+    async fn hold_silent(mut self, shared: &SharedRun, server: usize) {
         loop {
             let up = shared.lock().model.servers[server].status == ServerStatus::Up;
-            let gone = tokio::time::timeout(Duration::from_millis(500), self.line()).await;
-            if matches!(gone, Ok(None)) {
+            let received = tokio::time::timeout(Duration::from_millis(500), self.read_line()).await;
+            if matches!(received, Ok(None)) {
                 return;
             }
-            if up && gone.is_err() {
+            if up && received.is_err() {
                 return self.reset();
             }
         }
     }
 }
 
-/// A connection's place in the model, and an attempt that is out: given back when dropped.
+/// A connection in the model and its attempt in progress. Dropping this ends the attempt and removes
+/// the connection from the model.
 struct ConnectionSlot<'a> {
     shared: &'a SharedRun,
     server: usize,
     flow: u64,
-    seated: bool,
-    out: Option<usize>,
+    /// Whether the connection has been added to the model.
+    attached: bool,
+    /// The number of the attempt in progress.
+    attempt: Option<usize>,
 }
 
 impl ConnectionSlot<'_> {
-    /// The attempt is out no more.
-    fn ended(&mut self, known_unexecuted: bool) {
-        if let Some(number) = self.out.take() {
+    /// Records the end of the attempt in progress, if there is one.
+    fn end_attempt(&mut self, known_unexecuted: bool) {
+        if let Some(number) = self.attempt.take() {
             let at = self.shared.now();
             self.shared.observe(Observation::AttemptEnded {
                 at,
@@ -160,50 +166,51 @@
 
 impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
-        self.ended(false);
+        self.end_attempt(false);
         let mut inner = self.shared.lock();
-        if self.seated {
+        if self.attached {
             inner.model.servers[self.server].detach(self.flow);
         }
-        if let Some(known) = inner.flows.get_mut(&self.flow) {
-            known.signals = None;
+        if let Some(state) = inner.flows.get_mut(&self.flow) {
+            state.signals = None;
         }
     }
 }
 
-async fn talk(shared: Arc<SharedRun>, server: usize, zone: usize, stream: TcpStream) {
-    let mut wire = Wire::new(stream);
-    let way = {
+/// Answers health checks on a connection until a first line opens a flow.
+async fn serve_connection(shared: Arc<SharedRun>, server: usize, zone: usize, stream: TcpStream) {
+    let mut connection = Connection::new(stream);
+    let latency = {
         let inner = shared.lock();
         let to = inner.model.servers[server].zone;
         inner.model.way(zone, to)
     };
     loop {
-        let Some(line) = wire.line().await else {
+        let Some(line) = connection.read_line().await else {
             return;
         };
         let line = line.to_string();
-        // There and back.
-        tokio::time::sleep(span(2 * way)).await;
+        // The network latency in both directions.
+        tokio::time::sleep(to_duration(2 * latency)).await;
         let reaches = {
             let inner = shared.lock();
             let one = &inner.model.servers[server];
             one.status != ServerStatus::Unresponsive && inner.model.reaches(zone, one.zone)
         };
         if !reaches {
-            return wire.mute(&shared, server).await;
+            return connection.hold_silent(&shared, server).await;
         }
         if line.starts_with("OPEN ") {
-            return open(&shared, (server, zone), wire, &line, way).await;
+            return serve_flow(&shared, (server, zone), connection, &line, latency).await;
         }
         let answer = match line.as_str() {
             "PING" => Some("PONG\r\n".to_string()),
-            "STATS" => stats(&shared, server),
+            "STATS" => stats_answer(&shared, server),
             _ => Some("SYNTAX\r\n".to_string()),
         };
         match answer {
             Some(answer) => {
-                if !wire.say(&answer).await {
+                if !connection.send(&answer).await {
                     return;
                 }
             }
@@ -212,51 +219,54 @@
     }
 }
 
-fn stats(shared: &SharedRun, server: usize) -> Option<String> {
+/// The answer to `STATS`: the server's load report, or `None` if it gives none.
+fn stats_answer(shared: &SharedRun, server: usize) -> Option<String> {
     let now = shared.now();
     let mut inner = shared.lock();
     inner.figures.probes += 1;
     let inner = &mut *inner;
     let report = inner.model.servers[server].report(&shared.scenario.fleet, now, &mut inner.rng)?;
-    let (utilization, held) = (
+    let (utilization, connections) = (
         report.utilization.unwrap_or(0.0),
         report.connections.unwrap_or(0.0),
     );
-    Some(format!("PONG x0={utilization:.4},inflight={held}\r\n"))
+    Some(format!(
+        "PONG x0={utilization:.4},inflight={connections}\r\n"
+    ))
 }
 
-/// Serves one connection from its first line on.
-async fn open(
+/// Serves one flow from its first line on.
+async fn serve_flow(
     shared: &Arc<SharedRun>,
     (server, zone): (usize, usize),
-    mut wire: Wire,
+    mut connection: Connection,
     line: &str,
-    way: Time,
+    latency: Time,
 ) {
     let flow = line
         .split(' ')
         .nth(1)
         .and_then(|id| u64::from_str_radix(id, 16).ok());
     let Some(flow) = flow.filter(|flow| shared.lock().flows.contains_key(flow)) else {
-        // No stand-in client sent it.
-        let _ = wire.say("SYNTAX\r\n").await;
+        // No stand-in client sent this line.
+        let _ = connection.send("SYNTAX\r\n").await;
         return;
     };
-    let inherited = line.contains(",at=");
-    let (sender, mut told) = mpsc::unbounded_channel();
+    let standing = line.contains(",at=");
+    let (sender, mut signals) = mpsc::unbounded_channel();
     let mut slot = ConnectionSlot {
         shared,
         server,
         flow,
-        seated: false,
-        out: None,
+        attached: false,
+        attempt: None,
     };
-    let offer = {
+    let response = {
         let now = shared.now();
         let mut inner = shared.lock();
-        let balancer = inner.flows.get(&flow).map_or(0, |known| known.balancer);
+        let balancer = inner.flows.get(&flow).map_or(0, |state| state.balancer);
         let mut events = Vec::new();
-        let offer = match inherited {
+        let response = match standing {
             true => AttemptResponse::Accepted(0.0),
             false => {
                 inner.figures.attempts += 1;
@@ -268,91 +278,102 @@
                     number,
                     server,
                 });
-                slot.out = Some(number);
-                let (offer, more) = inner.model.offer(now, zone, server);
-                events = more;
-                offer
+                slot.attempt = Some(number);
+                let (response, caused) = inner.model.offer(now, zone, server);
+                events = caused;
+                response
             }
         };
-        if let AttemptResponse::Accepted(_) = offer {
-            if let Some(known) = inner.flows.get_mut(&flow) {
-                (known.server, known.signals, known.by_server) = (Some(server), Some(sender), None);
+        if let AttemptResponse::Accepted(_) = response {
+            if let Some(state) = inner.flows.get_mut(&flow) {
+                (state.server, state.signals, state.closed_by_server) =
+                    (Some(server), Some(sender), None);
             }
-            slot.seated = sit(&mut inner, flow, server);
+            slot.attached = attach_to_model(&mut inner, flow, server);
         }
         drop(inner);
-        // What concerns processes can't come of an attempt.
-        shared.happen(events);
-        offer
+        // An attempt causes no events that concern the balancers' processes.
+        shared.handle_events(events);
+        response
     };
-    match offer {
+    match response {
         AttemptResponse::Overloaded => {
-            slot.ended(true);
-            let _ = wire.say("BUSY\r\n").await;
+            slot.end_attempt(true);
+            let _ = connection.send("BUSY\r\n").await;
             return;
         }
         AttemptResponse::Error => {
-            slot.ended(false);
-            let _ = wire.say("ERR\r\n").await;
+            slot.end_attempt(false);
+            let _ = connection.send("ERR\r\n").await;
             return;
         }
-        AttemptResponse::Refused => return wire.reset(),
-        AttemptResponse::NoResponse => return wire.mute(shared, server).await,
-        AttemptResponse::Accepted(took) => {
+        AttemptResponse::Refused => return connection.reset(),
+        AttemptResponse::NoResponse => return connection.hold_silent(shared, server).await,
+        AttemptResponse::Accepted(delay) => {
             tokio::select! {
-                () = tokio::time::sleep(span(seconds(took))) => {}
-                // Given up by the balancer: it has closed the connection or sent a line too soon.
-                _ = wire.line() => return,
-                tell = told.recv() => return match tell {
-                    Some(ServerSignal::Silence) => wire.mute(shared, server).await,
-                    Some(ServerSignal::Migrate) => drop(wire.say("MOVE\r\n").await),
-                    _ => wire.reset(),
+                () = tokio::time::sleep(to_duration(seconds(delay))) => {}
+                // The balancer has given the attempt up: it closed the connection, or sent a line
+                // before the answer.
+                _ = connection.read_line() => return,
+                signal = signals.recv() => return match signal {
+                    Some(ServerSignal::Silence) => connection.hold_silent(shared, server).await,
+                    Some(ServerSignal::Migrate) => drop(connection.send("MOVE\r\n").await),
+                    _ => connection.reset(),
                 },
             }
         }
     }
-    slot.ended(false);
+    slot.end_attempt(false);
     let load = shared.lock().model.servers[server]
         .connections
         .get(&flow)
         .map_or(1.0, |connection| connection.load);
-    if !wire
-        .say(&format!("UP {flow:x}\r\nLOAD {load:.4}\r\n"))
+    if !connection
+        .send(&format!("UP {flow:x}\r\nLOAD {load:.4}\r\n"))
         .await
     {
         return;
     }
-    serve(shared, (server, zone), wire, &mut told, flow, way).await;
+    serve_lines(
+        shared,
+        (server, zone),
+        connection,
+        &mut signals,
+        flow,
+        latency,
+    )
+    .await;
 }
 
-fn sit(inner: &mut RunState, flow: u64, server: usize) -> bool {
+/// Adds the flow's connection to the server in the model. Returns `false` if its client is gone.
+fn attach_to_model(inner: &mut RunState, flow: u64, server: usize) -> bool {
     let client = inner
         .flows
         .get(&flow)
-        .and_then(|known| inner.population.get(known.client));
+        .and_then(|state| inner.population.get(state.client));
     let Some(client) = client else { return false };
     inner.model.servers[server].attach(flow, client.connection());
     true
 }
 
-/// Answers an open connection's lines, each in the time that the server takes now, until one side
-/// ends.
-async fn serve(
+/// Answers the lines of an open connection, each after the server's current answer time, until one
+/// side closes the connection.
+async fn serve_lines(
     shared: &SharedRun,
     (server, zone): (usize, usize),
-    mut wire: Wire,
-    told: &mut mpsc::UnboundedReceiver<ServerSignal>,
+    mut connection: Connection,
+    signals: &mut mpsc::UnboundedReceiver<ServerSignal>,
     flow: u64,
-    way: Time,
+    latency: Time,
 ) {
-    let mut change = next_change(shared);
+    let mut load_change_delay = first_load_change_delay(shared);
     loop {
         tokio::select! {
-            line = wire.line() => {
+            line = connection.read_line() => {
                 let Some(line) = line else { return };
                 let answer = format!("ok {line}\r\n");
                 let now = shared.now();
-                let (takes, reaches) = {
+                let (answer_seconds, reaches) = {
                     let mut inner = shared.lock();
                     let one = &inner.model.servers[server];
                     let mean = one.message_seconds(&shared.scenario.fleet, now);
@@ -360,21 +381,21 @@
                     (inner.rng.exponential(mean).min(10.0 * mean), reaches)
                 };
                 if !reaches {
-                    return wire.mute(shared, server).await;
+                    return connection.hold_silent(shared, server).await;
                 }
                 tokio::select! {
-                    () = tokio::time::sleep(span(2 * way + seconds(takes))) => {}
-                    tell = told.recv() => return leave(wire, tell, shared, server).await,
+                    () = tokio::time::sleep(to_duration(2 * latency + seconds(answer_seconds))) => {}
+                    signal = signals.recv() => return handle_signal(connection, signal, shared, server).await,
                 }
-                if !wire.say(&answer).await {
+                if !connection.send(&answer).await {
                     return;
                 }
             }
-            tell = told.recv() => return leave(wire, tell, shared, server).await,
-            () = tokio::time::sleep(span(change)) => {
+            signal = signals.recv() => return handle_signal(connection, signal, shared, server).await,
+            () = tokio::time::sleep(to_duration(load_change_delay)) => {
                 let load = {
                     let mut inner = shared.lock();
-                    let client = inner.flows.get(&flow).map_or(0, |known| known.client);
+                    let client = inner.flows.get(&flow).map_or(0, |state| state.client);
                     let changed = inner.population.change_load(client, &shared.scenario);
                     if let Some((load, _)) = changed {
                         inner.model.servers[server].set_load(flow, load);
@@ -382,8 +403,8 @@
                     changed
                 };
                 let Some((load, wait)) = load else { return };
-                change = wait;
-                if !wire.say(&format!("LOAD {load:.4}\r\n")).await {
+                load_change_delay = wait;
+                if !connection.send(&format!("LOAD {load:.4}\r\n")).await {
                     return;
                 }
             }
@@ -391,20 +412,27 @@
     }
 }
 
-fn next_change(shared: &SharedRun) -> Time {
+/// Draws the time until the first change of a connection's load.
+fn first_load_change_delay(shared: &SharedRun) -> Time {
     shared
         .lock()
         .population
         .first_change(&shared.scenario)
-        .unwrap_or(super::FOREVER)
+        .unwrap_or(super::LONGER_THAN_ANY_RUN)
 }
 
-async fn leave(mut wire: Wire, tell: Option<ServerSignal>, shared: &SharedRun, server: usize) {
-    match tell {
-        Some(ServerSignal::Reset) | None => wire.reset(),
-        Some(ServerSignal::Silence) => wire.mute(shared, server).await,
+/// Handles a signal to an open connection.
+async fn handle_signal(
+    mut connection: Connection,
+    signal: Option<ServerSignal>,
+    shared: &SharedRun,
+    server: usize,
+) {
+    match signal {
+        Some(ServerSignal::Reset) | None => connection.reset(),
+        Some(ServerSignal::Silence) => connection.hold_silent(shared, server).await,
         Some(ServerSignal::Migrate) => {
-            let _ = wire.say("MOVE\r\n").await;
+            let _ = connection.send("MOVE\r\n").await;
         }
     }
 }
--- a/crates/testbed/src/sockets/shared_run.rs
+++ b/crates/testbed/src/sockets/shared_run.rs
@@ -1,6 +1,7 @@
-//! What the stand-ins share: the model, the clients, the rule checker and the figures behind one
-//! lock that is never held over a wait, and how each server's status reaches its listeners. It owns
-//! the run's time and its block of loopback addresses.
+//! The run as its tasks share it. The model, the clients, the rule checker and the figures are
+//! behind one lock, which is never held across an await. Events of the model are passed on to the
+//! connections and listeners that they concern. It owns the run's clock and its block of loopback
+//! addresses.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -22,20 +23,21 @@
 use crate::record::Writer;
 use crate::rules::Verdict;
 
-/// How often the figures that walk all servers are taken.
-const SAMPLE: Time = 500 * MS;
+/// Interval between two samples of the utilization of all servers.
+const LOAD_SAMPLE_INTERVAL: Time = 500 * MS;
 
-/// The run, shared by all its tasks.
+/// A run, shared by all its tasks.
 pub struct SharedRun {
     pub scenario: Scenario,
-    /// The addresses of its stand-ins and balancers.
+    /// The addresses of the stand-ins and the balancers.
     pub addresses: AddressBlock,
     state: Mutex<RunState>,
-    origin: OnceLock<Instant>,
-    /// The wall clock at the run's start, in milliseconds.
-    unix: u64,
-    /// Notified when a balancer may see more of the endpoint list.
-    pub news: watch::Sender<u64>,
+    /// When the run began.
+    started_at: OnceLock<Instant>,
+    /// Unix time when this was created, in milliseconds.
+    created_unix_ms: u64,
+    /// Changes when a balancer may see a newer version of the endpoint list.
+    pub list_updates: watch::Sender<u64>,
 }
 
 impl SharedRun {
@@ -45,15 +47,15 @@
         record: Option<Writer>,
     ) -> Result<Arc<Self>, SocketRunError> {
         let addresses = AddressBlock::claim()?;
-        let unix = SystemTime::now()
+        let created = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let state = RunState::new(&scenario, seed, record);
         Ok(Arc::new(SharedRun {
             state: Mutex::new(state),
-            origin: OnceLock::new(),
-            unix: unix.as_millis() as u64,
-            news: watch::Sender::new(0),
+            started_at: OnceLock::new(),
+            created_unix_ms: created.as_millis() as u64,
+            list_updates: watch::Sender::new(0),
             addresses,
             scenario,
         }))
@@ -63,38 +65,42 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time since the run began; 0 before.
+    /// Time since the run began, or 0 before it begins.
     pub fn now(&self) -> Time {
-        self.origin
+        self.started_at
             .get()
-            .map_or(0, |origin| origin.elapsed().as_nanos() as Time)
+            .map_or(0, |started_at| started_at.elapsed().as_nanos() as Time)
     }
 
-    pub fn begins(&self) {
-        let _ = self.origin.set(Instant::now());
+    /// Starts the clock of the run.
+    pub fn start_clock(&self) {
+        let _ = self.started_at.set(Instant::now());
     }
 
-    pub fn begun(&self) -> bool {
-        self.origin.get().is_some()
+    /// Whether the clock of the run has been started.
+    pub fn has_started(&self) -> bool {
+        self.started_at.get().is_some()
     }
 
-    pub fn observe(&self, seen: Observation) {
-        self.lock().observe(seen);
+    pub fn observe(&self, observation: Observation) {
+        self.lock().observe(observation);
     }
 
-    pub fn standing(&self) -> usize {
+    /// Returns the number of standing connections that are established.
+    pub fn established_standing(&self) -> usize {
         self.lock().standing
     }
 
+    /// Returns the zone of a balancer.
     pub fn zone(&self, balancer: usize) -> usize {
         balancer % self.scenario.zones.number
     }
 
-    /// A server's stand-in begins to listen, at one address for each zone.
-    pub fn joins(self: &Arc<Self>, server: usize) {
+    /// Records a new server and starts its listeners, at one address for each zone.
+    pub fn register_server(self: &Arc<Self>, server: usize) {
         let mut inner = self.lock();
-        let one = &inner.model.servers[server];
-        let (zone, cell, machine) = (one.zone, one.cell, one.machine);
+        let model = &inner.model.servers[server];
+        let (zone, cell, machine) = (model.zone, model.cell, model.machine);
         let at = self.now();
         inner.observe(Observation::Server {
             at,
@@ -117,37 +123,42 @@
         }
     }
 
-    /// The model goes on; what concerns balancers' processes is returned.
+    /// Advances the model to `now` and handles its events. Returns the events that concern the
+    /// balancers' processes.
     pub fn tick(self: &Arc<Self>, now: Time) -> Vec<FleetEvent> {
         let mut inner = self.lock();
         let events = inner.model.tick(now);
-        let seconds = super::TICK as f64 / 1e9;
+        let seconds = super::TICK_INTERVAL as f64 / 1e9;
         let (wanted, served) = (
             inner.population.wanted * seconds,
             std::mem::take(&mut inner.served),
         );
         inner.figures.worth(now, (wanted, served), seconds);
-        if inner.sampled + SAMPLE <= now {
-            inner.sampled = now;
+        if inner.load_sampled_at + LOAD_SAMPLE_INTERVAL <= now {
+            inner.load_sampled_at = now;
             let utilizations: Vec<f64> = inner.model.utilizations(now).collect();
             inner.figures.load(now, &utilizations);
         }
         drop(inner);
-        self.happen(events)
+        self.handle_events(events)
     }
 
-    /// Carries out what happened in the model; what concerns balancers' processes is returned.
-    pub fn happen(self: &Arc<Self>, events: Vec<FleetEvent>) -> Vec<FleetEvent> {
-        let mut rest = Vec::new();
-        for one in events {
-            match one {
-                FleetEvent::ConnectionsReset { ids, .. } => self.tell(&ids, ServerSignal::Reset),
+    /// Handles events of the model. Returns those that concern the balancers' processes.
+    pub fn handle_events(self: &Arc<Self>, events: Vec<FleetEvent>) -> Vec<FleetEvent> {
+        let mut process_events = Vec::new();
+        for event in events {
+            match event {
+                FleetEvent::ConnectionsReset { ids, .. } => {
+                    self.signal_connections(&ids, ServerSignal::Reset)
+                }
                 FleetEvent::ConnectionsSilenced { ids, .. } => {
-                    self.tell(&ids, ServerSignal::Silence)
+                    self.signal_connections(&ids, ServerSignal::Silence)
+                }
+                FleetEvent::ClientsMigrated { ids, .. } => {
+                    self.signal_connections(&ids, ServerSignal::Migrate)
                 }
-                FleetEvent::ClientsMigrated { ids, .. } => self.tell(&ids, ServerSignal::Migrate),
                 FleetEvent::ServerStarted { server } => {
-                    self.joins(server);
+                    self.register_server(server);
                     self.observe(Observation::ServerStarted {
                         at: self.now(),
                         server,
@@ -161,67 +172,74 @@
                         server,
                     });
                 }
-                FleetEvent::EndpointsChanged | FleetEvent::DiscoveryRecovered => self.spread_list(),
-                // Whoever talks across the cut finds out for itself.
+                FleetEvent::EndpointsChanged | FleetEvent::DiscoveryRecovered => {
+                    self.schedule_list_updates()
+                }
+                // The stand-ins check the connectivity themselves at each message.
                 FleetEvent::ZoneConnectivityChanged { .. } => {}
                 FleetEvent::BalancerRestartRequested { .. } | FleetEvent::BalancerKilled { .. } => {
-                    rest.push(one)
+                    process_events.push(event)
                 }
             }
         }
-        self.tell_lives();
-        rest
+        self.publish_server_statuses();
+        process_events
     }
 
-    fn tell(&self, ids: &[u64], what: ServerSignal) {
+    /// Sends a signal to the server's side of these connections.
+    fn signal_connections(&self, ids: &[u64], signal: ServerSignal) {
         let mut inner = self.lock();
         for id in ids {
-            if let Some(known) = inner.flows.get_mut(id) {
-                if what != ServerSignal::Silence {
-                    known.by_server = Some(what == ServerSignal::Migrate);
+            if let Some(flow) = inner.flows.get_mut(id) {
+                if signal != ServerSignal::Silence {
+                    flow.closed_by_server = Some(signal == ServerSignal::Migrate);
                 }
-                if let Some(signals) = &known.signals {
-                    let _ = signals.send(what);
+                if let Some(signals) = &flow.signals {
+                    let _ = signals.send(signal);
                 }
             }
         }
     }
 
-    fn tell_lives(&self) {
+    /// Passes each server's status on to its listeners.
+    fn publish_server_statuses(&self) {
         let inner = self.lock();
         for (status, server) in inner.statuses.iter().zip(&inner.model.servers) {
             status.send_if_modified(|old| std::mem::replace(old, server.status) != server.status);
         }
     }
 
-    /// Each balancer may see the endpoint list as it is now, after its own delay.
-    fn spread_list(self: &Arc<Self>) {
+    /// Makes the current endpoint list visible to each balancer after that balancer's delay.
+    fn schedule_list_updates(self: &Arc<Self>) {
         let mut inner = self.lock();
-        for balancer in 0..inner.visible.len() {
+        for balancer in 0..inner.visible_versions.len() {
             let Some(delay) = inner.model.discovery() else {
                 continue;
             };
             let shared = self.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(super::span(delay)).await;
+                tokio::time::sleep(super::to_duration(delay)).await;
                 let mut inner = shared.lock();
                 if inner.model.discovery().is_some() {
-                    inner.visible[balancer] = inner.model.version();
+                    inner.visible_versions[balancer] = inner.model.version();
                 }
                 drop(inner);
-                shared.news.send_modify(|count| *count += 1);
+                shared.list_updates.send_modify(|count| *count += 1);
             });
         }
     }
 
-    /// The list as one balancer gets it, in discovery's form; what it tells is noted as told.
-    pub fn list(&self, balancer: usize, from: Option<u64>) -> Value {
+    /// Returns the endpoint list that a balancer gets, in the JSON format of discovery, and records
+    /// each entry as notified. With `from`, only the changes since that version are returned.
+    pub fn endpoint_list(&self, balancer: usize, from: Option<u64>) -> Value {
         let mut inner = self.lock();
         let zone = self.zone(balancer);
         let (version, entries) = match from {
             Some(from) => (
-                inner.visible[balancer],
-                inner.model.entries_between(from, inner.visible[balancer]),
+                inner.visible_versions[balancer],
+                inner
+                    .model
+                    .entries_between(from, inner.visible_versions[balancer]),
             ),
             None => (inner.model.version(), inner.model.since(0)),
         };
@@ -247,22 +265,22 @@
                     EndpointState::Removed => "Gone",
                 },
                 "weight": entry.weight,
-                "startedAtMs": if entry.started == 0 { 0 } else { self.unix() + entry.started / MS },
+                "startedAtMs": if entry.started == 0 { 0 } else { self.start_unix_ms() + entry.started / MS },
             }));
         }
         json!({"generation": version, "reset": from.is_none(), "instances": instances})
     }
 
-    /// The wall clock when the run began, in milliseconds.
-    fn unix(&self) -> u64 {
-        match self.origin.get() {
-            Some(origin) => {
+    /// Unix time when the run began, in milliseconds. Before the run begins, the time of creation.
+    fn start_unix_ms(&self) -> u64 {
+        match self.started_at.get() {
+            Some(started_at) => {
                 let now = SystemTime::now()
                     .duration_since(SystemTime::UNIX_EPOCH)
                     .unwrap_or_default();
-                (now.as_millis() as u64).saturating_sub(origin.elapsed().as_millis() as u64)
+                (now.as_millis() as u64).saturating_sub(started_at.elapsed().as_millis() as u64)
             }
-            None => self.unix,
+            None => self.created_unix_ms,
         }
     }
 
--- a/crates/testbed/src/sockets/tests.rs
+++ b/crates/testbed/src/sockets/tests.rs
@@ -1,14 +1,14 @@
-//! When a run on sockets counts as void.
+//! Tests of when a run on sockets is void.
 
 use super::*;
 
 #[test]
-fn a_machine_that_cannot_keep_up_makes_a_run_void() {
-    let mut late = vec![MS; 98];
-    assert_eq!(too_slow(&late), None);
-    late.extend([LATE + 1, LATE + 1]);
-    assert_eq!(too_slow(&late), None, "a few");
-    late.push(LATE + 1);
-    assert!(too_slow(&late).unwrap().contains("3 of 101 ticks late"));
-    assert!(too_slow(&[vec![0; 999], vec![LATEST + 1]].concat()).is_some());
+fn late_ticks_beyond_the_limits_make_a_run_void() {
+    let mut delays = vec![MS; 98];
+    assert_eq!(too_slow(&delays), None);
+    delays.extend([LATE_TICK_THRESHOLD + 1, LATE_TICK_THRESHOLD + 1]);
+    assert_eq!(too_slow(&delays), None, "a few late ticks");
+    delays.push(LATE_TICK_THRESHOLD + 1);
+    assert!(too_slow(&delays).unwrap().contains("3 of 101 ticks late"));
+    assert!(too_slow(&[vec![0; 999], vec![TICK_DELAY_MAX + 1]].concat()).is_some());
 }
