--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -158,7 +158,7 @@
 async fn connect_to_balancer(shared: &SharedRun, client: &Client) -> Option<(usize, TcpStream)> {
     let balancer = {
         let state = &mut *shared.lock();
-        state.front.pick_balancer(shared.now(), client.zone)?
+        state.front_end.pick_balancer(shared.now(), client.zone)?
     };
     let connecting = TcpStream::connect(shared.addresses.balancer(balancer));
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
--- a/crates/testbed/src/sockets/faulty.rs
+++ b/crates/testbed/src/sockets/faulty.rs
@@ -57,7 +57,7 @@
     /// The configuration file is not valid JSON.
     #[error("{file}: {source}")]
     NotJson {
-        /// The configuration's file.
+        /// The configuration file.
         file: String,
         /// The error of the JSON parser.
         source: serde_json::Error,
@@ -65,7 +65,7 @@
     /// A key has no valid address.
     #[error("{file}: key '{key}': expected an IP address with a port")]
     NoAddress {
-        /// The configuration's file.
+        /// The configuration file.
         file: String,
         /// The key.
         key: &'static str,
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -62,7 +62,7 @@
     folder: PathBuf,
     /// Whether the folder was created for the run and is removed at its end.
     owns_folder: bool,
-    all: Vec<BalancerProcess>,
+    balancers: Vec<BalancerProcess>,
     /// Planned restarts: the time of SIGTERM, the balancer, and how long it is down.
     planned: Vec<(Time, usize, Time)>,
     /// One report for each balancer that exited unexpectedly or could not be restarted.
@@ -115,7 +115,7 @@
             program: program.clone(),
             folder,
             owns_folder,
-            all: Vec::new(),
+            balancers: Vec::new(),
             planned: Vec::new(),
             died: Vec::new(),
         })
@@ -172,7 +172,7 @@
     pub async fn start_all(&mut self) -> Result<(), SocketRunError> {
         for b in 0..self.shared.scenario.balancers.number {
             let (child, log, config) = self.spawn(b, 0)?;
-            self.all.push(BalancerProcess {
+            self.balancers.push(BalancerProcess {
                 child,
                 state: State::Running,
                 log,
@@ -181,7 +181,7 @@
                 memory: 0.0,
             });
         }
-        for b in 0..self.all.len() {
+        for b in 0..self.balancers.len() {
             let ready = async {
                 while !answers_ping(self.shared.addresses.balancer(b)).await {
                     tokio::time::sleep(Duration::from_millis(20)).await;
@@ -190,7 +190,7 @@
             if tokio::time::timeout(READY_TIMEOUT, ready).await.is_err() {
                 return Err(SocketRunError::NotReady {
                     balancer: b,
-                    log_end: log_end(&self.all[b].log),
+                    log_end: log_end(&self.balancers[b].log),
                 });
             }
             self.shared.lock().alive[b] = true;
@@ -212,8 +212,8 @@
                 self.planned.push((last.unwrap_or(now), balancer, away));
             }
             FleetEvent::BalancerKilled { balancer, away } => {
-                let _ = self.all[balancer].child.kill();
-                let _ = self.all[balancer].child.wait();
+                let _ = self.balancers[balancer].child.kill();
+                let _ = self.balancers[balancer].child.wait();
                 self.record_end(balancer, now, false, away);
             }
             _ => {}
@@ -227,30 +227,33 @@
         self.planned = later;
         for (_, b, away) in due {
             if let (State::Running, Some(pid)) = (
-                &self.all[b].state,
-                Pid::from_raw(self.all[b].child.id() as i32),
+                &self.balancers[b].state,
+                Pid::from_raw(self.balancers[b].child.id() as i32),
             ) {
                 self.record_usage(b);
                 let _ = rustix::process::kill_process(pid, Signal::TERM);
-                self.all[b].state = State::Terminating(now, away);
-                self.shared.lock().front.mark_dead(b, now + FRONT_END_DELAY);
+                self.balancers[b].state = State::Terminating(now, away);
+                self.shared
+                    .lock()
+                    .front_end
+                    .mark_dead(b, now + FRONT_END_DELAY);
             }
         }
-        for b in 0..self.all.len() {
-            match self.all[b].state {
+        for b in 0..self.balancers.len() {
+            match self.balancers[b].state {
                 State::Running | State::Terminating(..) => {
-                    let ended = matches!(self.all[b].child.try_wait(), Ok(Some(_)));
-                    match self.all[b].state {
+                    let ended = matches!(self.balancers[b].child.try_wait(), Ok(Some(_)));
+                    match self.balancers[b].state {
                         State::Terminating(_, away) if ended => self.record_end(b, now, true, away),
                         State::Terminating(since, away) if now >= since + KILL_DELAY => {
-                            let _ = self.all[b].child.kill();
-                            let _ = self.all[b].child.wait();
+                            let _ = self.balancers[b].child.kill();
+                            let _ = self.balancers[b].child.wait();
                             self.record_end(b, now, true, away);
                         }
                         _ if ended => {
                             self.died.push(format!(
                                 "balancer {b} died unexpectedly; end of its log:\n{}",
-                                log_end(&self.all[b].log)
+                                log_end(&self.balancers[b].log)
                             ));
                             self.record_end(b, now, false, SEC);
                         }
@@ -259,13 +262,14 @@
                 }
                 State::Down(until) if until <= now => match self.spawn(b, now) {
                     Ok((child, ..)) => {
-                        (self.all[b].child, self.all[b].state) = (child, State::Running);
+                        (self.balancers[b].child, self.balancers[b].state) =
+                            (child, State::Running);
                         self.shared.lock().alive[b] = true;
                         tokio::spawn(mark_alive_when_ready(self.shared.clone(), b));
                     }
                     Err(error) => {
                         self.died.push(error.to_string());
-                        self.all[b].state = State::Down(Time::MAX);
+                        self.balancers[b].state = State::Down(Time::MAX);
                     }
                 },
                 State::Down(_) => {}
@@ -275,12 +279,12 @@
 
     /// Records that a balancer's process has ended and will be down for `away`.
     fn record_end(&mut self, b: usize, now: Time, planned: bool, away: Time) {
-        self.all[b].state = State::Down(now + away);
+        self.balancers[b].state = State::Down(now + away);
         let mut inner = self.shared.lock();
         inner.alive[b] = false;
         if !planned {
             inner
-                .front
+                .front_end
                 .mark_dead(b, now + seconds(self.shared.scenario.balancers.notice));
         }
         inner.observe(Observation::BalancerEnded {
@@ -292,17 +296,17 @@
 
     /// Adds the usage of a balancer's current process to that of its balancer.
     fn record_usage(&mut self, b: usize) {
-        let usage = ProcessUsage::of(self.all[b].child.id());
-        self.all[b].cpu += usage.cpu_seconds;
-        self.all[b].memory = self.all[b].memory.max(usage.memory_peak_mb);
+        let usage = ProcessUsage::of(self.balancers[b].child.id());
+        self.balancers[b].cpu += usage.cpu_seconds;
+        self.balancers[b].memory = self.balancers[b].memory.max(usage.memory_peak_mb);
     }
 
     /// Returns for each balancer its processor seconds per second of the run and its peak resident
     /// memory in MB.
     pub fn usage(&mut self) -> Vec<(f64, f64)> {
-        (0..self.all.len()).for_each(|b| self.record_usage(b));
+        (0..self.balancers.len()).for_each(|b| self.record_usage(b));
         let seconds = self.shared.scenario.seconds;
-        self.all
+        self.balancers
             .iter()
             .map(|balancer| (balancer.cpu / seconds, balancer.memory))
             .collect()
@@ -316,7 +320,7 @@
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        for balancer in &mut self.all {
+        for balancer in &mut self.balancers {
             let _ = balancer.child.kill();
             let _ = balancer.child.wait();
             let _ = std::fs::remove_file(&balancer.config);
@@ -332,5 +336,5 @@
     while !answers_ping(shared.addresses.balancer(b)).await {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    shared.lock().front.mark_alive(b);
+    shared.lock().front_end.mark_alive(b);
 }
--- a/crates/testbed/src/sockets/run_state.rs
+++ b/crates/testbed/src/sockets/run_state.rs
@@ -47,7 +47,7 @@
 pub struct RunState {
     pub model: FleetModel,
     pub population: ClientPopulation,
-    pub front: FrontEnd,
+    pub front_end: FrontEnd,
     pub figures: FigureCollector,
     pub rng: Rng,
     pub flows: HashMap<u64, FlowState>,
@@ -78,7 +78,7 @@
             TIME_LIMIT_TOLERANCE + seconds(scenario.zones.between.max(scenario.zones.inside));
         RunState {
             population: ClientPopulation::new(seed),
-            front: FrontEnd::new(scenario.balancers.number, scenario.zones.number),
+            front_end: FrontEnd::new(scenario.balancers.number, scenario.zones.number),
             figures: FigureCollector::new(seconds(scenario.settle)),
             rng: Rng::new(seed, 3),
             flows: HashMap::new(),
@@ -157,11 +157,12 @@
         let figures =
             std::mem::replace(&mut self.figures, FigureCollector::new(LONGER_THAN_ANY_RUN));
         let mut figures = figures.finish(standing, &verdict);
-        let cpu = balancers.iter().map(|one| one.0).sum::<f64>() / balancers.len().max(1) as f64;
+        let cpu =
+            balancers.iter().map(|usage| usage.0).sum::<f64>() / balancers.len().max(1) as f64;
         figures.0.insert("balancer_cpu", cpu);
         figures.0.insert(
             "balancer_mb",
-            balancers.iter().map(|one| one.1).fold(0.0, f64::max),
+            balancers.iter().map(|usage| usage.1).fold(0.0, f64::max),
         );
         match (self.record_error.take(), self.record.take()) {
             (Some(e), _) => Err(e),
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -194,8 +194,9 @@
         tokio::time::sleep(to_duration(2 * latency)).await;
         let reaches = {
             let inner = shared.lock();
-            let one = &inner.model.servers[server];
-            one.status != ServerStatus::Unresponsive && inner.model.reaches(zone, one.zone)
+            let server_model = &inner.model.servers[server];
+            server_model.status != ServerStatus::Unresponsive
+                && inner.model.reaches(zone, server_model.zone)
         };
         if !reaches {
             return connection.hold_silent(&shared, server).await;
@@ -375,9 +376,9 @@
                 let now = shared.now();
                 let (answer_seconds, reaches) = {
                     let mut inner = shared.lock();
-                    let one = &inner.model.servers[server];
-                    let mean = one.message_seconds(&shared.scenario.fleet, now);
-                    let reaches = inner.model.reaches(zone, one.zone) && one.status == ServerStatus::Up;
+                    let server_model = &inner.model.servers[server];
+                    let mean = server_model.message_seconds(&shared.scenario.fleet, now);
+                    let reaches = inner.model.reaches(zone, server_model.zone) && server_model.status == ServerStatus::Up;
                     (inner.rng.exponential(mean).min(10.0 * mean), reaches)
                 };
                 if !reaches {
--- a/crates/testbed/src/sockets/shared_run.rs
+++ b/crates/testbed/src/sockets/shared_run.rs
@@ -99,8 +99,8 @@
     /// Records a new server and starts its listeners, at one address for each zone.
     pub fn register_server(self: &Arc<Self>, server: usize) {
         let mut inner = self.lock();
-        let model = &inner.model.servers[server];
-        let (zone, cell, machine) = (model.zone, model.cell, model.machine);
+        let server_model = &inner.model.servers[server];
+        let (zone, cell, machine) = (server_model.zone, server_model.cell, server_model.machine);
         let at = self.now();
         inner.observe(Observation::Server {
             at,
