--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -39,7 +39,7 @@
 
 enum State {
     Running,
-    /// Got SIGTERM at the first time. It is restarted when it has been down for the second.
+    /// Got SIGTERM at the first time. After it has exited, it stays down for the second time.
     Terminating(Time, Time),
     /// Down until this time.
     Down(Time),
