--- a/crates/testbed/src/capacity/assumptions.rs
+++ b/crates/testbed/src/capacity/assumptions.rs
@@ -1,6 +1,6 @@
-//! The assumptions file: what the operators have said, what they haven't, constants of the program
-//! and what is taken for granted, each with its reason. Read strictly: a key that is missing,
-//! unknown, without a reason or without a sane value is an error.
+//! The assumptions file: the operators' requirements, quantities that the operators have not given,
+//! constants of the program and assumed values, each with a reason. It is parsed strictly: a key
+//! that is missing or unknown, or that has no reason or an invalid value, is an error.
 
 use std::path::Path;
 
@@ -8,48 +8,48 @@
 
 use super::error::{AssumptionsError, CapacityError, ParameterError};
 
-/// How many values an unknown is worked out for: low, middle and high.
-pub const CASES: usize = 3;
+/// Number of values of an unknown quantity: low, middle and high.
+pub const CASE_COUNT: usize = 3;
 
-/// A value with its reason.
+/// A value and the reason for it.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(try_from = "RawValue")]
+#[serde(try_from = "RawParameter")]
 pub struct Parameter {
-    /// The value, over 0.
+    /// The value, above 0.
     pub value: f64,
-    /// Why it is taken.
+    /// Why this value is used.
     pub why: String,
 }
 
-/// Three values with a reason, in rising order.
+/// Low, middle and high value of an unknown quantity, and the reason for them.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(try_from = "RawValues")]
-pub struct Unknown {
-    /// Low, middle and high, all over 0.
-    pub values: [f64; CASES],
-    /// Why they are taken.
+#[serde(try_from = "RawThreeValues")]
+pub struct ThreeValues {
+    /// Low, middle and high value in ascending order, all above 0.
+    pub values: [f64; CASE_COUNT],
+    /// Why these values are used.
     pub why: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawValue {
+struct RawParameter {
     value: f64,
     why: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawValues {
+struct RawThreeValues {
     values: Vec<f64>,
     why: String,
 }
 
-impl TryFrom<RawValue> for Parameter {
+impl TryFrom<RawParameter> for Parameter {
     type Error = ParameterError;
-    fn try_from(raw: RawValue) -> Result<Self, ParameterError> {
+    fn try_from(raw: RawParameter) -> Result<Self, ParameterError> {
         check_value(raw.value, "value")?;
-        check_reason(&raw.why)?;
+        check_why(&raw.why)?;
         Ok(Parameter {
             value: raw.value,
             why: raw.why,
@@ -57,25 +57,25 @@
     }
 }
 
-impl TryFrom<RawValues> for Unknown {
+impl TryFrom<RawThreeValues> for ThreeValues {
     type Error = ParameterError;
-    fn try_from(raw: RawValues) -> Result<Self, ParameterError> {
+    fn try_from(raw: RawThreeValues) -> Result<Self, ParameterError> {
         let count = raw.values.len();
-        let values: [f64; CASES] =
+        let values: [f64; CASE_COUNT] =
             raw.values
                 .try_into()
                 .map_err(|_| ParameterError::WrongCount {
                     count,
-                    expected: CASES,
+                    expected: CASE_COUNT,
                 })?;
         values
             .iter()
             .try_for_each(|value| check_value(*value, "values"))?;
         if !values.is_sorted() {
-            return Err(ParameterError::NotRising);
+            return Err(ParameterError::NotAscending);
         }
-        check_reason(&raw.why)?;
-        Ok(Unknown {
+        check_why(&raw.why)?;
+        Ok(ThreeValues {
             values,
             why: raw.why,
         })
@@ -89,26 +89,27 @@
     }
 }
 
-fn check_reason(why: &str) -> Result<(), ParameterError> {
+fn check_why(why: &str) -> Result<(), ParameterError> {
     match why.trim().is_empty() {
         true => Err(ParameterError::EmptyReason),
         false => Ok(()),
     }
 }
 
-/// One entry as the page lists it.
+/// One entry of the file, as listed on the page.
 pub struct Entry<'a> {
     /// The section of the file.
     pub section: &'static str,
     /// The key.
     pub key: &'static str,
-    /// One value, or low, middle and high.
+    /// A single value, or the low, middle and high values.
     pub values: Vec<f64>,
-    /// Why they are taken.
+    /// Why these values are used.
     pub why: &'a str,
 }
 
-/// Declares a section: its keys, all of one kind, and how to list them.
+/// Declares a section of the file: a struct with one field per key, all of the same type, and a
+/// method that lists them as entries.
 macro_rules! section {
     ($(#[$about:meta])* $name:ident, $section:literal, $kind:ty, [$($(#[$key_about:meta])* $key:ident),* $(,)?]) => {
         $(#[$about])*
@@ -137,7 +138,7 @@
     }
 }
 
-impl Unknown {
+impl ThreeValues {
     fn entry(&self, section: &'static str, key: &'static str) -> Entry<'_> {
         Entry {
             section,
@@ -149,67 +150,67 @@
 }
 
 section!(
-    /// What the operators have said of the fleet ahead.
+    /// The operators' requirements for the planned fleet.
     Requirements, "requirements", Parameter,
     [
-        /// Balancers.
+        /// Number of balancers.
         balancers,
-        /// Clients' connections.
+        /// Number of client connections.
         connections,
-        /// Shards, which are groups of connections.
+        /// Number of shards, which are groups of connections.
         shards,
-        /// Listeners of the largest topic.
+        /// Number of listeners of the largest topic.
         largest_topic_listeners,
-        /// Messages delivered to clients a second.
+        /// Messages delivered to clients per second.
         deliveries_per_second,
-        /// Milliseconds within which 99 in 100 deliveries must come.
+        /// Milliseconds within which 99 in 100 messages must be delivered.
         delivery_limit_ms,
-        /// Regions.
+        /// Number of regions.
         regions,
-        /// Zones, over all regions.
+        /// Number of zones in all regions together.
         zones,
-        /// Changes of the configuration a day.
+        /// Configuration changes per day.
         configuration_changes_per_day,
-        /// Seconds within which a change of the configuration must be in force.
+        /// Seconds within which a configuration change must be in effect.
         configuration_limit_s,
-        /// Processor that control may take of a balancer, in percent of a core.
+        /// CPU time that control work may use on a balancer, in percent of a core.
         control_percent_of_core,
-        /// Memory that control may take of a balancer, in MB.
+        /// Memory that control work may use on a balancer, in MB.
         control_memory_mb,
-        /// Bytes a second that control may send and receive at a balancer.
+        /// Bytes per second that a balancer may send and receive for control work.
         control_bytes_per_second,
-        /// Machines that are set aside for control.
+        /// Number of machines dedicated to control.
         control_machines,
-        /// Failures of servers a day.
+        /// Server failures per day.
         failures_per_day,
-        /// Restarts of servers a day.
+        /// Server restarts per day.
         restarts_per_day,
-        /// Racks that fail a year.
+        /// Rack failures per year.
         racks_per_year,
-        /// Zones that fail a year.
+        /// Zone failures per year.
         zones_per_year,
-        /// Cuts between regions a year.
+        /// Network partitions between regions per year.
         region_cuts_per_year,
-        /// Clients of one zone.
+        /// Number of clients of one zone.
         zone_clients,
-        /// Seconds within which a balancer must be ready.
+        /// Seconds after its start within which a balancer must be ready.
         ready_within_s,
-        /// Seconds within which a change of the endpoint list must be known.
+        /// Seconds within which balancers must have a change of the endpoint list.
         change_known_within_s,
     ]
 );
 
 section!(
-    /// What they haven't said.
-    Unknowns, "unknown", Unknown,
+    /// Quantities that the operators have not given.
+    Unknowns, "unknown", ThreeValues,
     [
-        /// Servers.
+        /// Number of servers.
         servers,
-        /// Mean life of a connection, in seconds.
+        /// Mean lifetime of a connection, in seconds.
         connection_life_s,
-        /// Bytes of one change of the configuration.
+        /// Size of one configuration change, in bytes.
         change_bytes,
-        /// Seconds over which lost clients come back.
+        /// Seconds over which the reconnects of disconnected clients are spread.
         return_spread_s,
     ]
 );
@@ -220,121 +221,121 @@
     [
         /// The longest health check interval, in seconds.
         probe_interval_longest_s,
-        /// Seconds for which a call for the endpoint list is held.
+        /// Seconds for which a call for the endpoint list is held open if the list does not change.
         watch_hold_s,
-        /// The largest answer of discovery that is read, in bytes.
+        /// Maximum size of a discovery response that a balancer reads, in bytes.
         answer_limit_bytes,
-        /// Memory that a flow may take, in KB.
+        /// Maximum memory of a flow, in KB.
         flow_memory_kb,
-        /// Descriptors that a flow takes.
+        /// File descriptors of a flow.
         descriptors_per_flow,
-        /// Descriptors that a balancer has beside those of flows and checks.
+        /// File descriptors that a balancer holds besides those of flows and health checks.
         descriptors_standing,
-        /// The part of descriptors that health checks may hold is one in so many.
+        /// Health checks may hold one descriptor in this many.
         probe_descriptor_part,
-        /// The part of descriptors that waiting connections may hold is one in so many.
+        /// Waiting connections may hold one descriptor in this many.
         waiting_descriptor_part,
-        /// Gossip messages that a balancer accepts a second.
+        /// Gossip messages that a balancer accepts per second.
         peer_messages_heard_per_second,
         /// Seconds after which a gossip message is repeated.
         peer_message_repeat_s,
-        /// Numbers that groups are told apart by in gossip.
+        /// Number of distinct group numbers in gossip.
         peer_message_groups,
-        /// Where the limits of attempts in flight of all balancers together start.
+        /// Initial limit of attempts in flight, summed over all balancers.
         attempts_in_flight_fleet,
-        /// Where the limit of attempts in flight of one balancer starts at most.
+        /// Maximum of the initial limit of attempts in flight of one balancer.
         attempts_in_flight_most,
-        /// How often a server is filled while it warms up.
+        /// How many times its share of connections a server may be sent while it warms up.
         cold_fill_factor,
-        /// Seconds after which a silent client counts as gone.
+        /// Seconds after which a silent client is assumed to have disconnected.
         idle_client_s,
-        /// Seconds after which a silent server counts as failed.
+        /// Seconds after which a silent server is assumed to have failed.
         silent_server_s,
     ]
 );
 
 section!(
-    /// What is taken for granted until it is measured or told.
+    /// Values that are assumed until they are measured or the operators give them.
     Assumed, "assumed", Parameter,
     [
-        /// Bytes of a packet's headers.
+        /// Size of the headers of a packet, in bytes.
         packet_header_bytes,
-        /// Payload of a health check, both ways, in bytes.
+        /// Payload of a health check, request and reply together, in bytes.
         probe_payload_bytes,
-        /// Packets of a health check.
+        /// Number of packets of a health check.
         probe_packets,
-        /// Payload of a call for the endpoint list that brings nothing, in bytes.
+        /// Payload of a call for the endpoint list that returns no change, in bytes.
         watch_payload_bytes,
-        /// Packets of such a call.
+        /// Number of packets of such a call.
         watch_packets,
-        /// Bytes of an entry of the endpoint list.
+        /// Size of an entry of the endpoint list, in bytes.
         list_entry_bytes,
-        /// Changes of the endpoint list for a failure.
+        /// Changes of the endpoint list per failure.
         list_changes_per_failure,
-        /// Changes of the endpoint list for a restart.
+        /// Changes of the endpoint list per restart.
         list_changes_per_restart,
-        /// Bytes of a control message beside its change.
+        /// Size of a control message without the change that it carries, in bytes.
         control_message_header_bytes,
-        /// Processor of a server for a health check, in microseconds.
+        /// CPU time of a server for a health check, in microseconds.
         server_probe_us,
-        /// Attempts that a server takes a second.
+        /// Attempts that a server can accept per second.
         server_attempts_per_second,
-        /// Milliseconds of an attempt.
+        /// Duration of an attempt, in milliseconds.
         attempt_ms,
-        /// Processor of a balancer for a delivery, in microseconds.
+        /// CPU time of a balancer for a delivery, in microseconds.
         delivery_us,
-        /// Bytes of a delivery.
+        /// Size of a delivered message, in bytes.
         delivery_bytes,
-        /// Bytes of a client's line that keeps its connection.
+        /// Size of the line by which a client keeps its connection alive, in bytes.
         client_line_bytes,
-        /// Seconds until a client notices a silent loss.
+        /// Seconds until a client detects that its connection was lost without a close.
         notice_s,
-        /// Machines of a rack.
+        /// Number of machines in a rack.
         rack_machines,
-        /// Capacity of a server at its start, of its full one.
+        /// Capacity of a server when it starts, as a fraction of its full capacity.
         cold_start_share,
         /// Attempts at which a server in slow start collapses, as a multiple of what it can serve.
         cold_multiple,
         /// Seconds of slow start.
         warm_up_s,
-        /// Part of the connections whose balancer and server are in two regions.
+        /// Fraction of the connections whose balancer and server are in different regions.
         crossing_share,
     ]
 );
 
-/// The whole file.
+/// The parsed assumptions file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumptions {
-    /// What the operators have said of the fleet ahead.
+    /// The operators' requirements for the planned fleet.
     pub requirements: Requirements,
-    /// What they haven't said.
+    /// Quantities that the operators have not given.
     pub unknown: Unknowns,
     /// Constants of the program.
     pub code: Code,
-    /// What is taken for granted.
+    /// Assumed values.
     pub assumed: Assumed,
 }
 
 impl Assumptions {
-    /// Reads the file.
+    /// Loads the file.
     ///
     /// # Errors
-    /// Names the file, the line and the key at fault.
+    /// Names the file, the line and the invalid key.
     pub fn load(file: &Path) -> Result<Self, CapacityError> {
         let text = std::fs::read_to_string(file).map_err(|e| CapacityError::in_file(file, e))?;
         Self::parse(file, &text)
     }
 
-    /// Reads assumptions that are in hand; `file` is named in errors.
+    /// Parses the text of an assumptions file. Errors name `file` as its origin.
     ///
     /// # Errors
-    /// Names the file, the line and the key at fault.
+    /// Names the file, the line and the invalid key.
     pub fn parse(file: &Path, text: &str) -> Result<Self, CapacityError> {
         toml::from_str(text).map_err(|e| toml_error(file, text, e))
     }
 
-    /// All entries, section by section.
+    /// Returns all entries, section by section.
     pub fn entries(&self) -> Vec<Entry<'_>> {
         let sections = [
             self.requirements.entries(),
@@ -346,12 +347,12 @@
     }
 }
 
-/// Names the line and the key that the TOML reader has refused.
+/// Adds the line and the key to an error of the TOML parser.
 fn toml_error(file: &Path, text: &str, error: toml::de::Error) -> CapacityError {
     let start = error.span().map(|span| span.start);
     let source = Box::new(error);
     let Some(start) = start else {
-        return CapacityError::in_file(file, AssumptionsError::Text(source));
+        return CapacityError::in_file(file, AssumptionsError::InvalidDocument(source));
     };
     let line = text[..start].matches('\n').count();
     let key = text
@@ -360,8 +361,8 @@
         .and_then(|line| line.split_once('='))
         .map(|(key, _)| key.trim().to_string());
     let reason = match key {
-        Some(key) => AssumptionsError::Key { key, source },
-        None => AssumptionsError::Text(source),
+        Some(key) => AssumptionsError::InvalidKey { key, source },
+        None => AssumptionsError::InvalidDocument(source),
     };
     CapacityError::in_line(file, line + 1, reason)
 }
--- a/crates/testbed/src/capacity/cold_servers.rs
+++ b/crates/testbed/src/capacity/cold_servers.rs
@@ -1,7 +1,7 @@
 //! Cold servers: what all balancers together may send a server that has just started, and how long
 //! it takes to fill.
 
-use super::deployment::{Deployment, Unknown};
+use super::deployment::{Deployment, UnknownQuantity};
 use super::markdown::{Table, figures};
 use super::mechanism::{self, Mechanism};
 use super::row::Inputs;
@@ -9,7 +9,7 @@
 /// What a server in slow start may be sent, and how long it takes until it holds its part.
 struct ColdServer {
     start_share: f64,
-    multiple: f64,
+    collapse_multiple: f64,
     warm_up_s: f64,
     fill_factor: f64,
 }
@@ -19,21 +19,21 @@
         let assumed = &inputs.assumptions.assumed;
         ColdServer {
             start_share: assumed.cold_start_share.value,
-            multiple: assumed.cold_multiple.value,
+            collapse_multiple: assumed.cold_multiple.value,
             warm_up_s: assumed.warm_up_s.value,
             fill_factor: inputs.assumptions.code.cold_fill_factor.value,
         }
     }
 
     /// Attempts a second that all balancers together may send it just after its start.
-    fn fleet_pace(&self, connections: f64) -> f64 {
-        self.multiple * self.start_share * self.fill_factor * connections / self.warm_up_s
+    fn fleet_attempts_per_second(&self, connections: f64) -> f64 {
+        self.collapse_multiple * self.start_share * self.fill_factor * connections / self.warm_up_s
     }
 
     /// Seconds until that pace, which rises with its warmth, has brought what a warm server holds.
-    fn refilled_s(&self) -> f64 {
+    fn fill_s(&self) -> f64 {
         // The solution of factor x (share t + (1 - share) t^2 / 2 W) / W = 1.
-        let factor = self.multiple * self.fill_factor;
+        let factor = self.collapse_multiple * self.fill_factor;
         let rise = (1.0 - self.start_share) / (2.0 * self.warm_up_s);
         let wanted = self.warm_up_s / factor;
         let root = (self.start_share * self.start_share + 4.0 * rise * wanted).sqrt();
@@ -66,45 +66,46 @@
 
     /// Over the three numbers of servers.
     fn describe(&self, inputs: &Inputs, fleet: &Deployment) -> String {
-        let cases = fleet.cases(inputs.assumptions, Unknown::Servers);
+        let cases = fleet.cases(inputs.assumptions, UnknownQuantity::Servers);
         let values: Vec<Option<f64>> = cases.iter().map(|case| Some((self.value)(case))).collect();
         figures(&values)
     }
 }
 
 fn cold_rows(cold: &ColdServer) -> Vec<ColdRow<'_>> {
-    let fleet_pace = |fleet: &Deployment| cold.fleet_pace(fleet.server_connections());
-    let pace = mechanism::COLD_PACE;
+    let fleet_attempts_per_second =
+        |fleet: &Deployment| cold.fleet_attempts_per_second(fleet.connections_per_server());
+    let pace = mechanism::COLD_SERVER_RATE_LIMIT;
     vec![
         ColdRow::new(
             "attempts from all balancers at a new server's start",
             "a second",
-            fleet_pace,
+            fleet_attempts_per_second,
             pace,
         ),
         ColdRow::new(
             "the part of one balancer",
             "a second",
-            move |f| fleet_pace(f) / f.balancers,
+            move |f| fleet_attempts_per_second(f) / f.balancers,
             pace,
         ),
         ColdRow::new(
             "put down to chance beyond a second's budget of N: 2 sqrt(N) + 2",
             "",
-            move |f| 2.0 * fleet_pace(f).sqrt() + 2.0,
+            move |f| 2.0 * fleet_attempts_per_second(f).sqrt() + 2.0,
             pace,
         ),
         ColdRow::new(
             "until it holds what a warm one holds, at that pace",
             "s",
-            |_| cold.refilled_s(),
+            |_| cold.fill_s(),
             pace,
         ),
         ColdRow::new(
             "attempts to all of a zone's new servers at their start",
             "a second",
-            move |f| fleet_pace(f) * f.servers / f.zones,
-            mechanism::COLD_SUM,
+            move |f| fleet_attempts_per_second(f) * f.servers / f.zones,
+            mechanism::COLD_SERVER_SUM_LIMIT,
         ),
     ]
 }
--- a/crates/testbed/src/capacity/deployment.rs
+++ b/crates/testbed/src/capacity/deployment.rs
@@ -1,11 +1,11 @@
 //! The fleet that is worked out: the operators' size or a part of it, with one value of each
 //! unknown.
 
-use super::assumptions::{Assumptions, CASES};
+use super::assumptions::{Assumptions, CASE_COUNT};
 
 /// A quantity that the operators haven't told and that a figure is worked out for three values of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unknown {
+pub enum UnknownQuantity {
     /// Servers of the fleet.
     Servers,
     /// The mean life of a connection.
@@ -17,7 +17,7 @@
 }
 
 /// The middle one of the three values.
-pub const MIDDLE: usize = 1;
+pub const MIDDLE_CASE: usize = 1;
 
 /// Counts and rates of one fleet.
 #[derive(Clone, Copy, Debug)]
@@ -65,7 +65,7 @@
         Deployment {
             scale,
             balancers: requirements.balancers.value * scale,
-            servers: unknown.servers.values[MIDDLE] * scale,
+            servers: unknown.servers.values[MIDDLE_CASE] * scale,
             connections: requirements.connections.value * scale,
             shards: requirements.shards.value * scale,
             largest_topic_listeners: requirements.largest_topic_listeners.value * scale,
@@ -78,24 +78,32 @@
             zone_clients: requirements.zone_clients.value * scale,
             zones: requirements.zones.value,
             regions: requirements.regions.value,
-            connection_life_s: unknown.connection_life_s.values[MIDDLE],
-            change_bytes: unknown.change_bytes.values[MIDDLE],
-            return_spread_s: unknown.return_spread_s.values[MIDDLE],
+            connection_life_s: unknown.connection_life_s.values[MIDDLE_CASE],
+            change_bytes: unknown.change_bytes.values[MIDDLE_CASE],
+            return_spread_s: unknown.return_spread_s.values[MIDDLE_CASE],
         }
     }
 
     /// The same with each of the three values of one unknown.
-    pub fn cases(&self, assumptions: &Assumptions, unknown: Unknown) -> [Deployment; CASES] {
+    pub fn cases(
+        &self,
+        assumptions: &Assumptions,
+        unknown: UnknownQuantity,
+    ) -> [Deployment; CASE_COUNT] {
         std::array::from_fn(|case| {
             let mut deployment = *self;
             let values = &assumptions.unknown;
             match unknown {
-                Unknown::Servers => deployment.servers = values.servers.values[case] * self.scale,
-                Unknown::ConnectionLife => {
+                UnknownQuantity::Servers => {
+                    deployment.servers = values.servers.values[case] * self.scale
+                }
+                UnknownQuantity::ConnectionLife => {
                     deployment.connection_life_s = values.connection_life_s.values[case]
                 }
-                Unknown::ChangeBytes => deployment.change_bytes = values.change_bytes.values[case],
-                Unknown::ReturnSpread => {
+                UnknownQuantity::ChangeBytes => {
+                    deployment.change_bytes = values.change_bytes.values[case]
+                }
+                UnknownQuantity::ReturnSpread => {
                     deployment.return_spread_s = values.return_spread_s.values[case]
                 }
             }
@@ -104,12 +112,12 @@
     }
 
     /// Connections that one balancer holds.
-    pub fn own_connections(&self) -> f64 {
+    pub fn connections_per_balancer(&self) -> f64 {
         self.connections / self.balancers
     }
 
     /// Connections that one server holds.
-    pub fn server_connections(&self) -> f64 {
+    pub fn connections_per_server(&self) -> f64 {
         self.connections / self.servers
     }
 
@@ -119,13 +127,13 @@
     }
 
     /// New connections a second at one balancer.
-    pub fn own_placements_per_second(&self) -> f64 {
+    pub fn placements_per_second_per_balancer(&self) -> f64 {
         self.placements_per_second() / self.balancers
     }
 
     /// Servers on which a balancer holds a connection, where connections are spread by chance.
     pub fn servers_held(&self) -> f64 {
-        self.servers * (1.0 - (-self.own_connections() / self.servers).exp())
+        self.servers * (1.0 - (-self.connections_per_balancer() / self.servers).exp())
     }
 
     /// All machines: balancers, servers and those for control.
--- a/crates/testbed/src/capacity/error.rs
+++ b/crates/testbed/src/capacity/error.rs
@@ -1,24 +1,24 @@
-//! What is wrong with an input of the capacity page, and where.
+//! Errors in the inputs of the capacity page, with file, line and key.
 
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A file of the capacity page that cannot be used: its line where one is known, and the reason.
+/// A file of the capacity page that cannot be used: the line, if known, and the reason.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {}{reason}", .file.display(), LinePrefix(*.line))]
 pub struct CapacityError {
-    /// The file at fault.
+    /// The invalid file.
     pub file: PathBuf,
-    /// Counted from one; none where the whole file is meant.
+    /// The line, counted from 1. `None` if the error concerns the whole file.
     pub line: Option<usize>,
-    /// What is wrong there.
+    /// Why the file cannot be used.
     #[source]
     pub reason: CapacityProblem,
 }
 
 impl CapacityError {
-    /// Returns an error of the file as a whole.
+    /// Returns an error that concerns the whole file.
     pub(super) fn in_file(file: &Path, reason: impl Into<CapacityProblem>) -> Self {
         CapacityError {
             file: file.into(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns an error in one line, counted from one.
+    /// Returns an error in one line, counted from 1.
     pub(super) fn in_line(file: &Path, line: usize, reason: impl Into<CapacityProblem>) -> Self {
         CapacityError {
             file: file.into(),
@@ -37,7 +37,8 @@
     }
 }
 
-/// The line as an error's text has it; nothing where the whole file is meant.
+/// Prints the line as a prefix of the error message, and nothing if the error concerns the whole
+/// file.
 struct LinePrefix(Option<usize>);
 
 impl fmt::Display for LinePrefix {
@@ -55,132 +56,132 @@
     /// The file cannot be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The assumptions file is faulty.
+    /// The assumptions file is invalid.
     #[error(transparent)]
     Assumptions(#[from] AssumptionsError),
-    /// The stored run is faulty.
+    /// The stored run is invalid.
     #[error(transparent)]
     StoredRun(#[from] StoredRunError),
-    /// The page's markers are faulty.
+    /// The markers of the page are invalid.
     #[error(transparent)]
     Marker(#[from] MarkerError),
 }
 
-/// What is wrong in the assumptions file.
+/// Why the assumptions file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum AssumptionsError {
-    /// A key with a value that is refused.
+    /// A key is unknown or its value is invalid.
     #[error("`{key}`: {}", .source.message())]
-    Key {
-        /// The key of the faulty line.
+    InvalidKey {
+        /// The key of the invalid line.
         key: String,
-        /// What the TOML reader found.
+        /// The error of the TOML parser.
         source: Box<toml::de::Error>,
     },
-    /// A fault outside of any key.
+    /// An error that belongs to no key.
     #[error("{}", .0.message())]
-    Text(#[source] Box<toml::de::Error>),
+    InvalidDocument(#[source] Box<toml::de::Error>),
 }
 
-/// Why a value with its reason is refused.
+/// Why a value of the assumptions file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ParameterError {
-    /// A value that is zero, negative or no number.
-    #[error("`{key}`: {value} is not over 0")]
+    /// A value is zero, negative, infinite or NaN.
+    #[error("`{key}`: expected a finite number above 0, found {value}")]
     NotPositive {
-        /// The key that the value stands under.
+        /// The key of the value.
         key: &'static str,
         /// The value.
         value: f64,
     },
-    /// Another number of values than low, middle and high.
-    #[error("`values` are {count}, not {expected}")]
+    /// The number of values is not that of low, middle and high.
+    #[error("`values`: expected {expected} values, found {count}")]
     WrongCount {
-        /// How many there are.
+        /// Number of values found.
         count: usize,
-        /// How many there must be.
+        /// Number of values expected.
         expected: usize,
     },
-    /// Values that are not in rising order.
-    #[error("`values` don't rise")]
-    NotRising,
-    /// A value without a reason.
+    /// The values are not in ascending order.
+    #[error("`values` are not in ascending order")]
+    NotAscending,
+    /// The reason for a value is empty.
     #[error("`why` is empty")]
     EmptyReason,
 }
 
-/// What is wrong in a stored run.
+/// Why a stored run is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum StoredRunError {
-    /// No line at all.
-    #[error("is empty: no run")]
+    /// The file has no lines.
+    #[error("the file is empty, expected a stored run")]
     Empty,
-    /// A line that is no JSON.
-    #[error("no JSON object: {0}")]
-    NotJson(#[source] serde_json::Error),
-    /// A line of JSON that is no object.
-    #[error("no JSON object")]
+    /// A line is not valid JSON.
+    #[error("expected a JSON object: {0}")]
+    InvalidJson(#[source] serde_json::Error),
+    /// A line is valid JSON, but not an object.
+    #[error("expected a JSON object")]
     NotAnObject,
-    /// An object with a missing or unreadable key.
+    /// A key of an object is missing or its value cannot be deserialized.
     #[error(transparent)]
-    Object(#[from] serde_json::Error),
-    /// A key whose value must be a number.
-    #[error("`{key}` is no number")]
-    NotANumber {
-        /// The key, with the table that it stands in.
+    InvalidObject(#[from] serde_json::Error),
+    /// The value of a key is not a number.
+    #[error("`{key}`: expected a number")]
+    ExpectedNumber {
+        /// The key, prefixed with the object that contains it if that is not the line itself.
         key: String,
     },
-    /// A key whose value must be a text.
-    #[error("`{key}` is no text")]
-    NotAText {
+    /// The value of a key is not a string.
+    #[error("`{key}`: expected a string")]
+    ExpectedString {
         /// The key.
         key: &'static str,
     },
-    /// A measured size of zero or below.
-    #[error("`size` is not over 0")]
+    /// The size of a measured point is zero or negative.
+    #[error("`size`: expected a number above 0")]
     SizeNotPositive,
-    /// A line that is neither a measurement nor a fit.
-    #[error("neither `figures` nor `fit`: no point and no slope")]
-    UnknownLine,
-    /// A line of another run than the first line's.
-    #[error("`run` is '{found}', the first line's is '{expected}'")]
-    OtherRun {
+    /// A line is neither a measured point nor a fitted line.
+    #[error("expected a point with `figures` or a fitted line with `fit`, found neither key")]
+    UnknownRecord,
+    /// A line belongs to another run than the first line.
+    #[error("`run`: expected '{expected}' as in the first line, found '{found}'")]
+    RunMismatch {
         /// The run that the line names.
         found: String,
         /// The run that the first line names.
         expected: String,
     },
-    /// A second fit of the same figure.
-    #[error("`fit` {figure} over {varied} in {part}: stands there already")]
+    /// There is more than one fitted line of the same figure.
+    #[error("duplicate `fit` of {figure} over {varied} in {part}")]
     DuplicateFit {
         /// The figure.
         figure: String,
-        /// The count that was varied.
+        /// The count that was varied in the run.
         varied: &'static str,
         /// The part of the run.
         part: &'static str,
     },
 }
 
-/// What is wrong with the markers of the page's generated blocks.
+/// Why the markers of the page's generated blocks are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum MarkerError {
-    /// A block without this marker.
+    /// A marker of a block is missing.
     #[error("the marker '{marker}' is missing")]
     Missing {
         /// The marker.
         marker: String,
     },
-    /// A marker that stands more than once.
-    #[error("the marker '{marker}' stands there {count} times")]
+    /// A marker occurs more than once.
+    #[error("the marker '{marker}' occurs {count} times, expected 1")]
     Repeated {
         /// The marker.
         marker: String,
-        /// How often it stands there.
+        /// How often the marker occurs.
         count: usize,
     },
-    /// An end that stands before its begin.
-    #[error("the marker '{end}' stands before '{begin}'")]
+    /// The end marker of a block precedes its begin marker.
+    #[error("the marker '{end}' precedes '{begin}'")]
     Reversed {
         /// The marker that begins the block.
         begin: String,
--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -5,22 +5,23 @@
 use super::markdown::{Table, figure, number};
 use super::mechanism::{self, Mechanism};
 use super::needs::{
-    change_bytes_per_second, control_memory_mb, entry_bytes, least_probes, placement_percent,
-    policy_health_checks, probe_bytes, probes_percent, whole_list_bytes,
+    change_bytes_per_second, control_memory_mb, entry_bytes, full_list_bytes, health_check_bytes,
+    health_check_cpu_percent, health_checks_at_longest_interval, placement_cpu_percent,
+    policy_health_checks_per_second,
 };
 use super::row::Inputs;
 
 /// How often a need arises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Frequency {
-    Always,
+    Continuous,
     OnEvent,
 }
 
 impl Frequency {
     fn describe(self) -> &'static str {
         match self {
-            Frequency::Always => "every second",
+            Frequency::Continuous => "every second",
             Frequency::OnEvent => "on an event",
         }
     }
@@ -31,7 +32,7 @@
 enum Remedy {
     CandidatesAndBudget,
     ConfigurationChanges,
-    ListPace,
+    ListPacing,
 }
 
 impl Remedy {
@@ -41,20 +42,20 @@
             Remedy::ConfigurationChanges => {
                 "changes of the configuration, told from the control machines as differences"
             }
-            Remedy::ListPace => {
+            Remedy::ListPacing => {
                 "a whole list in parts or from a neighbour, and a pace for changes of it"
             }
         }
     }
 
     /// Whether the code has all of it.
-    fn is_built(self) -> bool {
+    fn is_implemented(self) -> bool {
         let mechanisms: &[Mechanism] = match self {
             Remedy::CandidatesAndBudget => {
                 &[mechanism::BOUNDED_CANDIDATES, mechanism::CONTROL_BUDGET]
             }
             Remedy::ConfigurationChanges => &[mechanism::CONFIGURATION],
-            Remedy::ListPace => &[mechanism::WHOLE_LIST],
+            Remedy::ListPacing => &[mechanism::FULL_LIST],
         };
         mechanisms
             .iter()
@@ -65,8 +66,8 @@
 /// A need beside its budget.
 struct Gap {
     remedy: Remedy,
-    need_name: &'static str,
-    when: Frequency,
+    need_label: &'static str,
+    frequency: Frequency,
     need: Option<f64>,
     budget: f64,
     /// What would be needed were the mechanism not there.
@@ -74,27 +75,27 @@
 }
 
 impl Gap {
-    fn times_budget(&self) -> Option<f64> {
+    fn budget_ratio(&self) -> Option<f64> {
         self.need.map(|need| need / self.budget)
     }
 
     fn is_open(&self) -> bool {
-        !self.remedy.is_built() && self.times_budget().is_some_and(|times| times > 1.0)
+        !self.remedy.is_implemented() && self.budget_ratio().is_some_and(|times| times > 1.0)
     }
 
     /// Whether the mechanism is there but doesn't keep to the budget.
-    fn is_over_although_built(&self) -> bool {
-        self.remedy.is_built()
+    fn exceeds_budget_although_implemented(&self) -> bool {
+        self.remedy.is_implemented()
             && !self.without_remedy
-            && self.times_budget().is_some_and(|times| times > 1.0)
+            && self.budget_ratio().is_some_and(|times| times > 1.0)
     }
 
     fn describe(&self) -> String {
-        let times = figure(self.times_budget());
+        let times = figure(self.budget_ratio());
         format!(
             "**{}** ({}: {times} times its budget)",
             self.remedy.name(),
-            self.need_name
+            self.need_label
         )
     }
 }
@@ -102,26 +103,30 @@
 /// All needs, those of every second first, then by how often they pass their budget; unmeasured
 /// ones last.
 fn gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
-    let mut all = constant_gaps(inputs, fleet);
+    let mut all = continuous_gaps(inputs, fleet);
     all.extend(event_gaps(inputs, fleet));
-    let times = |gap: &Gap| gap.times_budget().unwrap_or(f64::NEG_INFINITY);
-    all.sort_by(|a, b| a.when.cmp(&b.when).then(times(b).total_cmp(&times(a))));
+    let times = |gap: &Gap| gap.budget_ratio().unwrap_or(f64::NEG_INFINITY);
+    all.sort_by(|a, b| {
+        a.frequency
+            .cmp(&b.frequency)
+            .then(times(b).total_cmp(&times(a)))
+    });
     all
 }
 
 /// Needs of every second: health checks, placing and memory.
-fn constant_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
+fn continuous_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let mut all = health_check_gaps(inputs, fleet);
     all.extend(placement_and_memory_gaps(inputs, fleet));
     all
 }
 
 /// A need of every second, with its mechanism.
-fn constant_gap(need_name: &'static str, need: Option<f64>, budget: f64) -> Gap {
+fn continuous_gap(need_label: &'static str, need: Option<f64>, budget: f64) -> Gap {
     Gap {
         remedy: Remedy::CandidatesAndBudget,
-        need_name,
-        when: Frequency::Always,
+        need_label,
+        frequency: Frequency::Continuous,
         need,
         budget,
         without_remedy: false,
@@ -132,31 +137,31 @@
     let requirements = &inputs.assumptions.requirements;
     let bytes = requirements.control_bytes_per_second.value;
     let percent = requirements.control_percent_of_core.value;
-    let of_policy = policy_health_checks(inputs, fleet);
-    let least = least_probes(inputs, fleet);
+    let of_policy = policy_health_checks_per_second(inputs, fleet);
+    let at_longest_interval = health_checks_at_longest_interval(inputs, fleet);
     let without_remedy = |gap| Gap {
         without_remedy: true,
         ..gap
     };
     vec![
-        constant_gap(
+        continuous_gap(
             "bytes a second of the policy's health checks, measured with the operators' own connections",
-            of_policy.map(|probes| probes * probe_bytes(inputs)),
+            of_policy.map(|probes| probes * health_check_bytes(inputs)),
             bytes,
         ),
-        without_remedy(constant_gap(
+        without_remedy(continuous_gap(
             "bytes a second of probes at the longest interval, without a control budget",
-            Some(least * probe_bytes(inputs)),
+            Some(at_longest_interval * health_check_bytes(inputs)),
             bytes,
         )),
-        constant_gap(
+        continuous_gap(
             "% of a core for the policy's health checks",
-            of_policy.and_then(|probes| probes_percent(inputs, probes)),
+            of_policy.and_then(|probes| health_check_cpu_percent(inputs, probes)),
             percent,
         ),
-        without_remedy(constant_gap(
+        without_remedy(continuous_gap(
             "% of a core for probes at the longest interval, without a control budget",
-            probes_percent(inputs, least),
+            health_check_cpu_percent(inputs, at_longest_interval),
             percent,
         )),
     ]
@@ -165,12 +170,12 @@
 fn placement_and_memory_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let requirements = &inputs.assumptions.requirements;
     vec![
-        constant_gap(
+        continuous_gap(
             "% of a core for placing",
-            placement_percent(inputs, fleet),
+            placement_cpu_percent(inputs, fleet),
             requirements.control_percent_of_core.value,
         ),
-        constant_gap(
+        continuous_gap(
             "MB for control",
             control_memory_mb(inputs, fleet),
             requirements.control_memory_mb.value,
@@ -182,15 +187,15 @@
 fn event_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let requirements = &inputs.assumptions.requirements;
     let change = change_bytes_per_second(inputs, fleet);
-    let list = whole_list_bytes(inputs, fleet.servers) / requirements.ready_within_s.value;
+    let list = full_list_bytes(inputs, fleet.servers) / requirements.ready_within_s.value;
     let zone = fleet.servers / fleet.zones * entry_bytes(inputs)
         / requirements.change_known_within_s.value;
-    let gap = |remedy, need_name, need| {
+    let gap = |remedy, need_label, need| {
         let budget = requirements.control_bytes_per_second.value;
         Gap {
             remedy,
-            need_name,
-            when: Frequency::OnEvent,
+            need_label,
+            frequency: Frequency::OnEvent,
             need: Some(need),
             budget,
             without_remedy: false,
@@ -203,12 +208,12 @@
             change,
         ),
         gap(
-            Remedy::ListPace,
+            Remedy::ListPacing,
             "bytes a second of a whole list within the time to be ready",
             list,
         ),
         gap(
-            Remedy::ListPace,
+            Remedy::ListPacing,
             "bytes a second as a zone's servers go, within the time to be known",
             zone,
         ),
@@ -233,19 +238,24 @@
     for gap in &all {
         let small = at_tenth
             .iter()
-            .find(|small| small.need_name == gap.need_name);
-        let state = if gap.remedy.is_built() {
+            .find(|small| small.need_label == gap.need_label);
+        let state = if gap.remedy.is_implemented() {
             "in the code"
         } else {
             "*missing*"
         };
-        let names = [gap.remedy.name(), state, gap.need_name, gap.when.describe()];
+        let names = [
+            gap.remedy.name(),
+            state,
+            gap.need_label,
+            gap.frequency.describe(),
+        ];
         let values = [
             figure(gap.need),
             number(gap.budget),
-            figure(gap.times_budget()),
+            figure(gap.budget_ratio()),
         ];
-        let last = [figure(small.and_then(Gap::times_budget))];
+        let last = [figure(small.and_then(Gap::budget_ratio))];
         table.row(
             names
                 .map(String::from)
@@ -254,13 +264,13 @@
                 .chain(last),
         );
     }
-    format!("{}\n{}", verdict(&all), table.finish())
+    format!("{}\n{}", summary(&all), table.finish())
 }
 
-fn verdict(all: &[Gap]) -> String {
+fn summary(all: &[Gap]) -> String {
     let over: Vec<String> = all
         .iter()
-        .filter(|gap| gap.is_over_although_built())
+        .filter(|gap| gap.exceeds_budget_although_implemented())
         .map(Gap::describe)
         .collect();
     let over = match over.is_empty() {
--- a/crates/testbed/src/capacity/markdown.rs
+++ b/crates/testbed/src/capacity/markdown.rs
@@ -42,7 +42,7 @@
 pub const NOT_MEASURED: &str = "*not measured*";
 
 /// Numbers from this on have no decimals.
-const WHOLE: f64 = 100.0;
+const WHOLE_NUMBERS_MIN: f64 = 100.0;
 
 /// A number with three digits at least, and commas between thousands.
 pub fn number(value: f64) -> String {
@@ -50,7 +50,7 @@
         return "0".into();
     }
     let size = value.abs();
-    if size >= WHOLE {
+    if size >= WHOLE_NUMBERS_MIN {
         return grouped(value);
     }
     // Digits behind the point that leave three in all; tiny numbers keep the same relative
--- a/crates/testbed/src/capacity/mechanism.rs
+++ b/crates/testbed/src/capacity/mechanism.rs
@@ -37,23 +37,23 @@
      crates/policy/src/placement.rs",
 );
 /// Bounds what all balancers together ask of one server.
-pub const FLEET_PROBE_BUDGET: Mechanism = Mechanism::Partial(
+pub const FLEET_HEALTH_CHECK_BUDGET: Mechanism = Mechanism::Partial(
     "each balancer's budget, crates/candidates/src/health_checks.rs; nothing bounds the sum at one server",
 );
 /// Bounds how many balancers keep a connection for health checks to one server.
-pub const PROBE_CONNECTIONS: Mechanism = Mechanism::Missing(
+pub const HEALTH_CHECK_CONNECTIONS: Mechanism = Mechanism::Missing(
     "fewer balancers that keep a connection to each server, crates/dataplane/src/health_check/checker.rs",
 );
 /// Bounds memory for health checks.
-pub const STACK_PER_PROBE: Mechanism = Mechanism::Missing(
+pub const HEALTH_CHECK_STACKS: Mechanism = Mechanism::Missing(
     "fewer servers that are checked; each open check has a stack, crates/dataplane/src/health_check/checker.rs",
 );
 /// Brings a whole list within the budget.
-pub const WHOLE_LIST: Mechanism = Mechanism::Missing(
+pub const FULL_LIST: Mechanism = Mechanism::Missing(
     "a whole list in parts, or from a neighbour; crates/dataplane/src/discovery/watch.rs reads it in one answer",
 );
 /// Bounds whole lists that are asked for at once.
-pub const WHOLE_LISTS_OF_ALL: Mechanism = Mechanism::Missing(
+pub const FULL_LISTS_OF_ALL_BALANCERS: Mechanism = Mechanism::Missing(
     "a limit on whole lists that are asked for at once, beside the pause after a failure",
 );
 /// Tells changes of the endpoint list.
@@ -74,18 +74,18 @@
 pub const LARGE_TOPICS: Mechanism =
     Mechanism::Partial("one home that grows server by server; crates/policy/src/group_affinity.rs");
 /// Bounds attempts to all new servers together.
-pub const COLD_SUM: Mechanism = Mechanism::Missing(
+pub const COLD_SERVER_SUM_LIMIT: Mechanism = Mechanism::Missing(
     "a bound on the sum over new servers; each balancer's window bounds its own",
 );
 /// Bounds attempts to one new server.
-pub const COLD_PACE: Mechanism = Mechanism::Present(
+pub const COLD_SERVER_RATE_LIMIT: Mechanism = Mechanism::Present(
     "`ramp_rate`, `admits` and FILLS_PER_WARM_UP in crates/policy/src/slow_start.rs",
 );
 /// The platform's discovery.
-pub const AGENTS: Mechanism =
+pub const DISCOVERY_AGENTS: Mechanism =
     Mechanism::Outside("the platform's agents; crates/dataplane/src/discovery/watch.rs calls one");
 /// Passes clients' and servers' lines on.
 pub const RELAY: Mechanism = Mechanism::Present("one worker, crates/dataplane/src/relay.rs");
 /// Shares descriptors and memory out.
-pub const SHARES: Mechanism =
+pub const DESCRIPTOR_BUDGETS: Mechanism =
     Mechanism::Present("`DescriptorBudgets` in crates/dataplane/src/descriptors.rs");
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,6 +1,7 @@
-//! The capacity page: what each role would hold, send and spend at the size that the operators have
-//! told, worked out from the stored scale run and from assumptions. It reads both, writes the
-//! generated blocks of the page and says which are stale. It must never measure anything.
+//! The capacity page: the connections, traffic, memory and CPU time of each role at the fleet size
+//! that the operators require, calculated from the stored scale run and from assumptions. This
+//! module reads both, writes the generated blocks of the page and reports which blocks are stale.
+//! It must never measure anything.
 
 pub mod assumptions;
 mod cold_servers;
@@ -29,10 +30,10 @@
 use row::Inputs;
 use stored_run::StoredRun;
 
-/// The part of the operators' size that is worked out beside it.
-const TENTH: f64 = 0.1;
+/// Fraction of the required fleet size that the page shows beside the full size.
+const TENTH_SCALE: f64 = 0.1;
 
-/// Where the page and what it is worked out from are.
+/// Paths of the page and of the files that it is generated from.
 #[derive(Clone, Debug)]
 pub struct Files {
     /// The stored scale run.
@@ -43,19 +44,19 @@
     pub page: PathBuf,
 }
 
-/// Names of the blocks that differ from what run and assumptions give.
+/// Returns the names of the blocks that differ from the text generated from run and assumptions.
 ///
 /// # Errors
-/// Names the file, line and key at fault.
+/// Names the file, the line and the invalid key.
 pub fn check(files: &Files) -> Result<Vec<&'static str>, CapacityError> {
     let blocks = load_blocks(files)?;
     page::stale_blocks(&files.page, &read(&files.page)?, &blocks)
 }
 
-/// Writes the blocks anew; the page is replaced as a whole or not at all.
+/// Regenerates the blocks. The page is replaced atomically, by renaming a temporary file.
 ///
 /// # Errors
-/// Names the file, line and key at fault; nothing has been written then.
+/// Names the file, the line and the invalid key. The page is unchanged in that case.
 pub fn write(files: &Files) -> Result<(), CapacityError> {
     let blocks = load_blocks(files)?;
     let text = page::write_blocks(&files.page, &read(&files.page)?, &blocks)?;
@@ -65,10 +66,10 @@
     std::fs::rename(&temporary, &files.page).map_err(|e| at(&files.page, e))
 }
 
-/// What stands in the page by hand.
+/// Returns the hand-written text of the page.
 ///
 /// # Errors
-/// Names the marker at fault.
+/// Names the file, and the line and key or the marker that is invalid.
 pub fn prose(files: &Files) -> Result<String, CapacityError> {
     let blocks = load_blocks(files)?;
     page::without_blocks(&files.page, &read(&files.page)?, &blocks)
@@ -87,7 +88,7 @@
 fn blocks(assumptions: &Assumptions, run: Option<&StoredRun>) -> Vec<Block> {
     let inputs = Inputs::new(assumptions, run);
     let full = Deployment::new(assumptions, 1.0);
-    let tenth = Deployment::new(assumptions, TENTH);
+    let tenth = Deployment::new(assumptions, TENTH_SCALE);
     let role = |name, rows: Vec<row::Row>| Block {
         name,
         text: row::table(&rows, assumptions, &full, &tenth),
@@ -127,7 +128,7 @@
             text: assumptions_text(assumptions),
         },
     ];
-    // Last, when all have asked for theirs.
+    // Last, since it lists the fitted lines that the other blocks have used.
     blocks.push(Block {
         name: "slopes",
         text: slopes_text(&inputs),
@@ -147,12 +148,12 @@
     format!(
         "Run `{}` of text `{}`, on a machine with {}.\n",
         run.name,
-        run.text,
+        run.commit,
         machine.join(", ")
     )
 }
 
-/// The lines that the other blocks have used.
+/// Lists the fitted lines that the other blocks have used.
 fn slopes_text(inputs: &Inputs) -> String {
     let Some(run) = inputs.run else {
         return format!("{NOT_MEASURED}\n");
@@ -182,10 +183,10 @@
     format!("{}\n{}", sizes_text(run), table.finish())
 }
 
-/// What was varied, and what was fixed meanwhile.
+/// Lists the varied counts with their ranges and the counts that were fixed meanwhile.
 fn sizes_text(run: &StoredRun) -> String {
     let mut table = Table::new(&["part", "varied", "from", "to", "fixed at the first size"]);
-    for ((part, varied), (least, most)) in run.ranges() {
+    for ((part, varied), (smallest, largest)) in run.ranges() {
         let first = run.points(part).find(|point| point.varied == varied);
         let fixed = first.into_iter().flat_map(|point| &point.fixed);
         let fixed: Vec<String> = fixed
@@ -196,7 +197,7 @@
         table.row(
             names
                 .into_iter()
-                .chain([number(least), number(most), fixed.join(", ")]),
+                .chain([number(smallest), number(largest), fixed.join(", ")]),
         );
     }
     table.finish()
--- a/crates/testbed/src/capacity/needs.rs
+++ b/crates/testbed/src/capacity/needs.rs
@@ -1,7 +1,7 @@
 //! What several roles and the ranking work out alike: bytes of health checks and lists, processor
 //! time of placing, changes.
 
-use super::deployment::{Deployment, MIDDLE};
+use super::deployment::{Deployment, MIDDLE_CASE};
 use super::markdown::number;
 use super::row::Inputs;
 use super::stored_run::{Part, Varied};
@@ -13,20 +13,21 @@
 pub const PERCENT: f64 = 100.0;
 
 /// Bytes of a health check with its packet headers: the payload as measured, else as assumed.
-pub fn probe_bytes(inputs: &Inputs) -> f64 {
+pub fn health_check_bytes(inputs: &Inputs) -> f64 {
     let assumed = &inputs.assumptions.assumed;
-    let payload = probe_payload(inputs).unwrap_or(assumed.probe_payload_bytes.value);
+    let payload = health_check_payload_bytes(inputs).unwrap_or(assumed.probe_payload_bytes.value);
     payload + assumed.probe_packets.value * assumed.packet_header_bytes.value
 }
 
 /// Payload of a health check more, as the run has it; where health checks don't grow with the
 /// endpoint list, of a health check at the middle size.
-fn probe_payload(inputs: &Inputs) -> Option<f64> {
-    per_probe(inputs, "probe_bytes_per_second").or_else(|| mean_payload(inputs))
+fn health_check_payload_bytes(inputs: &Inputs) -> Option<f64> {
+    per_health_check(inputs, "probe_bytes_per_second")
+        .or_else(|| payload_bytes_at_middle_case(inputs))
 }
 
-fn mean_payload(inputs: &Inputs) -> Option<f64> {
-    let servers = inputs.assumptions.unknown.servers.values[MIDDLE];
+fn payload_bytes_at_middle_case(inputs: &Inputs) -> Option<f64> {
+    let servers = inputs.assumptions.unknown.servers.values[MIDDLE_CASE];
     let figure = |figure| {
         inputs
             .slope(Part::Sockets, Varied::Servers, figure)
@@ -39,7 +40,7 @@
 }
 
 /// What a health check more a second adds to a figure: the ratio of both slopes over servers.
-fn per_probe(inputs: &Inputs, figure: &'static str) -> Option<f64> {
+fn per_health_check(inputs: &Inputs, figure: &'static str) -> Option<f64> {
     let slope = |figure| {
         inputs
             .slope(Part::Sockets, Varied::Servers, figure)
@@ -50,7 +51,7 @@
 
 /// Processor time of setting a connection up, in percent of a core for each a second: the ratio of
 /// both slopes over connections.
-pub fn percent_per_set_up(inputs: &Inputs) -> Option<f64> {
+pub fn cpu_percent_per_connect(inputs: &Inputs) -> Option<f64> {
     let slope = |figure| {
         inputs
             .slope(Part::Sockets, Varied::Connections, figure)
@@ -64,13 +65,13 @@
 }
 
 /// How the page tells of the bytes of a health check.
-pub fn probe_bytes_basis(inputs: &Inputs) -> String {
+pub fn health_check_bytes_basis(inputs: &Inputs) -> String {
     let assumed = &inputs.assumptions.assumed;
     let headers = assumed.probe_packets.value * assumed.packet_header_bytes.value;
     let headers = format!("{} of packet headers (*assumed*)", number(headers));
-    match probe_payload(inputs) {
+    match health_check_payload_bytes(inputs) {
         Some(payload) => {
-            let way = if per_probe(inputs, "probe_bytes_per_second").is_some() {
+            let way = if per_health_check(inputs, "probe_bytes_per_second").is_some() {
                 "slopes"
             } else {
                 "figures"
@@ -86,14 +87,14 @@
 
 /// Health checks a second of the policy alone, with as many own connections as the operators have
 /// told.
-pub fn policy_health_checks(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
+pub fn policy_health_checks_per_second(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     inputs
         .slope(Part::Decisions, Varied::Servers, "probes_per_second")
         .at(fleet.servers)
 }
 
 /// Bytes of a call for the endpoint list that brings nothing, with its packet headers.
-pub fn watch_bytes(inputs: &Inputs) -> f64 {
+pub fn empty_watch_bytes(inputs: &Inputs) -> f64 {
     let assumed = &inputs.assumptions.assumed;
     assumed.watch_payload_bytes.value
         + assumed.watch_packets.value * assumed.packet_header_bytes.value
@@ -101,12 +102,12 @@
 
 /// Health checks a second of a balancer that health checks each server that holds a connection of
 /// its own at the longest interval.
-pub fn least_probes(inputs: &Inputs, fleet: &Deployment) -> f64 {
+pub fn health_checks_at_longest_interval(inputs: &Inputs, fleet: &Deployment) -> f64 {
     fleet.servers_held() / inputs.assumptions.code.probe_interval_longest_s.value
 }
 
 /// Payload and packet headers of a balancer's control, as measured and extrapolated.
-pub fn measured_control_bytes(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
+pub fn measured_control_bytes_per_second(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let assumed = &inputs.assumptions.assumed;
     let over_servers = |figure| {
         inputs
@@ -122,7 +123,7 @@
 }
 
 /// Bytes of a whole list: measured, else by the assumed size of an entry.
-pub fn whole_list_bytes(inputs: &Inputs, servers: f64) -> f64 {
+pub fn full_list_bytes(inputs: &Inputs, servers: f64) -> f64 {
     let slope = inputs.slope(Part::Sockets, Varied::Servers, "list_bytes");
     slope
         .at(servers)
@@ -165,15 +166,15 @@
 }
 
 /// Processor time of placing, in percent of a core.
-pub fn placement_percent(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
+pub fn placement_cpu_percent(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let seconds = placement_us(inputs, fleet)? / MICROSECONDS_PER_SECOND;
-    Some(seconds * fleet.own_placements_per_second() * PERCENT)
+    Some(seconds * fleet.placements_per_second_per_balancer() * PERCENT)
 }
 
 /// Processor time of so many health checks a second, in percent of a core: what a health check more
 /// took in the run, times the health checks.
-pub fn probes_percent(inputs: &Inputs, probes: f64) -> Option<f64> {
-    Some(per_probe(inputs, "cpu_percent_of_core")? * probes)
+pub fn health_check_cpu_percent(inputs: &Inputs, probes: f64) -> Option<f64> {
+    Some(per_health_check(inputs, "cpu_percent_of_core")? * probes)
 }
 
 /// Bytes of one change of the configuration as it comes to one balancer.
@@ -196,16 +197,16 @@
 /// clients that wait.
 pub fn descriptors_needed(inputs: &Inputs, fleet: &Deployment) -> f64 {
     let code = &inputs.assumptions.code;
-    let flows = fleet.own_connections() * code.descriptors_per_flow.value;
+    let flows = fleet.connections_per_balancer() * code.descriptors_per_flow.value;
     let rest =
         1.0 - code.probe_descriptor_part.value.recip() - code.waiting_descriptor_part.value.recip();
     (flows + code.descriptors_standing.value) / rest
 }
 
 /// The policy's state of own connections.
-pub fn own_state_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
+pub fn connection_state_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let of_connection = inputs.slope(Part::Decisions, Varied::Connections, "bytes_per_connection");
-    let own = fleet.own_connections();
+    let own = fleet.connections_per_balancer();
     Some(of_connection.at(own)? * own / BYTES_PER_MB)
 }
 
@@ -215,5 +216,5 @@
     let process = inputs
         .slope(Part::Sockets, Varied::Servers, "memory_mb")
         .at(fleet.servers)?;
-    Some(process + own_state_mb(inputs, fleet)?)
+    Some(process + connection_state_mb(inputs, fleet)?)
 }
--- a/crates/testbed/src/capacity/page.rs
+++ b/crates/testbed/src/capacity/page.rs
@@ -1,42 +1,46 @@
-//! The page: text by hand with generated blocks between markers. It owns the markers. What stands
-//! outside of them is never changed.
+//! The page: hand-written text with generated blocks between markers. This module defines the
+//! markers. Text outside the markers is never changed.
 
 use std::path::Path;
 
 use super::error::{CapacityError, MarkerError};
 
-/// A generated part of the page.
+/// A generated block of the page.
 pub struct Block {
     pub name: &'static str,
     pub text: String,
 }
 
-fn begin(name: &str) -> String {
+fn begin_marker(name: &str) -> String {
     format!("<!-- generated: {name} -->")
 }
 
-fn end(name: &str) -> String {
+fn end_marker(name: &str) -> String {
     format!("<!-- end: {name} -->")
 }
 
-/// Where a block's text lies in the page.
-fn place(file: &Path, page: &str, name: &str) -> Result<std::ops::Range<usize>, CapacityError> {
-    let (begin, end) = (begin(name), end(name));
+/// Returns the byte range of a block's text, between its markers.
+fn block_range(
+    file: &Path,
+    page: &str,
+    name: &str,
+) -> Result<std::ops::Range<usize>, CapacityError> {
+    let (begin, end) = (begin_marker(name), end_marker(name));
     for marker in [&begin, &end] {
         check_marker(page, marker).map_err(|e| CapacityError::in_file(file, e))?;
     }
-    let start = page.find(&begin).expect("counted above") + begin.len();
-    let stop = page.find(&end).expect("counted above");
-    if start > stop {
+    let text_start = page.find(&begin).expect("counted above") + begin.len();
+    let text_end = page.find(&end).expect("counted above");
+    if text_start > text_end {
         return Err(CapacityError::in_file(
             file,
             MarkerError::Reversed { begin, end },
         ));
     }
-    Ok(start..stop)
+    Ok(text_start..text_end)
 }
 
-/// Checks that a marker stands in the page exactly once.
+/// Checks that a marker occurs in the page exactly once.
 fn check_marker(page: &str, marker: &str) -> Result<(), MarkerError> {
     let marker = marker.to_string();
     match page.matches(marker.as_str()).count() {
@@ -46,14 +50,14 @@
     }
 }
 
-/// The page with its blocks written anew.
+/// Returns the page with the text of its blocks replaced.
 ///
 /// # Errors
-/// Names the marker that is missing, doubled or in the wrong order.
+/// Names the marker that is missing, repeated or in the wrong order.
 pub fn write_blocks(file: &Path, page: &str, blocks: &[Block]) -> Result<String, CapacityError> {
     let mut page = page.to_string();
     for block in blocks {
-        let range = place(file, &page, block.name)?;
+        let range = block_range(file, &page, block.name)?;
         page.replace_range(
             range,
             &format!("\n\n{}\n", block.text.trim_end().to_string() + "\n"),
@@ -62,10 +66,10 @@
     Ok(page)
 }
 
-/// Names of the blocks that say something else in the page than they should.
+/// Returns the names of the blocks whose text in the page differs from the generated text.
 ///
 /// # Errors
-/// Names the marker that is missing, doubled or in the wrong order.
+/// Names the marker that is missing, repeated or in the wrong order.
 pub fn stale_blocks(
     file: &Path,
     page: &str,
@@ -73,7 +77,7 @@
 ) -> Result<Vec<&'static str>, CapacityError> {
     let mut stale = Vec::new();
     for block in blocks {
-        let range = place(file, page, block.name)?;
+        let range = block_range(file, page, block.name)?;
         if page[range].trim() != block.text.trim() {
             stale.push(block.name);
         }
@@ -81,14 +85,14 @@
     Ok(stale)
 }
 
-/// The page without its generated blocks.
+/// Returns the page without the text of its generated blocks.
 ///
 /// # Errors
-/// Names the marker that is missing, doubled or in the wrong order.
+/// Names the marker that is missing, repeated or in the wrong order.
 pub fn without_blocks(file: &Path, page: &str, blocks: &[Block]) -> Result<String, CapacityError> {
     let mut page = page.to_string();
     for block in blocks {
-        let range = place(file, &page, block.name)?;
+        let range = block_range(file, &page, block.name)?;
         page.replace_range(range, "");
     }
     Ok(page)
--- a/crates/testbed/src/capacity/roles/balancer/endpoint_list.rs
+++ b/crates/testbed/src/capacity/roles/balancer/endpoint_list.rs
@@ -1,11 +1,11 @@
 //! What the endpoint list and changes of the configuration cost a balancer.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
 use crate::capacity::needs::{
-    SECONDS_PER_DAY, change_bytes_per_second, change_message_bytes, entry_bytes, list_basis,
-    list_changes_per_day, watch_bytes, whole_list_bytes,
+    SECONDS_PER_DAY, change_bytes_per_second, change_message_bytes, empty_watch_bytes, entry_bytes,
+    full_list_bytes, list_basis, list_changes_per_day,
 };
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
@@ -14,7 +14,7 @@
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         quiet_rows(inputs),
-        whole_list_rows(inputs),
+        full_list_rows(inputs),
         zone_loss_rows(inputs),
         change_time_rows(inputs),
     ];
@@ -35,10 +35,10 @@
             "bytes a second",
             format!(
                 "{} bytes (*assumed*) / {} s (code)",
-                number(watch_bytes(inputs)),
+                number(empty_watch_bytes(inputs)),
                 number(code.watch_hold_s.value)
             ),
-            |_| Some(watch_bytes(inputs) / inputs.assumptions.code.watch_hold_s.value),
+            |_| Some(empty_watch_bytes(inputs) / inputs.assumptions.code.watch_hold_s.value),
             Mechanism::Present("held polls, crates/dataplane/src/discovery/watch.rs"),
         )
         .within(bytes),
@@ -49,13 +49,13 @@
             |f| Some(list_changes_per_day(inputs, f) * entry_bytes(inputs) / SECONDS_PER_DAY),
             mechanism::LIST_CHANGES,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(bytes),
     ]
 }
 
 /// A whole list.
-fn whole_list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+fn full_list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let requirements = &inputs.assumptions.requirements;
     let bytes = requirements.control_bytes_per_second.value;
     let code = &inputs.assumptions.code;
@@ -64,10 +64,10 @@
             "a whole list",
             "bytes",
             list_basis(inputs),
-            |f| Some(whole_list_bytes(inputs, f.servers)),
-            mechanism::WHOLE_LIST,
+            |f| Some(full_list_bytes(inputs, f.servers)),
+            mechanism::FULL_LIST,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(code.answer_limit_bytes.value),
         Row::new(
             "a whole list within the time to be ready",
@@ -78,13 +78,13 @@
             ),
             |f| {
                 Some(
-                    whole_list_bytes(inputs, f.servers)
+                    full_list_bytes(inputs, f.servers)
                         / inputs.assumptions.requirements.ready_within_s.value,
                 )
             },
-            mechanism::WHOLE_LIST,
+            mechanism::FULL_LIST,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(bytes),
     ]
 }
@@ -108,7 +108,7 @@
             move |f| Some(f.servers / f.zones * entry_bytes(inputs) / change_known_within),
             mechanism::LIST_CHANGES,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(bytes),
     ]
 }
@@ -129,7 +129,7 @@
                 "crates/dataplane/src/discovery/watch.rs, crates/dataplane/src/dispatcher.rs",
             ),
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(change_known_within * 1e3),
         Row::new(
             "a new server until its first probe or attempt, over the changes of an ordinary day",
@@ -159,7 +159,7 @@
             |f| Some(change_bytes_per_second(inputs, f)),
             mechanism::CONFIGURATION,
         )
-        .over(Unknown::ChangeBytes)
+        .over(UnknownQuantity::ChangeBytes)
         .within(bytes),
         Row::new(
             "changes of the configuration on the mean",
@@ -173,7 +173,7 @@
             },
             mechanism::CONFIGURATION,
         )
-        .over(Unknown::ChangeBytes)
+        .over(UnknownQuantity::ChangeBytes)
         .within(bytes),
     ]
 }
--- a/crates/testbed/src/capacity/roles/balancer/flows.rs
+++ b/crates/testbed/src/capacity/roles/balancer/flows.rs
@@ -1,11 +1,11 @@
 //! What flows cost a balancer: memory, descriptors and the processor for their lines.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
 use crate::capacity::needs::{
-    BYTES_PER_KB, BYTES_PER_MB, MICROSECONDS_PER_SECOND, PERCENT, descriptors_needed,
-    percent_per_set_up,
+    BYTES_PER_KB, BYTES_PER_MB, MICROSECONDS_PER_SECOND, PERCENT, cpu_percent_per_connect,
+    descriptors_needed,
 };
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
@@ -30,7 +30,7 @@
             "own connections",
             "",
             "connections / balancers",
-            |f| Some(f.own_connections()),
+            |f| Some(f.connections_per_balancer()),
             Mechanism::Present("crates/flow-table/src/table.rs, crates/dataplane/src/pipeline.rs"),
         ),
         Row::new(
@@ -42,9 +42,9 @@
             ),
             |f| {
                 let bytes = inputs.assumptions.code.flow_memory_kb.value * BYTES_PER_KB;
-                Some(f.own_connections() * bytes / BYTES_PER_MB)
+                Some(f.connections_per_balancer() * bytes / BYTES_PER_MB)
             },
-            mechanism::SHARES,
+            mechanism::DESCRIPTOR_BUDGETS,
         ),
         Row::new(
             "memory of flows, by slope",
@@ -53,8 +53,8 @@
                 "slope x own connections of {}; beside the control budget",
                 memory.describe()
             ),
-            move |f| Some(memory.per_unit()? * f.own_connections()),
-            mechanism::SHARES,
+            move |f| Some(memory.per_unit()? * f.connections_per_balancer()),
+            mechanism::DESCRIPTOR_BUDGETS,
         ),
     ]
 }
@@ -67,7 +67,7 @@
             "descriptors",
             "two a flow and the parts for probes and those that wait (code)",
             |f| Some(descriptors_needed(inputs, f)),
-            mechanism::SHARES,
+            mechanism::DESCRIPTOR_BUDGETS,
         ),
         Row::new(
             "descriptors for probes that this leaves, of those needed",
@@ -81,7 +81,7 @@
                 "checks in turn where there are too few, crates/dataplane/src/health_check/checker.rs",
             ),
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
@@ -92,10 +92,10 @@
             "processor for setting connections up",
             "% of a core",
             "new connections x the ratio of slopes of processor and connects over connections (measured, sockets)",
-            |f| Some(percent_per_set_up(inputs)? * f.own_placements_per_second()),
+            |f| Some(cpu_percent_per_connect(inputs)? * f.placements_per_second_per_balancer()),
             Mechanism::Present("crates/dataplane/src/pipeline.rs"),
         )
-        .over(Unknown::ConnectionLife),
+        .over(UnknownQuantity::ConnectionLife),
     ]
 }
 
--- a/crates/testbed/src/capacity/roles/balancer/health_checks.rs
+++ b/crates/testbed/src/capacity/roles/balancer/health_checks.rs
@@ -1,12 +1,13 @@
 //! What health checks cost a balancer, three times: as the policy asks for them with the operators'
 //! own connections, as its longest interval gives them at least, and as counted on sockets.
 
-use crate::capacity::deployment::{Deployment, Unknown};
+use crate::capacity::deployment::{Deployment, UnknownQuantity};
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
 use crate::capacity::needs::{
-    least_probes, measured_control_bytes, policy_health_checks, probe_bytes, probe_bytes_basis,
-    probes_percent,
+    health_check_bytes, health_check_bytes_basis, health_check_cpu_percent,
+    health_checks_at_longest_interval, measured_control_bytes_per_second,
+    policy_health_checks_per_second,
 };
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
@@ -26,7 +27,7 @@
 }
 
 /// A figure of health checks that grows with the servers and has a budget.
-fn check_row<'a>(
+fn health_check_row<'a>(
     quantity: &'static str,
     unit: &'static str,
     basis: impl Into<String>,
@@ -34,23 +35,23 @@
     budget: f64,
 ) -> Row<'a> {
     Row::new(quantity, unit, basis, value, mechanism::CONTROL_BUDGET)
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(budget)
 }
 
 /// How the bytes of health checks are worked out, as the page says it.
-fn a_probe(inputs: &Inputs) -> String {
-    format!("probes x {} bytes", number(probe_bytes(inputs)))
+fn bytes_basis(inputs: &Inputs) -> String {
+    format!("probes x {} bytes", number(health_check_bytes(inputs)))
 }
 
 /// Health checks a second that the budget of control bytes has room for.
-fn probes_within_budget(inputs: &Inputs) -> f64 {
+fn health_checks_within_budget(inputs: &Inputs) -> f64 {
     inputs
         .assumptions
         .requirements
         .control_bytes_per_second
         .value
-        / probe_bytes(inputs)
+        / health_check_bytes(inputs)
 }
 
 /// Health checks as the policy asks for them.
@@ -65,34 +66,34 @@
         .requirements
         .control_percent_of_core
         .value;
-    let of_policy = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
+    let policy_checks = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
     vec![
         Row::new(
             "one probe",
             "bytes",
-            probe_bytes_basis(inputs),
-            |_| Some(probe_bytes(inputs)),
+            health_check_bytes_basis(inputs),
+            |_| Some(health_check_bytes(inputs)),
             Mechanism::Present("one line each way, crates/dataplane/src/health_check/checker.rs"),
         ),
-        check_row(
+        health_check_row(
             "health checks with the operators' own connections",
             "a second",
-            of_policy.describe(),
-            |f| policy_health_checks(inputs, f),
-            probes_within_budget(inputs),
+            policy_checks.describe(),
+            |f| policy_health_checks_per_second(inputs, f),
+            health_checks_within_budget(inputs),
         ),
-        check_row(
+        health_check_row(
             "bytes of the policy's health checks",
             "a second",
-            a_probe(inputs),
-            |f| Some(policy_health_checks(inputs, f)? * probe_bytes(inputs)),
+            bytes_basis(inputs),
+            |f| Some(policy_health_checks_per_second(inputs, f)? * health_check_bytes(inputs)),
             bytes,
         ),
-        check_row(
+        health_check_row(
             "processor for the policy's health checks",
             "% of a core",
             PROCESSOR_BASIS,
-            |f| probes_percent(inputs, policy_health_checks(inputs, f)?),
+            |f| health_check_cpu_percent(inputs, policy_health_checks_per_second(inputs, f)?),
             percent,
         ),
     ]
@@ -115,25 +116,25 @@
         number(inputs.assumptions.code.probe_interval_longest_s.value)
     );
     vec![
-        check_row(
+        health_check_row(
             "probes at the longest interval, without a control budget",
             "a second",
             longest,
-            |f| Some(least_probes(inputs, f)),
-            probes_within_budget(inputs),
+            |f| Some(health_checks_at_longest_interval(inputs, f)),
+            health_checks_within_budget(inputs),
         ),
-        check_row(
+        health_check_row(
             "bytes of probes at the longest interval, without a control budget",
             "a second",
-            a_probe(inputs),
-            |f| Some(least_probes(inputs, f) * probe_bytes(inputs)),
+            bytes_basis(inputs),
+            |f| Some(health_checks_at_longest_interval(inputs, f) * health_check_bytes(inputs)),
             bytes,
         ),
-        check_row(
+        health_check_row(
             "processor for probes at the longest interval, without a control budget",
             "% of a core",
             PROCESSOR_BASIS,
-            |f| probes_percent(inputs, least_probes(inputs, f)),
+            |f| health_check_cpu_percent(inputs, health_checks_at_longest_interval(inputs, f)),
             percent,
         ),
     ]
@@ -154,24 +155,24 @@
     let sockets = |figure| inputs.slope(Part::Sockets, Varied::Servers, figure);
     let (on_sockets, processor) = (sockets("probes_per_second"), sockets("cpu_percent_of_core"));
     vec![
-        check_row(
+        health_check_row(
             "probes on sockets, at the run's price",
             "a second",
             on_sockets.describe(),
             move |f| on_sockets.at(f.servers),
-            probes_within_budget(inputs),
+            health_checks_within_budget(inputs),
         ),
-        check_row(
+        health_check_row(
             "control bytes on sockets, at the run's price",
             "a second",
             format!(
                 "{} + packet headers (*assumed*)",
                 sockets("control_bytes_per_second").describe()
             ),
-            |f| measured_control_bytes(inputs, f),
+            |f| measured_control_bytes_per_second(inputs, f),
             bytes,
         ),
-        check_row(
+        health_check_row(
             "processor on sockets, at the run's price",
             "% of a core",
             processor.describe(),
--- a/crates/testbed/src/capacity/roles/balancer/placement.rs
+++ b/crates/testbed/src/capacity/roles/balancer/placement.rs
@@ -1,8 +1,8 @@
 //! What placing new connections costs a balancer.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::mechanism::{self, Mechanism};
-use crate::capacity::needs::{placement_percent, placement_us};
+use crate::capacity::needs::{placement_cpu_percent, placement_us};
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
@@ -29,10 +29,10 @@
             "new connections",
             "a second",
             "connections / balancers / life (three lives)",
-            |f| Some(f.own_placements_per_second()),
+            |f| Some(f.placements_per_second_per_balancer()),
             Mechanism::Present("crates/dataplane/src/dispatcher.rs"),
         )
-        .over(Unknown::ConnectionLife),
+        .over(UnknownQuantity::ConnectionLife),
         Row::new(
             "servers looked at for one placement",
             "",
@@ -40,7 +40,7 @@
             move |f| examined.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "one placement",
             "us",
@@ -48,7 +48,7 @@
             move |f| place.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
@@ -65,7 +65,7 @@
             |f| placement_us(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "part of new connections that are placed",
             "",
@@ -73,7 +73,7 @@
             move |f| placed.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "calls for one placement",
             "",
@@ -81,7 +81,7 @@
             move |f| calls.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
@@ -99,19 +99,19 @@
             "placing, over the servers",
             "% of a core",
             share.clone(),
-            |f| placement_percent(inputs, f),
+            |f| placement_cpu_percent(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(percent_budget),
         Row::new(
             "placing, over the lives",
             "% of a core",
             share,
-            |f| placement_percent(inputs, f),
+            |f| placement_cpu_percent(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::ConnectionLife)
+        .over(UnknownQuantity::ConnectionLife)
         .within(percent_budget),
     ]
 }
@@ -130,9 +130,9 @@
             "servers that the largest topic needs",
             "",
             "listeners / a server's mean of connections",
-            |f| Some(f.largest_topic_listeners / f.server_connections()),
+            |f| Some(f.largest_topic_listeners / f.connections_per_server()),
             mechanism::LARGE_TOPICS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
--- a/crates/testbed/src/capacity/roles/balancer/state.rs
+++ b/crates/testbed/src/capacity/roles/balancer/state.rs
@@ -1,9 +1,9 @@
 //! What a balancer holds of servers and of its own connections, and would tell its peers.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
-use crate::capacity::needs::{BYTES_PER_MB, control_memory_mb, own_state_mb};
+use crate::capacity::needs::{BYTES_PER_MB, connection_state_mb, control_memory_mb};
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
@@ -28,9 +28,9 @@
             "MB",
             memory.describe(),
             move |f| memory.at(f.servers),
-            mechanism::STACK_PER_PROBE,
+            mechanism::HEALTH_CHECK_STACKS,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(memory_budget),
         Row::new(
             "the policy's state of servers",
@@ -39,7 +39,7 @@
             move |f| Some(of_server.at(f.servers)? * f.servers / BYTES_PER_MB),
             Mechanism::Present("`Server` in crates/policy/src/endpoints.rs"),
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(memory_budget),
     ]
 }
@@ -58,7 +58,7 @@
             "the policy's state of own connections",
             "MB",
             format!("{} x own connections", of_connection.describe()),
-            |f| own_state_mb(inputs, f),
+            |f| connection_state_mb(inputs, f),
             Mechanism::Present("`ConnectionTable` in crates/policy/src/connections.rs"),
         )
         .within(memory_budget),
@@ -66,7 +66,12 @@
             "the flow table",
             "MB",
             format!("{} x own connections", in_table.describe()),
-            move |f| Some(in_table.at(f.own_connections())? * f.own_connections() / BYTES_PER_MB),
+            move |f| {
+                Some(
+                    in_table.at(f.connections_per_balancer())? * f.connections_per_balancer()
+                        / BYTES_PER_MB,
+                )
+            },
             Mechanism::Present("crates/flow-table/src/table.rs"),
         )
         .within(memory_budget),
@@ -83,18 +88,18 @@
             "MB",
             "sum of both rows above",
             |f| control_memory_mb(inputs, f),
-            mechanism::STACK_PER_PROBE,
+            mechanism::HEALTH_CHECK_STACKS,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(memory_budget),
         Row::new(
             "descriptors on sockets, with the run's few flows",
             "",
             descriptors.describe(),
             move |f| descriptors.at(f.servers),
-            mechanism::PROBE_CONNECTIONS,
+            mechanism::HEALTH_CHECK_CONNECTIONS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
--- a/crates/testbed/src/capacity/roles/clients.rs
+++ b/crates/testbed/src/capacity/roles/clients.rs
@@ -1,6 +1,6 @@
 //! All clients, where they add up.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
 use crate::capacity::needs::BYTES_PER_MB;
@@ -26,7 +26,7 @@
                  crates/policy/src/concurrency.rs",
             ),
         )
-        .over(Unknown::ConnectionLife),
+        .over(UnknownQuantity::ConnectionLife),
         Row::new(
             "lines that keep connections from counting as gone",
             "a second",
--- a/crates/testbed/src/capacity/roles/control.rs
+++ b/crates/testbed/src/capacity/roles/control.rs
@@ -1,6 +1,6 @@
 //! The machines that are set aside for control: what they would do.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism;
 use crate::capacity::needs::{BYTES_PER_MB, SECONDS_PER_DAY, change_bytes_per_second};
@@ -67,7 +67,7 @@
             },
             mechanism::CONTROL_MACHINES,
         )
-        .over(Unknown::ChangeBytes),
+        .over(UnknownQuantity::ChangeBytes),
     ]
 }
 
@@ -88,7 +88,7 @@
             |f| Some(f.configuration_changes_per_day * f.change_bytes / BYTES_PER_MB),
             mechanism::CONTROL_MACHINES,
         )
-        .over(Unknown::ChangeBytes),
+        .over(UnknownQuantity::ChangeBytes),
     ]
 }
 
--- a/crates/testbed/src/capacity/roles/discovery.rs
+++ b/crates/testbed/src/capacity/roles/discovery.rs
@@ -1,10 +1,10 @@
 //! Discovery and its agents, all of them together.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism;
 use crate::capacity::needs::{
-    BYTES_PER_MB, list_basis, list_changes_per_day, watch_bytes, whole_list_bytes,
+    BYTES_PER_MB, empty_watch_bytes, full_list_bytes, list_basis, list_changes_per_day,
 };
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
@@ -14,7 +14,7 @@
     let groups = [
         call_rows(inputs),
         change_rows(inputs),
-        whole_list_rows(inputs),
+        full_list_rows(inputs),
         own_rows(inputs),
     ];
     groups.into_iter().flatten().collect()
@@ -34,15 +34,15 @@
             "a second",
             format!("{} x balancers", calls.describe()),
             move |f| Some(calls.at(f.servers)? * f.balancers),
-            mechanism::AGENTS,
+            mechanism::DISCOVERY_AGENTS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "calls, measured of all",
             "a second",
             answered.describe(),
             move |f| answered.at(f.balancers),
-            mechanism::AGENTS,
+            mechanism::DISCOVERY_AGENTS,
         ),
         Row::new(
             "calls by the hold",
@@ -52,7 +52,7 @@
                 number(inputs.assumptions.code.watch_hold_s.value)
             ),
             |f| Some(f.balancers / inputs.assumptions.code.watch_hold_s.value),
-            mechanism::AGENTS,
+            mechanism::DISCOVERY_AGENTS,
         ),
     ]
 }
@@ -65,47 +65,47 @@
             "MB a second",
             format!(
                 "balancers x {} bytes (*assumed*)",
-                number(watch_bytes(inputs))
+                number(empty_watch_bytes(inputs))
             ),
             |f| {
                 Some(
-                    f.balancers * watch_bytes(inputs)
+                    f.balancers * empty_watch_bytes(inputs)
                         / inputs.assumptions.code.watch_hold_s.value
                         / BYTES_PER_MB,
                 )
             },
-            mechanism::AGENTS,
+            mechanism::DISCOVERY_AGENTS,
         ),
         Row::new(
             "changes of the list",
             "a day",
             "failures and restarts of servers x changes each (*assumed*)",
             |f| Some(list_changes_per_day(inputs, f)),
-            mechanism::AGENTS,
+            mechanism::DISCOVERY_AGENTS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "messages for changes",
             "a day",
             "changes x balancers",
             |f| Some(list_changes_per_day(inputs, f) * f.balancers),
-            mechanism::AGENTS,
+            mechanism::DISCOVERY_AGENTS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
 /// Whole lists for all balancers.
-fn whole_list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+fn full_list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
             "whole lists for all balancers",
             "MB",
             format!("{} x balancers", list_basis(inputs)),
-            |f| Some(whole_list_bytes(inputs, f.servers) * f.balancers / BYTES_PER_MB),
-            mechanism::WHOLE_LISTS_OF_ALL,
+            |f| Some(full_list_bytes(inputs, f.servers) * f.balancers / BYTES_PER_MB),
+            mechanism::FULL_LISTS_OF_ALL_BALANCERS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "the same within the time to be known",
             "MB a second",
@@ -115,11 +115,11 @@
             ),
             |f| {
                 let within = inputs.assumptions.requirements.change_known_within_s.value;
-                Some(whole_list_bytes(inputs, f.servers) * f.balancers / within / BYTES_PER_MB)
+                Some(full_list_bytes(inputs, f.servers) * f.balancers / within / BYTES_PER_MB)
             },
-            mechanism::WHOLE_LISTS_OF_ALL,
+            mechanism::FULL_LISTS_OF_ALL_BALANCERS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
@@ -130,16 +130,16 @@
             "state held",
             "MB",
             list_basis(inputs),
-            |f| Some(whole_list_bytes(inputs, f.servers) / BYTES_PER_MB),
-            mechanism::AGENTS,
+            |f| Some(full_list_bytes(inputs, f.servers) / BYTES_PER_MB),
+            mechanism::DISCOVERY_AGENTS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "processor",
             "% of a core",
             "*not measured*: the run's discovery is a stand-in",
             |_| None,
-            mechanism::AGENTS,
+            mechanism::DISCOVERY_AGENTS,
         ),
     ]
 }
--- a/crates/testbed/src/capacity/roles/server.rs
+++ b/crates/testbed/src/capacity/roles/server.rs
@@ -1,9 +1,11 @@
 //! One server, as far as balancers load it.
 
-use crate::capacity::deployment::{Deployment, Unknown};
+use crate::capacity::deployment::{Deployment, UnknownQuantity};
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
-use crate::capacity::needs::{MICROSECONDS_PER_SECOND, PERCENT, least_probes, probe_bytes};
+use crate::capacity::needs::{
+    MICROSECONDS_PER_SECOND, PERCENT, health_check_bytes, health_checks_at_longest_interval,
+};
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
@@ -19,8 +21,8 @@
 }
 
 /// Health checks a second that a server gets from all balancers at the longest interval.
-fn least_probes_here(inputs: &Inputs, fleet: &Deployment) -> f64 {
-    least_probes(inputs, fleet) * fleet.balancers / fleet.servers
+fn health_checks_per_server(inputs: &Inputs, fleet: &Deployment) -> f64 {
+    health_checks_at_longest_interval(inputs, fleet) * fleet.balancers / fleet.servers
 }
 
 /// Connections that a server holds.
@@ -30,36 +32,37 @@
             "connections held",
             "",
             "connections / servers",
-            |f| Some(f.server_connections()),
+            |f| Some(f.connections_per_server()),
             Mechanism::Present(
                 "no limit but load; PLACEMENT_UTILIZATION_MAX in crates/policy/src/placement.rs",
             ),
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
 /// Health checks a second of all balancers.
 fn health_check_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let probes = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
-    let probes_here = move |f: &Deployment| Some(probes.at(f.servers)? * f.balancers / f.servers);
+    let checks_of_one_server =
+        move |f: &Deployment| Some(probes.at(f.servers)? * f.balancers / f.servers);
     vec![
         Row::new(
             "the policy's health checks, of all balancers",
             "a second",
             format!("{} x balancers / servers", probes.describe()),
-            probes_here,
-            mechanism::FLEET_PROBE_BUDGET,
+            checks_of_one_server,
+            mechanism::FLEET_HEALTH_CHECK_BUDGET,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "probes at the longest interval, of all balancers",
             "a second",
             "a balancer's x balancers / servers (code)",
-            move |f| Some(least_probes_here(inputs, f)),
-            mechanism::FLEET_PROBE_BUDGET,
+            move |f| Some(health_checks_per_server(inputs, f)),
+            mechanism::FLEET_HEALTH_CHECK_BUDGET,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
@@ -70,11 +73,11 @@
         Row::new(
             "bytes of those probes",
             "a second",
-            format!("probes x {} bytes", number(probe_bytes(inputs))),
-            move |f| Some(least_probes_here(inputs, f) * probe_bytes(inputs)),
-            mechanism::FLEET_PROBE_BUDGET,
+            format!("probes x {} bytes", number(health_check_bytes(inputs))),
+            move |f| Some(health_checks_per_server(inputs, f) * health_check_bytes(inputs)),
+            mechanism::FLEET_HEALTH_CHECK_BUDGET,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "processor for those probes",
             "% of a core",
@@ -85,19 +88,19 @@
             move |f| {
                 let each =
                     inputs.assumptions.assumed.server_probe_us.value / MICROSECONDS_PER_SECOND;
-                Some(least_probes_here(inputs, f) * each * PERCENT)
+                Some(health_checks_per_server(inputs, f) * each * PERCENT)
             },
-            mechanism::FLEET_PROBE_BUDGET,
+            mechanism::FLEET_HEALTH_CHECK_BUDGET,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "descriptors for probes, one a balancer",
             "",
             "balancers x servers held / servers",
             |f| Some(f.balancers * f.servers_held() / f.servers),
-            mechanism::PROBE_CONNECTIONS,
+            mechanism::HEALTH_CHECK_CONNECTIONS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
@@ -112,7 +115,7 @@
             |f| Some(f.placements_per_second() / f.servers),
             Mechanism::Present("weighted round robin, crates/policy/src/rotation.rs"),
         )
-        .over(Unknown::ConnectionLife)
+        .over(UnknownQuantity::ConnectionLife)
         .within(assumed.server_attempts_per_second.value),
     ]
 }
--- a/crates/testbed/src/capacity/row.rs
+++ b/crates/testbed/src/capacity/row.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use super::assumptions::Assumptions;
-use super::deployment::{Deployment, Unknown};
+use super::deployment::{Deployment, UnknownQuantity};
 use super::markdown::{Table, figures, number};
 use super::mechanism::Mechanism;
 use super::stored_run::{Fit, Part, StoredRun, Varied};
@@ -79,7 +79,7 @@
     }
 
     /// The largest measured size.
-    fn measured_to(&self) -> Option<f64> {
+    fn largest_measured_size(&self) -> Option<f64> {
         self.run?
             .range(self.part, self.varied)
             .map(|(_, most)| most)
@@ -92,7 +92,7 @@
             return format!("{figure} over {count} ({part}): *not measured*");
         };
         let range = self
-            .measured_to()
+            .largest_measured_size()
             .map_or(String::new(), |most| format!(", to {}", number(most)));
         let sign = if fit.intercept < 0.0 { "-" } else { "+" };
         let [slope, intercept, residual] =
@@ -111,7 +111,7 @@
     pub unit: &'static str,
     /// Slope x count, or the assumption.
     pub basis: String,
-    pub varies: Option<Unknown>,
+    pub varies: Option<UnknownQuantity>,
     pub value: Formula<'a>,
     pub budget: Option<f64>,
     pub mechanism: Mechanism,
@@ -139,7 +139,7 @@
     }
 
     /// It is worked out for three values of this.
-    pub fn over(mut self, unknown: Unknown) -> Self {
+    pub fn over(mut self, unknown: UnknownQuantity) -> Self {
         self.varies = Some(unknown);
         self
     }
@@ -162,7 +162,7 @@
     }
 
     /// How often it passes its budget at the middle values.
-    pub fn times_budget(&self, fleet: &Deployment) -> Option<f64> {
+    pub fn budget_ratio(&self, fleet: &Deployment) -> Option<f64> {
         Some((self.value)(fleet)? / self.budget?)
     }
 }
@@ -186,7 +186,7 @@
     ];
     let mut table = Table::new(&columns);
     for row in rows {
-        let share = row.times_budget(full);
+        let share = row.budget_ratio(full);
         table.row([
             row.quantity.to_string(),
             row.unit.to_string(),
--- a/crates/testbed/src/capacity/stored_run.rs
+++ b/crates/testbed/src/capacity/stored_run.rs
@@ -1,5 +1,6 @@
-//! The stored scale run: JSON lines, read strictly. The first line describes the run, further ones
-//! hold a measured point or a fitted slope. Points serve to tell how far a slope was measured.
+//! The stored scale run, in JSON lines that are parsed strictly. The first line describes the run.
+//! Each further line is a measured point or a fitted line. The points also give the range of sizes
+//! that a fitted line was measured over.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,15 +11,15 @@
 use super::error::{CapacityError, StoredRunError};
 pub use crate::scale::measurement::{Part, Varied};
 
-/// The first line.
+/// The first line, which describes the run.
 #[derive(Clone, Debug, Deserialize)]
-struct Head {
+struct Header {
     run: String,
     machine: serde_json::Map<String, Value>,
     text: String,
 }
 
-/// One measured size.
+/// The figures measured at one size.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Point {
     run: String,
@@ -26,16 +27,16 @@
     pub part: Part,
     /// The count that was varied.
     pub varied: Varied,
-    /// Its size.
+    /// The size of the varied count.
     pub size: f64,
     /// The other counts and settings of the measurement.
     #[serde(default)]
     pub fixed: serde_json::Map<String, Value>,
-    /// The figures by name; null where one wasn't measured.
+    /// The figures by name. A figure that was not measured at this size is null.
     pub figures: BTreeMap<String, Value>,
 }
 
-/// A straight line through the points of one figure.
+/// A straight line fitted to the points of one figure.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fit {
     run: String,
@@ -46,44 +47,44 @@
     pub figure: String,
     /// The count that was varied.
     pub varied: Varied,
-    /// The figure at a count of zero.
+    /// The value of the figure at a count of 0.
     pub intercept: f64,
-    /// How much the figure grows with one more.
+    /// The increase of the figure if the count grows by 1.
     pub slope: f64,
-    /// The root mean square of what the line misses by.
+    /// The root mean square of the deviations of the points from the line.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The figure at a count.
+    /// Returns the value of the line at a count.
     pub fn at(&self, count: f64) -> f64 {
         self.intercept + self.slope * count
     }
 }
 
-/// What a figure was fitted for.
+/// Part of the run, varied count and figure of a fitted line.
 type FitKey = (Part, Varied, String);
 
-/// A scale run as stored.
+/// A stored scale run.
 #[derive(Clone, Debug)]
 pub struct StoredRun {
-    /// The run's name.
+    /// The name of the run.
     pub name: String,
     /// The commit that was measured.
-    pub text: String,
-    /// The machine that it was made on.
+    pub commit: String,
+    /// Properties of the machine that the run was made on.
     pub machine: serde_json::Map<String, Value>,
     fits: BTreeMap<FitKey, Fit>,
     points: Vec<Point>,
-    /// The smallest and the largest measured size.
+    /// The smallest and the largest measured size of each varied count.
     ranges: BTreeMap<(Part, Varied), (f64, f64)>,
 }
 
 impl StoredRun {
-    /// Reads a stored run; none where there is no such file yet.
+    /// Loads a stored run. Returns `None` if the file does not exist.
     ///
     /// # Errors
-    /// Names the file, the line and the key at fault.
+    /// Names the file, the line and the invalid key.
     pub fn load(file: &Path) -> Result<Option<Self>, CapacityError> {
         match std::fs::read_to_string(file) {
             Ok(text) => Self::parse(file, &text).map(Some),
@@ -92,10 +93,10 @@
         }
     }
 
-    /// Reads a stored run that is in hand; `file` is named in errors.
+    /// Parses the text of a stored run. Errors name `file` as its origin.
     ///
     /// # Errors
-    /// Names the file, the line and the key at fault.
+    /// Names the file, the line and the invalid key.
     pub fn parse(file: &Path, text: &str) -> Result<Self, CapacityError> {
         let mut lines = text
             .lines()
@@ -105,39 +106,39 @@
             .next()
             .ok_or_else(|| CapacityError::in_file(file, StoredRunError::Empty))?;
         let in_line = |number, reason| CapacityError::in_line(file, number, reason);
-        let head: Head = json(first)
-            .and_then(typed)
+        let header: Header = parse_json(first)
+            .and_then(deserialize_checked)
             .map_err(|reason: StoredRunError| in_line(number, reason))?;
         let mut run = StoredRun {
-            name: head.run,
-            text: head.text,
-            machine: head.machine,
+            name: header.run,
+            commit: header.text,
+            machine: header.machine,
             fits: BTreeMap::new(),
             points: Vec::new(),
             ranges: BTreeMap::new(),
         };
         for (number, line) in lines {
-            json(line)
-                .and_then(|value| run.take(value))
+            parse_json(line)
+                .and_then(|value| run.add_record(value))
                 .map_err(|reason: StoredRunError| in_line(number, reason))?;
         }
         Ok(run)
     }
 
-    /// The fitted line of a figure.
+    /// Returns the fitted line of a figure.
     pub fn fit(&self, part: Part, varied: Varied, figure: &str) -> Option<&Fit> {
         self.fits.get(&(part, varied, figure.to_string()))
     }
 
-    /// A figure at a count: read between the two measured sizes around it, or on the fitted line
-    /// outside of all sizes.
+    /// Returns the value of a figure at a count. Between two measured sizes the value is interpolated
+    /// linearly. Outside the measured range it is taken from the fitted line.
     pub fn at(&self, part: Part, varied: Varied, figure: &str, count: f64) -> Option<f64> {
-        let between = self.measured(part, varied, figure);
-        let pairs = between.iter().zip(between.iter().skip(1));
-        let around = pairs
+        let values = self.measured_values(part, varied, figure);
+        let pairs = values.iter().zip(values.iter().skip(1));
+        let enclosing = pairs
             .into_iter()
             .find(|((least, _), (most, _))| (*least..=*most).contains(&count));
-        match around {
+        match enclosing {
             Some(((size, value), (next_size, next_value))) if next_size > size => {
                 Some(value + (next_value - value) * (count - size) / (next_size - size))
             }
@@ -145,55 +146,55 @@
         }
     }
 
-    /// A figure at each measured size, from the smallest on.
-    fn measured(&self, part: Part, varied: Varied, figure: &str) -> Vec<(f64, f64)> {
+    /// Returns the size and the value of each measured point of a figure, in ascending order of size.
+    fn measured_values(&self, part: Part, varied: Varied, figure: &str) -> Vec<(f64, f64)> {
         let points = self.points(part).filter(|point| point.varied == varied);
         let value = |point: &Point| Some((point.size, point.figures.get(figure)?.as_f64()?));
-        let mut measured: Vec<(f64, f64)> = points.filter_map(value).collect();
-        measured.sort_by(|a, b| a.0.total_cmp(&b.0));
-        measured
+        let mut measured_values: Vec<(f64, f64)> = points.filter_map(value).collect();
+        measured_values.sort_by(|a, b| a.0.total_cmp(&b.0));
+        measured_values
     }
 
-    /// All measured points of a part, in the order of the run.
+    /// Returns the measured points of a part, in the order of the run.
     pub fn points(&self, part: Part) -> impl Iterator<Item = &Point> {
         self.points.iter().filter(move |point| point.part == part)
     }
 
-    /// The smallest and the largest size measured for a count.
+    /// Returns the smallest and the largest measured size of a count.
     pub fn range(&self, part: Part, varied: Varied) -> Option<(f64, f64)> {
         self.ranges.get(&(part, varied)).copied()
     }
 
-    /// The smallest and the largest size of each count that was varied.
+    /// Returns the smallest and the largest measured size of each varied count.
     pub fn ranges(&self) -> impl Iterator<Item = ((Part, Varied), (f64, f64))> {
         self.ranges.iter().map(|(key, range)| (*key, *range))
     }
 
-    fn take(&mut self, value: Value) -> Result<(), StoredRunError> {
+    fn add_record(&mut self, value: Value) -> Result<(), StoredRunError> {
         if value.get("fit").is_some() {
-            let fit: Fit = typed(value)?;
-            self.check_name(&fit.run)?;
-            self.take_fit(fit)
+            let fit: Fit = deserialize_checked(value)?;
+            self.check_run_name(&fit.run)?;
+            self.add_fit(fit)
         } else if value.get("figures").is_some() {
-            let point: Point = typed(value)?;
-            self.check_name(&point.run)?;
-            self.take_point(point)
+            let point: Point = deserialize_checked(value)?;
+            self.check_run_name(&point.run)?;
+            self.add_point(point)
         } else {
-            Err(StoredRunError::UnknownLine)
+            Err(StoredRunError::UnknownRecord)
         }
     }
 
-    fn check_name(&self, name: &str) -> Result<(), StoredRunError> {
+    fn check_run_name(&self, name: &str) -> Result<(), StoredRunError> {
         if name == self.name {
             return Ok(());
         }
-        Err(StoredRunError::OtherRun {
+        Err(StoredRunError::RunMismatch {
             found: name.into(),
             expected: self.name.clone(),
         })
     }
 
-    fn take_fit(&mut self, fit: Fit) -> Result<(), StoredRunError> {
+    fn add_fit(&mut self, fit: Fit) -> Result<(), StoredRunError> {
         let (part, varied, figure) = (fit.part, fit.varied, fit.figure.clone());
         match self.fits.insert((part, varied, figure.clone()), fit) {
             Some(_) => Err(StoredRunError::DuplicateFit {
@@ -205,15 +206,19 @@
         }
     }
 
-    fn take_point(&mut self, point: Point) -> Result<(), StoredRunError> {
+    fn add_point(&mut self, point: Point) -> Result<(), StoredRunError> {
         if point.size <= 0.0 {
             return Err(StoredRunError::SizeNotPositive);
         }
-        // A figure that wasn't measured at a size is null there.
-        let readable = |value: &Value| value.is_number() || value.is_null();
-        if let Some((name, _)) = point.figures.iter().find(|(_, value)| !readable(value)) {
+        // A figure that was not measured at this size is null.
+        let number_or_null = |value: &Value| value.is_number() || value.is_null();
+        if let Some((name, _)) = point
+            .figures
+            .iter()
+            .find(|(_, value)| !number_or_null(value))
+        {
             let key = format!("figures.{name}");
-            return Err(StoredRunError::NotANumber { key });
+            return Err(StoredRunError::ExpectedNumber { key });
         }
         let range = self
             .ranges
@@ -225,27 +230,33 @@
     }
 }
 
-fn json(line: &str) -> Result<Value, StoredRunError> {
-    serde_json::from_str(line).map_err(StoredRunError::NotJson)
+fn parse_json(line: &str) -> Result<Value, StoredRunError> {
+    serde_json::from_str(line).map_err(StoredRunError::InvalidJson)
 }
 
-/// Reads an object. The reader names a missing key, but not the one whose value has the wrong type:
-/// those are checked first.
-fn typed<T: for<'de> Deserialize<'de>>(value: Value) -> Result<T, StoredRunError> {
+/// Deserializes an object. Errors of `serde_json` name a missing key, but not a key whose value has
+/// the wrong type. Types of values are therefore checked first.
+fn deserialize_checked<T: for<'de> Deserialize<'de>>(value: Value) -> Result<T, StoredRunError> {
     let object = value.as_object().ok_or(StoredRunError::NotAnObject)?;
-    let is_wrong =
-        |key: &str, right: fn(&Value) -> bool| object.get(key).is_some_and(|v| !right(v));
-    if let Some(key) = NUMBERS.iter().find(|key| is_wrong(key, Value::is_number)) {
+    let has_wrong_type =
+        |key: &str, is_valid: fn(&Value) -> bool| object.get(key).is_some_and(|v| !is_valid(v));
+    if let Some(key) = NUMBER_KEYS
+        .iter()
+        .find(|key| has_wrong_type(key, Value::is_number))
+    {
         let key = key.to_string();
-        return Err(StoredRunError::NotANumber { key });
+        return Err(StoredRunError::ExpectedNumber { key });
     }
-    if let Some(key) = TEXTS.iter().find(|key| is_wrong(key, Value::is_string)) {
-        return Err(StoredRunError::NotAText { key });
+    if let Some(key) = STRING_KEYS
+        .iter()
+        .find(|key| has_wrong_type(key, Value::is_string))
+    {
+        return Err(StoredRunError::ExpectedString { key });
     }
     Ok(T::deserialize(value)?)
 }
 
-/// Keys whose values are numbers.
-const NUMBERS: [&str; 4] = ["size", "intercept", "slope", "residual"];
-/// Keys whose values are texts.
-const TEXTS: [&str; 5] = ["run", "text", "part", "varied", "fit"];
+/// Keys whose values must be numbers.
+const NUMBER_KEYS: [&str; 4] = ["size", "intercept", "slope", "residual"];
+/// Keys whose values must be strings.
+const STRING_KEYS: [&str; 5] = ["run", "text", "part", "varied", "fit"];
--- a/crates/testbed/src/capacity/storms.rs
+++ b/crates/testbed/src/capacity/storms.rs
@@ -1,7 +1,7 @@
 //! The rates of failure, each as a storm: who goes, which clients come back, at what pace and until
 //! when.
 
-use super::deployment::{Deployment, Unknown};
+use super::deployment::{Deployment, UnknownQuantity};
 use super::markdown::{NOT_MEASURED, Table, figure, figures, number};
 use super::needs::{BYTES_PER_MB, MICROSECONDS_PER_SECOND, entry_bytes, placement_us};
 use super::row::Inputs;
@@ -29,65 +29,65 @@
     1.0
 }
 
-fn rack(inputs: &Inputs, _: &Deployment) -> f64 {
+fn machines_per_rack(inputs: &Inputs, _: &Deployment) -> f64 {
     inputs.assumptions.assumed.rack_machines.value
 }
 
-fn balancers_part(fleet: &Deployment) -> f64 {
+fn balancer_share(fleet: &Deployment) -> f64 {
     fleet.balancers / fleet.machines()
 }
 
-fn servers_part(fleet: &Deployment) -> f64 {
+fn server_share(fleet: &Deployment) -> f64 {
     fleet.servers / fleet.machines()
 }
 
 const STORMS: [Storm; 8] = [
     Storm {
         name: "a balancer fails",
-        per_year: |_, f| f.failures_per_day * DAYS_PER_YEAR * balancers_part(f),
+        per_year: |_, f| f.failures_per_day * DAYS_PER_YEAR * balancer_share(f),
         balancers_lost: one,
         servers_lost: none,
-        clients: |_, f| f.own_connections(),
+        clients: |_, f| f.connections_per_balancer(),
         announced: false,
     },
     Storm {
         name: "a server fails",
-        per_year: |_, f| f.failures_per_day * DAYS_PER_YEAR * servers_part(f),
+        per_year: |_, f| f.failures_per_day * DAYS_PER_YEAR * server_share(f),
         balancers_lost: none,
         servers_lost: one,
-        clients: |_, f| f.server_connections(),
+        clients: |_, f| f.connections_per_server(),
         announced: false,
     },
     Storm {
         name: "a balancer is restarted or replaced",
-        per_year: |_, f| f.restarts_per_day * DAYS_PER_YEAR * balancers_part(f),
+        per_year: |_, f| f.restarts_per_day * DAYS_PER_YEAR * balancer_share(f),
         balancers_lost: one,
         servers_lost: none,
-        clients: |_, f| f.own_connections(),
+        clients: |_, f| f.connections_per_balancer(),
         announced: true,
     },
     Storm {
         name: "a server is restarted or replaced",
-        per_year: |_, f| f.restarts_per_day * DAYS_PER_YEAR * servers_part(f),
+        per_year: |_, f| f.restarts_per_day * DAYS_PER_YEAR * server_share(f),
         balancers_lost: none,
         servers_lost: one,
-        clients: |_, f| f.server_connections(),
+        clients: |_, f| f.connections_per_server(),
         announced: true,
     },
     Storm {
         name: "a rack of balancers goes",
         per_year: |i, _| i.assumptions.requirements.racks_per_year.value,
-        balancers_lost: rack,
+        balancers_lost: machines_per_rack,
         servers_lost: none,
-        clients: |i, f| rack(i, f) * f.own_connections(),
+        clients: |i, f| machines_per_rack(i, f) * f.connections_per_balancer(),
         announced: false,
     },
     Storm {
         name: "a rack of servers goes",
         per_year: |i, _| i.assumptions.requirements.racks_per_year.value,
         balancers_lost: none,
-        servers_lost: rack,
-        clients: |i, f| rack(i, f) * f.server_connections(),
+        servers_lost: machines_per_rack,
+        clients: |i, f| machines_per_rack(i, f) * f.connections_per_server(),
         announced: false,
     },
     Storm {
@@ -120,56 +120,56 @@
         fleet.servers - (self.servers_lost)(inputs, fleet)
     }
 
-    fn clients_at_a_balancer(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
+    fn clients_per_balancer(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
         (self.clients)(inputs, fleet) / self.balancers_left(inputs, fleet)
     }
 
-    fn clients_at_a_server(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
+    fn clients_per_server(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
         (self.clients)(inputs, fleet) / self.servers_left(inputs, fleet)
     }
 
     /// Seconds in which a balancer's window lets them all out: it starts narrow and each that is
     /// established widens it by one, so that it doubles with each round.
-    fn window_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
+    fn window_growth_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
         let code = &inputs.assumptions.code;
         let most = code.attempts_in_flight_most.value;
         let start = (code.attempts_in_flight_fleet.value / fleet.balancers).clamp(1.0, most);
-        let rounds = (self.clients_at_a_balancer(inputs, fleet) / start + 1.0).log2();
+        let rounds = (self.clients_per_balancer(inputs, fleet) / start + 1.0).log2();
         rounds * inputs.assumptions.assumed.attempt_ms.value / MS_PER_SECOND
     }
 
     /// The same once the window has been halved: it widens by one a round from then on.
-    fn narrowed_window_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
-        let rounds = (2.0 * self.clients_at_a_balancer(inputs, fleet)).sqrt();
+    fn halved_window_growth_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
+        let rounds = (2.0 * self.clients_per_balancer(inputs, fleet)).sqrt();
         rounds * inputs.assumptions.assumed.attempt_ms.value / MS_PER_SECOND
     }
 
     /// Seconds in which servers set them up.
-    fn set_up_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
-        self.clients_at_a_server(inputs, fleet)
+    fn server_accept_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
+        self.clients_per_server(inputs, fleet)
             / inputs.assumptions.assumed.server_attempts_per_second.value
     }
 
     /// Seconds of a whole core to place them all, at the time that one takes in quiet operation.
-    fn decide_s(&self, inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
-        let place = placement_us(inputs, fleet)?;
-        Some(self.clients_at_a_balancer(inputs, fleet) * place / MICROSECONDS_PER_SECOND)
+    fn decision_s(&self, inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
+        let placement = placement_us(inputs, fleet)?;
+        Some(self.clients_per_balancer(inputs, fleet) * placement / MICROSECONDS_PER_SECOND)
     }
 
     /// Seconds until all are placed again; at least, where the time to decide was not measured.
-    fn placed_s(&self, inputs: &Inputs, fleet: &Deployment, window_s: f64) -> f64 {
-        let notice = if self.announced {
+    fn time_to_placed_s(&self, inputs: &Inputs, fleet: &Deployment, window_growth_s: f64) -> f64 {
+        let detection_s = if self.announced {
             0.0
         } else {
             inputs.assumptions.assumed.notice_s.value
         };
-        let decide = self.decide_s(inputs, fleet).unwrap_or(0.0);
+        let decide = self.decision_s(inputs, fleet).unwrap_or(0.0);
         let slowest = fleet
             .return_spread_s
-            .max(window_s)
-            .max(self.set_up_s(inputs, fleet))
+            .max(window_growth_s)
+            .max(self.server_accept_s(inputs, fleet))
             .max(decide);
-        notice + slowest
+        detection_s + slowest
     }
 
     fn list_entries(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
@@ -203,7 +203,7 @@
 }
 
 fn cells(storm: &Storm, inputs: &Inputs, fleet: &Deployment) -> Vec<String> {
-    let spreads = fleet.cases(inputs.assumptions, Unknown::ReturnSpread);
+    let spreads = fleet.cases(inputs.assumptions, UnknownQuantity::ReturnSpread);
     let over_spread = |value: &dyn Fn(&Deployment) -> f64| {
         let values: Vec<Option<f64>> = spreads.iter().map(|case| Some(value(case))).collect();
         figures(&values)
@@ -215,7 +215,7 @@
         .requirements
         .control_bytes_per_second
         .value;
-    let least = if storm.decide_s(inputs, fleet).is_none() {
+    let least = if storm.decision_s(inputs, fleet).is_none() {
         "at least "
     } else {
         ""
@@ -226,20 +226,24 @@
         number((storm.balancers_lost)(inputs, fleet)),
         number((storm.servers_lost)(inputs, fleet)),
         number((storm.clients)(inputs, fleet)),
-        number(storm.clients_at_a_balancer(inputs, fleet)),
-        over_spread(&|case| storm.clients_at_a_balancer(inputs, case) / case.return_spread_s),
-        over_spread(&|case| storm.clients_at_a_server(inputs, case) / case.return_spread_s),
-        figure(storm.decide_s(inputs, fleet)),
+        number(storm.clients_per_balancer(inputs, fleet)),
+        over_spread(&|case| storm.clients_per_balancer(inputs, case) / case.return_spread_s),
+        over_spread(&|case| storm.clients_per_server(inputs, case) / case.return_spread_s),
+        figure(storm.decision_s(inputs, fleet)),
         format!(
             "{least}{}",
-            over_spread(&|case| storm.placed_s(inputs, case, storm.window_s(inputs, case)))
+            over_spread(&|case| storm.time_to_placed_s(
+                inputs,
+                case,
+                storm.window_growth_s(inputs, case)
+            ))
         ),
         format!(
             "{least}{}",
-            over_spread(&|case| storm.placed_s(
+            over_spread(&|case| storm.time_to_placed_s(
                 inputs,
                 case,
-                storm.narrowed_window_s(inputs, case)
+                storm.halved_window_growth_s(inputs, case)
             ))
         ),
         number(bytes),
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -331,15 +331,24 @@
     let point =
         r#"{"run":"a","part":"module","varied":"servers","size":60,"fixed":{},"figures":{"x":1}}"#;
     let cases: [(String, &str); 14] = [
-        (String::new(), "run.jsonl: is empty"),
-        (format!("{}\n", &head[..9]), "line 1: no JSON object"),
-        ("[]\n".into(), "line 1: no JSON object"),
+        (String::new(), "run.jsonl: the file is empty"),
+        (
+            format!("{}\n", &head[..9]),
+            "line 1: expected a JSON object",
+        ),
+        ("[]\n".into(), "line 1: expected a JSON object"),
         (head.replace("text", "txt"), "line 1: missing field `text`"),
-        (format!("{head}\n{}", &fit[..40]), "line 2: no JSON object"),
-        (format!("{head}\n{point}\n\n"), "line 3: no JSON object"),
+        (
+            format!("{head}\n{}", &fit[..40]),
+            "line 2: expected a JSON object",
+        ),
+        (
+            format!("{head}\n{point}\n\n"),
+            "line 3: expected a JSON object",
+        ),
         (
             format!("{head}\n{}", fit.replace("\"a\"", "\"b\"")),
-            "line 2: `run` is 'b', the first line's is 'a'",
+            "line 2: `run`: expected 'a' as in the first line, found 'b'",
         ),
         (
             format!("{head}\n{}", fit.replace("slope", "slop")),
@@ -347,7 +356,7 @@
         ),
         (
             format!("{head}\n{}", fit.replace(":2", ":\"2\"")),
-            "line 2: `slope` is no number",
+            "line 2: `slope`: expected a number",
         ),
         (
             format!("{head}\n{}", fit.replace("module", "modul")),
@@ -355,19 +364,19 @@
         ),
         (
             format!("{head}\n{fit}\n{fit}"),
-            "line 3: `fit` x over servers in module: stands there already",
+            "line 3: duplicate `fit` of x over servers in module",
         ),
         (
             format!("{head}\n{}", point.replace("60", "0")),
-            "line 2: `size` is not over 0",
+            "line 2: `size`: expected a number above 0",
         ),
         (
             format!("{head}\n{}", point.replace(":1}", ":[]}")),
-            "line 2: `figures.x` is no number",
+            "line 2: `figures.x`: expected a number",
         ),
         (
             format!("{head}\n{head}"),
-            "line 2: neither `figures` nor `fit`",
+            "line 2: expected a point with `figures` or a fitted line with `fit`, found neither key",
         ),
     ];
     for (text, expected) in cases {
@@ -449,11 +458,11 @@
     let cases = [
         (
             change("zones = { value = 31", "zones = { value = 0"),
-            zones.clone() + "`value`: 0 is not over 0",
+            zones.clone() + "`value`: expected a finite number above 0, found 0",
         ),
         (
             change("zones = { value = 31", "zones = { value = inf"),
-            zones.clone() + "`value`: inf is not over 0",
+            zones.clone() + "`value`: expected a finite number above 0, found inf",
         ),
         (
             change("zones = { value = 31", "zones = { value = \"31\""),
@@ -477,11 +486,11 @@
         ),
         (
             change("[3000, 6000, 12000]", "[3000, 6000]"),
-            servers.clone() + "`values` are 2, not 3",
+            servers.clone() + "`values`: expected 3 values, found 2",
         ),
         (
             change("[3000, 6000, 12000]", "[6000, 3000, 12000]"),
-            servers + "`values` don't rise",
+            servers + "`values` are not in ascending order",
         ),
         (
             change("[requirements]", "[requirement]"),
@@ -509,7 +518,7 @@
         ),
         (
             page.replace(marker, &marker.repeat(2)),
-            "the marker '<!-- generated: server -->' stands there 2 times",
+            "the marker '<!-- generated: server -->' occurs 2 times, expected 1",
         ),
     ];
     for (text, expected) in cases {
@@ -534,7 +543,10 @@
     std::fs::write(&scratch.files.run, &run[..run.len() - 20]).unwrap();
     let output = scratch.command(&["--write"]);
     assert_eq!(output.status.code(), Some(2));
-    let line = format!("run.jsonl: line {}: no JSON object", run.lines().count());
+    let line = format!(
+        "run.jsonl: line {}: expected a JSON object",
+        run.lines().count()
+    );
     assert!(text_of(&output).contains(&line), "{}", text_of(&output));
     assert_eq!(scratch.page(), before);
 }
