--- a/crates/testbed/src/capacity/cold_servers.rs
+++ b/crates/testbed/src/capacity/cold_servers.rs
@@ -1,12 +1,12 @@
-//! Cold servers: what all balancers together may send a server that has just started, and how long
-//! it takes to fill.
+//! Cold servers: the rate of attempts that all balancers together may send to a server that has just
+//! started, and the time until it holds as many connections as a warm server.
 
 use super::deployment::{Deployment, UnknownQuantity};
 use super::markdown::{Table, figures};
 use super::mechanism::{self, Mechanism};
 use super::row::Inputs;
 
-/// What a server in slow start may be sent, and how long it takes until it holds its part.
+/// Parameters of a server in slow start.
 struct ColdServer {
     start_share: f64,
     collapse_multiple: f64,
@@ -25,19 +25,21 @@
         }
     }
 
-    /// Attempts a second that all balancers together may send it just after its start.
+    /// Attempts per second that all balancers together may send to the server just after its start.
     fn fleet_attempts_per_second(&self, connections: f64) -> f64 {
         self.collapse_multiple * self.start_share * self.fill_factor * connections / self.warm_up_s
     }
 
-    /// Seconds until that pace, which rises with its warmth, has brought what a warm server holds.
+    /// Seconds until the server holds as many connections as a warm server. The rate of attempts rises
+    /// while the server warms up.
     fn fill_s(&self) -> f64 {
-        // The solution of factor x (share t + (1 - share) t^2 / 2 W) / W = 1.
+        // Solves factor x (share t + (1 - share) t^2 / 2 W) / W = 1 for t, where W is the warm-up time
+        // and share is the capacity at the start as a fraction of the full capacity.
         let factor = self.collapse_multiple * self.fill_factor;
-        let rise = (1.0 - self.start_share) / (2.0 * self.warm_up_s);
-        let wanted = self.warm_up_s / factor;
-        let root = (self.start_share * self.start_share + 4.0 * rise * wanted).sqrt();
-        (root - self.start_share) / (2.0 * rise)
+        let quadratic = (1.0 - self.start_share) / (2.0 * self.warm_up_s);
+        let constant = self.warm_up_s / factor;
+        let root = (self.start_share * self.start_share + 4.0 * quadratic * constant).sqrt();
+        (root - self.start_share) / (2.0 * quadratic)
     }
 }
 
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Over the three numbers of servers.
+    /// Returns the values of the figure for the three numbers of servers.
     fn describe(&self, inputs: &Inputs, fleet: &Deployment) -> String {
         let cases = fleet.cases(inputs.assumptions, UnknownQuantity::Servers);
         let values: Vec<Option<f64>> = cases.iter().map(|case| Some((self.value)(case))).collect();
@@ -110,7 +112,7 @@
     ]
 }
 
-/// Cold servers: what the fleet may send one, and each balancer's part.
+/// Returns the table of cold servers: the rate of attempts from all balancers and from each one.
 pub fn table(inputs: &Inputs, full: &Deployment, tenth: &Deployment) -> String {
     let cold = ColdServer::new(inputs);
     let mut table = Table::new(&["figure", "unit", "full size", "a tenth", "mechanism"]);
--- a/crates/testbed/src/capacity/deployment.rs
+++ b/crates/testbed/src/capacity/deployment.rs
@@ -1,65 +1,67 @@
-//! The fleet that is worked out: the operators' size or a part of it, with one value of each
-//! unknown.
+//! The fleet that figures are calculated for: the size that the operators require or a fraction of
+//! it, with one value of each unknown quantity.
 
 use super::assumptions::{Assumptions, CASE_COUNT};
 
-/// A quantity that the operators haven't told and that a figure is worked out for three values of.
+/// A quantity that the operators have not given. Figures that depend on it are calculated for three
+/// values of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownQuantity {
-    /// Servers of the fleet.
+    /// Number of servers.
     Servers,
-    /// The mean life of a connection.
+    /// Mean lifetime of a connection.
     ConnectionLife,
-    /// The size of a change of the configuration.
+    /// Size of a configuration change.
     ChangeBytes,
-    /// The time over which lost clients come back.
+    /// Time over which the reconnects of disconnected clients are spread.
     ReturnSpread,
 }
 
-/// The middle one of the three values.
+/// Index of the middle one of the three values.
 pub const MIDDLE_CASE: usize = 1;
 
 /// Counts and rates of one fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// The part of the operators' size.
+    /// Fraction of the fleet size that the operators require.
     pub scale: f64,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: f64,
-    /// Servers.
+    /// Number of servers.
     pub servers: f64,
-    /// Clients' connections.
+    /// Number of client connections.
     pub connections: f64,
-    /// Shards, which are groups of connections.
+    /// Number of shards, which are groups of connections.
     pub shards: f64,
-    /// Listeners of the largest topic.
+    /// Number of listeners of the largest topic.
     pub largest_topic_listeners: f64,
-    /// Messages delivered to clients a second.
+    /// Messages delivered to clients per second.
     pub deliveries_per_second: f64,
-    /// Changes of the configuration a day.
+    /// Configuration changes per day.
     pub configuration_changes_per_day: f64,
-    /// Machines that are set aside for control.
+    /// Number of machines dedicated to control.
     pub control_machines: f64,
-    /// Failures of servers a day.
+    /// Server failures per day.
     pub failures_per_day: f64,
-    /// Restarts of servers a day.
+    /// Server restarts per day.
     pub restarts_per_day: f64,
-    /// Clients of one zone.
+    /// Number of clients of one zone.
     pub zone_clients: f64,
-    /// Zones, over all regions.
+    /// Number of zones in all regions together.
     pub zones: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Mean life of a connection, in seconds.
+    /// Mean lifetime of a connection, in seconds.
     pub connection_life_s: f64,
-    /// Bytes of one change of the configuration.
+    /// Size of one configuration change, in bytes.
     pub change_bytes: f64,
-    /// Seconds over which lost clients come back.
+    /// Seconds over which the reconnects of disconnected clients are spread.
     pub return_spread_s: f64,
 }
 
 impl Deployment {
-    /// A part of the operators' fleet with the middle value of each unknown.
+    /// Creates a fleet of a fraction of the required size, with the middle value of each unknown
+    /// quantity.
     pub fn new(assumptions: &Assumptions, scale: f64) -> Self {
         let (requirements, unknown) = (&assumptions.requirements, &assumptions.unknown);
         Deployment {
@@ -71,7 +73,7 @@
             largest_topic_listeners: requirements.largest_topic_listeners.value * scale,
             deliveries_per_second: requirements.deliveries_per_second.value * scale,
             configuration_changes_per_day: requirements.configuration_changes_per_day.value * scale,
-            // There are no parts of a machine.
+            // Rounded up to whole machines.
             control_machines: (requirements.control_machines.value * scale).ceil(),
             failures_per_day: requirements.failures_per_day.value * scale,
             restarts_per_day: requirements.restarts_per_day.value * scale,
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The same with each of the three values of one unknown.
+    /// Returns this fleet with each of the three values of one unknown quantity.
     pub fn cases(
         &self,
         assumptions: &Assumptions,
@@ -111,32 +113,33 @@
         })
     }
 
-    /// Connections that one balancer holds.
+    /// Number of connections that one balancer holds.
     pub fn connections_per_balancer(&self) -> f64 {
         self.connections / self.balancers
     }
 
-    /// Connections that one server holds.
+    /// Number of connections that one server holds.
     pub fn connections_per_server(&self) -> f64 {
         self.connections / self.servers
     }
 
-    /// New connections a second in the whole fleet, while as many end.
+    /// New connections per second in the whole fleet, if as many connections end.
     pub fn placements_per_second(&self) -> f64 {
         self.connections / self.connection_life_s
     }
 
-    /// New connections a second at one balancer.
+    /// New connections per second at one balancer.
     pub fn placements_per_second_per_balancer(&self) -> f64 {
         self.placements_per_second() / self.balancers
     }
 
-    /// Servers on which a balancer holds a connection, where connections are spread by chance.
+    /// Expected number of servers on which a balancer holds a connection, if connections are spread
+    /// randomly.
     pub fn servers_held(&self) -> f64 {
         self.servers * (1.0 - (-self.connections_per_balancer() / self.servers).exp())
     }
 
-    /// All machines: balancers, servers and those for control.
+    /// Number of all machines: balancers, servers and control machines.
     pub fn machines(&self) -> f64 {
         self.balancers + self.servers + self.control_machines
     }
--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -1,5 +1,6 @@
-//! Which mechanism is missing first: each need beside its budget, the worst ratio first. Needs of
-//! every second come before those of an event, since nothing helps the former but the mechanism.
+//! The ranking of missing mechanisms: each need with its budget, ordered by the ratio of need to
+//! budget, highest first. Continuous needs come before needs that arise on an event, since only the
+//! mechanism can reduce a continuous need.
 
 use super::deployment::Deployment;
 use super::markdown::{Table, figure, number};
@@ -27,7 +28,7 @@
     }
 }
 
-/// What would keep a need within its budget.
+/// A mechanism that would keep a need within its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Remedy {
     CandidatesAndBudget,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Whether the code has all of it.
+    /// Whether the code implements all mechanisms of this remedy in full.
     fn is_implemented(self) -> bool {
         let mechanisms: &[Mechanism] = match self {
             Remedy::CandidatesAndBudget => {
@@ -63,14 +64,14 @@
     }
 }
 
-/// A need beside its budget.
+/// A need and its budget.
 struct Gap {
     remedy: Remedy,
     need_label: &'static str,
     frequency: Frequency,
     need: Option<f64>,
     budget: f64,
-    /// What would be needed were the mechanism not there.
+    /// Whether the need is calculated as if the remedy did not exist.
     without_remedy: bool,
 }
 
@@ -80,48 +81,48 @@
     }
 
     fn is_open(&self) -> bool {
-        !self.remedy.is_implemented() && self.budget_ratio().is_some_and(|times| times > 1.0)
+        !self.remedy.is_implemented() && self.budget_ratio().is_some_and(|ratio| ratio > 1.0)
     }
 
-    /// Whether the mechanism is there but doesn't keep to the budget.
+    /// Whether the need exceeds its budget although the remedy is implemented.
     fn exceeds_budget_although_implemented(&self) -> bool {
         self.remedy.is_implemented()
             && !self.without_remedy
-            && self.budget_ratio().is_some_and(|times| times > 1.0)
+            && self.budget_ratio().is_some_and(|ratio| ratio > 1.0)
     }
 
     fn describe(&self) -> String {
-        let times = figure(self.budget_ratio());
+        let ratio = figure(self.budget_ratio());
         format!(
-            "**{}** ({}: {times} times its budget)",
+            "**{}** ({}: {ratio} times its budget)",
             self.remedy.name(),
             self.need_label
         )
     }
 }
 
-/// All needs, those of every second first, then by how often they pass their budget; unmeasured
-/// ones last.
+/// Returns all gaps: continuous needs first, each kind ordered by the ratio of need to budget, highest
+/// first. Needs that were not measured come last within their kind.
 fn gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let mut all = continuous_gaps(inputs, fleet);
     all.extend(event_gaps(inputs, fleet));
-    let times = |gap: &Gap| gap.budget_ratio().unwrap_or(f64::NEG_INFINITY);
+    let ratio = |gap: &Gap| gap.budget_ratio().unwrap_or(f64::NEG_INFINITY);
     all.sort_by(|a, b| {
         a.frequency
             .cmp(&b.frequency)
-            .then(times(b).total_cmp(&times(a)))
+            .then(ratio(b).total_cmp(&ratio(a)))
     });
     all
 }
 
-/// Needs of every second: health checks, placing and memory.
+/// Continuous needs: health checks, placement and memory.
 fn continuous_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let mut all = health_check_gaps(inputs, fleet);
     all.extend(placement_and_memory_gaps(inputs, fleet));
     all
 }
 
-/// A need of every second, with its mechanism.
+/// Creates the gap of a continuous need.
 fn continuous_gap(need_label: &'static str, need: Option<f64>, budget: f64) -> Gap {
     Gap {
         remedy: Remedy::CandidatesAndBudget,
@@ -146,7 +147,7 @@
     vec![
         continuous_gap(
             "bytes a second of the policy's health checks, measured with the operators' own connections",
-            of_policy.map(|probes| probes * health_check_bytes(inputs)),
+            of_policy.map(|checks| checks * health_check_bytes(inputs)),
             bytes,
         ),
         without_remedy(continuous_gap(
@@ -156,7 +157,7 @@
         )),
         continuous_gap(
             "% of a core for the policy's health checks",
-            of_policy.and_then(|probes| health_check_cpu_percent(inputs, probes)),
+            of_policy.and_then(|checks| health_check_cpu_percent(inputs, checks)),
             percent,
         ),
         without_remedy(continuous_gap(
@@ -183,7 +184,7 @@
     ]
 }
 
-/// Needs of an event: a change of the configuration, a whole list, the loss of a zone.
+/// Needs that arise on an event: a configuration change, a full endpoint list, the loss of a zone.
 fn event_gaps(inputs: &Inputs, fleet: &Deployment) -> Vec<Gap> {
     let requirements = &inputs.assumptions.requirements;
     let change = change_bytes_per_second(inputs, fleet);
@@ -220,7 +221,8 @@
     ]
 }
 
-/// The ranking, and which mechanism is missing first and next.
+/// Returns the table of the ranking, preceded by a sentence that names the first and the second
+/// missing mechanism.
 pub fn ranking(inputs: &Inputs, full: &Deployment, tenth: &Deployment) -> String {
     let columns = [
         "mechanism",
@@ -236,9 +238,9 @@
     let all = gaps(inputs, full);
     let mut table = Table::new(&columns);
     for gap in &all {
-        let small = at_tenth
+        let gap_at_tenth = at_tenth
             .iter()
-            .find(|small| small.need_label == gap.need_label);
+            .find(|other| other.need_label == gap.need_label);
         let state = if gap.remedy.is_implemented() {
             "in the code"
         } else {
@@ -255,7 +257,7 @@
             number(gap.budget),
             figure(gap.budget_ratio()),
         ];
-        let last = [figure(small.and_then(Gap::budget_ratio))];
+        let last = [figure(gap_at_tenth.and_then(Gap::budget_ratio))];
         table.row(
             names
                 .map(String::from)
@@ -268,20 +270,22 @@
 }
 
 fn summary(all: &[Gap]) -> String {
-    let over: Vec<String> = all
+    let over_budget: Vec<String> = all
         .iter()
         .filter(|gap| gap.exceeds_budget_although_implemented())
         .map(Gap::describe)
         .collect();
-    let over = match over.is_empty() {
+    let over_budget = match over_budget.is_empty() {
         true => String::new(),
         false => format!(
             " Over its budget although its mechanism is in the code: {}.",
-            over.join("; ")
+            over_budget.join("; ")
         ),
     };
     let Some(first) = all.iter().find(|gap| gap.is_open()) else {
-        return format!("No mechanism is missing whose need is known to pass its budget.{over}\n");
+        return format!(
+            "No mechanism is missing whose need is known to pass its budget.{over_budget}\n"
+        );
     };
     let next = all
         .iter()
@@ -289,5 +293,5 @@
     let next = next.map_or("No runner-up passes its budget.".to_string(), |next| {
         format!("Runner-up: {}.", next.describe())
     });
-    format!("Missing first: {}. {next}{over}\n", first.describe())
+    format!("Missing first: {}. {next}{over_budget}\n", first.describe())
 }
--- a/crates/testbed/src/capacity/markdown.rs
+++ b/crates/testbed/src/capacity/markdown.rs
@@ -1,16 +1,16 @@
-//! Markdown tables and numbers as the page shows them. It owns their form and knows nothing of what
-//! they mean.
+//! Markdown tables and numbers in the format of the page. This module knows nothing of the meaning of
+//! the values.
 
 use std::fmt::Write as _;
 
-/// A table with a heading of columns.
+/// A table with a header row.
 pub struct Table {
     columns: usize,
     text: String,
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table that has only the header row.
     pub fn new(columns: &[&str]) -> Self {
         let mut table = Table {
             columns: columns.len(),
@@ -21,7 +21,7 @@
         table
     }
 
-    /// Adds a row. Missing cells stay empty; a bar within a cell is escaped.
+    /// Adds a row. Missing cells are left empty. A vertical bar within a cell is escaped.
     pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
         let mut cells: Vec<String> = cells
             .into_iter()
@@ -29,22 +29,24 @@
             .collect();
         cells.resize(self.columns, String::new());
         let joined: Vec<&str> = cells.iter().map(|cell| cell.trim()).collect();
-        writeln!(self.text, "| {} |", joined.join(" | ")).expect("a string takes all");
+        writeln!(self.text, "| {} |", joined.join(" | "))
+            .expect("writing to a string does not fail");
     }
 
-    /// The table as text.
+    /// Returns the table as Markdown text.
     pub fn finish(self) -> String {
         self.text
     }
 }
 
-/// What stands in place of a figure that no run has given.
+/// Text in place of a figure that was not measured.
 pub const NOT_MEASURED: &str = "*not measured*";
 
-/// Numbers from this on have no decimals.
+/// Numbers of at least this size are printed without decimals.
 const WHOLE_NUMBERS_MIN: f64 = 100.0;
 
-/// A number with three digits at least, and commas between thousands.
+/// Formats a number with three significant digits, or as a whole number from 100 on, with commas
+/// between thousands.
 pub fn number(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
@@ -53,8 +55,7 @@
     if size >= WHOLE_NUMBERS_MIN {
         return grouped(value);
     }
-    // Digits behind the point that leave three in all; tiny numbers keep the same relative
-    // accuracy.
+    // Decimals that give three significant digits, also for numbers far below 1.
     let decimals = (2.0 - size.log10().floor()).clamp(0.0, 12.0) as usize;
     let text = format!("{value:.decimals$}");
     match text.contains('.') {
@@ -75,12 +76,12 @@
     if value < 0.0 { format!("-{out}") } else { out }
 }
 
-/// A figure, or that it was not measured.
+/// Formats a figure. `None` means that it was not measured.
 pub fn figure(value: Option<f64>) -> String {
     value.map_or(NOT_MEASURED.to_string(), number)
 }
 
-/// Several values of a figure; one where all are alike.
+/// Formats several values of a figure, or a single one if all are printed alike.
 pub fn figures(values: &[Option<f64>]) -> String {
     let texts: Vec<String> = values.iter().map(|value| figure(*value)).collect();
     match texts.windows(2).all(|pair| pair[0] == pair[1]) {
--- a/crates/testbed/src/capacity/needs.rs
+++ b/crates/testbed/src/capacity/needs.rs
@@ -1,5 +1,5 @@
-//! What several roles and the ranking work out alike: bytes of health checks and lists, processor
-//! time of placing, changes.
+//! Calculations shared by several roles and the ranking of gaps: bytes of health checks and endpoint
+//! lists, CPU time of placement, and changes of the endpoint list and of the configuration.
 
 use super::deployment::{Deployment, MIDDLE_CASE};
 use super::markdown::number;
@@ -12,15 +12,16 @@
 pub const BYTES_PER_KB: f64 = 1e3;
 pub const PERCENT: f64 = 100.0;
 
-/// Bytes of a health check with its packet headers: the payload as measured, else as assumed.
+/// Bytes of a health check, including packet headers. The payload is the measured value, or the
+/// assumed value if there is no measured one.
 pub fn health_check_bytes(inputs: &Inputs) -> f64 {
     let assumed = &inputs.assumptions.assumed;
     let payload = health_check_payload_bytes(inputs).unwrap_or(assumed.probe_payload_bytes.value);
     payload + assumed.probe_packets.value * assumed.packet_header_bytes.value
 }
 
-/// Payload of a health check more, as the run has it; where health checks don't grow with the
-/// endpoint list, of a health check at the middle size.
+/// Measured payload of one additional health check, in bytes. If the number of health checks does
+/// not grow with the endpoint list, this is the mean payload at the middle number of servers.
 fn health_check_payload_bytes(inputs: &Inputs) -> Option<f64> {
     per_health_check(inputs, "probe_bytes_per_second")
         .or_else(|| payload_bytes_at_middle_case(inputs))
@@ -39,7 +40,8 @@
     )
 }
 
-/// What a health check more a second adds to a figure: the ratio of both slopes over servers.
+/// Increase of a figure per additional health check per second: the ratio of the slopes of both over
+/// servers.
 fn per_health_check(inputs: &Inputs, figure: &'static str) -> Option<f64> {
     let slope = |figure| {
         inputs
@@ -49,8 +51,8 @@
     ratio(slope(figure)?, slope("probes_per_second")?)
 }
 
-/// Processor time of setting a connection up, in percent of a core for each a second: the ratio of
-/// both slopes over connections.
+/// CPU time to establish a connection, in percent of a core per connection per second: the ratio of
+/// the slopes of CPU time and connects over connections.
 pub fn cpu_percent_per_connect(inputs: &Inputs) -> Option<f64> {
     let slope = |figure| {
         inputs
@@ -60,23 +62,26 @@
     ratio(slope("cpu_percent_of_core")?, slope("connects_per_second")?)
 }
 
-fn ratio(of: f64, to: f64) -> Option<f64> {
-    (to > 0.0).then(|| of / to)
+fn ratio(numerator: f64, denominator: f64) -> Option<f64> {
+    (denominator > 0.0).then(|| numerator / denominator)
 }
 
-/// How the page tells of the bytes of a health check.
+/// Text of the page that says how the bytes of a health check are calculated.
 pub fn health_check_bytes_basis(inputs: &Inputs) -> String {
     let assumed = &inputs.assumptions.assumed;
     let headers = assumed.probe_packets.value * assumed.packet_header_bytes.value;
     let headers = format!("{} of packet headers (*assumed*)", number(headers));
     match health_check_payload_bytes(inputs) {
         Some(payload) => {
-            let way = if per_health_check(inputs, "probe_bytes_per_second").is_some() {
+            let source = if per_health_check(inputs, "probe_bytes_per_second").is_some() {
                 "slopes"
             } else {
                 "figures"
             };
-            format!("{} (measured, ratio of {way}) + {headers}", number(payload))
+            format!(
+                "{} (measured, ratio of {source}) + {headers}",
+                number(payload)
+            )
         }
         None => format!(
             "{} (*assumed*) + {headers}",
@@ -85,28 +90,29 @@
     }
 }
 
-/// Health checks a second of the policy alone, with as many own connections as the operators have
-/// told.
+/// Health checks per second of one balancer's policy, with the number of connections per balancer
+/// that the operators require.
 pub fn policy_health_checks_per_second(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     inputs
         .slope(Part::Decisions, Varied::Servers, "probes_per_second")
         .at(fleet.servers)
 }
 
-/// Bytes of a call for the endpoint list that brings nothing, with its packet headers.
+/// Bytes of a call for the endpoint list that returns no change, including packet headers.
 pub fn empty_watch_bytes(inputs: &Inputs) -> f64 {
     let assumed = &inputs.assumptions.assumed;
     assumed.watch_payload_bytes.value
         + assumed.watch_packets.value * assumed.packet_header_bytes.value
 }
 
-/// Health checks a second of a balancer that health checks each server that holds a connection of
-/// its own at the longest interval.
+/// Health checks per second of a balancer that checks each server on which it holds a connection at
+/// the longest interval.
 pub fn health_checks_at_longest_interval(inputs: &Inputs, fleet: &Deployment) -> f64 {
     fleet.servers_held() / inputs.assumptions.code.probe_interval_longest_s.value
 }
 
-/// Payload and packet headers of a balancer's control, as measured and extrapolated.
+/// Control bytes per second of a balancer, including packet headers, extrapolated from the stored
+/// run.
 pub fn measured_control_bytes_per_second(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let assumed = &inputs.assumptions.assumed;
     let over_servers = |figure| {
@@ -122,7 +128,8 @@
     )
 }
 
-/// Bytes of a whole list: measured, else by the assumed size of an entry.
+/// Bytes of a full endpoint list: from the measured slope, or from the assumed size of an entry if
+/// there is none.
 pub fn full_list_bytes(inputs: &Inputs, servers: f64) -> f64 {
     let slope = inputs.slope(Part::Sockets, Varied::Servers, "list_bytes");
     slope
@@ -130,7 +137,8 @@
         .unwrap_or(servers * inputs.assumptions.assumed.list_entry_bytes.value)
 }
 
-/// Bytes of one entry of the endpoint list: measured, else assumed.
+/// Bytes of one entry of the endpoint list: the measured value, or the assumed value if there is no
+/// measured one.
 pub fn entry_bytes(inputs: &Inputs) -> f64 {
     let slope = inputs.slope(Part::Sockets, Varied::Servers, "list_bytes");
     slope
@@ -149,8 +157,8 @@
     }
 }
 
-/// Changes of the endpoint list a day: of servers only, in proportion to their part of all
-/// machines.
+/// Changes of the endpoint list per day. Only failures and restarts of servers count, taken as the
+/// servers' share of all machines.
 pub fn list_changes_per_day(inputs: &Inputs, fleet: &Deployment) -> f64 {
     let assumed = &inputs.assumptions.assumed;
     let failures = fleet.failures_per_day * assumed.list_changes_per_failure.value;
@@ -158,26 +166,26 @@
     (failures + restarts) * fleet.servers / fleet.machines()
 }
 
-/// Processor time of placing one new connection, all calls together, in microseconds.
+/// CPU time to place one new connection, in microseconds, for all calls of the policy together.
 pub fn placement_us(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     inputs
         .slope(Part::Decisions, Varied::Servers, "place_us_per_flow")
         .at(fleet.servers)
 }
 
-/// Processor time of placing, in percent of a core.
+/// CPU time of placement at one balancer, in percent of a core.
 pub fn placement_cpu_percent(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let seconds = placement_us(inputs, fleet)? / MICROSECONDS_PER_SECOND;
     Some(seconds * fleet.placements_per_second_per_balancer() * PERCENT)
 }
 
-/// Processor time of so many health checks a second, in percent of a core: what a health check more
-/// took in the run, times the health checks.
-pub fn health_check_cpu_percent(inputs: &Inputs, probes: f64) -> Option<f64> {
-    Some(per_health_check(inputs, "cpu_percent_of_core")? * probes)
+/// CPU time of a number of health checks per second, in percent of a core: the measured increase per
+/// additional health check, times their number.
+pub fn health_check_cpu_percent(inputs: &Inputs, checks_per_second: f64) -> Option<f64> {
+    Some(per_health_check(inputs, "cpu_percent_of_core")? * checks_per_second)
 }
 
-/// Bytes of one change of the configuration as it comes to one balancer.
+/// Bytes of the message that carries one configuration change to one balancer.
 pub fn change_message_bytes(inputs: &Inputs, fleet: &Deployment) -> f64 {
     fleet.change_bytes
         + inputs
@@ -187,31 +195,31 @@
             .value
 }
 
-/// Bytes a second at one balancer while a change has to come into force.
+/// Bytes per second at one balancer if a configuration change arrives within its time limit.
 pub fn change_bytes_per_second(inputs: &Inputs, fleet: &Deployment) -> f64 {
     change_message_bytes(inputs, fleet)
         / inputs.assumptions.requirements.configuration_limit_s.value
 }
 
-/// Descriptors that the process has to be allowed, as they are shared out: flows, health checks,
-/// clients that wait.
+/// File descriptors that the process must be allowed to open. They are divided among flows, health
+/// checks and waiting clients.
 pub fn descriptors_needed(inputs: &Inputs, fleet: &Deployment) -> f64 {
     let code = &inputs.assumptions.code;
     let flows = fleet.connections_per_balancer() * code.descriptors_per_flow.value;
-    let rest =
+    let flow_share =
         1.0 - code.probe_descriptor_part.value.recip() - code.waiting_descriptor_part.value.recip();
-    (flows + code.descriptors_standing.value) / rest
+    (flows + code.descriptors_standing.value) / flow_share
 }
 
-/// The policy's state of own connections.
+/// Memory of the policy's state for the connections of one balancer, in MB.
 pub fn connection_state_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let of_connection = inputs.slope(Part::Decisions, Varied::Connections, "bytes_per_connection");
-    let own = fleet.connections_per_balancer();
-    Some(of_connection.at(own)? * own / BYTES_PER_MB)
+    let connections = fleet.connections_per_balancer();
+    Some(of_connection.at(connections)? * connections / BYTES_PER_MB)
 }
 
-/// Memory for control: the process as it was on sockets with few flows, and the policy's state of
-/// own connections.
+/// Memory for control work, in MB: that of the process measured on sockets with few flows, plus the
+/// policy's state for the connections of one balancer.
 pub fn control_memory_mb(inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
     let process = inputs
         .slope(Part::Sockets, Varied::Servers, "memory_mb")
--- a/crates/testbed/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -1,4 +1,4 @@
-//! One balancer: control, placing, lists and settings, flows.
+//! Load of one balancer: control work, placement, endpoint lists, configuration and flows.
 
 mod endpoint_list;
 mod flows;
--- a/crates/testbed/src/capacity/roles/balancer/endpoint_list.rs
+++ b/crates/testbed/src/capacity/roles/balancer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! What the endpoint list and changes of the configuration cost a balancer.
+//! Cost of the endpoint list and of configuration changes at a balancer.
 
 use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
@@ -10,7 +10,7 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// What the endpoint list costs a balancer.
+/// Returns the figures of the cost of the endpoint list.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         quiet_rows(inputs),
@@ -21,7 +21,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// The list on an ordinary day.
+/// Bytes for the endpoint list on a day without unusual failures.
 fn quiet_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let bytes = inputs
         .assumptions
@@ -54,7 +54,7 @@
     ]
 }
 
-/// A whole list.
+/// Transfer of a full endpoint list.
 fn full_list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let requirements = &inputs.assumptions.requirements;
     let bytes = requirements.control_bytes_per_second.value;
@@ -89,7 +89,7 @@
     ]
 }
 
-/// The loss of a zone.
+/// Removal of the servers of a lost zone from the list.
 fn zone_loss_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let bytes = inputs
         .assumptions
@@ -113,7 +113,7 @@
     ]
 }
 
-/// The time from a change until it is seen.
+/// Time from the addition of a server until the balancer first uses it.
 fn change_time_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let change_known_within = inputs.assumptions.requirements.change_known_within_s.value;
     let seen = |varied| inputs.slope(Part::Sockets, varied, "change_seen_ms_p99");
@@ -144,7 +144,7 @@
     ]
 }
 
-/// Changes of the configuration as they would come to one balancer.
+/// Returns the figures of configuration changes that would be sent to one balancer.
 pub fn configuration_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let requirements = &inputs.assumptions.requirements;
     let bytes = requirements.control_bytes_per_second.value;
--- a/crates/testbed/src/capacity/roles/balancer/flows.rs
+++ b/crates/testbed/src/capacity/roles/balancer/flows.rs
@@ -1,4 +1,4 @@
-//! What flows cost a balancer: memory, descriptors and the processor for their lines.
+//! Cost of flows at a balancer: memory, file descriptors and CPU time.
 
 use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
@@ -10,7 +10,7 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// What flows cost a balancer.
+/// Returns the figures of the cost of flows.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         memory_rows(inputs),
@@ -21,7 +21,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// Own connections and the memory of their flows.
+/// The balancer's connections and the memory of their flows.
 fn memory_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory = inputs.slope(Part::Sockets, Varied::Connections, "memory_mb");
     let code = &inputs.assumptions.code;
@@ -59,7 +59,7 @@
     ]
 }
 
-/// Descriptors of flows, and what they leave for health checks.
+/// File descriptors needed for flows, and those available for health checks.
 fn descriptor_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
@@ -85,7 +85,7 @@
     ]
 }
 
-/// The processor for new connections.
+/// CPU time to establish new connections.
 fn set_up_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
@@ -99,7 +99,7 @@
     ]
 }
 
-/// Deliveries to listeners.
+/// Messages delivered to listeners.
 fn delivery_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let assumed = &inputs.assumptions.assumed;
     vec![
--- a/crates/testbed/src/capacity/roles/balancer/health_checks.rs
+++ b/crates/testbed/src/capacity/roles/balancer/health_checks.rs
@@ -1,5 +1,6 @@
-//! What health checks cost a balancer, three times: as the policy asks for them with the operators'
-//! own connections, as its longest interval gives them at least, and as counted on sockets.
+//! Cost of health checks at a balancer, calculated in three ways: from the health checks that the
+//! policy requests at the required number of connections per balancer, from the minimum that follows
+//! from the longest interval, and from the health checks counted on sockets.
 
 use crate::capacity::deployment::{Deployment, UnknownQuantity};
 use crate::capacity::markdown::number;
@@ -12,11 +13,11 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// How the processor for health checks is worked out, as the page says it.
+/// Text of the page that says how the CPU time of health checks is calculated.
 const PROCESSOR_BASIS: &str =
     "those probes x the ratio of slopes of processor and probes over servers (measured, sockets)";
 
-/// What health checks cost a balancer.
+/// Returns the figures of the cost of health checks.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         policy_rows(inputs),
@@ -26,7 +27,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// A figure of health checks that grows with the servers and has a budget.
+/// Creates a figure of health checks that depends on the number of servers and has a budget.
 fn health_check_row<'a>(
     quantity: &'static str,
     unit: &'static str,
@@ -39,12 +40,12 @@
         .within(budget)
 }
 
-/// How the bytes of health checks are worked out, as the page says it.
+/// Text of the page that says how the bytes of health checks are calculated.
 fn bytes_basis(inputs: &Inputs) -> String {
     format!("probes x {} bytes", number(health_check_bytes(inputs)))
 }
 
-/// Health checks a second that the budget of control bytes has room for.
+/// Health checks per second that fit into the budget of control bytes.
 fn health_checks_within_budget(inputs: &Inputs) -> f64 {
     inputs
         .assumptions
@@ -54,7 +55,7 @@
         / health_check_bytes(inputs)
 }
 
-/// Health checks as the policy asks for them.
+/// Health checks that the policy requests.
 fn policy_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let bytes = inputs
         .assumptions
@@ -99,7 +100,7 @@
     ]
 }
 
-/// Health checks as the longest interval gives them at least.
+/// Minimum of health checks, which follows from the longest interval.
 fn longest_interval_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let bytes = inputs
         .assumptions
@@ -140,7 +141,7 @@
     ]
 }
 
-/// Health checks as counted on sockets.
+/// Health checks counted on sockets.
 fn measured_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let bytes = inputs
         .assumptions
--- a/crates/testbed/src/capacity/roles/balancer/placement.rs
+++ b/crates/testbed/src/capacity/roles/balancer/placement.rs
@@ -1,4 +1,4 @@
-//! What placing new connections costs a balancer.
+//! Cost of placing new connections at a balancer.
 
 use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::mechanism::{self, Mechanism};
@@ -6,7 +6,7 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// What placing new connections costs a balancer.
+/// Returns the figures of the cost of placing new connections.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         placement_rows(inputs),
@@ -17,7 +17,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// New connections, and one placement.
+/// Rate of new connections, and the cost of one placement.
 fn placement_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let decisions = |figure| inputs.slope(Part::Decisions, Varied::Servers, figure);
     let (place, examined) = (
@@ -52,7 +52,7 @@
     ]
 }
 
-/// All calls of the policy that a new connection takes.
+/// All calls of the policy for a new connection.
 fn call_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let decisions = |figure| inputs.slope(Part::Decisions, Varied::Servers, figure);
     let (per_flow, placed) = (decisions("place_us_per_flow"), decisions("placed_share"));
@@ -85,7 +85,7 @@
     ]
 }
 
-/// The processor that placing takes.
+/// CPU time of placement.
 fn processor_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let percent_budget = inputs
         .assumptions
@@ -93,12 +93,12 @@
         .control_percent_of_core
         .value;
     let per_flow = inputs.slope(Part::Decisions, Varied::Servers, "place_us_per_flow");
-    let share = format!("{} x new connections a second", per_flow.describe());
+    let basis = format!("{} x new connections a second", per_flow.describe());
     vec![
         Row::new(
             "placing, over the servers",
             "% of a core",
-            share.clone(),
+            basis.clone(),
             |f| placement_cpu_percent(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
@@ -107,7 +107,7 @@
         Row::new(
             "placing, over the lives",
             "% of a core",
-            share,
+            basis,
             |f| placement_cpu_percent(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
--- a/crates/testbed/src/capacity/roles/balancer/state.rs
+++ b/crates/testbed/src/capacity/roles/balancer/state.rs
@@ -1,4 +1,5 @@
-//! What a balancer holds of servers and of its own connections, and would tell its peers.
+//! A balancer's state of servers and of its own connections, and the messages that it would send to
+//! peers.
 
 use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
@@ -7,7 +8,7 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// What a balancer holds of servers and of its own connections.
+/// Returns the figures of a balancer's state of servers and of its own connections.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         server_rows(inputs),
@@ -17,7 +18,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// Memory that grows with the servers.
+/// Memory that grows with the number of servers.
 fn server_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
     let memory = inputs.slope(Part::Sockets, Varied::Servers, "memory_mb");
@@ -44,7 +45,7 @@
     ]
 }
 
-/// Memory that grows with the own connections.
+/// Memory that grows with the number of the balancer's connections.
 fn connection_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
     let of_connection = inputs.slope(Part::Decisions, Varied::Connections, "bytes_per_connection");
@@ -78,7 +79,7 @@
     ]
 }
 
-/// The whole process: its memory for control and its descriptors.
+/// Memory for control work and file descriptors of the whole process.
 fn process_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
     let descriptors = inputs.slope(Part::Sockets, Varied::Servers, "descriptors");
@@ -103,7 +104,8 @@
     ]
 }
 
-/// What balancers would have to tell one another, were they to agree on holders that way.
+/// Returns the figures of the messages that balancers would need if they agreed on the holders of
+/// groups by gossip.
 pub fn peer_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let code = &inputs.assumptions.code;
     vec![
--- a/crates/testbed/src/capacity/roles/clients.rs
+++ b/crates/testbed/src/capacity/roles/clients.rs
@@ -1,4 +1,4 @@
-//! All clients, where they add up.
+//! Figures summed over all clients.
 
 use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
@@ -6,13 +6,13 @@
 use crate::capacity::needs::BYTES_PER_MB;
 use crate::capacity::row::{Inputs, Row};
 
-/// Returns the figures of all clients, where they add up.
+/// Returns the figures summed over all clients.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [connection_rows(inputs), delivery_rows(inputs), shard_rows()];
     groups.into_iter().flatten().collect()
 }
 
-/// New connections, and the lines that keep idle ones.
+/// New connections, and the lines that keep idle connections alive.
 fn connection_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let (assumed, code) = (&inputs.assumptions.assumed, &inputs.assumptions.code);
     vec![
@@ -84,7 +84,7 @@
     ]
 }
 
-/// Listeners of a shard.
+/// Listeners of a shard and the balancers that hold them.
 fn shard_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
--- a/crates/testbed/src/capacity/roles/control.rs
+++ b/crates/testbed/src/capacity/roles/control.rs
@@ -1,4 +1,4 @@
-//! The machines that are set aside for control: what they would do.
+//! Expected load of the machines dedicated to control.
 
 use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
@@ -6,7 +6,7 @@
 use crate::capacity::needs::{BYTES_PER_MB, SECONDS_PER_DAY, change_bytes_per_second};
 use crate::capacity::row::{Inputs, Row};
 
-/// Returns the figures of the machines that are set aside for control: what they would do.
+/// Returns the figures of the machines dedicated to control.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         watch_rows(),
@@ -17,7 +17,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// The balancers that a control machine watches over.
+/// Number of balancers that a control machine is responsible for.
 fn watch_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
@@ -37,9 +37,9 @@
     ]
 }
 
-/// A change of the configuration while it comes into force.
+/// Messages and bytes while a configuration change is distributed.
 fn change_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let within = inputs.assumptions.requirements.configuration_limit_s.value;
+    let limit_s = inputs.assumptions.requirements.configuration_limit_s.value;
     vec![
         Row::new(
             "messages for changes of the configuration, of all",
@@ -51,8 +51,8 @@
         Row::new(
             "messages while one change comes into force, of one",
             "a second",
-            format!("balancers / control machines / {} s", number(within)),
-            move |f| Some(f.balancers / f.control_machines / within),
+            format!("balancers / control machines / {} s", number(limit_s)),
+            move |f| Some(f.balancers / f.control_machines / limit_s),
             mechanism::CONTROL_MACHINES,
         ),
         Row::new(
@@ -71,7 +71,7 @@
     ]
 }
 
-/// Changes over a day.
+/// Frequency of configuration changes, and the size of the changes of one day.
 fn history_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
@@ -92,7 +92,7 @@
     ]
 }
 
-/// The processor of a control machine.
+/// CPU time of a control machine.
 fn processor_rows() -> Vec<Row<'static>> {
     vec![Row::new(
         "processor",
--- a/crates/testbed/src/capacity/roles/discovery.rs
+++ b/crates/testbed/src/capacity/roles/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery and its agents, all of them together.
+//! Load of discovery and its agents, summed over all of them.
 
 use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
@@ -9,7 +9,7 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// Returns the figures of discovery and its agents, all of them together.
+/// Returns the figures of discovery, summed over all of its agents.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         call_rows(inputs),
@@ -20,7 +20,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// Calls by balancers.
+/// Calls by balancers for the endpoint list.
 fn call_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let calls = inputs.slope(Part::Sockets, Varied::Servers, "list_calls_per_second");
     let answered = inputs.slope(
@@ -57,7 +57,7 @@
     ]
 }
 
-/// A list that does not change, and changes of it.
+/// Traffic while the endpoint list does not change, and messages when it changes.
 fn change_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
@@ -95,7 +95,7 @@
     ]
 }
 
-/// Whole lists for all balancers.
+/// Transfer of the full endpoint list to all balancers.
 fn full_list_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
@@ -114,8 +114,8 @@
                 number(inputs.assumptions.requirements.change_known_within_s.value)
             ),
             |f| {
-                let within = inputs.assumptions.requirements.change_known_within_s.value;
-                Some(full_list_bytes(inputs, f.servers) * f.balancers / within / BYTES_PER_MB)
+                let within_s = inputs.assumptions.requirements.change_known_within_s.value;
+                Some(full_list_bytes(inputs, f.servers) * f.balancers / within_s / BYTES_PER_MB)
             },
             mechanism::FULL_LISTS_OF_ALL_BALANCERS,
         )
@@ -123,7 +123,7 @@
     ]
 }
 
-/// What discovery itself holds and uses.
+/// Memory and CPU time of discovery itself.
 fn own_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
--- a/crates/testbed/src/capacity/roles/mod.rs
+++ b/crates/testbed/src/capacity/roles/mod.rs
@@ -1,5 +1,5 @@
-//! The figures of each role in quiet operation. Slopes come from the stored run; what it doesn't
-//! have is worked out from assumptions or told as not measured.
+//! The figures of each role in normal operation, without failures. Slopes come from the stored run.
+//! A figure that the run does not contain is calculated from assumptions or reported as not measured.
 
 pub mod balancer;
 pub mod clients;
--- a/crates/testbed/src/capacity/roles/server.rs
+++ b/crates/testbed/src/capacity/roles/server.rs
@@ -1,4 +1,4 @@
-//! One server, as far as balancers load it.
+//! Load of one server that is caused by balancers.
 
 use crate::capacity::deployment::{Deployment, UnknownQuantity};
 use crate::capacity::markdown::number;
@@ -9,7 +9,7 @@
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// Returns the figures of one server, as far as balancers load it.
+/// Returns the figures of the load that balancers cause on one server.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         connection_rows(),
@@ -20,12 +20,12 @@
     groups.into_iter().flatten().collect()
 }
 
-/// Health checks a second that a server gets from all balancers at the longest interval.
+/// Health checks per second that a server receives from all balancers at the longest interval.
 fn health_checks_per_server(inputs: &Inputs, fleet: &Deployment) -> f64 {
     health_checks_at_longest_interval(inputs, fleet) * fleet.balancers / fleet.servers
 }
 
-/// Connections that a server holds.
+/// Number of connections that a server holds.
 fn connection_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Health checks a second of all balancers.
+/// Health checks per second from all balancers.
 fn health_check_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let probes = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
     let checks_of_one_server =
@@ -66,7 +66,7 @@
     ]
 }
 
-/// What the health checks at the longest interval cost a server.
+/// Bytes, CPU time and file descriptors of a server for health checks at the longest interval.
 fn health_check_cost_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let assumed = &inputs.assumptions.assumed;
     vec![
@@ -104,7 +104,7 @@
     ]
 }
 
-/// New connections.
+/// New connections per second.
 fn set_up_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let assumed = &inputs.assumptions.assumed;
     vec![
--- a/crates/testbed/src/capacity/row.rs
+++ b/crates/testbed/src/capacity/row.rs
@@ -1,4 +1,4 @@
-//! One figure of a role: how it is worked out, what it may be and what carries it in the code.
+//! One figure of a role: how it is calculated, its budget and the mechanism behind it.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -9,17 +9,17 @@
 use super::mechanism::Mechanism;
 use super::stored_run::{Fit, Part, StoredRun, Varied};
 
-/// What the page is worked out from.
+/// The inputs that the page is calculated from.
 pub struct Inputs<'a> {
     pub assumptions: &'a Assumptions,
-    /// None until there is a stored run.
+    /// `None` if there is no stored run yet.
     pub run: Option<&'a StoredRun>,
-    /// Figures of the run that were asked for.
+    /// Figures of the run that were requested by [`Inputs::slope`].
     used: RefCell<BTreeSet<(Part, Varied, &'static str)>>,
 }
 
 impl<'a> Inputs<'a> {
-    /// Nothing has been asked for yet.
+    /// Creates inputs of which no figure was requested yet.
     pub fn new(assumptions: &'a Assumptions, run: Option<&'a StoredRun>) -> Self {
         Inputs {
             assumptions,
@@ -28,7 +28,8 @@
         }
     }
 
-    /// The slope of a figure, or that no run has it.
+    /// Returns the slope of a figure over a varied count, and records that it was requested. The slope
+    /// has no values if the run does not contain the figure.
     pub fn slope(&self, part: Part, varied: Varied, figure: &'static str) -> Slope<'a> {
         self.used.borrow_mut().insert((part, varied, figure));
         Slope {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Slopes of all figures that were asked for so far.
+    /// Returns the slopes of all figures that were requested so far.
     pub fn used(&self) -> Vec<Slope<'a>> {
         let used = self.used.borrow();
         used.iter()
@@ -53,7 +54,7 @@
     }
 }
 
-/// A figure over a count, as the stored run has it.
+/// A figure of the stored run as a function of a varied count.
 #[derive(Clone, Copy)]
 pub struct Slope<'a> {
     pub part: Part,
@@ -63,29 +64,29 @@
 }
 
 impl<'a> Slope<'a> {
-    /// The figure at a count; none where it was not measured.
+    /// Returns the value of the figure at a count, or `None` if the figure was not measured.
     pub fn at(&self, count: f64) -> Option<f64> {
         self.run?.at(self.part, self.varied, self.figure, count)
     }
 
-    /// The slope alone.
+    /// Returns the increase of the figure if the count grows by 1.
     pub fn per_unit(&self) -> Option<f64> {
         self.fit().map(|fit| fit.slope)
     }
 
-    /// The fitted line.
+    /// Returns the fitted line.
     pub fn fit(&self) -> Option<&'a Fit> {
         self.run?.fit(self.part, self.varied, self.figure)
     }
 
-    /// The largest measured size.
+    /// Returns the largest measured size of the count.
     fn largest_measured_size(&self) -> Option<f64> {
         self.run?
             .range(self.part, self.varied)
-            .map(|(_, most)| most)
+            .map(|(_, largest)| largest)
     }
 
-    /// How the page tells of it.
+    /// Returns the text of the page for this slope.
     pub fn describe(&self) -> String {
         let (figure, count, part) = (self.figure, self.varied.name(), self.part.name());
         let Some(fit) = self.fit() else {
@@ -93,7 +94,7 @@
         };
         let range = self
             .largest_measured_size()
-            .map_or(String::new(), |most| format!(", to {}", number(most)));
+            .map_or(String::new(), |largest| format!(", to {}", number(largest)));
         let sign = if fit.intercept < 0.0 { "-" } else { "+" };
         let [slope, intercept, residual] =
             [fit.slope, fit.intercept.abs(), fit.residual].map(number);
@@ -102,14 +103,14 @@
     }
 }
 
-/// Works a figure out for a fleet.
+/// Calculates a figure for a fleet.
 type Formula<'a> = Box<dyn Fn(&Deployment) -> Option<f64> + 'a>;
 
 /// One figure of a role.
 pub struct Row<'a> {
     pub quantity: &'static str,
     pub unit: &'static str,
-    /// Slope x count, or the assumption.
+    /// How the figure is calculated, as printed on the page: slope x count, or the assumption.
     pub basis: String,
     pub varies: Option<UnknownQuantity>,
     pub value: Formula<'a>,
@@ -118,7 +119,7 @@
 }
 
 impl<'a> Row<'a> {
-    /// A figure without a budget that depends on no unknown.
+    /// Creates a figure that has no budget and depends on no unknown quantity.
     pub fn new(
         quantity: &'static str,
         unit: &'static str,
@@ -138,13 +139,13 @@
         }
     }
 
-    /// It is worked out for three values of this.
+    /// Calculates the figure for the three values of an unknown quantity.
     pub fn over(mut self, unknown: UnknownQuantity) -> Self {
         self.varies = Some(unknown);
         self
     }
 
-    /// It may be no more than this.
+    /// Sets the budget, which is the maximum of the figure.
     pub fn within(mut self, budget: f64) -> Self {
         self.budget = Some(budget);
         self
@@ -161,13 +162,13 @@
         }
     }
 
-    /// How often it passes its budget at the middle values.
+    /// Returns the ratio of the figure to its budget at the middle values of the unknown quantities.
     pub fn budget_ratio(&self, fleet: &Deployment) -> Option<f64> {
         Some((self.value)(fleet)? / self.budget?)
     }
 }
 
-/// A role's table: each figure at the operators' size and at a tenth of it.
+/// Returns the table of a role: each figure at the required fleet size and at a tenth of it.
 pub fn table(
     rows: &[Row],
     assumptions: &Assumptions,
@@ -186,7 +187,7 @@
     ];
     let mut table = Table::new(&columns);
     for row in rows {
-        let share = row.budget_ratio(full);
+        let ratio = row.budget_ratio(full);
         table.row([
             row.quantity.to_string(),
             row.unit.to_string(),
@@ -194,8 +195,8 @@
             figures(&row.values(full, assumptions)),
             figures(&row.values(tenth, assumptions)),
             row.budget.map_or(String::new(), number),
-            match (row.budget, share) {
-                (Some(_), Some(share)) => format!("x {}", number(share)),
+            match (row.budget, ratio) {
+                (Some(_), Some(ratio)) => format!("x {}", number(ratio)),
                 _ => String::new(),
             },
             row.mechanism.describe(),
--- a/crates/testbed/src/capacity/storms.rs
+++ b/crates/testbed/src/capacity/storms.rs
@@ -1,5 +1,5 @@
-//! The rates of failure, each as a storm: who goes, which clients come back, at what pace and until
-//! when.
+//! Failures as reconnect storms. For each kind of failure: its rate, the machines that are lost, the
+//! clients that reconnect, their rate, and the time until all are placed again.
 
 use super::deployment::{Deployment, UnknownQuantity};
 use super::markdown::{NOT_MEASURED, Table, figure, figures, number};
@@ -10,14 +10,15 @@
 const DAYS_PER_YEAR: f64 = 365.0;
 const MS_PER_SECOND: f64 = 1e3;
 
-/// What fails.
+/// One kind of failure and the reconnects that follow it.
 struct Storm {
     name: &'static str,
     per_year: fn(&Inputs, &Deployment) -> f64,
     balancers_lost: fn(&Inputs, &Deployment) -> f64,
     servers_lost: fn(&Inputs, &Deployment) -> f64,
-    clients: fn(&Inputs, &Deployment) -> f64,
-    /// Whether clients are told to go, and needn't notice a silence first.
+    returning_clients: fn(&Inputs, &Deployment) -> f64,
+    /// Whether clients are told to reconnect. Otherwise they must first detect that their connection
+    /// is lost.
     announced: bool,
 }
 
@@ -47,7 +48,7 @@
         per_year: |_, f| f.failures_per_day * DAYS_PER_YEAR * balancer_share(f),
         balancers_lost: one,
         servers_lost: none,
-        clients: |_, f| f.connections_per_balancer(),
+        returning_clients: |_, f| f.connections_per_balancer(),
         announced: false,
     },
     Storm {
@@ -55,7 +56,7 @@
         per_year: |_, f| f.failures_per_day * DAYS_PER_YEAR * server_share(f),
         balancers_lost: none,
         servers_lost: one,
-        clients: |_, f| f.connections_per_server(),
+        returning_clients: |_, f| f.connections_per_server(),
         announced: false,
     },
     Storm {
@@ -63,7 +64,7 @@
         per_year: |_, f| f.restarts_per_day * DAYS_PER_YEAR * balancer_share(f),
         balancers_lost: one,
         servers_lost: none,
-        clients: |_, f| f.connections_per_balancer(),
+        returning_clients: |_, f| f.connections_per_balancer(),
         announced: true,
     },
     Storm {
@@ -71,7 +72,7 @@
         per_year: |_, f| f.restarts_per_day * DAYS_PER_YEAR * server_share(f),
         balancers_lost: none,
         servers_lost: one,
-        clients: |_, f| f.connections_per_server(),
+        returning_clients: |_, f| f.connections_per_server(),
         announced: true,
     },
     Storm {
@@ -79,7 +80,7 @@
         per_year: |i, _| i.assumptions.requirements.racks_per_year.value,
         balancers_lost: machines_per_rack,
         servers_lost: none,
-        clients: |i, f| machines_per_rack(i, f) * f.connections_per_balancer(),
+        returning_clients: |i, f| machines_per_rack(i, f) * f.connections_per_balancer(),
         announced: false,
     },
     Storm {
@@ -87,7 +88,7 @@
         per_year: |i, _| i.assumptions.requirements.racks_per_year.value,
         balancers_lost: none,
         servers_lost: machines_per_rack,
-        clients: |i, f| machines_per_rack(i, f) * f.connections_per_server(),
+        returning_clients: |i, f| machines_per_rack(i, f) * f.connections_per_server(),
         announced: false,
     },
     Storm {
@@ -95,7 +96,7 @@
         per_year: |i, _| i.assumptions.requirements.zones_per_year.value,
         balancers_lost: |_, f| f.balancers / f.zones,
         servers_lost: |_, f| f.servers / f.zones,
-        clients: |_, f| f.zone_clients,
+        returning_clients: |_, f| f.zone_clients,
         announced: false,
     },
     Storm {
@@ -103,8 +104,8 @@
         per_year: |i, _| i.assumptions.requirements.region_cuts_per_year.value,
         balancers_lost: none,
         servers_lost: none,
-        // Those that cross on the way in and those that cross on the way out.
-        clients: |i, f| {
+        // Connections that cross into the region and connections that cross out of it.
+        returning_clients: |i, f| {
             2.0 * i.assumptions.assumed.crossing_share.value * f.connections / f.regions
         },
         announced: false,
@@ -121,55 +122,60 @@
     }
 
     fn clients_per_balancer(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
-        (self.clients)(inputs, fleet) / self.balancers_left(inputs, fleet)
+        (self.returning_clients)(inputs, fleet) / self.balancers_left(inputs, fleet)
     }
 
     fn clients_per_server(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
-        (self.clients)(inputs, fleet) / self.servers_left(inputs, fleet)
+        (self.returning_clients)(inputs, fleet) / self.servers_left(inputs, fleet)
     }
 
-    /// Seconds in which a balancer's window lets them all out: it starts narrow and each that is
-    /// established widens it by one, so that it doubles with each round.
-    fn window_growth_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
+    /// Seconds until a balancer's limit of attempts in flight has admitted all of its reconnecting
+    /// clients. The limit starts low, and each established connection raises it by 1. It therefore
+    /// doubles in each round of attempts.
+    fn limit_growth_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
         let code = &inputs.assumptions.code;
-        let most = code.attempts_in_flight_most.value;
-        let start = (code.attempts_in_flight_fleet.value / fleet.balancers).clamp(1.0, most);
-        let rounds = (self.clients_per_balancer(inputs, fleet) / start + 1.0).log2();
+        let initial_limit_max = code.attempts_in_flight_most.value;
+        let initial_limit =
+            (code.attempts_in_flight_fleet.value / fleet.balancers).clamp(1.0, initial_limit_max);
+        let rounds = (self.clients_per_balancer(inputs, fleet) / initial_limit + 1.0).log2();
         rounds * inputs.assumptions.assumed.attempt_ms.value / MS_PER_SECOND
     }
 
-    /// The same once the window has been halved: it widens by one a round from then on.
-    fn halved_window_growth_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
+    /// Like [`Self::limit_growth_s`], but after the limit has been halved. From then on it grows by 1
+    /// per round.
+    fn halved_limit_growth_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
         let rounds = (2.0 * self.clients_per_balancer(inputs, fleet)).sqrt();
         rounds * inputs.assumptions.assumed.attempt_ms.value / MS_PER_SECOND
     }
 
-    /// Seconds in which servers set them up.
+    /// Seconds until the servers have accepted all reconnecting clients.
     fn server_accept_s(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
         self.clients_per_server(inputs, fleet)
             / inputs.assumptions.assumed.server_attempts_per_second.value
     }
 
-    /// Seconds of a whole core to place them all, at the time that one takes in quiet operation.
+    /// CPU seconds of a balancer to place all of its reconnecting clients, at the CPU time per
+    /// placement that was measured in normal operation. `None` if it was not measured.
     fn decision_s(&self, inputs: &Inputs, fleet: &Deployment) -> Option<f64> {
-        let placement = placement_us(inputs, fleet)?;
-        Some(self.clients_per_balancer(inputs, fleet) * placement / MICROSECONDS_PER_SECOND)
+        let per_client_us = placement_us(inputs, fleet)?;
+        Some(self.clients_per_balancer(inputs, fleet) * per_client_us / MICROSECONDS_PER_SECOND)
     }
 
-    /// Seconds until all are placed again; at least, where the time to decide was not measured.
-    fn time_to_placed_s(&self, inputs: &Inputs, fleet: &Deployment, window_growth_s: f64) -> f64 {
+    /// Seconds until all reconnecting clients are placed again. This is a lower bound if the CPU time
+    /// per placement was not measured.
+    fn time_to_placed_s(&self, inputs: &Inputs, fleet: &Deployment, limit_growth_s: f64) -> f64 {
         let detection_s = if self.announced {
             0.0
         } else {
             inputs.assumptions.assumed.notice_s.value
         };
-        let decide = self.decision_s(inputs, fleet).unwrap_or(0.0);
-        let slowest = fleet
+        let decision_s = self.decision_s(inputs, fleet).unwrap_or(0.0);
+        let slowest_s = fleet
             .return_spread_s
-            .max(window_growth_s)
+            .max(limit_growth_s)
             .max(self.server_accept_s(inputs, fleet))
-            .max(decide);
-        detection_s + slowest
+            .max(decision_s);
+        detection_s + slowest_s
     }
 
     fn list_entries(&self, inputs: &Inputs, fleet: &Deployment) -> f64 {
@@ -177,7 +183,7 @@
     }
 }
 
-/// The storms at one size.
+/// Returns the table of all storms at one fleet size.
 pub fn table(inputs: &Inputs, fleet: &Deployment) -> String {
     let columns = [
         "storm",
@@ -215,7 +221,7 @@
         .requirements
         .control_bytes_per_second
         .value;
-    let least = if storm.decision_s(inputs, fleet).is_none() {
+    let lower_bound_prefix = if storm.decision_s(inputs, fleet).is_none() {
         "at least "
     } else {
         ""
@@ -225,25 +231,25 @@
         number((storm.per_year)(inputs, fleet)),
         number((storm.balancers_lost)(inputs, fleet)),
         number((storm.servers_lost)(inputs, fleet)),
-        number((storm.clients)(inputs, fleet)),
+        number((storm.returning_clients)(inputs, fleet)),
         number(storm.clients_per_balancer(inputs, fleet)),
         over_spread(&|case| storm.clients_per_balancer(inputs, case) / case.return_spread_s),
         over_spread(&|case| storm.clients_per_server(inputs, case) / case.return_spread_s),
         figure(storm.decision_s(inputs, fleet)),
         format!(
-            "{least}{}",
+            "{lower_bound_prefix}{}",
             over_spread(&|case| storm.time_to_placed_s(
                 inputs,
                 case,
-                storm.window_growth_s(inputs, case)
+                storm.limit_growth_s(inputs, case)
             ))
         ),
         format!(
-            "{least}{}",
+            "{lower_bound_prefix}{}",
             over_spread(&|case| storm.time_to_placed_s(
                 inputs,
                 case,
-                storm.halved_window_growth_s(inputs, case)
+                storm.halved_limit_growth_s(inputs, case)
             ))
         ),
         number(bytes),
@@ -252,7 +258,7 @@
     ]
 }
 
-/// The storms that the stored run has played, as it stored them.
+/// Returns the table of the storms that were simulated in the stored run, with their stored figures.
 pub fn measured_table(inputs: &Inputs) -> String {
     let points: Vec<_> = inputs
         .run
