--- a/crates/testbed/src/capacity/gaps.rs
+++ b/crates/testbed/src/capacity/gaps.rs
@@ -138,7 +138,7 @@
     let requirements = &inputs.assumptions.requirements;
     let bytes = requirements.control_bytes_per_second.value;
     let percent = requirements.control_percent_of_core.value;
-    let of_policy = policy_health_checks_per_second(inputs, fleet);
+    let policy_checks = policy_health_checks_per_second(inputs, fleet);
     let at_longest_interval = health_checks_at_longest_interval(inputs, fleet);
     let without_remedy = |gap| Gap {
         without_remedy: true,
@@ -147,7 +147,7 @@
     vec![
         continuous_gap(
             "bytes a second of the policy's health checks, measured with the operators' own connections",
-            of_policy.map(|checks| checks * health_check_bytes(inputs)),
+            policy_checks.map(|checks| checks * health_check_bytes(inputs)),
             bytes,
         ),
         without_remedy(continuous_gap(
@@ -157,7 +157,7 @@
         )),
         continuous_gap(
             "% of a core for the policy's health checks",
-            of_policy.and_then(|checks| health_check_cpu_percent(inputs, checks)),
+            policy_checks.and_then(|checks| health_check_cpu_percent(inputs, checks)),
             percent,
         ),
         without_remedy(continuous_gap(
--- a/crates/testbed/src/capacity/needs.rs
+++ b/crates/testbed/src/capacity/needs.rs
@@ -105,8 +105,8 @@
         + assumed.watch_packets.value * assumed.packet_header_bytes.value
 }
 
-/// Health checks per second of a balancer that checks each server on which it holds a connection at
-/// the longest interval.
+/// Health checks per second of a balancer that checks, at the longest interval, each server on which
+/// it holds a connection.
 pub fn health_checks_at_longest_interval(inputs: &Inputs, fleet: &Deployment) -> f64 {
     fleet.servers_held() / inputs.assumptions.code.probe_interval_longest_s.value
 }
@@ -120,11 +120,11 @@
             .slope(Part::Sockets, Varied::Servers, figure)
             .at(fleet.servers)
     };
-    let probes = over_servers("probes_per_second")? * assumed.probe_packets.value;
-    let calls = over_servers("list_calls_per_second")? * assumed.watch_packets.value;
+    let check_packets = over_servers("probes_per_second")? * assumed.probe_packets.value;
+    let call_packets = over_servers("list_calls_per_second")? * assumed.watch_packets.value;
     Some(
         over_servers("control_bytes_per_second")?
-            + (probes + calls) * assumed.packet_header_bytes.value,
+            + (check_packets + call_packets) * assumed.packet_header_bytes.value,
     )
 }
 
--- a/crates/testbed/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -13,7 +13,7 @@
     let groups = [
         health_checks::rows(inputs),
         state::rows(inputs),
-        state::peer_rows(inputs),
+        state::gossip_rows(inputs),
         placement::rows(inputs),
         endpoint_list::rows(inputs),
         endpoint_list::configuration_rows(inputs),
--- a/crates/testbed/src/capacity/roles/balancer/endpoint_list.rs
+++ b/crates/testbed/src/capacity/roles/balancer/endpoint_list.rs
@@ -13,7 +13,7 @@
 /// Returns the figures of the cost of the endpoint list.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
-        quiet_rows(inputs),
+        ordinary_day_rows(inputs),
         full_list_rows(inputs),
         zone_loss_rows(inputs),
         change_time_rows(inputs),
@@ -21,8 +21,8 @@
     groups.into_iter().flatten().collect()
 }
 
-/// Bytes for the endpoint list on a day without unusual failures.
-fn quiet_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+/// Bytes for the endpoint list on an ordinary day.
+fn ordinary_day_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let bytes = inputs
         .assumptions
         .requirements
--- a/crates/testbed/src/capacity/roles/balancer/flows.rs
+++ b/crates/testbed/src/capacity/roles/balancer/flows.rs
@@ -15,7 +15,7 @@
     let groups = [
         memory_rows(inputs),
         descriptor_rows(inputs),
-        set_up_rows(inputs),
+        connect_rows(inputs),
         delivery_rows(inputs),
     ];
     groups.into_iter().flatten().collect()
@@ -86,7 +86,7 @@
 }
 
 /// CPU time to establish new connections.
-fn set_up_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+fn connect_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
             "processor for setting connections up",
--- a/crates/testbed/src/capacity/roles/balancer/placement.rs
+++ b/crates/testbed/src/capacity/roles/balancer/placement.rs
@@ -11,7 +11,7 @@
     let groups = [
         placement_rows(inputs),
         call_rows(inputs),
-        processor_rows(inputs),
+        cpu_rows(inputs),
         topic_rows(),
     ];
     groups.into_iter().flatten().collect()
@@ -86,7 +86,7 @@
 }
 
 /// CPU time of placement.
-fn processor_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+fn cpu_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let percent_budget = inputs
         .assumptions
         .requirements
--- a/crates/testbed/src/capacity/roles/balancer/state.rs
+++ b/crates/testbed/src/capacity/roles/balancer/state.rs
@@ -106,7 +106,7 @@
 
 /// Returns the figures of the messages that balancers would need if they agreed on the holders of
 /// groups by gossip.
-pub fn peer_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+pub fn gossip_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let code = &inputs.assumptions.code;
     vec![
         Row::new(
--- a/crates/testbed/src/capacity/roles/control.rs
+++ b/crates/testbed/src/capacity/roles/control.rs
@@ -9,16 +9,16 @@
 /// Returns the figures of the machines dedicated to control.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
-        watch_rows(),
+        balancer_rows(),
         change_rows(inputs),
         history_rows(),
-        processor_rows(),
+        cpu_rows(),
     ];
     groups.into_iter().flatten().collect()
 }
 
 /// Number of balancers that a control machine is responsible for.
-fn watch_rows() -> Vec<Row<'static>> {
+fn balancer_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
             "balancers that one watches over",
@@ -93,7 +93,7 @@
 }
 
 /// CPU time of a control machine.
-fn processor_rows() -> Vec<Row<'static>> {
+fn cpu_rows() -> Vec<Row<'static>> {
     vec![Row::new(
         "processor",
         "% of a core",
--- a/crates/testbed/src/capacity/roles/discovery.rs
+++ b/crates/testbed/src/capacity/roles/discovery.rs
@@ -15,7 +15,7 @@
         call_rows(inputs),
         change_rows(inputs),
         full_list_rows(inputs),
-        own_rows(inputs),
+        discovery_rows(inputs),
     ];
     groups.into_iter().flatten().collect()
 }
@@ -124,7 +124,7 @@
 }
 
 /// Memory and CPU time of discovery itself.
-fn own_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+fn discovery_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     vec![
         Row::new(
             "state held",
--- a/crates/testbed/src/capacity/roles/server.rs
+++ b/crates/testbed/src/capacity/roles/server.rs
@@ -15,7 +15,7 @@
         connection_rows(),
         health_check_rows(inputs),
         health_check_cost_rows(inputs),
-        set_up_rows(inputs),
+        connect_rows(inputs),
     ];
     groups.into_iter().flatten().collect()
 }
@@ -43,14 +43,14 @@
 
 /// Health checks per second from all balancers.
 fn health_check_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let probes = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
+    let policy_checks = inputs.slope(Part::Decisions, Varied::Servers, "probes_per_second");
     let checks_of_one_server =
-        move |f: &Deployment| Some(probes.at(f.servers)? * f.balancers / f.servers);
+        move |f: &Deployment| Some(policy_checks.at(f.servers)? * f.balancers / f.servers);
     vec![
         Row::new(
             "the policy's health checks, of all balancers",
             "a second",
-            format!("{} x balancers / servers", probes.describe()),
+            format!("{} x balancers / servers", policy_checks.describe()),
             checks_of_one_server,
             mechanism::FLEET_HEALTH_CHECK_BUDGET,
         )
@@ -105,7 +105,7 @@
 }
 
 /// New connections per second.
-fn set_up_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+fn connect_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let assumed = &inputs.assumptions.assumed;
     vec![
         Row::new(
--- a/crates/testbed/src/capacity/stored_run.rs
+++ b/crates/testbed/src/capacity/stored_run.rs
@@ -137,7 +137,7 @@
         let pairs = values.iter().zip(values.iter().skip(1));
         let enclosing = pairs
             .into_iter()
-            .find(|((least, _), (most, _))| (*least..=*most).contains(&count));
+            .find(|((size, _), (next_size, _))| (*size..=*next_size).contains(&count));
         match enclosing {
             Some(((size, value), (next_size, next_value))) if next_size > size => {
                 Some(value + (next_value - value) * (count - size) / (next_size - size))
--- a/crates/testbed/src/capacity/storms.rs
+++ b/crates/testbed/src/capacity/storms.rs
@@ -258,7 +258,7 @@
     ]
 }
 
-/// Returns the table of the storms that were simulated in the stored run, with their stored figures.
+/// Returns the table of the storms of the stored run, with their figures as stored.
 pub fn measured_table(inputs: &Inputs) -> String {
     let points: Vec<_> = inputs
         .run
