--- a/crates/testbed/src/capacity/roles/balancer.rs
+++ b/crates/testbed/src/capacity/roles/balancer.rs
@@ -1,4 +1,4 @@
-//! One balancer: control, placing, lists and settings, flows.
+//! Load of one balancer: control work, placement, endpoint lists, configuration and flows.
 
 mod endpoint_list;
 mod flows;
@@ -13,7 +13,7 @@
     let groups = [
         health_checks::rows(inputs),
         state::rows(inputs),
-        state::peer_rows(inputs),
+        state::gossip_rows(inputs),
         placement::rows(inputs),
         endpoint_list::rows(inputs),
         endpoint_list::configuration_rows(inputs),
--- a/crates/testbed/src/capacity/roles/balancer/placement.rs
+++ b/crates/testbed/src/capacity/roles/balancer/placement.rs
@@ -1,23 +1,23 @@
-//! What placing new connections costs a balancer.
+//! Cost of placing new connections at a balancer.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::mechanism::{self, Mechanism};
-use crate::capacity::needs::{placement_percent, placement_us};
+use crate::capacity::needs::{placement_cpu_percent, placement_us};
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// What placing new connections costs a balancer.
+/// Returns the figures of the cost of placing new connections.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         placement_rows(inputs),
         call_rows(inputs),
-        processor_rows(inputs),
+        cpu_rows(inputs),
         topic_rows(),
     ];
     groups.into_iter().flatten().collect()
 }
 
-/// New connections, and one placement.
+/// Rate of new connections, and the cost of one placement.
 fn placement_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let decisions = |figure| inputs.slope(Part::Decisions, Varied::Servers, figure);
     let (place, examined) = (
@@ -29,10 +29,10 @@
             "new connections",
             "a second",
             "connections / balancers / life (three lives)",
-            |f| Some(f.own_placements_per_second()),
+            |f| Some(f.placements_per_second_per_balancer()),
             Mechanism::Present("crates/dataplane/src/dispatcher.rs"),
         )
-        .over(Unknown::ConnectionLife),
+        .over(UnknownQuantity::ConnectionLife),
         Row::new(
             "servers looked at for one placement",
             "",
@@ -40,7 +40,7 @@
             move |f| examined.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "one placement",
             "us",
@@ -48,11 +48,11 @@
             move |f| place.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
-/// All calls of the policy that a new connection takes.
+/// All calls of the policy for a new connection.
 fn call_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let decisions = |figure| inputs.slope(Part::Decisions, Varied::Servers, figure);
     let (per_flow, placed) = (decisions("place_us_per_flow"), decisions("placed_share"));
@@ -65,7 +65,7 @@
             |f| placement_us(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "part of new connections that are placed",
             "",
@@ -73,7 +73,7 @@
             move |f| placed.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
         Row::new(
             "calls for one placement",
             "",
@@ -81,37 +81,37 @@
             move |f| calls.at(f.servers),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
-/// The processor that placing takes.
-fn processor_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+/// CPU time of placement.
+fn cpu_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let percent_budget = inputs
         .assumptions
         .requirements
         .control_percent_of_core
         .value;
     let per_flow = inputs.slope(Part::Decisions, Varied::Servers, "place_us_per_flow");
-    let share = format!("{} x new connections a second", per_flow.describe());
+    let basis = format!("{} x new connections a second", per_flow.describe());
     vec![
         Row::new(
             "placing, over the servers",
             "% of a core",
-            share.clone(),
-            |f| placement_percent(inputs, f),
+            basis.clone(),
+            |f| placement_cpu_percent(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(percent_budget),
         Row::new(
             "placing, over the lives",
             "% of a core",
-            share,
-            |f| placement_percent(inputs, f),
+            basis,
+            |f| placement_cpu_percent(inputs, f),
             mechanism::BOUNDED_CANDIDATES,
         )
-        .over(Unknown::ConnectionLife)
+        .over(UnknownQuantity::ConnectionLife)
         .within(percent_budget),
     ]
 }
@@ -130,9 +130,9 @@
             "servers that the largest topic needs",
             "",
             "listeners / a server's mean of connections",
-            |f| Some(f.largest_topic_listeners / f.server_connections()),
+            |f| Some(f.largest_topic_listeners / f.connections_per_server()),
             mechanism::LARGE_TOPICS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
--- a/crates/testbed/src/capacity/roles/balancer/state.rs
+++ b/crates/testbed/src/capacity/roles/balancer/state.rs
@@ -1,13 +1,14 @@
-//! What a balancer holds of servers and of its own connections, and would tell its peers.
+//! A balancer's state of servers and of its own connections, and the messages that it would send to
+//! peers.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism::{self, Mechanism};
-use crate::capacity::needs::{BYTES_PER_MB, control_memory_mb, own_state_mb};
+use crate::capacity::needs::{BYTES_PER_MB, connection_state_mb, control_memory_mb};
 use crate::capacity::row::{Inputs, Row};
 use crate::capacity::stored_run::{Part, Varied};
 
-/// What a balancer holds of servers and of its own connections.
+/// Returns the figures of a balancer's state of servers and of its own connections.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
         server_rows(inputs),
@@ -17,7 +18,7 @@
     groups.into_iter().flatten().collect()
 }
 
-/// Memory that grows with the servers.
+/// Memory that grows with the number of servers.
 fn server_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
     let memory = inputs.slope(Part::Sockets, Varied::Servers, "memory_mb");
@@ -28,9 +29,9 @@
             "MB",
             memory.describe(),
             move |f| memory.at(f.servers),
-            mechanism::STACK_PER_PROBE,
+            mechanism::HEALTH_CHECK_STACKS,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(memory_budget),
         Row::new(
             "the policy's state of servers",
@@ -39,12 +40,12 @@
             move |f| Some(of_server.at(f.servers)? * f.servers / BYTES_PER_MB),
             Mechanism::Present("`Server` in crates/policy/src/endpoints.rs"),
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(memory_budget),
     ]
 }
 
-/// Memory that grows with the own connections.
+/// Memory that grows with the number of the balancer's connections.
 fn connection_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
     let of_connection = inputs.slope(Part::Decisions, Varied::Connections, "bytes_per_connection");
@@ -58,7 +59,7 @@
             "the policy's state of own connections",
             "MB",
             format!("{} x own connections", of_connection.describe()),
-            |f| own_state_mb(inputs, f),
+            |f| connection_state_mb(inputs, f),
             Mechanism::Present("`ConnectionTable` in crates/policy/src/connections.rs"),
         )
         .within(memory_budget),
@@ -66,14 +67,19 @@
             "the flow table",
             "MB",
             format!("{} x own connections", in_table.describe()),
-            move |f| Some(in_table.at(f.own_connections())? * f.own_connections() / BYTES_PER_MB),
+            move |f| {
+                Some(
+                    in_table.at(f.connections_per_balancer())? * f.connections_per_balancer()
+                        / BYTES_PER_MB,
+                )
+            },
             Mechanism::Present("crates/flow-table/src/table.rs"),
         )
         .within(memory_budget),
     ]
 }
 
-/// The whole process: its memory for control and its descriptors.
+/// Memory for control work and file descriptors of the whole process.
 fn process_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let memory_budget = inputs.assumptions.requirements.control_memory_mb.value;
     let descriptors = inputs.slope(Part::Sockets, Varied::Servers, "descriptors");
@@ -83,23 +89,24 @@
             "MB",
             "sum of both rows above",
             |f| control_memory_mb(inputs, f),
-            mechanism::STACK_PER_PROBE,
+            mechanism::HEALTH_CHECK_STACKS,
         )
-        .over(Unknown::Servers)
+        .over(UnknownQuantity::Servers)
         .within(memory_budget),
         Row::new(
             "descriptors on sockets, with the run's few flows",
             "",
             descriptors.describe(),
             move |f| descriptors.at(f.servers),
-            mechanism::PROBE_CONNECTIONS,
+            mechanism::HEALTH_CHECK_CONNECTIONS,
         )
-        .over(Unknown::Servers),
+        .over(UnknownQuantity::Servers),
     ]
 }
 
-/// What balancers would have to tell one another, were they to agree on holders that way.
-pub fn peer_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
+/// Returns the figures of the messages that balancers would need if they agreed on the holders of
+/// groups by gossip.
+pub fn gossip_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let code = &inputs.assumptions.code;
     vec![
         Row::new(
--- a/crates/testbed/src/capacity/roles/control.rs
+++ b/crates/testbed/src/capacity/roles/control.rs
@@ -1,24 +1,24 @@
-//! The machines that are set aside for control: what they would do.
+//! Expected load of the machines dedicated to control.
 
-use crate::capacity::deployment::Unknown;
+use crate::capacity::deployment::UnknownQuantity;
 use crate::capacity::markdown::number;
 use crate::capacity::mechanism;
 use crate::capacity::needs::{BYTES_PER_MB, SECONDS_PER_DAY, change_bytes_per_second};
 use crate::capacity::row::{Inputs, Row};
 
-/// Returns the figures of the machines that are set aside for control: what they would do.
+/// Returns the figures of the machines dedicated to control.
 pub fn rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
     let groups = [
-        watch_rows(),
+        balancer_rows(),
         change_rows(inputs),
         history_rows(),
-        processor_rows(),
+        cpu_rows(),
     ];
     groups.into_iter().flatten().collect()
 }
 
-/// The balancers that a control machine watches over.
-fn watch_rows() -> Vec<Row<'static>> {
+/// Number of balancers that a control machine is responsible for.
+fn balancer_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
             "balancers that one watches over",
@@ -37,9 +37,9 @@
     ]
 }
 
-/// A change of the configuration while it comes into force.
+/// Messages and bytes while a configuration change is distributed.
 fn change_rows<'a>(inputs: &'a Inputs) -> Vec<Row<'a>> {
-    let within = inputs.assumptions.requirements.configuration_limit_s.value;
+    let limit_s = inputs.assumptions.requirements.configuration_limit_s.value;
     vec![
         Row::new(
             "messages for changes of the configuration, of all",
@@ -51,8 +51,8 @@
         Row::new(
             "messages while one change comes into force, of one",
             "a second",
-            format!("balancers / control machines / {} s", number(within)),
-            move |f| Some(f.balancers / f.control_machines / within),
+            format!("balancers / control machines / {} s", number(limit_s)),
+            move |f| Some(f.balancers / f.control_machines / limit_s),
             mechanism::CONTROL_MACHINES,
         ),
         Row::new(
@@ -67,11 +67,11 @@
             },
             mechanism::CONTROL_MACHINES,
         )
-        .over(Unknown::ChangeBytes),
+        .over(UnknownQuantity::ChangeBytes),
     ]
 }
 
-/// Changes over a day.
+/// Frequency of configuration changes, and the size of the changes of one day.
 fn history_rows() -> Vec<Row<'static>> {
     vec![
         Row::new(
@@ -88,12 +88,12 @@
             |f| Some(f.configuration_changes_per_day * f.change_bytes / BYTES_PER_MB),
             mechanism::CONTROL_MACHINES,
         )
-        .over(Unknown::ChangeBytes),
+        .over(UnknownQuantity::ChangeBytes),
     ]
 }
 
-/// The processor of a control machine.
-fn processor_rows() -> Vec<Row<'static>> {
+/// CPU time of a control machine.
+fn cpu_rows() -> Vec<Row<'static>> {
     vec![Row::new(
         "processor",
         "% of a core",
