--- a/crates/testbed/src/scale/error.rs
+++ b/crates/testbed/src/scale/error.rs
@@ -1,4 +1,4 @@
-//! Why a scale run ends early, and why a size cannot be measured.
+//! Errors that end a scale run early, and errors in the measurement of a size.
 
 use std::fmt;
 use std::io;
@@ -9,22 +9,22 @@
 use super::measurement::{Part, Varied};
 use crate::file_error::FileError;
 
-/// Why a run ended before its end. What was measured up to then is written.
+/// Why a run ended early. The measurements up to then are written.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleRunError {
-    /// A size that would pass a limit and was not begun.
+    /// A size would exceed a limit and was not started.
     #[error("{} with {} = {size} {exceeded}; stopped before it", .part.name(), .varied.name())]
     Limit {
         /// The part of the run.
         part: Part,
         /// The count that grows.
         varied: Varied,
-        /// The size that would pass the limit.
+        /// The size that would exceed the limit.
         size: f64,
-        /// The limit.
+        /// The limit and the need that exceeds it.
         exceeded: Exceeded,
     },
-    /// A size that could not be measured.
+    /// A size could not be measured.
     #[error("{} with {} = {size}: {source}", .part.name(), .varied.name())]
     Measurement {
         /// The part of the run.
@@ -36,43 +36,43 @@
         /// Why it could not be measured.
         source: MeasurementError,
     },
-    /// A line of the run that could not be written.
-    #[error("the run's lines can't be written: {0}")]
+    /// A line of the run could not be written.
+    #[error("cannot write the lines of the run: {0}")]
     Write(#[source] io::Error),
 }
 
 /// Why a size could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasurementError {
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The threads of the fleet did not start.
-    #[error("can't start threads: {0}")]
+    /// The threads of the fleet could not be started.
+    #[error("cannot start the threads of the fleet: {0}")]
     Threads(#[source] io::Error),
-    /// The simulated servers did not start.
-    #[error("hollow servers: {0}")]
+    /// The simulated servers could not be started.
+    #[error("cannot start the simulated servers: {0}")]
     Servers(#[source] io::Error),
-    /// The stand-in discovery service did not start.
-    #[error("discovery: {0}")]
+    /// The simulated discovery service could not be started.
+    #[error("cannot start the simulated discovery service: {0}")]
     Discovery(#[source] io::Error),
-    /// A file of the run or the balancer's program cannot be used.
+    /// A file of the run could not be accessed, or the balancer's program could not be started.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A balancer that did not answer in time.
-    #[error("balancer {number} isn't ready:\n{log_end}")]
+    /// A balancer did not answer in time after its start.
+    #[error("balancer {number} isn't ready in time:\n{log_end}")]
     NotReady {
         /// The balancer's number.
         number: usize,
         /// The end of its log.
         log_end: String,
     },
-    /// Balancers that ended by themselves.
+    /// Balancers exited unexpectedly.
     #[error(transparent)]
     Died(#[from] BalancersDied),
 }
 
-/// Balancers that ended by themselves, at least one.
+/// The balancers that exited unexpectedly, at least one.
 #[derive(Debug, thiserror::Error)]
 pub struct BalancersDied(pub Vec<DeadBalancer>);
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// A balancer that ended by itself.
+/// A balancer that exited unexpectedly.
 #[derive(Debug, thiserror::Error)]
 #[error("balancer {number} died:\n{log_end}")]
 pub struct DeadBalancer {
--- a/crates/testbed/src/scale/fit.rs
+++ b/crates/testbed/src/scale/fit.rs
@@ -1,38 +1,39 @@
-//! Straight lines through measurements by least squares. It owns nothing.
+//! Least-squares fits of straight lines through measurements.
 
-/// A straight line, and the root mean square of what it misses the points by.
+/// A straight line, and the root mean square of its residuals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
     /// The value at zero.
     pub intercept: f64,
-    /// How much the value grows with one more.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// The root mean square of what the line misses by.
+    /// Root mean square of the residuals.
     pub residual: f64,
 }
 
-/// The line with the least sum of squares; none through fewer than two different sizes.
+/// Returns the line with the lowest sum of squared residuals, or `None` for fewer than two different
+/// sizes.
 pub fn least_squares(points: &[(f64, f64)]) -> Option<LinearFit> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if points.len() < 2 || spread <= 0.0 {
+    let x_deviation_squares: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    if points.len() < 2 || x_deviation_squares <= 0.0 {
         return None;
     }
-    let together: f64 = points
+    let xy_deviation_products: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let slope = together / spread;
+    let slope = xy_deviation_products / x_deviation_squares;
     let intercept = mean_y - slope * mean_x;
-    let missed: f64 = points
+    let residual_squares: f64 = points
         .iter()
         .map(|(x, y)| (y - intercept - slope * x).powi(2))
         .sum();
     Some(LinearFit {
         intercept,
         slope,
-        residual: (missed / count).sqrt(),
+        residual: (residual_squares / count).sqrt(),
     })
 }
--- a/crates/testbed/src/scale/measurement.rs
+++ b/crates/testbed/src/scale/measurement.rs
@@ -1,6 +1,6 @@
-//! What a scale run writes: one JSON object a line, each whole and flushed before the next size
-//! begins, so that a run that is cut off leaves whole lines only. It owns the form, which
-//! docs/operators/scale.md describes.
+//! The output of a scale run: one JSON object per line. Each line is complete and flushed before the
+//! next size begins, so that an interrupted run leaves complete lines only. This module owns the
+//! format, which docs/operators/scale.md describes.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -10,7 +10,7 @@
 
 use super::scenario::Counts;
 
-/// The part of a run that a measurement is from.
+/// The part of a run that a measurement belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Part {
@@ -19,12 +19,12 @@
     Decisions,
     /// Real balancers on loopback sockets.
     Sockets,
-    /// Failures of many processes at once.
+    /// Failures or replacements of many processes at once.
     Storm,
 }
 
 impl Part {
-    /// As it stands in the run and in the pages.
+    /// Name in the run's lines and in the generated pages.
     pub fn name(self) -> &'static str {
         match self {
             Part::Decisions => "module",
@@ -42,16 +42,16 @@
     Servers,
     /// Balancers that share the servers.
     Balancers,
-    /// Own connections of each real balancer.
+    /// Connections of each real balancer to servers for its own clients.
     Connections,
     /// Groups of connections.
     Groups,
-    /// Changes of the endpoint list a second.
+    /// Endpoint list changes per second.
     ChangesPerSecond,
 }
 
 impl Varied {
-    /// As it stands in the run and in the pages.
+    /// Name in the run's lines and in the generated pages.
     pub fn name(self) -> &'static str {
         match self {
             Varied::Servers => "servers",
@@ -63,134 +63,135 @@
     }
 }
 
-/// The figures of one measurement; those that weren't measured are left out. Figures a second and
-/// of a balancer are the mean of the real balancers.
+/// The figures of one measurement. Figures that were not measured are left out. Figures per balancer
+/// are the mean of the real balancers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Figures {
-    /// Time of one call of `place` that gave a server, median and 99th percentile.
+    /// Time of a call of `place` that chose a server, in microseconds: the median.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place_p50_us: Option<f64>,
-    /// The 99th percentile.
+    /// Time of a call of `place` that chose a server, in microseconds: the 99th percentile.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place_p99_us: Option<f64>,
-    /// Time of all calls of `place` for one flow, those that held it too: the mean.
+    /// Mean time of all calls of `place` for one flow, in microseconds, including the calls that
+    /// queued it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place_us_per_flow: Option<f64>,
-    /// Calls of `place` for each flow that was placed.
+    /// Calls of `place` per placed flow.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place_calls_per_placement: Option<f64>,
-    /// Servers that the policy looked at for a flow that it gave a server: the mean, worked out
-    /// from where it went.
+    /// Mean number of servers that the policy considered for a placed flow, derived from the server
+    /// that it chose.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub servers_per_placement: Option<f64>,
-    /// Part of the flows that were given a server.
+    /// Share of the flows that were placed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_share: Option<f64>,
-    /// Health checks of a balancer.
+    /// Health checks per second of a balancer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probes_per_second: Option<f64>,
-    /// Bytes that the policy keeps of each listed server, of each own connection, and the flow
-    /// table of each flow.
+    /// Bytes that the policy holds per listed server.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bytes_per_server: Option<f64>,
-    /// Of each own connection.
+    /// Bytes that the policy holds per own connection.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bytes_per_connection: Option<f64>,
-    /// Of each flow in the flow table.
+    /// Bytes that the flow table holds per own connection.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub flow_table_bytes_per_connection: Option<f64>,
-    /// Payload of health checks and of the endpoint list, both ways.
+    /// Payload bytes of health checks and of the endpoint list, in both directions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub control_bytes_per_second: Option<f64>,
-    /// Payload of health checks, both ways.
+    /// Payload bytes of health checks, in both directions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probe_bytes_per_second: Option<f64>,
-    /// Payload of the endpoint list, both ways.
+    /// Payload bytes of the endpoint list, in both directions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_bytes_per_second: Option<f64>,
-    /// Of the whole list, or in a storm of all calls by all balancers.
+    /// Bytes of the complete endpoint list; in a storm, bytes of all list calls of all balancers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_bytes: Option<f64>,
-    /// Calls of a balancer for the endpoint list.
+    /// Endpoint list calls per second of a balancer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_calls_per_second: Option<f64>,
-    /// Calls that discovery answers a second, of all balancers.
+    /// Calls of all balancers that discovery answers per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery_calls_per_second: Option<f64>,
-    /// Processor of a balancer, in percent of a core.
+    /// CPU use of a balancer, in percent of a core.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cpu_percent_of_core: Option<f64>,
-    /// Resident at the end, and at most.
+    /// Resident memory of a balancer at the end, in MB.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub memory_mb: Option<f64>,
-    /// Resident at most.
+    /// Peak resident memory of a balancer, in MB.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub memory_peak_mb: Option<f64>,
-    /// Open descriptors of a balancer at the end.
+    /// Open descriptors of a balancer at the end of the measurement.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub descriptors: Option<f64>,
-    /// Attempts of a balancer.
+    /// Attempts per second of a balancer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_per_second: Option<f64>,
-    /// Clients' connections that were up when the measurement began.
+    /// Established client connections when the measurement began.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections_up: Option<f64>,
-    /// From a change at discovery until the new server gets its first health check or attempt.
+    /// Time from a change at discovery until the new server receives its first health check or
+    /// attempt, in milliseconds: the median.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub change_seen_ms_p50: Option<f64>,
-    /// The 99th percentile.
+    /// The 99th percentile of that time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub change_seen_ms_p99: Option<f64>,
-    /// Changes whose new server was seen in time.
+    /// Changes whose new server received a health check or an attempt in time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub changes_seen: Option<f64>,
-    /// Changes whose new server wasn't.
+    /// Changes whose new server received neither in time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub changes_unseen: Option<f64>,
-    /// In a storm, summed over the fleet.
+    /// Endpoint list calls in a storm, summed over the fleet.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub list_calls: Option<f64>,
-    /// Connections that broke.
+    /// Client connections that were lost.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connections_lost: Option<f64>,
-    /// Attempts for clients that come for the first time.
+    /// Attempts for clients that connect for the first time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_first: Option<f64>,
-    /// Attempts for clients whose connection broke or was moved.
+    /// Attempts for clients whose connection was lost or migrated.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_returning: Option<f64>,
-    /// Attempts after one that failed.
+    /// Attempts that retry a failed one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub connects_retried: Option<f64>,
-    /// Connections at each listed server before the storm and after it.
+    /// Mean number of connections of a listed server after the storm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections_mean: Option<f64>,
-    /// The most at one server before the storm.
+    /// Highest number of connections of a listed server before the storm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections_max_before: Option<f64>,
-    /// The most at one server after it.
+    /// Highest number of connections of a listed server after the storm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connections_max: Option<f64>,
-    /// The most attempts that any server was sent within a second, and any server that was new.
+    /// Highest number of attempts that any server received within a second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub server_connects_in_a_second_max: Option<f64>,
-    /// The most that any new server was sent within a second.
+    /// Highest number of attempts that any new server received within a second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub new_server_connects_in_a_second_max: Option<f64>,
-    /// From the loss of a connection until its client holds another.
+    /// Time from the loss of a connection until its client has another, in milliseconds: the median.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_again_ms_p50: Option<f64>,
-    /// The 99th percentile.
+    /// The 99th percentile of that time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_again_ms_p99: Option<f64>,
-    /// Part of the lost connections whose client holds another at the end.
+    /// Share of the lost connections whose client has obtained another by the end.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub placed_again_share: Option<f64>,
 }
 
 impl Figures {
-    /// Names and values of those that were measured.
+    /// Returns the names and values of the figures that were measured.
     pub fn measured(&self) -> Vec<(String, f64)> {
         let value = serde_json::to_value(self).unwrap_or_default();
         let pairs = value.as_object().into_iter().flatten();
@@ -205,11 +206,11 @@
 pub struct Machine {
     /// Processor cores.
     pub cores: u64,
-    /// All memory, in MB.
+    /// Total memory, in MB.
     pub memory_mb: u64,
-    /// Descriptors that a process may have.
+    /// Descriptor limit of a process.
     pub descriptors: u64,
-    /// Processes that ran or waited on it in the minute before: a busy machine's times are no good.
+    /// Load average of the minute before the run. Times measured on a busy machine are unreliable.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load_average: Option<f64>,
 }
@@ -218,13 +219,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Line {
-    /// The first one.
+    /// The first line.
     Start {
         /// The run's name.
         run: String,
-        /// The machine that it is made on.
+        /// The machine that the run is made on.
         machine: Machine,
-        /// Names the text that is measured.
+        /// Names the source revision that is measured.
         text: String,
     },
     /// The figures at one size.
@@ -235,15 +236,14 @@
         part: Part,
         /// The count that grows.
         varied: Varied,
-        /// Its size.
+        /// The size of that count.
         size: f64,
-        /// The counts and what else was set.
+        /// The counts and the other settings.
         fixed: Fixed,
-        /// What was measured.
+        /// The measured figures.
         figures: Box<Figures>,
     },
-    /// A straight line through the sizes of one count; `residual` is the root mean square of what
-    /// it misses by.
+    /// A straight line through the sizes of one count.
     Fit {
         /// The run's name.
         run: String,
@@ -255,19 +255,19 @@
         varied: Varied,
         /// The figure at a count of zero.
         intercept: f64,
-        /// How much the figure grows with one more.
+        /// Increase of the figure per unit of the count.
         slope: f64,
-        /// The root mean square of what the line misses by.
+        /// Root mean square of the residuals.
         residual: f64,
     },
 }
 
-/// The counts of a measurement, and what else was set.
+/// The counts of a measurement, and the other settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fixed {
     /// The counts.
     #[serde(flatten)]
-    pub counts: Counted,
+    pub counts: FlattenedCounts,
     /// Real balancers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub real_balancers: Option<u64>,
@@ -275,21 +275,21 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "hollow_balancers")]
     pub simulated_balancers: Option<u64>,
-    /// What a health check costs, in flows.
+    /// Cost of a health check, in flows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub probe_price: Option<f64>,
-    /// In a storm: balancers that were killed, or servers that were replaced.
+    /// Number of balancers that were killed in a storm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub killed: Option<u64>,
-    /// Servers that were replaced.
+    /// Number of servers that were replaced in a storm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub replaced: Option<u64>,
 }
 
 impl Fixed {
-    /// Returns these counts with nothing else set.
+    /// Returns these counts with no other setting.
     pub fn new(counts: Counts) -> Self {
-        let counts = Counted::from(counts);
+        let counts = FlattenedCounts::from(counts);
         Fixed {
             counts,
             real_balancers: None,
@@ -301,22 +301,22 @@
     }
 }
 
-/// [`Counts`] as they are written inside of other keys.
+/// [`Counts`] as written flattened among other keys.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Counted {
+pub struct FlattenedCounts {
     /// Servers on the endpoint list.
     pub servers: u64,
     /// Balancers that share the servers.
     pub balancers: u64,
-    /// Own connections of each real balancer.
+    /// Connections of each real balancer to servers for its own clients.
     pub connections: u64,
     /// Groups of connections.
     pub groups: u64,
-    /// Changes of the endpoint list a second.
+    /// Endpoint list changes per second.
     pub changes_per_second: f64,
 }
 
-impl From<Counts> for Counted {
+impl From<Counts> for FlattenedCounts {
     fn from(counts: Counts) -> Self {
         let Counts {
             servers,
@@ -325,7 +325,7 @@
             groups,
             changes_per_second,
         } = counts;
-        Counted {
+        FlattenedCounts {
             servers,
             balancers,
             connections,
@@ -335,25 +335,25 @@
     }
 }
 
-/// Writes lines, each with one call and flushed.
+/// Writes each line with a single call, then flushes it.
 pub struct LineWriter<W: Write> {
     out: W,
-    /// What was written, for the table and the plot.
+    /// The lines written so far, for the table and the plot.
     pub lines: Vec<Line>,
 }
 
 impl LineWriter<File> {
-    /// Writes to a new file.
+    /// Creates the file and returns a writer to it.
     ///
     /// # Errors
-    /// It can't be made.
+    /// The file could not be created.
     pub fn create(path: &Path) -> io::Result<Self> {
         Ok(LineWriter::new(File::create(path)?))
     }
 }
 
 impl<W: Write> LineWriter<W> {
-    /// Returns a writer that has written nothing.
+    /// Returns a writer that has not written any line.
     pub fn new(out: W) -> Self {
         LineWriter {
             out,
@@ -364,11 +364,12 @@
     /// Writes one line.
     ///
     /// # Errors
-    /// As writing has them.
+    /// The line could not be serialized, written or flushed.
     pub fn write(&mut self, line: Line) -> io::Result<()> {
         let mut text = serde_json::to_string(&line)?;
         text.push('\n');
-        // Whole in one call: guards against a half line where the run is ended between two.
+        // One call for the complete line: if the process is killed between two calls, no partial
+        // line is left.
         self.out.write_all(text.as_bytes())?;
         self.out.flush()?;
         self.lines.push(line);
@@ -376,20 +377,20 @@
     }
 }
 
-/// A line of a run that cannot be read.
+/// A line of a run could not be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {source}")]
 pub struct LineError {
-    /// The line, counted from one.
+    /// Line number, counted from one.
     pub line: usize,
-    /// What the JSON reader found.
+    /// The JSON parser's error.
     pub source: serde_json::Error,
 }
 
-/// Reads the lines of a run.
+/// Parses the lines of a run.
 ///
 /// # Errors
-/// Names the line that is none.
+/// The error names the first line that could not be parsed.
 pub fn read(text: &str) -> Result<Vec<Line>, LineError> {
     let lines = text.lines().enumerate();
     lines
--- a/crates/testbed/src/scale/plot.rs
+++ b/crates/testbed/src/scale/plot.rs
@@ -1,5 +1,5 @@
-//! The plot of a run: for each part and count that grew, the figures that a budget stands against,
-//! over the sizes, both axes logarithmic. It is made from the run's lines alone.
+//! The plot of a run: for each part and count that grew, the figures that have a budget are drawn
+//! over the sizes, with both axes logarithmic. The plot is generated from the run's lines alone.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -7,7 +7,7 @@
 use super::measurement::{Line, Part, Varied};
 use super::table::{kinds, points};
 
-/// What is drawn of each part.
+/// Figures that are drawn for the policy and the flow table alone.
 const DECISION_FIGURES: [&str; 5] = [
     "place_p50_us",
     "place_p99_us",
@@ -15,6 +15,7 @@
     "probes_per_second",
     "bytes_per_server",
 ];
+/// Figures that are drawn for a fleet on sockets.
 const SOCKET_FIGURES: [&str; 5] = [
     "control_bytes_per_second",
     "probes_per_second",
@@ -26,26 +27,26 @@
 const PANEL_WIDTH: u32 = 520;
 const PANEL_HEIGHT: u32 = 320;
 const COLUMNS: usize = 2;
-/// The least value that is drawn where an axis is logarithmic.
-const LEAST: f64 = 0.01;
+/// Lowest value on a logarithmic axis; lower ones are drawn at it.
+const LOG_AXIS_MIN: f64 = 0.01;
 
-/// What the drawing library says of a panel or a page.
+/// Error of the drawing library for a panel or a page.
 type DrawingError = DrawingAreaErrorKind<std::io::Error>;
 
-/// A plot that cannot be drawn.
+/// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// The page as a whole.
+    /// The page as a whole could not be drawn.
     #[error(transparent)]
     Page(#[from] DrawingError),
-    /// One panel.
+    /// One panel could not be drawn.
     #[error("{} by {}: {source}", .part.name(), .varied.name())]
     Panel {
         /// The part of the run that the panel shows.
         part: Part,
         /// The count that grows.
         varied: Varied,
-        /// What the drawing library says.
+        /// The drawing library's error.
         source: DrawingError,
     },
 }
@@ -53,7 +54,7 @@
 /// Draws a run as SVG.
 ///
 /// # Errors
-/// As drawing has them.
+/// The drawing library failed on the page or on a panel.
 pub fn svg(lines: &[Line]) -> Result<String, PlotError> {
     let kinds: Vec<(Part, Varied)> = kinds(lines)
         .into_iter()
@@ -84,9 +85,12 @@
     let series = series(lines, kind);
     let values = || series.iter().flat_map(|(_, points)| points);
     let bounds = |of: fn(&(f64, f64)) -> f64| {
-        let least = values().map(of).fold(f64::INFINITY, f64::min).max(LEAST);
-        let most = values().map(of).fold(LEAST, f64::max);
-        least / 1.5..most.max(least) * 1.5
+        let lowest = values()
+            .map(of)
+            .fold(f64::INFINITY, f64::min)
+            .max(LOG_AXIS_MIN);
+        let highest = values().map(of).fold(LOG_AXIS_MIN, f64::max);
+        lowest / 1.5..highest.max(lowest) * 1.5
     };
     let mut chart = ChartBuilder::on(panel)
         .caption(
@@ -119,7 +123,7 @@
     Ok(())
 }
 
-/// A figure with its points.
+/// A figure's name and its points.
 type Series = (String, Vec<(f64, f64)>);
 
 fn series(lines: &[Line], kind: (Part, Varied)) -> Vec<Series> {
@@ -132,7 +136,7 @@
     let of = |name: &&str| {
         let value = |(size, figures): &(f64, Vec<(String, f64)>)| {
             let value = figures.iter().find(|(figure, _)| figure == name)?.1;
-            Some((*size, value.max(LEAST)))
+            Some((*size, value.max(LOG_AXIS_MIN)))
         };
         (
             name.to_string(),
