--- a/crates/testbed/src/scale/clients.rs
+++ b/crates/testbed/src/scale/clients.rs
@@ -1,6 +1,6 @@
-//! Clients of the fleet: each holds one connection by way of a balancer, real or simulated, and comes
-//! back when it is lost. It owns their number and what became of them. A simulated balancer carries no
-//! lines, so its clients go to the server it names.
+//! Clients of the fleet. Each one holds one connection through a real or simulated balancer and
+//! reconnects when it is lost. A simulated balancer does not relay lines, so its clients connect
+//! directly to the server that it chooses. This module owns the clients' counters.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,18 +15,19 @@
 use super::settings::DEADLINE_MS;
 use super::simulated_balancer::SimulatedBalancer;
 
-/// A client gives a try up after so long: its deadline, and the way there.
+/// Time after which a client gives up an attempt: its deadline plus time for the connection to the
+/// balancer.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 500);
-/// Before it tries again, between these.
+/// Bounds of the random delay before a client tries again, in seconds.
 const BACKOFF_MIN_S: f64 = 0.05;
 const BACKOFF_MAX_S: f64 = 0.5;
-/// The longest Retry-After that it takes from a balancer.
+/// Longest Retry-After of a balancer that a client obeys.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
-/// The longest time until placed again that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 120_000;
+/// Longest time until a client is placed again that the histogram resolves, in milliseconds.
+const PLACED_AGAIN_MAX_MS: u64 = 120_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The balancer that a client goes by.
+/// The balancer that a client connects through.
 #[derive(Clone)]
 pub enum Balancer {
     Real(Arc<RealBalancer>),
@@ -42,47 +43,55 @@
     }
 }
 
-/// What became of all clients.
+/// All clients of a fleet, with their counters.
 pub struct Clients {
     balancers: Vec<Balancer>,
     groups: u64,
-    /// Mean life of a connection; none lives until it is lost.
-    life: Option<f64>,
+    /// Mean life of a connection in seconds. With `None`, clients hold it until it is lost.
+    mean_life: Option<f64>,
     seed: u64,
-    ids: AtomicU64,
-    up: AtomicI64,
+    next_id: AtomicU64,
+    /// Connections that are established.
+    established: AtomicI64,
+    /// Connections that were lost, not closed by their clients.
     lost: AtomicU64,
-    /// Milliseconds from a loss to the next connection.
+    /// Milliseconds from the loss of a connection to the next one.
     placed_again: Mutex<Histogram<u64>>,
 }
 
 impl Clients {
-    pub fn new(balancers: Vec<Balancer>, groups: u64, life: Option<f64>, seed: u64) -> Arc<Self> {
-        let placed_again =
-            Histogram::new_with_max(LONGEST_MS, SIGNIFICANT_DIGITS).expect("bounds that hold");
+    pub fn new(
+        balancers: Vec<Balancer>,
+        groups: u64,
+        mean_life: Option<f64>,
+        seed: u64,
+    ) -> Arc<Self> {
+        let placed_again = Histogram::new_with_max(PLACED_AGAIN_MAX_MS, SIGNIFICANT_DIGITS)
+            .expect("histogram bounds are valid");
         Arc::new(Clients {
             balancers,
             groups,
-            life,
+            mean_life,
             seed,
-            ids: AtomicU64::new(1),
-            up: AtomicI64::new(0),
+            next_id: AtomicU64::new(1),
+            established: AtomicI64::new(0),
             lost: AtomicU64::new(0),
             placed_again: Mutex::new(placed_again),
         })
     }
 
-    /// Starts so many clients of each of these balancers, spread over that time.
-    pub fn start(self: &Arc<Self>, each: impl Fn(&Balancer) -> u64, over: Duration) {
-        for (home, balancer) in self.balancers.iter().enumerate() {
-            let number = each(balancer);
+    /// Starts the clients of each balancer, with arrivals spread evenly over `ramp`. `clients_of`
+    /// returns their number for a balancer.
+    pub fn start(self: &Arc<Self>, clients_of: impl Fn(&Balancer) -> u64, ramp: Duration) {
+        for (index, balancer) in self.balancers.iter().enumerate() {
+            let number = clients_of(balancer);
             for client in 0..number {
-                let delay = over.mul_f64((client as f64 + 0.5) / number as f64);
-                let rng = Rng::new(self.seed ^ home as u64, client);
+                let delay = ramp.mul_f64((client as f64 + 0.5) / number as f64);
+                let rng = Rng::new(self.seed ^ index as u64, client);
                 tokio::spawn(
                     Client {
-                        all: self.clone(),
-                        home,
+                        clients: self.clone(),
+                        balancer: index,
                         rng,
                     }
                     .run(delay),
@@ -91,17 +100,18 @@
         }
     }
 
-    /// Connections that are up.
-    pub fn up(&self) -> i64 {
-        self.up.load(Relaxed)
+    /// Number of established connections.
+    pub fn established(&self) -> i64 {
+        self.established.load(Relaxed)
     }
 
-    /// Connections that were lost, by no wish of their clients.
+    /// Number of connections that were lost, not closed by their clients.
     pub fn lost(&self) -> u64 {
         self.lost.load(Relaxed)
     }
 
-    /// How many came back, and after how many milliseconds: the median and the 99th percentile.
+    /// Number of clients that were placed again after a loss, and the median and the 99th percentile of
+    /// the time that it took, in milliseconds.
     pub fn placed_again(&self) -> (u64, f64, f64) {
         let times = self
             .placed_again
@@ -114,7 +124,7 @@
         )
     }
 
-    fn note_placed_again(&self, after: Duration) {
+    fn record_placed_again(&self, after: Duration) {
         let mut times = self
             .placed_again
             .lock()
@@ -123,24 +133,25 @@
     }
 }
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(PartialEq, Eq)]
-enum End {
+enum ConnectionEnd {
     Lost,
-    Over,
+    /// Closed by its client at the end of its life.
+    Closed,
 }
 
-/// How a try came out.
-enum Try {
-    Up(BufReader<TcpStream>),
-    /// To be tried again, by the balancer's word not before this has passed.
+/// Result of a client's attempt to connect.
+enum ConnectResult {
+    Established(BufReader<TcpStream>),
+    /// Failed. The client tries again after this Retry-After at the earliest.
     Failed(Duration),
 }
 
 struct Client {
-    all: Arc<Clients>,
-    /// The balancer that it goes by.
-    home: usize,
+    clients: Arc<Clients>,
+    /// Index of the balancer that this client connects through.
+    balancer: usize,
     rng: Rng,
 }
 
@@ -150,46 +161,50 @@
         let mut lost_at: Option<Instant> = None;
         loop {
             self.choose_balancer();
-            let balancer = self.all.balancers[self.home].clone();
+            let balancer = self.clients.balancers[self.balancer].clone();
             let tried =
-                tokio::time::timeout(ATTEMPT_TIMEOUT, self.open(&balancer, lost_at.is_some()))
+                tokio::time::timeout(ATTEMPT_TIMEOUT, self.connect(&balancer, lost_at.is_some()))
                     .await;
-            match tried.ok().flatten().unwrap_or(Try::Failed(Duration::ZERO)) {
-                Try::Up(stream) => {
+            match tried
+                .ok()
+                .flatten()
+                .unwrap_or(ConnectResult::Failed(Duration::ZERO))
+            {
+                ConnectResult::Established(stream) => {
                     if let Some(at) = lost_at.take() {
-                        self.all.note_placed_again(at.elapsed());
+                        self.clients.record_placed_again(at.elapsed());
                     }
-                    if self.hold(&balancer, stream).await == End::Lost {
-                        self.all.lost.fetch_add(1, Relaxed);
+                    if self.hold_connection(&balancer, stream).await == ConnectionEnd::Lost {
+                        self.clients.lost.fetch_add(1, Relaxed);
                         lost_at = Some(Instant::now());
                         self.back_off(Duration::ZERO).await;
                     }
                 }
-                Try::Failed(least) => self.back_off(least).await,
+                ConnectResult::Failed(retry_after) => self.back_off(retry_after).await,
             }
         }
     }
 
-    /// Stays where it is while that balancer is ready; else any that is.
+    /// Keeps the current balancer while it is ready; otherwise chooses a random one that is.
     fn choose_balancer(&mut self) {
-        if self.all.balancers[self.home].ready() {
+        if self.clients.balancers[self.balancer].ready() {
             return;
         }
-        let ready = |at: &usize| self.all.balancers[*at].ready();
-        let others: Vec<usize> = (0..self.all.balancers.len()).filter(ready).collect();
+        let ready = |index: &usize| self.clients.balancers[*index].ready();
+        let others: Vec<usize> = (0..self.clients.balancers.len()).filter(ready).collect();
         if let Some(other) = others.get(self.rng.index_below(others.len())) {
-            self.home = *other;
+            self.balancer = *other;
         }
     }
 
-    async fn back_off(&mut self, least: Duration) {
+    async fn back_off(&mut self, delay_min: Duration) {
         let drawn = Duration::from_secs_f64(self.rng.uniform_between(BACKOFF_MIN_S, BACKOFF_MAX_S));
-        tokio::time::sleep(drawn.max(least)).await;
+        tokio::time::sleep(drawn.max(delay_min)).await;
     }
 
-    async fn open(&mut self, balancer: &Balancer, reconnecting: bool) -> Option<Try> {
-        let id = self.all.ids.fetch_add(1, Relaxed);
-        let group = self.rng.index_below(self.all.groups as usize);
+    async fn connect(&mut self, balancer: &Balancer, reconnecting: bool) -> Option<ConnectResult> {
+        let id = self.clients.next_id.fetch_add(1, Relaxed);
+        let group = self.rng.index_below(self.clients.groups as usize);
         let again = if reconnecting { ",again=1" } else { "" };
         let line = format!("OPEN c{id:x} k{id:x} c=chat,d={DEADLINE_MS},g=g{group}{again}\r\n");
         let stream = match balancer {
@@ -201,26 +216,30 @@
         let mut answer = String::new();
         stream.read_line(&mut answer).await.ok()?;
         if answer.starts_with("UP ") {
-            return Some(Try::Up(stream));
+            return Some(ConnectResult::Established(stream));
         }
         let wait = answer
             .strip_prefix("BUSY ")
             .and_then(|ms| ms.trim_end().parse().ok())
             .unwrap_or(0);
-        Some(Try::Failed(
+        Some(ConnectResult::Failed(
             Duration::from_millis(wait).min(RETRY_AFTER_MAX),
         ))
     }
 
-    async fn hold(&mut self, balancer: &Balancer, mut stream: BufReader<TcpStream>) -> End {
+    async fn hold_connection(
+        &mut self,
+        balancer: &Balancer,
+        mut stream: BufReader<TcpStream>,
+    ) -> ConnectionEnd {
         let life = self
-            .all
-            .life
+            .clients
+            .mean_life
             .map(|mean| Duration::from_secs_f64(self.rng.exponential(mean)));
-        self.all.up.fetch_add(1, Relaxed);
+        self.clients.established.fetch_add(1, Relaxed);
         let mut ignored = [0; 64];
         let lost = async {
-            // `MOVE` or any other word, or the end: its connection is to be another.
+            // `MOVE`, any other line or the end of the stream: the client needs another connection.
             let _ = stream.read(&mut ignored).await;
         };
         let killed = async {
@@ -231,18 +250,18 @@
                 }
             }
         };
-        let over = async {
+        let closed = async {
             match life {
                 Some(life) => tokio::time::sleep(life).await,
                 None => std::future::pending().await,
             }
         };
         let end = tokio::select! {
-            () = lost => End::Lost,
-            () = killed => End::Lost,
-            () = over => End::Over,
+            () = lost => ConnectionEnd::Lost,
+            () = killed => ConnectionEnd::Lost,
+            () = closed => ConnectionEnd::Closed,
         };
-        self.all.up.fetch_sub(1, Relaxed);
+        self.clients.established.fetch_sub(1, Relaxed);
         end
     }
 }
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -1,7 +1,7 @@
-//! The policy and the flow table alone: they are asked in virtual time, by a driver that answers
-//! their health checks, makes their attempts and asks again when the policy wants it. Times are of
-//! the real processor, all else is virtual. It owns the driver and must know of the policy only
-//! what any caller does.
+//! Measures the policy and the flow table without sockets. A driver calls them in virtual time: it
+//! answers their health checks, completes their attempts and fires the policy's timers. Only the
+//! durations of calls are measured in real time. This module owns the driver, which uses the policy's
+//! public interface only.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,31 +19,33 @@
 
 use super::allocation::held_bytes;
 use super::error::MeasurementError;
-use super::examined_servers::{Note, servers_per_placement};
+use super::examined_servers::{PolicyRecord, servers_per_placement};
 use super::measurement::Figures;
 use super::scenario::{Counts, DecisionsPart};
-use super::settings::{DEADLINE_MS, SettingsOf, settings};
+use super::settings::{DEADLINE_MS, VaryingSettings, settings};
 
-/// How long before its deadline a flow is answered.
-const MARGIN: Time = 15 * MS;
-/// From a health check to its answer, and from an attempt to its connection.
+/// How long before its deadline a flow is answered at the latest.
+const ANSWER_MARGIN: Time = 15 * MS;
+/// From a health check to its answer.
 const PROBE_ROUND_TRIP: Time = MS;
+/// From an attempt to its established connection.
 const CONNECT_TIME: Time = 5 * MS;
-/// Before flows come: the longest health check interval, so that each server has been asked.
+/// Time before the first flow: the longest health check interval, so that each server has been
+/// checked.
 const WARM_UP: Time = 10 * SEC;
-/// After the last flow has come all are answered by then.
-const AFTER: Time = 3 * SEC;
-/// Utilization that servers report lies between these, below all limits of the policy.
-const LEAST_LOAD: f64 = 0.25;
-const MOST_LOAD: f64 = 0.45;
-/// The longest call of `place` that is told apart, in nanoseconds.
-const LONGEST_CALL: u64 = 60 * SEC;
+/// Time after the last arrival by which all flows have been answered.
+const COMPLETION_TIME: Time = 3 * SEC;
+/// Lowest and highest utilization that servers report, below all limits of the policy.
+const UTILIZATION_MIN: f64 = 0.25;
+const UTILIZATION_MAX: f64 = 0.45;
+/// Longest call of `place` that the histogram resolves, in nanoseconds.
+const PLACE_CALL_MAX_NS: u64 = 60 * SEC;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Measures the policy at these counts.
 ///
 /// # Errors
-/// The settings can't be used.
+/// The settings are invalid.
 pub fn measure(
     counts: &Counts,
     part: &DecisionsPart,
@@ -51,25 +53,25 @@
 ) -> Result<Figures, MeasurementError> {
     let mut driver = Driver::new(counts, part, seed)?;
     let server_bytes = driver.update_endpoints(counts.servers);
-    let (policy_bytes, table_bytes) = driver.adopt_connection(counts);
+    let (policy_bytes, table_bytes) = driver.adopt_connections(counts);
     driver.run_until(WARM_UP);
     driver.begin_measuring();
-    driver.plan_arrivals(part);
-    driver.plan_changes(counts.changes_per_second);
+    driver.schedule_arrivals(part);
+    driver.schedule_list_changes(counts.changes_per_second);
     driver.run_until(driver.last_arrival);
     let measured = (driver.last_arrival - WARM_UP) as f64 / SEC as f64;
     let probes = driver.probes;
-    driver.run_until(driver.last_arrival + AFTER);
+    driver.run_until(driver.last_arrival + COMPLETION_TIME);
 
     let calls = driver.calls.borrow();
     let (placed, asked) = (driver.placed as f64, part.placements as f64);
-    let microseconds = |quantile: f64| calls.placing.value_at_quantile(quantile) as f64 / 1e3;
+    let microseconds = |quantile: f64| calls.place_times.value_at_quantile(quantile) as f64 / 1e3;
     Ok(Figures {
         place_p50_us: Some(microseconds(0.5)),
         place_p99_us: Some(microseconds(0.99)),
-        place_us_per_flow: Some(calls.nanoseconds as f64 / 1e3 / asked),
-        place_calls_per_placement: Some(calls.number as f64 / placed.max(1.0)),
-        servers_per_placement: servers_per_placement(&calls.notes, part.may_gossip),
+        place_us_per_flow: Some(calls.place_nanoseconds as f64 / 1e3 / asked),
+        place_calls_per_placement: Some(calls.place_calls as f64 / placed.max(1.0)),
+        servers_per_placement: servers_per_placement(&calls.records, part.may_gossip),
         placed_share: Some(placed / asked),
         probes_per_second: Some(probes as f64 / measured),
         bytes_per_server: Some(server_bytes / counts.servers as f64),
@@ -79,44 +81,45 @@
     })
 }
 
-/// What the calls of the policy took.
+/// Measurements of the calls of the policy.
 struct Calls {
-    /// Nanoseconds of each call of `place` that gave a server. One that holds a flow may be a
-    /// glance only.
-    placing: Histogram<u64>,
-    /// All calls of `place`, and their nanoseconds.
-    number: u64,
-    nanoseconds: u64,
-    /// Bytes that the policy took for connections that it inherited.
-    inherited_bytes: i64,
-    /// What the servers looked at are worked out from, and the bytes that it takes beside the
-    /// policy.
-    notes: Vec<Note>,
-    noted_bytes: i64,
+    /// Nanoseconds of each call of `place` that chose a server. A call that queues the flow may
+    /// return at once and is left out.
+    place_times: Histogram<u64>,
+    /// All calls of `place`.
+    place_calls: u64,
+    /// Total nanoseconds of all calls of `place`.
+    place_nanoseconds: u64,
+    /// Bytes that the policy allocated for the connections that it adopted.
+    adopted_bytes: i64,
+    /// Records from which the number of considered servers is derived.
+    records: Vec<PolicyRecord>,
+    /// Bytes of the records, which don't count as the policy's.
+    record_bytes: i64,
 }
 
 impl Calls {
     fn new() -> Self {
-        let placing =
-            Histogram::new_with_max(LONGEST_CALL, SIGNIFICANT_DIGITS).expect("bounds that hold");
+        let place_times = Histogram::new_with_max(PLACE_CALL_MAX_NS, SIGNIFICANT_DIGITS)
+            .expect("histogram bounds are valid");
         Calls {
-            placing,
-            number: 0,
-            nanoseconds: 0,
-            inherited_bytes: 0,
-            notes: Vec::new(),
-            noted_bytes: 0,
+            place_times,
+            place_calls: 0,
+            place_nanoseconds: 0,
+            adopted_bytes: 0,
+            records: Vec::new(),
+            record_bytes: 0,
         }
     }
 
-    fn note(&mut self, note: impl FnOnce() -> Note) {
+    fn record(&mut self, record: impl FnOnce() -> PolicyRecord) {
         let before = held_bytes();
-        self.notes.push(note());
-        self.noted_bytes += held_bytes() - before;
+        self.records.push(record());
+        self.record_bytes += held_bytes() - before;
     }
 }
 
-/// The policy, with its calls measured.
+/// A policy that measures its calls.
 struct MeasuredPolicy {
     policy: Policy,
     calls: Rc<RefCell<Calls>>,
@@ -128,10 +131,11 @@
         let place = self.policy.place(now, flow);
         let took = began.elapsed().as_nanos() as u64;
         let mut calls = self.calls.borrow_mut();
-        (calls.number, calls.nanoseconds) = (calls.number + 1, calls.nanoseconds + took);
+        (calls.place_calls, calls.place_nanoseconds) =
+            (calls.place_calls + 1, calls.place_nanoseconds + took);
         if let Placement::Forward { server_id, .. } = place {
-            calls.placing.saturating_record(took);
-            calls.note(|| Note::Placed(group_of(flow), server_id));
+            calls.place_times.saturating_record(took);
+            calls.record(|| PolicyRecord::Placed(group_of(flow), server_id));
         }
         drop(calls);
         place
@@ -146,7 +150,7 @@
         self.policy.update_endpoints(now, entries, is_complete);
         self.calls
             .borrow_mut()
-            .note(|| Note::List(entries.to_vec()));
+            .record(|| PolicyRecord::EndpointsUpdated(entries.to_vec()));
     }
     fn endpoint_poll_failed(&mut self, now: Time) {
         self.policy.endpoint_poll_failed(now);
@@ -155,8 +159,8 @@
         let before = held_bytes();
         self.policy.adopt_connection(flow, server_id);
         let mut calls = self.calls.borrow_mut();
-        calls.inherited_bytes += held_bytes() - before;
-        calls.note(|| Note::Held(group_of(flow), server_id));
+        calls.adopted_bytes += held_bytes() - before;
+        calls.record(|| PolicyRecord::ConnectionAdopted(group_of(flow), server_id));
     }
     fn update_connection_load(&mut self, flow: FlowId, load: f64) {
         self.policy.update_connection_load(flow, load);
@@ -170,12 +174,12 @@
     flow.group.clone().expect("the driver's flows have groups")
 }
 
-/// What comes to pass at a virtual time.
+/// An event at a virtual time.
 enum Event {
     Arrival,
     ProbeAnswered(ServerId),
     Connected(FlowId),
-    /// A server is replaced.
+    /// A server on the endpoint list is replaced.
     ListChange,
 }
 
@@ -184,15 +188,16 @@
     calls: Rc<RefCell<Calls>>,
     rng: Rng,
     now: Time,
-    /// When the policy wants to be asked again.
-    due: Option<Time>,
-    /// In order of time, and of their making where that is the same.
+    /// When the policy's next timer expires.
+    timer_due: Option<Time>,
+    /// Ordered by time, and events at the same time by the order in which they were scheduled.
     events: BTreeMap<(Time, u64), Event>,
     next_event: u64,
     next_flow: FlowId,
     groups: u64,
     servers: u64,
-    /// The longest listed server; those from here on are listed, as many as there are.
+    /// The server that has been listed longest. The listed servers are the `servers` ids from this
+    /// one on.
     first_server: ServerId,
     last_arrival: Time,
     probes: u64,
@@ -201,13 +206,13 @@
 
 impl Driver {
     fn new(counts: &Counts, part: &DecisionsPart, seed: u64) -> Result<Self, MeasurementError> {
-        let of = SettingsOf {
+        let varying = VaryingSettings {
             balancers: counts.balancers,
             probe_price: part.probe_price,
             may_gossip: part.may_gossip,
         };
-        let settings = Settings::within(&settings(of))?;
-        let policy = settings.policy(seed, MARGIN, DrainMigration::Enabled)?;
+        let settings = Settings::within(&settings(varying))?;
+        let policy = settings.policy(seed, ANSWER_MARGIN, DrainMigration::Enabled)?;
         let calls = Rc::new(RefCell::new(Calls::new()));
         Ok(Driver {
             flow_table: FlowTable::new(MeasuredPolicy {
@@ -217,7 +222,7 @@
             calls,
             rng: Rng::new(seed, 0),
             now: 0,
-            due: None,
+            timer_due: None,
             events: BTreeMap::new(),
             next_event: 0,
             next_flow: 1,
@@ -230,7 +235,7 @@
         })
     }
 
-    /// The whole list; returns the bytes that are kept of it.
+    /// Passes a complete endpoint list; returns the bytes that the policy holds for it.
     fn update_endpoints(&mut self, servers: u64) -> f64 {
         let listed = |server_id| Endpoint {
             server_id,
@@ -244,14 +249,14 @@
         (self.policy_bytes() - before) as f64
     }
 
-    /// Bytes held, without those of the notes.
+    /// Bytes held, without those of the records.
     fn policy_bytes(&self) -> i64 {
-        held_bytes() - self.calls.borrow().noted_bytes
+        held_bytes() - self.calls.borrow().record_bytes
     }
 
-    /// Own connections from before; returns the bytes that the policy and the flow table keep of
-    /// them.
-    fn adopt_connection(&mut self, counts: &Counts) -> (f64, f64) {
+    /// Adopts connections from before the run; returns the bytes that the policy and the flow table
+    /// hold for them.
+    fn adopt_connections(&mut self, counts: &Counts) -> (f64, f64) {
         let before = self.policy_bytes();
         for _ in 0..counts.connections {
             let flow = self.new_flow(0);
@@ -259,8 +264,8 @@
             self.flow_table.adopt_connection(flow, server_id);
         }
         let all = (self.policy_bytes() - before) as f64;
-        let of_policy = self.calls.borrow().inherited_bytes as f64;
-        (of_policy, all - of_policy)
+        let policy_bytes = self.calls.borrow().adopted_bytes as f64;
+        (policy_bytes, all - policy_bytes)
     }
 
     fn new_flow(&mut self, accepted_at: Time) -> Flow {
@@ -278,37 +283,37 @@
 
     fn begin_measuring(&mut self) {
         let mut calls = self.calls.borrow_mut();
-        let (notes, noted_bytes) = (std::mem::take(&mut calls.notes), calls.noted_bytes);
+        let (records, record_bytes) = (std::mem::take(&mut calls.records), calls.record_bytes);
         *calls = Calls {
-            inherited_bytes: calls.inherited_bytes,
-            notes,
-            noted_bytes,
+            adopted_bytes: calls.adopted_bytes,
+            records,
+            record_bytes,
             ..Calls::new()
         };
         drop(calls);
         (self.probes, self.placed) = (0, 0);
     }
 
-    fn plan_changes(&mut self, per_second: f64) {
+    fn schedule_list_changes(&mut self, per_second: f64) {
         let until = self.last_arrival;
         let number = ((until - self.now) as f64 / SEC as f64 * per_second) as u64;
         for change in 1..=number {
-            self.plan(
+            self.schedule(
                 self.now + (until - self.now) * change / number,
                 Event::ListChange,
             );
         }
     }
 
-    fn plan_arrivals(&mut self, part: &DecisionsPart) {
-        let apart = (SEC as f64 / part.placements_per_second) as Time;
+    fn schedule_arrivals(&mut self, part: &DecisionsPart) {
+        let interval = (SEC as f64 / part.placements_per_second) as Time;
         for number in 1..=part.placements {
-            self.last_arrival = self.now + number * apart;
-            self.plan(self.last_arrival, Event::Arrival);
+            self.last_arrival = self.now + number * interval;
+            self.schedule(self.last_arrival, Event::Arrival);
         }
     }
 
-    fn plan(&mut self, at: Time, event: Event) {
+    fn schedule(&mut self, at: Time, event: Event) {
         self.events.insert((at, self.next_event), event);
         self.next_event += 1;
     }
@@ -316,25 +321,28 @@
     fn run_until(&mut self, end: Time) {
         loop {
             if let Some(wait) = self.flow_table.time_to_next_timer(self.now) {
-                // As the balancer does: never at once again.
+                // As in the balancer, the next timer expires 1 ms from now at the earliest.
                 let at = self.now + wait.max(MS);
-                self.due = Some(self.due.map_or(at, |due| due.min(at)));
+                self.timer_due = Some(self.timer_due.map_or(at, |due| due.min(at)));
             }
             let event_at = self.events.first_key_value().map(|((at, _), _)| *at);
-            let next = [event_at, self.due].into_iter().flatten().min();
+            let next = [event_at, self.timer_due].into_iter().flatten().min();
             let Some(next) = next.filter(|next| *next <= end) else {
                 break;
             };
             self.now = self.now.max(next);
             if event_at == Some(next) {
-                let (_, event) = self.events.pop_first().expect("it was looked at");
+                let (_, event) = self
+                    .events
+                    .pop_first()
+                    .expect("the first event was found above");
                 self.handle(event);
             }
-            if self.due.is_some_and(|due| due <= self.now) {
-                self.due = None;
+            if self.timer_due.is_some_and(|due| due <= self.now) {
+                self.timer_due = None;
                 let mut commands = Vec::new();
                 self.flow_table.timer_expired(self.now, &mut commands);
-                self.carry_out(commands);
+                self.execute(commands);
             }
         }
         self.now = self.now.max(end);
@@ -349,7 +357,7 @@
                     .accept(now, flow, ClientIdentity::default(), &mut commands);
             }
             Event::ProbeAnswered(server_id) => {
-                let load = self.rng.uniform_between(LEAST_LOAD, MOST_LOAD);
+                let load = self.rng.uniform_between(UTILIZATION_MIN, UTILIZATION_MAX);
                 let report = LoadReport {
                     utilization: Some(load),
                     connections: None,
@@ -358,7 +366,7 @@
                     .health_checked(now, server_id, true, report, &mut commands);
             }
             Event::ListChange => {
-                let gone = Endpoint {
+                let removed = Endpoint {
                     server_id: self.first_server,
                     ..Endpoint::default()
                 };
@@ -368,28 +376,29 @@
                     state: EndpointState::Ready,
                     weight: 1.0,
                     started: now,
-                    ..gone
+                    ..removed
                 };
                 self.first_server += 1;
-                self.flow_table.update_endpoints(now, &[gone, ready], false);
+                self.flow_table
+                    .update_endpoints(now, &[removed, ready], false);
             }
             Event::Connected(id) => self
                 .flow_table
                 .connected(now, id, CONNECT_TIME, &mut commands),
         }
-        self.carry_out(commands);
+        self.execute(commands);
     }
 
-    fn carry_out(&mut self, commands: Vec<PolicyCommand>) {
+    fn execute(&mut self, commands: Vec<PolicyCommand>) {
         for command in commands {
             match command {
                 PolicyCommand::StartAttempt { flow, .. } => {
                     self.placed += 1;
-                    self.plan(self.now + CONNECT_TIME, Event::Connected(flow));
+                    self.schedule(self.now + CONNECT_TIME, Event::Connected(flow));
                 }
                 PolicyCommand::CheckHealth { server_id } => {
                     self.probes += 1;
-                    self.plan(self.now + PROBE_ROUND_TRIP, Event::ProbeAnswered(server_id));
+                    self.schedule(self.now + PROBE_ROUND_TRIP, Event::ProbeAnswered(server_id));
                 }
                 PolicyCommand::Reject { .. }
                 | PolicyCommand::Fail { .. }
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -1,7 +1,7 @@
-//! The stand-in discovery: the endpoint list of servers with its versions, told over HTTP/1.1 with
-//! held calls as the platform's agents do, and what its calls come to. Real and simulated balancers
-//! call at ports of their own, so that each kind is counted by itself. It owns the endpoint list;
-//! it must never touch a server.
+//! Simulated discovery service: serves the versioned endpoint list over HTTP/1.1 with long polling,
+//! as the platform's discovery agents do, and counts its calls. Real and simulated balancers call at
+//! separate ports, so that each kind is counted separately. This module owns the endpoint list and
+//! never contacts a server.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -15,10 +15,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Holds no call for longer.
-const HOLD_LIMIT: Duration = Duration::from_secs(60);
+/// Longest time for which a call is held.
+const HOLD_MAX: Duration = Duration::from_secs(60);
 
-/// How a server is listed.
+/// State of a server on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     Ready,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A server as it is listed.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     address: SocketAddr,
@@ -42,50 +42,52 @@
     started_ms: u64,
 }
 
-/// A change of one server.
+/// A change of one entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
     pub server: usize,
     pub address: SocketAddr,
     pub lifecycle: Lifecycle,
-    /// It has just started.
-    pub cold: bool,
+    /// Whether the server has just started.
+    pub just_started: bool,
 }
 
 #[derive(Default)]
-struct List {
+struct EndpointList {
     version: u64,
-    /// Each server with the version that last changed it.
+    /// Entry of each server, with the version that last changed it.
     entries: BTreeMap<usize, (u64, Entry)>,
     /// The servers that each version changed.
     changed: BTreeMap<u64, Vec<usize>>,
-    /// The whole list as it was last told, and its version.
-    whole: Option<(u64, Arc<str>)>,
+    /// The complete list as last encoded, and its version.
+    complete: Option<(u64, Arc<str>)>,
 }
 
-/// Calls by one kind of balancer.
+/// Counters of the calls by one kind of balancer.
 #[derive(Debug, Default)]
 pub struct CallTraffic {
     pub calls: AtomicU64,
-    /// Requests and answers with their heads.
+    /// Bytes of requests and responses, including headers.
     pub bytes: AtomicU64,
 }
 
-/// Discovery, for both kinds of balancer.
+/// The simulated discovery service.
 pub struct Discovery {
-    list: Mutex<List>,
+    list: Mutex<EndpointList>,
     version: watch::Sender<u64>,
+    /// Address at which real balancers call.
     pub for_real: SocketAddr,
+    /// Address at which simulated balancers call.
     pub for_simulated: SocketAddr,
     pub real_calls: CallTraffic,
     pub simulated_calls: CallTraffic,
 }
 
 impl Discovery {
-    /// Starts to answer.
+    /// Starts the service.
     ///
     /// # Errors
-    /// There is no address to listen at.
+    /// Listening on loopback failed.
     pub async fn start() -> io::Result<Arc<Self>> {
         let [real, simulated] = [listen().await?, listen().await?];
         let discovery = Arc::new(Discovery {
@@ -101,8 +103,8 @@
         Ok(discovery)
     }
 
-    /// Makes all of these changes under one new version.
-    pub fn change(&self, changes: &[Change]) {
+    /// Applies all these changes under one new version.
+    pub fn apply(&self, changes: &[Change]) {
         let mut list = self.list();
         list.version += 1;
         let version = list.version;
@@ -110,10 +112,10 @@
             server,
             address,
             lifecycle,
-            cold,
+            just_started,
         } in changes.iter().copied()
         {
-            let started_ms = if cold { unix_ms() } else { 0 };
+            let started_ms = if just_started { unix_ms() } else { 0 };
             list.entries.insert(
                 server,
                 (
@@ -134,12 +136,12 @@
         self.version.send_replace(version);
     }
 
-    /// Bytes of the whole list.
-    pub fn whole_bytes(&self) -> usize {
-        self.list().body(None).len()
+    /// Bytes of the complete list as a response body.
+    pub fn complete_list_bytes(&self) -> usize {
+        self.list().response_body(None).len()
     }
 
-    fn list(&self) -> MutexGuard<'_, List> {
+    fn list(&self) -> MutexGuard<'_, EndpointList> {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -171,15 +173,15 @@
                     break;
                 }
             }
-            let from = query(&request, "from");
+            let from = query_number(&request, "from");
             if let Some(from) = from {
-                let hold =
-                    Duration::from_millis(query(&request, "hold_ms").unwrap_or(0)).min(HOLD_LIMIT);
-                // Until something is new, or the hold is over.
+                let hold = Duration::from_millis(query_number(&request, "hold_ms").unwrap_or(0))
+                    .min(HOLD_MAX);
+                // Waits until the list changes or the hold time ends.
                 let _ =
                     tokio::time::timeout(hold, version.wait_for(|version| *version > from)).await;
             }
-            let body = self.list().body(from);
+            let body = self.list().response_body(from);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             out.write_all(head.as_bytes()).await.ok()?;
             out.write_all(body.as_bytes()).await.ok()?;
@@ -191,11 +193,12 @@
     }
 }
 
-impl List {
-    /// The answer to a call: what has changed since that version, or all.
-    fn body(&mut self, from: Option<u64>) -> Arc<str> {
+impl EndpointList {
+    /// Returns the response body of a call: the changes since that version, or the complete list for
+    /// `None`.
+    fn response_body(&mut self, from: Option<u64>) -> Arc<str> {
         let Some(from) = from else {
-            return self.whole();
+            return self.complete_list();
         };
         let servers = self
             .changed
@@ -205,11 +208,11 @@
         let entries = servers
             .into_iter()
             .map(|server| (server, self.entries[&server].1));
-        answer(self.version, false, entries).into()
+        encode_response(self.version, false, entries).into()
     }
 
-    fn whole(&mut self) -> Arc<str> {
-        if let Some((version, text)) = &self.whole
+    fn complete_list(&mut self) -> Arc<str> {
+        if let Some((version, text)) = &self.complete
             && *version == self.version
         {
             return text.clone();
@@ -219,14 +222,18 @@
             .iter()
             .map(|(server, (_, entry))| (*server, *entry));
         let listed = listed.filter(|(_, entry)| entry.lifecycle != Lifecycle::Removed);
-        let text: Arc<str> = answer(self.version, true, listed).into();
-        self.whole = Some((self.version, text.clone()));
+        let text: Arc<str> = encode_response(self.version, true, listed).into();
+        self.complete = Some((self.version, text.clone()));
         text
     }
 }
 
-fn answer(version: u64, whole: bool, entries: impl Iterator<Item = (usize, Entry)>) -> String {
-    let mut text = format!(r#"{{"generation":{version},"reset":{whole},"instances":["#);
+fn encode_response(
+    version: u64,
+    is_complete: bool,
+    entries: impl Iterator<Item = (usize, Entry)>,
+) -> String {
+    let mut text = format!(r#"{{"generation":{version},"reset":{is_complete},"instances":["#);
     for (number, (server, entry)) in entries.enumerate() {
         let comma = if number > 0 { "," } else { "" };
         let Entry {
@@ -239,14 +246,14 @@
             text,
             r#"{comma}{{"instanceId":"s-{server:08x}","hostPort":"{address}","zone":"a","machineType":"m","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{started_ms}}}"#
         )
-        .expect("a string takes all");
+        .expect("writing to a string can't fail");
     }
     text.push_str("]}");
     text
 }
 
-/// The value of a number in the request's query.
-fn query(request: &str, name: &str) -> Option<u64> {
+/// Returns the value of a numeric parameter in the request's query.
+fn query_number(request: &str, name: &str) -> Option<u64> {
     let mut pairs = request
         .split(['?', '&', ' '])
         .filter_map(|pair| pair.split_once('='));
--- a/crates/testbed/src/scale/examined_servers.rs
+++ b/crates/testbed/src/scale/examined_servers.rs
@@ -1,8 +1,8 @@
-//! How many servers the policy looks at for one placement. The policy has no counter, so this is
-//! worked out afterwards: news of the endpoint list and own connections are noted while the policy
-//! is measured, then played to a [`CandidateSet`] of the same crate as the policy's, which gives the
-//! servers that each flow could go to. It owns the notes and the rule of `Policy::place` on which
-//! servers are looked at next.
+//! Counts the servers that the policy considers for one placement. The policy has no counter for
+//! them, so the count is derived afterwards: endpoint list updates and own connections are recorded
+//! while the policy is measured, then replayed to a [`CandidateSet`], the type that the policy uses as
+//! well, which gives the candidates of each flow. This module owns the records and a copy of the rule
+//! by which `Policy::place` extends its scan.
 
 use std::collections::BTreeMap;
 
@@ -12,106 +12,115 @@
 /// The zone of the measured balancer, as [`super::settings`] has it.
 const OWN_ZONE: u64 = 0;
 
-/// What came to the policy, in its order.
-pub enum Note {
-    /// Entries of the endpoint list, new or changed.
-    List(Vec<Endpoint>),
-    /// An own connection of a group, from before.
-    Held(String, ServerId),
-    /// A flow of a group was given this server.
+/// A recorded input or result of the policy, in the order in which they occurred.
+pub enum PolicyRecord {
+    /// The policy received new or changed entries of the endpoint list.
+    EndpointsUpdated(Vec<Endpoint>),
+    /// The policy adopted a connection of this group to this server.
+    ConnectionAdopted(String, ServerId),
+    /// A flow of this group was placed on this server.
     Placed(String, ServerId),
 }
 
-/// The mean of servers looked at for a placement, or none where nothing was placed. `tells` is
-/// whether balancers tell one another what is held where: far candidates are looked at first then.
-pub fn servers_per_placement(notes: &[Note], tells: bool) -> Option<f64> {
-    let mut known = Known {
-        tells,
-        ..Known::default()
+/// Returns the mean number of servers considered for a placement, or `None` if nothing was placed.
+/// If `may_gossip` is set, balancers gossip the placements of groups to one another, and the first
+/// scan includes candidates of all zones.
+pub fn servers_per_placement(records: &[PolicyRecord], may_gossip: bool) -> Option<f64> {
+    let mut state = ReplayedState {
+        may_gossip,
+        ..ReplayedState::default()
     };
-    let (mut examined, mut placements) = (0, 0);
-    for note in notes {
-        match note {
-            Note::List(entries) => known.list(entries),
-            Note::Held(group, server) => known.hold(group, *server),
-            Note::Placed(group, server) => {
-                examined += known.examined(group, *server);
+    let (mut considered, mut placements) = (0, 0);
+    for record in records {
+        match record {
+            PolicyRecord::EndpointsUpdated(entries) => state.update_endpoints(entries),
+            PolicyRecord::ConnectionAdopted(group, server) => state.add_connection(group, *server),
+            PolicyRecord::Placed(group, server) => {
+                considered += state.considered_servers(group, *server);
                 placements += 1;
-                known.hold(group, *server);
+                state.add_connection(group, *server);
             }
         }
     }
-    (placements > 0).then(|| examined as f64 / placements as f64)
+    (placements > 0).then(|| considered as f64 / placements as f64)
 }
 
-/// What the policy knows by then.
+/// The policy's state as replayed from the records.
 #[derive(Default)]
-struct Known {
-    tells: bool,
+struct ReplayedState {
+    may_gossip: bool,
     servers: BTreeMap<ServerId, Endpoint>,
-    /// None while the endpoint list is looked at whole.
-    long: Option<CandidateSet>,
-    /// Own connections of each group, and of each server.
-    holders: BTreeMap<String, BTreeMap<ServerId, usize>>,
-    held: BTreeMap<ServerId, usize>,
+    /// `None` while the endpoint list is so short that it is scanned in full.
+    candidates: Option<CandidateSet>,
+    /// Number of own connections of each group at each server.
+    group_connections: BTreeMap<String, BTreeMap<ServerId, usize>>,
+    /// Number of own connections at each server.
+    server_connections: BTreeMap<ServerId, usize>,
 }
 
-impl Known {
-    /// As the policy does: a server that has gone stays known while it holds own connections.
-    fn list(&mut self, entries: &[Endpoint]) {
+impl ReplayedState {
+    /// Applies an endpoint list update. As in the policy, a removed server is kept while it has
+    /// own connections.
+    fn update_endpoints(&mut self, entries: &[Endpoint]) {
         self.servers
             .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
         if self.servers.len() > WHOLE_LIST_MAX {
-            let known = self.long.is_some();
-            let long = self.long.get_or_insert_default();
+            let had_candidates = self.candidates.is_some();
+            let candidates = self.candidates.get_or_insert_default();
             let all = || self.servers.values().copied().collect();
-            let news: Vec<Endpoint> = if known { entries.to_vec() } else { all() };
-            for entry in news {
+            let updates: Vec<Endpoint> = if had_candidates {
+                entries.to_vec()
+            } else {
+                all()
+            };
+            for entry in updates {
                 if entry.state == EndpointState::Ready {
-                    long.insert(entry.server_id, entry.zone, entry.weight);
+                    candidates.insert(entry.server_id, entry.zone, entry.weight);
                 } else {
-                    long.remove(entry.server_id);
+                    candidates.remove(entry.server_id);
                 }
             }
         } else {
-            self.long = None;
+            self.candidates = None;
         }
-        let held = &self.held;
+        let server_connections = &self.server_connections;
         self.servers.retain(|server, entry| {
-            entry.state != EndpointState::Removed || held.contains_key(server)
+            entry.state != EndpointState::Removed || server_connections.contains_key(server)
         });
     }
 
-    fn hold(&mut self, group: &str, server: ServerId) {
+    fn add_connection(&mut self, group: &str, server: ServerId) {
         *self
-            .holders
+            .group_connections
             .entry(group.to_owned())
             .or_default()
             .entry(server)
             .or_default() += 1;
-        *self.held.entry(server).or_default() += 1;
+        *self.server_connections.entry(server).or_default() += 1;
     }
 
-    /// Servers looked at for a flow that went there: near candidates and holders; far ones as well
-    /// where it went to none of those; and the whole list where it went to none of these either.
-    fn examined(&self, group: &str, went_to: ServerId) -> usize {
-        let Some(long) = &self.long else {
+    /// Returns the number of servers considered for a flow of this group that was placed on
+    /// `placed_on`. The first scan covers the candidates of the own zone and the servers that hold
+    /// connections of the group. If the flow was placed on none of them, the scan of candidates of all zones is counted as well.
+    /// If it was placed on none of those either, the scan of the full list is counted as well.
+    fn considered_servers(&self, group: &str, placed_on: ServerId) -> usize {
+        let Some(candidates) = &self.candidates else {
             return self.servers.len();
         };
-        let mut examined = 0;
-        let first = if self.tells {
+        let mut considered = 0;
+        let first_reach = if self.may_gossip {
             ZoneReach::AllZones
         } else {
             ZoneReach::OwnZone
         };
-        for reach in [first, ZoneReach::AllZones] {
-            let holders = self.holders.get(group).into_iter().flatten();
-            let scope = long.scope(hash_name(group), OWN_ZONE, reach, holders);
-            examined += scope.len();
-            if scope.contains(&went_to) {
-                return examined;
+        for reach in [first_reach, ZoneReach::AllZones] {
+            let group_connections = self.group_connections.get(group).into_iter().flatten();
+            let scope = candidates.scope(hash_name(group), OWN_ZONE, reach, group_connections);
+            considered += scope.len();
+            if scope.contains(&placed_on) {
+                return considered;
             }
         }
-        examined + self.servers.len()
+        considered + self.servers.len()
     }
 }
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -1,5 +1,5 @@
-//! One fleet on sockets: simulated servers, discovery, real and simulated balancers and their clients,
-//! put together and taken apart. It owns them all and which servers are listed.
+//! A fleet on sockets: starts simulated servers, discovery, real and simulated balancers and their
+//! clients, and stops them. This module owns all of them, and decides which servers are listed.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -9,36 +9,39 @@
 use super::clients::{Balancer, Clients};
 use super::discovery::{Change, Discovery, Lifecycle};
 use super::error::{BalancersDied, DeadBalancer, MeasurementError};
-use super::processes::{Launch, RealBalancer, RunFolder};
+use super::processes::{LaunchConfig, RealBalancer, RunFolder};
 use super::scenario::Counts;
 use super::servers::Servers;
-use super::settings::{SettingsOf, settings};
+use super::settings::{VaryingSettings, settings};
 use super::simulated_balancer::SimulatedBalancer;
 use crate::balancer_process::ProcessUsage;
 
-/// What a fleet is made of.
+/// The composition of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
     pub counts: Counts,
+    /// Number of real balancers.
     pub real: u64,
+    /// Number of simulated balancers.
     pub simulated: u64,
     /// Connections of each simulated balancer.
-    pub hollow_connections: u64,
-    pub hollow_probes_per_second: f64,
+    pub connections_per_simulated_balancer: u64,
+    /// Health checks per second of each simulated balancer.
+    pub probes_per_second_of_simulated_balancer: f64,
     pub probe_price: f64,
-    /// Mean life of a connection in seconds; none lives until it is lost.
+    /// Mean life of a connection in seconds. With `None`, clients hold it until it is lost.
     pub connection_seconds: Option<f64>,
-    /// Servers that may be listed later.
+    /// Number of servers that may be listed later.
     pub spare_servers: u64,
-    /// Descriptors that each balancer is told it may have.
+    /// Descriptor limit in each balancer's configuration.
     pub descriptors: u64,
     pub seed: u64,
     pub program: PathBuf,
-    /// Clients come over this time.
+    /// Time over which the clients arrive.
     pub ramp: Duration,
 }
 
-/// A server that was put on the endpoint list in another's place.
+/// A server that replaced another one on the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Replacement {
     pub server: usize,
@@ -52,7 +55,7 @@
     pub real: Vec<Arc<RealBalancer>>,
     pub simulated: Vec<Arc<SimulatedBalancer>>,
     pub clients: Arc<Clients>,
-    /// Listed servers, the longest listed first.
+    /// Listed servers, starting with the one that has been listed longest.
     pub listed: VecDeque<usize>,
     next_server: usize,
     all_servers: usize,
@@ -60,18 +63,19 @@
 }
 
 impl Fleet {
-    /// Starts all of it.
+    /// Starts all parts of the fleet.
     ///
     /// # Errors
-    /// A balancer isn't ready, or addresses or files can't be had.
+    /// A balancer does not become ready, or an address or a file cannot be used.
     pub async fn start(plan: &FleetPlan) -> Result<Self, MeasurementError> {
         let counts = &plan.counts;
         let (listed, all) = (
             counts.servers as usize,
             (counts.servers + plan.spare_servers) as usize,
         );
-        let connections =
-            (plan.real * counts.connections + plan.simulated * plan.hollow_connections) as f64;
+        let connections = (plan.real * counts.connections
+            + plan.simulated * plan.connections_per_simulated_balancer)
+            as f64;
         let servers =
             Servers::start(all, listed, connections).map_err(MeasurementError::Servers)?;
         let discovery = Discovery::start()
@@ -81,20 +85,20 @@
             server,
             address: servers.address(server),
             lifecycle: Lifecycle::Ready,
-            cold: false,
+            just_started: false,
         };
-        discovery.change(&(0..listed).map(ready).collect::<Vec<_>>());
+        discovery.apply(&(0..listed).map(ready).collect::<Vec<_>>());
         let folder = RunFolder::new()?;
-        let of = SettingsOf {
+        let varying = VaryingSettings {
             balancers: counts.balancers,
             probe_price: plan.probe_price,
             may_gossip: false,
         };
-        let launch = Launch::new(
+        let launch = LaunchConfig::new(
             &plan.program,
             discovery.for_real,
             plan.descriptors,
-            settings(of),
+            settings(varying),
             plan.seed,
         );
         let start = |number| RealBalancer::start(number, &launch, &folder).map(Arc::new);
@@ -104,7 +108,7 @@
         for balancer in &real {
             balancer.wait_until_ready().await?;
         }
-        let rate = plan.hollow_probes_per_second;
+        let rate = plan.probes_per_second_of_simulated_balancer;
         let simulated =
             |number| SimulatedBalancer::start(number, discovery.for_simulated, rate, plan.seed);
         let simulated: Vec<_> = (0..plan.simulated as usize).map(simulated).collect();
@@ -113,11 +117,11 @@
             .chain(simulated.iter().cloned().map(Balancer::Simulated))
             .collect();
         let clients = Clients::new(balancers, counts.groups, plan.connection_seconds, plan.seed);
-        let each = |balancer: &Balancer| match balancer {
+        let clients_of = |balancer: &Balancer| match balancer {
             Balancer::Real(_) => counts.connections,
-            Balancer::Simulated(_) => plan.hollow_connections,
+            Balancer::Simulated(_) => plan.connections_per_simulated_balancer,
         };
-        clients.start(each, plan.ramp);
+        clients.start(clients_of, plan.ramp);
         Ok(Fleet {
             servers,
             discovery,
@@ -131,28 +135,28 @@
         })
     }
 
-    /// Takes so many servers off the endpoint list, the longest listed ones, and lists as many new
-    /// ones. All are one change.
+    /// Replaces this many of the servers that have been listed longest by new ones, as a single
+    /// change of the endpoint list. Replaces fewer if not enough spare servers are left.
     pub fn replace(&mut self, number: usize) -> Vec<Replacement> {
         let number = number.min(self.all_servers - self.next_server);
         let new: Vec<usize> = (self.next_server..self.next_server + number).collect();
         let old: Vec<usize> = self.listed.drain(..number).collect();
         self.next_server += number;
-        let change = |server, lifecycle, cold| Change {
+        let change = |server, lifecycle, just_started| Change {
             server,
             address: self.servers.address(server),
             lifecycle,
-            cold,
+            just_started,
         };
-        let gone = old
+        let removed = old
             .iter()
             .map(|server| change(*server, Lifecycle::Removed, false));
         let ready = new
             .iter()
             .map(|server| change(*server, Lifecycle::Ready, true));
         self.discovery
-            .change(&gone.chain(ready).collect::<Vec<_>>());
-        old.iter().for_each(|server| self.servers.end(*server));
+            .apply(&removed.chain(ready).collect::<Vec<_>>());
+        old.iter().for_each(|server| self.servers.remove(*server));
         self.listed.extend(&new);
         let listed_at = Instant::now();
         new.into_iter()
@@ -160,11 +164,11 @@
             .collect()
     }
 
-    /// What the real balancers use, on average.
+    /// Mean resource usage of the real balancers.
     pub fn usage(&self) -> ProcessUsage {
         let all: Vec<ProcessUsage> = self.real.iter().map(|balancer| balancer.usage()).collect();
-        let mean = |of: fn(&ProcessUsage) -> f64| {
-            all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
+        let mean = |value: fn(&ProcessUsage) -> f64| {
+            all.iter().map(value).sum::<f64>() / all.len().max(1) as f64
         };
         ProcessUsage {
             cpu_seconds: mean(|usage| usage.cpu_seconds),
@@ -174,11 +178,11 @@
         }
     }
 
-    /// The real balancers that have died by themselves.
+    /// Checks that no real balancer has exited by itself.
     ///
     /// # Errors
-    /// Names them, with the end of their logs.
-    pub fn all_alive(&self) -> Result<(), BalancersDied> {
+    /// The error names the balancers that have, with the end of their logs.
+    pub fn check_all_alive(&self) -> Result<(), BalancersDied> {
         let died: Vec<DeadBalancer> = self
             .real
             .iter()
@@ -191,8 +195,8 @@
         }
     }
 
-    /// Connections at the listed servers: the mean, and the most at one.
-    pub fn connections(&self) -> (f64, f64) {
+    /// Returns the mean and the highest number of connections of a listed server.
+    pub fn server_connections(&self) -> (f64, f64) {
         let all: Vec<f64> = self
             .listed
             .iter()
--- a/crates/testbed/src/scale/limits.rs
+++ b/crates/testbed/src/scale/limits.rs
@@ -1,5 +1,5 @@
-//! What a size would need, and what the machine and the scenario allow. It owns the estimates and
-//! must never start anything: a size that would pass a limit is named and not begun.
+//! Estimates of the resources that a size needs, and the limits of the machine and the scenario. This
+//! module never starts anything. A size that would exceed a limit is reported and not started.
 
 use std::fmt;
 
@@ -8,24 +8,26 @@
 use super::scenario::Counts;
 use super::scenario::{DecisionsPart, LimitKeys, SocketPart, StormPart};
 
-/// Memory of the testbed itself, and of each thing that it keeps; measured ones are rounded up to
-/// twice.
+/// Memory of the testbed process itself. This and the estimates below are rounded up to twice the
+/// actual use.
 const TESTBED_MB: u64 = 64;
+/// Memory of a real balancer without its servers and connections.
 const REAL_BALANCER_MB: u64 = 24;
+/// Memory per listed server, in the testbed and in each real balancer.
 const SERVER_BYTES: u64 = 4 << 10;
-/// A simulated balancer keeps so much of each listed server, a client or the server's end of a
-/// connection so much.
+/// Memory of a simulated balancer per listed server.
 const SIMULATED_SERVER_BYTES: u64 = 96;
+/// Memory of a client's or a server's end of a connection.
 const CONNECTION_BYTES: u64 = 4 << 10;
-/// In the policy alone: an own connection with its place in the flow table.
-const OWN_BYTES: u64 = 2 << 10;
-/// Descriptors that a process has beside its connections.
+/// Memory of an own connection with its flow table entry, if the policy is measured alone.
+const OWN_CONNECTION_BYTES: u64 = 2 << 10;
+/// Descriptors of a process that are not connections.
 const STANDING_DESCRIPTORS: u64 = 64;
-/// Part of a balancer's descriptors that its health checks and discovery may hold; the rest are its
-/// clients' and servers'.
-const HEALTH_CHECK_PART: u64 = 16;
+/// Health checks and discovery may hold a balancer's descriptors divided by this. The rest are for the
+/// connections of its clients and servers.
+const HEALTH_CHECK_DESCRIPTORS_DIVISOR: u64 = 16;
 
-/// What is limited.
+/// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resources {
     /// Memory, in MB.
@@ -46,14 +48,14 @@
     }
 }
 
-/// A limit that a size would pass.
+/// A limit that a size would exceed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exceeded {
-    /// What is limited.
+    /// The limited resource.
     pub resource: Resources,
-    /// How much the size needs.
+    /// Amount that the size needs.
     pub needed: u64,
-    /// How much is allowed.
+    /// Amount that is allowed.
     pub limit: u64,
 }
 
@@ -67,20 +69,20 @@
     }
 }
 
-/// What a run may take.
+/// The resources that a run may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Memory of all processes together, in MB.
     pub memory_mb: u64,
-    /// Of each process.
+    /// Descriptors of each process.
     pub descriptors: u64,
     /// Processes, this one included.
     pub processes: u64,
 }
 
 impl Limits {
-    /// The scenario's, or the system's where those are lower. Takes all descriptors that the system
-    /// lets this process have.
+    /// Returns for each resource the lower one of the scenario's and the system's limit. Raises the
+    /// descriptor limit of this process to the maximum that the system allows.
     pub fn of(keys: &LimitKeys) -> Self {
         let system = rustix::process::getrlimit(Resource::Nofile);
         let all = Rlimit {
@@ -100,18 +102,20 @@
         }
     }
 
-    /// Whether all of this is allowed.
+    /// Checks that the need is within all limits.
     ///
     /// # Errors
-    /// The first limit that it would pass.
+    /// The first limit that the need exceeds.
     pub fn allow(&self, need: &Need) -> Result<(), Exceeded> {
-        let each = [
+        let resources = [
             (Resources::Memory, need.memory_mb, self.memory_mb),
             (Resources::Descriptors, need.descriptors, self.descriptors),
             (Resources::Processes, need.processes, self.processes),
         ];
-        let passed = each.into_iter().find(|(_, needed, limit)| needed > limit);
-        passed.map_or(Ok(()), |(resource, needed, limit)| {
+        let exceeded = resources
+            .into_iter()
+            .find(|(_, needed, limit)| needed > limit);
+        exceeded.map_or(Ok(()), |(resource, needed, limit)| {
             Err(Exceeded {
                 resource,
                 needed,
@@ -125,12 +129,12 @@
     memory_mb("MemAvailable:")
 }
 
-/// All memory of the machine.
+/// Total memory of the machine.
 pub fn total_memory_mb() -> Option<u64> {
     memory_mb("MemTotal:")
 }
 
-/// The system's load average of the last minute.
+/// The system's load average over the last minute.
 pub fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
@@ -143,21 +147,21 @@
     Some(kilobytes >> 10)
 }
 
-/// What a size would take, all processes together; descriptors are those of the process that needs
-/// most.
+/// The resources that a size needs. Memory and processes are totals; descriptors are those of the
+/// process that needs the most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Need {
     /// Memory, in MB.
     pub memory_mb: u64,
-    /// Descriptors of the process that needs most.
+    /// Descriptors of the process that needs the most.
     pub descriptors: u64,
     /// Processes, this one included.
     pub processes: u64,
 }
 
-/// What the policy alone needs at these counts.
+/// Returns the need of a measurement of the policy alone at these counts.
 pub fn of_decisions(counts: &Counts, _part: &DecisionsPart) -> Need {
-    let bytes = counts.servers * SERVER_BYTES + counts.connections * OWN_BYTES;
+    let bytes = counts.servers * SERVER_BYTES + counts.connections * OWN_CONNECTION_BYTES;
     Need {
         memory_mb: TESTBED_MB + (bytes >> 20),
         descriptors: STANDING_DESCRIPTORS,
@@ -165,30 +169,30 @@
     }
 }
 
-/// What a fleet on sockets needs at these counts.
-pub fn of_sockets(counts: &Counts, part: &SocketPart, descriptors_of_each: u64) -> Need {
+/// Returns the need of a fleet on sockets at these counts.
+pub fn of_sockets(counts: &Counts, part: &SocketPart, descriptors_per_process: u64) -> Need {
     let simulated = counts
         .balancers
         .saturating_sub(part.real_balancers)
-        .min(part.hollow_limit);
+        .min(part.simulated_balancers_max);
     of_fleet(
         counts,
         part.real_balancers,
         simulated,
-        part.hollow_connections,
-        descriptors_of_each,
+        part.connections_per_simulated_balancer,
+        descriptors_per_process,
     )
 }
 
-/// What a storm needs.
-pub fn of_storm(part: &StormPart, descriptors_of_each: u64) -> Need {
+/// Returns the need of a storm.
+pub fn of_storm(part: &StormPart, descriptors_per_process: u64) -> Need {
     let simulated = part.fixed.balancers - part.real_balancers;
     of_fleet(
         &part.fixed,
         part.real_balancers,
         simulated,
-        part.hollow_connections,
-        descriptors_of_each,
+        part.connections_per_simulated_balancer,
+        descriptors_per_process,
     )
 }
 
@@ -196,23 +200,25 @@
     counts: &Counts,
     real: u64,
     simulated: u64,
-    hollow_connections: u64,
-    descriptors_of_each: u64,
+    connections_per_simulated_balancer: u64,
+    descriptors_per_process: u64,
 ) -> Need {
-    let probes_of_each = counts.servers.min(descriptors_of_each / HEALTH_CHECK_PART);
-    // In the testbed: both ends of what is simulated, the clients' and the servers' ends of what is
-    // real.
-    let of_simulated = simulated * (2 + 2 * hollow_connections + 2);
-    let of_real = real * (2 * counts.connections + probes_of_each + 1);
-    let of_balancer = 2 * counts.connections + probes_of_each;
-    let connections = of_simulated + of_real;
+    let probes_per_balancer = counts
+        .servers
+        .min(descriptors_per_process / HEALTH_CHECK_DESCRIPTORS_DIVISOR);
+    // Descriptors in the testbed process: both ends of each connection of a simulated balancer,
+    // and for a real balancer the clients' ends and the servers' ends of its connections.
+    let simulated_ends = simulated * (2 + 2 * connections_per_simulated_balancer + 2);
+    let real_ends = real * (2 * counts.connections + probes_per_balancer + 1);
+    let balancer_connections = 2 * counts.connections + probes_per_balancer;
+    let connections = simulated_ends + real_ends;
     let bytes = counts.servers * SERVER_BYTES
         + simulated * counts.servers * SIMULATED_SERVER_BYTES
         + connections * CONNECTION_BYTES
         + real * counts.servers * SERVER_BYTES;
     Need {
         memory_mb: TESTBED_MB + real * REAL_BALANCER_MB + (bytes >> 20),
-        descriptors: STANDING_DESCRIPTORS + connections.max(of_balancer),
+        descriptors: STANDING_DESCRIPTORS + connections.max(balancer_connections),
         processes: 1 + real,
     }
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,8 +1,9 @@
-//! Scale runs: one count grows at a time, what a balancer takes and sends is measured at each size,
-//! and a straight line is fitted. [`decisions`] measures the policy and the flow table alone; two
-//! modules measure a fleet of real balancers beside simulated ones on sockets: `steady` while it
-//! runs, `storms` when balancers are killed or servers replaced. Loopback only, bounded in count and
-//! time; a size that would pass a limit is named and not begun.
+//! Scale runs. A run increases one count at a time, measures at each size the resources that a
+//! balancer uses and the traffic that it sends, and fits a straight line through the sizes.
+//! [`decisions`] measures the policy and the flow table alone. Two modules measure a fleet of real
+//! and simulated balancers on sockets: `steady` in steady operation, `storms` after balancers are
+//! killed or servers replaced. Runs use loopback only and are bounded in count and time. A size that
+//! would exceed a limit is reported and not started.
 
 pub mod allocation;
 mod clients;
@@ -37,28 +38,28 @@
 use scenario::{Counts, DecisionsPart, ScaleScenario, SocketPart, StormPart};
 use storms::Storm;
 
-/// Threads of all that is simulated: the real balancers need the cores.
-const THREADS: usize = 3;
-/// When a size is done its connections are given so long to end.
-const SHUTDOWN: Duration = Duration::from_millis(500);
-/// Clients come over this part of the time in which a fleet settles.
-const RAMP_PART: f64 = 0.4;
-/// More servers than changes are due, for those that come late.
+/// Threads that run all simulated parts of a fleet. Few, since the real balancers need the cores.
+const FLEET_THREADS: usize = 3;
+/// How long the tasks of a fleet may take to end once its size has been measured.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
+/// Share of the settling time over which clients arrive.
+const RAMP_SHARE: f64 = 0.4;
+/// Servers started in addition to those that the planned changes need, since changes may run late.
 const SPARE_SERVERS: u64 = 8;
-/// In a storm clients live until their connection is lost.
-const UNLIMITED_LIFE: Option<f64> = None;
+/// In a storm, clients hold their connection until it is lost.
+const UNLIMITED_CONNECTION_LIFE: Option<f64> = None;
 
-/// One size of one count.
+/// One size of one count, in one part of the run.
 #[derive(Clone, Copy)]
-struct At {
+struct MeasurementPoint {
     part: Part,
     varied: Varied,
     size: f64,
 }
 
-impl At {
-    fn limit(&self, limits: &Limits, need: Need) -> Result<(), ScaleRunError> {
-        let At {
+impl MeasurementPoint {
+    fn check_limits(&self, limits: &Limits, need: Need) -> Result<(), ScaleRunError> {
+        let MeasurementPoint {
             part, varied, size, ..
         } = *self;
         limits
@@ -71,7 +72,7 @@
             })
     }
 
-    fn failed(&self, source: MeasurementError) -> ScaleRunError {
+    fn measurement_failed(&self, source: MeasurementError) -> ScaleRunError {
         ScaleRunError::Measurement {
             part: self.part,
             varied: self.varied,
@@ -81,19 +82,19 @@
     }
 }
 
-/// A scale run: its scenario, what it may take, and where its lines go.
+/// A scale run: its scenario, its resource limits, and the writer of its lines.
 pub struct Run<'a, W: Write> {
     /// What is measured.
     pub scenario: &'a ScaleScenario,
-    /// The program that is run as the real balancers.
+    /// The program that the real balancers run.
     pub program: PathBuf,
-    /// What the run may take.
+    /// The resources that the run may use.
     pub limits: Limits,
-    /// Where its lines go.
+    /// Writer of the run's lines.
     pub out: &'a mut LineWriter<W>,
 }
 
-/// The machine that this runs on.
+/// Describes the machine that this process runs on.
 pub fn machine(limits: &Limits) -> Machine {
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get() as u64);
     let memory_mb = limits::total_memory_mb().unwrap_or(0);
@@ -106,11 +107,11 @@
 }
 
 impl<W: Write> Run<'_, W> {
-    /// Measures all sizes of all parts; `text` names the text that is measured.
+    /// Measures all sizes of all parts. `text` names the source revision that is measured.
     ///
     /// # Errors
-    /// A size would pass a limit or failed, or a line couldn't be written. What was measured before
-    /// it is written.
+    /// A size would exceed a limit or could not be measured, or a line could not be written. The
+    /// measurements before the error are written.
     pub fn all(&mut self, text: &str) -> Result<(), ScaleRunError> {
         let (run, machine) = (self.scenario.name.clone(), machine(&self.limits));
         self.write(Line::Start {
@@ -120,35 +121,35 @@
         })?;
         let scenario = self.scenario;
         if let Some(part) = &scenario.module {
-            self.decisions(part)?;
+            self.measure_decisions(part)?;
         }
         if let Some(part) = &scenario.sockets {
-            self.sockets(part)?;
+            self.measure_sockets(part)?;
         }
         if let Some(part) = &scenario.storm {
-            self.storms(part)?;
+            self.measure_storms(part)?;
         }
         Ok(())
     }
 
-    fn decisions(&mut self, part: &DecisionsPart) -> Result<(), ScaleRunError> {
+    fn measure_decisions(&mut self, part: &DecisionsPart) -> Result<(), ScaleRunError> {
         for (varied, sizes) in part.sizes.all() {
             let mut measured = Vec::new();
             for size in sizes {
                 let counts = part.fixed.with(varied, *size);
-                let at = At {
+                let point = MeasurementPoint {
                     part: Part::Decisions,
                     varied,
                     size: *size,
                 };
-                at.limit(&self.limits, limits::of_decisions(&counts, part))?;
+                point.check_limits(&self.limits, limits::of_decisions(&counts, part))?;
                 let figures = decisions::measure(&counts, part, self.scenario.seed);
-                let figures = figures.map_err(|e| at.failed(e))?;
+                let figures = figures.map_err(|e| point.measurement_failed(e))?;
                 let fixed = Fixed {
                     probe_price: Some(part.probe_price),
                     ..Fixed::new(counts)
                 };
-                self.write_measurement(at, fixed, &figures)?;
+                self.write_measurement(point, fixed, &figures)?;
                 measured.push((*size, figures));
             }
             self.write_fits(Part::Decisions, varied, &measured)?;
@@ -156,29 +157,30 @@
         Ok(())
     }
 
-    fn sockets(&mut self, part: &SocketPart) -> Result<(), ScaleRunError> {
+    fn measure_sockets(&mut self, part: &SocketPart) -> Result<(), ScaleRunError> {
         for (varied, sizes) in part.sizes.all() {
             let mut measured = Vec::new();
             for size in sizes {
                 let counts = part.fixed.with(varied, *size);
-                let at = At {
+                let point = MeasurementPoint {
                     part: Part::Sockets,
                     varied,
                     size: *size,
                 };
-                at.limit(
+                point.check_limits(
                     &self.limits,
                     limits::of_sockets(&counts, part, self.limits.descriptors),
                 )?;
                 let plan = self.socket_plan(&counts, part);
-                let figures = on_threads(steady::measure(&plan, part)).map_err(|e| at.failed(e))?;
+                let figures = run_on_own_runtime(steady::measure(&plan, part))
+                    .map_err(|e| point.measurement_failed(e))?;
                 let fixed = Fixed {
                     real_balancers: Some(plan.real),
                     simulated_balancers: Some(plan.simulated),
                     probe_price: Some(part.probe_price),
                     ..Fixed::new(counts)
                 };
-                self.write_measurement(at, fixed, &figures)?;
+                self.write_measurement(point, fixed, &figures)?;
                 measured.push((*size, figures));
             }
             self.write_fits(Part::Sockets, varied, &measured)?;
@@ -194,38 +196,38 @@
             simulated: counts
                 .balancers
                 .saturating_sub(part.real_balancers)
-                .min(part.hollow_limit),
-            hollow_connections: part.hollow_connections,
-            hollow_probes_per_second: part.hollow_probes_per_second,
+                .min(part.simulated_balancers_max),
+            connections_per_simulated_balancer: part.connections_per_simulated_balancer,
+            probes_per_second_of_simulated_balancer: part.probes_per_second_of_simulated_balancer,
             probe_price: part.probe_price,
             connection_seconds: Some(part.connection_seconds),
             spare_servers: changes + SPARE_SERVERS,
             descriptors: self.limits.descriptors,
             seed: self.scenario.seed,
             program: self.program.clone(),
-            ramp: Duration::from_secs_f64(part.settle_seconds * RAMP_PART),
+            ramp: Duration::from_secs_f64(part.settle_seconds * RAMP_SHARE),
         }
     }
 
-    fn storms(&mut self, part: &StormPart) -> Result<(), ScaleRunError> {
+    fn measure_storms(&mut self, part: &StormPart) -> Result<(), ScaleRunError> {
         let plan = self.storm_plan(part);
         for storm in [Storm::BalancersKilled, Storm::ServersReplaced] {
             let (varied, size) = match storm {
                 Storm::BalancersKilled => (Varied::Balancers, part.fixed.balancers),
                 Storm::ServersReplaced => (Varied::Servers, part.fixed.servers),
             };
-            let at = At {
+            let point = MeasurementPoint {
                 part: Part::Storm,
                 varied,
                 size: size as f64,
             };
-            at.limit(
+            point.check_limits(
                 &self.limits,
                 limits::of_storm(part, self.limits.descriptors),
             )?;
-            let figures =
-                on_threads(storms::measure(&plan, part, storm)).map_err(|e| at.failed(e))?;
-            self.write_measurement(at, storm_counts(&plan, part, storm), &figures)?;
+            let figures = run_on_own_runtime(storms::measure(&plan, part, storm))
+                .map_err(|e| point.measurement_failed(e))?;
+            self.write_measurement(point, storm_counts(&plan, part, storm), &figures)?;
         }
         Ok(())
     }
@@ -235,27 +237,27 @@
             counts: part.fixed,
             real: part.real_balancers,
             simulated: part.fixed.balancers - part.real_balancers,
-            hollow_connections: part.hollow_connections,
-            hollow_probes_per_second: part.hollow_probes_per_second,
+            connections_per_simulated_balancer: part.connections_per_simulated_balancer,
+            probes_per_second_of_simulated_balancer: part.probes_per_second_of_simulated_balancer,
             probe_price: 0.0,
-            connection_seconds: UNLIMITED_LIFE,
+            connection_seconds: UNLIMITED_CONNECTION_LIFE,
             spare_servers: part.replaced,
             descriptors: self.limits.descriptors,
             seed: self.scenario.seed,
             program: self.program.clone(),
-            ramp: Duration::from_secs_f64(part.settle_seconds * RAMP_PART),
+            ramp: Duration::from_secs_f64(part.settle_seconds * RAMP_SHARE),
         }
     }
 
     fn write_measurement(
         &mut self,
-        at: At,
+        point: MeasurementPoint,
         fixed: Fixed,
         figures: &Figures,
     ) -> Result<(), ScaleRunError> {
-        let At {
+        let MeasurementPoint {
             part, varied, size, ..
-        } = at;
+        } = point;
         let (run, figures) = (self.scenario.name.clone(), Box::new(figures.clone()));
         self.write(Line::Measurement {
             run,
@@ -273,7 +275,7 @@
         varied: Varied,
         measured: &[(f64, Figures)],
     ) -> Result<(), ScaleRunError> {
-        for (name, points) in by_figure(measured) {
+        for (name, points) in points_by_figure(measured) {
             if let Some(LinearFit {
                 intercept,
                 slope,
@@ -300,7 +302,7 @@
     }
 }
 
-/// The counts of a storm, as its line has them.
+/// The counts of a storm, as written in its line.
 fn storm_counts(plan: &FleetPlan, part: &StormPart, storm: Storm) -> Fixed {
     let (killed, replaced) = match storm {
         Storm::BalancersKilled => (Some(part.killed), None),
@@ -316,13 +318,13 @@
     }
 }
 
-/// Each figure with its points, in the order in which figures are written.
-fn by_figure(measured: &[(f64, Figures)]) -> Vec<(String, Vec<(f64, f64)>)> {
+/// Returns each figure with its points, in the order in which the figures are written.
+fn points_by_figure(measured: &[(f64, Figures)]) -> Vec<(String, Vec<(f64, f64)>)> {
     let points: Vec<(f64, Vec<(String, f64)>)> = measured
         .iter()
         .map(|(size, figures)| (*size, figures.measured()))
         .collect();
-    let of = |name: String| {
+    let points_of = |name: String| {
         let value = |(size, figures): &(f64, Vec<(String, f64)>)| {
             figures
                 .iter()
@@ -332,24 +334,27 @@
         let points = points.iter().filter_map(value).collect();
         (name, points)
     };
-    table::names(&points).into_iter().map(of).collect()
+    table::figure_names(&points)
+        .into_iter()
+        .map(points_of)
+        .collect()
 }
 
-/// Runs a fleet on threads of its own, which end with it.
-fn on_threads(
+/// Runs a fleet on a runtime of its own, whose threads end with the fleet.
+fn run_on_own_runtime(
     work: impl Future<Output = Result<Figures, MeasurementError>>,
 ) -> Result<Figures, MeasurementError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(THREADS)
+        .worker_threads(FLEET_THREADS)
         .enable_all()
         .build();
     let runtime = runtime.map_err(MeasurementError::Threads)?;
     let figures = runtime.block_on(work);
-    runtime.shutdown_timeout(SHUTDOWN);
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     figures
 }
 
-/// Where the table and the plot of a run stand, beside its lines.
+/// Paths of a run's table and plot: those of its lines with another extension.
 pub fn beside(lines: &Path) -> (PathBuf, PathBuf) {
     (lines.with_extension("md"), lines.with_extension("svg"))
 }
--- a/crates/testbed/src/scale/processes.rs
+++ b/crates/testbed/src/scale/processes.rs
@@ -1,5 +1,6 @@
-//! Real balancers: each a process with its configuration and log in the run's folder, and what the
-//! system says of it. It ends only what it has started, and gives its files back.
+//! Real balancers. Each one is a process with its configuration and log in the run's folder, whose
+//! resource usage is read from the system. This module ends only processes that it has started, and
+//! removes its files.
 
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,30 +17,31 @@
 use crate::balancer_process::{ProcessUsage, answers_ping, log_end};
 use crate::file_error::FileError;
 
-/// A balancer must be ready by then.
+/// Time within which a balancer must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-const READY_INTERVAL: Duration = Duration::from_millis(20);
-/// What a balancer is told that it may use: more than it needs, so that memory is measured and not
-/// bounded.
+/// Interval between checks whether a balancer is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Memory limit in a balancer's configuration. It is higher than needed, so that the memory measured
+/// is not bounded by it.
 const MEMORY_MB: u64 = 1024;
-/// Balancers listen from this port on, each size at the next one: guards against connections that
-/// linger from the last.
+/// Port on which the balancers of the first size listen. Each size uses the next port, so that
+/// lingering connections of the previous size don't interfere.
 const FIRST_PORT: u16 = 7000;
 static NEXT_PORT: AtomicU16 = AtomicU16::new(FIRST_PORT);
 
-/// A folder of the run's own, removed with all in it at the end.
+/// A temporary folder of the run, removed with its contents when dropped.
 pub struct RunFolder {
     path: PathBuf,
 }
 
 impl RunFolder {
-    /// Makes it.
+    /// Creates the folder.
     ///
     /// # Errors
-    /// Names the folder that can't be made.
+    /// The error names the folder that could not be created.
     pub fn new() -> Result<Self, FileError> {
-        static MADE: AtomicU16 = AtomicU16::new(0);
-        let number = MADE.fetch_add(1, Relaxed);
+        static NEXT_FOLDER: AtomicU16 = AtomicU16::new(0);
+        let number = NEXT_FOLDER.fetch_add(1, Relaxed);
         let path =
             std::env::temp_dir().join(format!("nettlemux-scale-{}-{number}", std::process::id()));
         fs::create_dir_all(&path).map_err(FileError::at(&path))?;
@@ -54,7 +56,7 @@
 }
 
 /// How all real balancers of one size are started.
-pub struct Launch {
+pub struct LaunchConfig {
     pub program: PathBuf,
     pub discovery: SocketAddr,
     pub descriptors: u64,
@@ -63,7 +65,7 @@
     port: u16,
 }
 
-impl Launch {
+impl LaunchConfig {
     pub fn new(
         program: &Path,
         discovery: SocketAddr,
@@ -72,7 +74,7 @@
         seed: u64,
     ) -> Self {
         let port = NEXT_PORT.fetch_add(1, Relaxed);
-        Launch {
+        LaunchConfig {
             program: program.into(),
             discovery,
             descriptors,
@@ -95,11 +97,15 @@
 }
 
 impl RealBalancer {
-    /// Starts the one with that number; it isn't ready yet.
+    /// Starts the balancer with this number, without waiting until it is ready.
     ///
     /// # Errors
-    /// Names the program or the file at fault.
-    pub fn start(number: usize, launch: &Launch, folder: &RunFolder) -> Result<Self, FileError> {
+    /// The error names the program that could not be started, or the file that could not be accessed.
+    pub fn start(
+        number: usize,
+        launch: &LaunchConfig,
+        folder: &RunFolder,
+    ) -> Result<Self, FileError> {
         let process = std::process::id();
         let [second, third] = [96 + process % 32, 1 + process / 32 % 250].map(|byte| byte as u8);
         let address = SocketAddr::from((
@@ -130,32 +136,32 @@
         Ok(balancer)
     }
 
-    /// Starts its process, at first or after [`RealBalancer::kill`].
+    /// Starts the process, also after [`RealBalancer::kill`].
     ///
     /// # Errors
-    /// Names the program or the file at fault.
+    /// The error names the program that could not be started, or the file that could not be accessed.
     pub fn spawn(&self) -> Result<(), FileError> {
         let log = File::options().create(true).append(true).open(&self.log);
         let log = log.map_err(FileError::at(&self.log))?;
-        let copy = log.try_clone().map_err(FileError::at(&self.log))?;
+        let stdout = log.try_clone().map_err(FileError::at(&self.log))?;
         let mut command = Command::new(&self.program);
         command
             .args(["serve", "--log", "warn", "--config"])
             .arg(&self.config);
-        command.stdin(Stdio::null()).stdout(copy).stderr(log);
+        command.stdin(Stdio::null()).stdout(stdout).stderr(log);
         let child = command.spawn().map_err(FileError::at(&self.program))?;
         *self.child() = Some(child);
         Ok(())
     }
 
-    /// Waits until it answers.
+    /// Waits until the balancer answers.
     ///
     /// # Errors
-    /// It doesn't in time; with the end of its log.
+    /// The balancer does not answer in time. The error contains the end of its log.
     pub async fn wait_until_ready(&self) -> Result<(), MeasurementError> {
         let ready = async {
             while !answers_ping(self.address).await {
-                tokio::time::sleep(READY_INTERVAL).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         };
         let in_time = tokio::time::timeout(READY_TIMEOUT, ready).await.is_ok();
@@ -170,12 +176,12 @@
         }
     }
 
-    /// Whether clients may be sent to it.
+    /// Whether clients may connect to this balancer.
     pub fn ready(&self) -> bool {
         self.ready.load(Relaxed)
     }
 
-    /// Ends it at once.
+    /// Kills the process.
     pub fn kill(&self) {
         self.ready.store(false, Relaxed);
         if let Some(mut child) = self.child().take() {
@@ -184,7 +190,7 @@
         }
     }
 
-    /// Returns that it has ended by itself, with the end of its log.
+    /// Returns the end of the log if the process has exited by itself.
     pub fn died(&self) -> Option<DeadBalancer> {
         let ended = self
             .child()
@@ -196,7 +202,7 @@
         })
     }
 
-    /// What it uses; nothing where it doesn't run.
+    /// Resource usage of the process; all zero if it does not run.
     pub fn usage(&self) -> ProcessUsage {
         let id = self.child().as_ref().map(Child::id);
         id.map(ProcessUsage::of).unwrap_or_default()
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -1,6 +1,6 @@
-//! Simulated servers: all in this process, each with an address of its own on loopback and one
-//! listening socket for all. They answer health checks, take attempts, hold connections and count;
-//! they do no work. It owns the listener and what was counted.
+//! Simulated servers. All run in this process; each has its own loopback address, and one listening
+//! socket serves all of them. They answer health checks, accept attempts, hold connections and count
+//! them, but do no work. This module owns the listener and the counters.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -13,32 +13,35 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 
-/// Servers have the addresses from here on; balancers' and agents' are elsewhere.
+/// Address of the first server. The others use the addresses after it, which don't overlap those of
+/// balancers and discovery agents.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 64, 0, 1]);
-/// Connections that may wait to be accepted.
+/// Connections that the system queues until they are accepted.
 const BACKLOG: u32 = 4096;
-/// A first line is no longer than the platform's.
-const LINE_LIMIT: usize = 4096 + 2;
-/// The loopback interface: what comes by any other is never accepted.
+/// Longest line that is read, as on the platform: 4096 bytes and the line end.
+const LINE_BYTES_MAX: usize = 4096 + 2;
+/// The loopback interface. Connections that arrive on any other are never accepted.
 const LOOPBACK: &[u8] = b"lo";
-/// Real balancers connect from this address, simulated ones each from one of their own.
+/// Source address of real balancers. Each simulated balancer has a source address of its own.
 pub const REAL_SOURCE: Ipv4Addr = Ipv4Addr::LOCALHOST;
-/// A server's load is its connections over this many times the mean.
+/// A server's capacity is this many times the mean number of connections. Its utilization is its
+/// connections divided by its capacity.
 const CAPACITY_FACTOR: f64 = 4.0;
-/// It holds so many at least.
-const LEAST_CAPACITY: f64 = 32.0;
+/// Lowest capacity of a server, in connections.
+const CAPACITY_MIN: f64 = 32.0;
 
-/// What brought an attempt.
+/// Why an attempt was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
+    /// The client connects for the first time.
     First,
-    /// Its client had a connection that broke or was moved.
+    /// The client's previous connection was lost or migrated.
     Returning,
-    /// The same client's attempt came before.
+    /// The attempt retries an earlier one with the same client id.
     Retry,
 }
 
-/// Traffic from real balancers, or from simulated ones.
+/// Counters of the traffic from real balancers, or from simulated ones.
 #[derive(Debug, Default)]
 pub struct Traffic {
     pub probes: AtomicU64,
@@ -49,50 +52,50 @@
 /// One server.
 struct Server {
     connections: AtomicI64,
-    /// Set once it is gone: its connections end.
-    gone: watch::Sender<bool>,
-    /// When a real balancer first sent it anything.
+    /// Set once the server is removed, which ends its connections.
+    removed: watch::Sender<bool>,
+    /// When a real balancer first sent this server a line.
     first_seen: Mutex<Option<Instant>>,
 }
 
-/// What attempts have come to.
+/// Counters of attempts.
 #[derive(Debug, Default)]
 struct AttemptCounts {
     by_cause: HashMap<Cause, u64>,
-    /// For each server and second since the start.
+    /// Attempts for each server and second since the start.
     by_second: HashMap<(usize, u64), u64>,
     client_ids: HashSet<String>,
 }
 
-/// All servers.
+/// All simulated servers.
 pub struct Servers {
     port: u16,
     all: Vec<Server>,
     capacity: f64,
-    began: Instant,
+    started_at: Instant,
     attempts: Mutex<AttemptCounts>,
     pub from_real: Traffic,
     pub from_simulated: Traffic,
 }
 
 impl Servers {
-    /// Starts `number` servers, of which those that aren't listed yet wait to be. `connections` are
-    /// expected at them all.
+    /// Starts `number` servers, of which `listed` are on the endpoint list at first; the others may be
+    /// listed later. `connections` is the number of connections expected at all servers together.
     ///
     /// # Errors
-    /// There is no listening on the loopback interface.
+    /// Listening on the loopback interface failed.
     pub fn start(number: usize, listed: usize, connections: f64) -> io::Result<Arc<Self>> {
         let listener = listen()?;
         let server = || Server {
             connections: AtomicI64::new(0),
-            gone: watch::channel(false).0,
+            removed: watch::channel(false).0,
             first_seen: Mutex::new(None),
         };
         let servers = Arc::new(Servers {
             port: listener.local_addr()?.port(),
             all: (0..number).map(|_| server()).collect(),
-            capacity: (CAPACITY_FACTOR * connections / listed.max(1) as f64).max(LEAST_CAPACITY),
-            began: Instant::now(),
+            capacity: (CAPACITY_FACTOR * connections / listed.max(1) as f64).max(CAPACITY_MIN),
+            started_at: Instant::now(),
             attempts: Mutex::default(),
             from_real: Traffic::default(),
             from_simulated: Traffic::default(),
@@ -100,7 +103,7 @@
         let accepting = servers.clone();
         tokio::spawn(async move {
             loop {
-                // Out of descriptors for a moment, or a connection that has ended already.
+                // Fails if descriptors have temporarily run out or the connection has already ended.
                 let Ok((stream, from)) = listener.accept().await else {
                     tokio::time::sleep(std::time::Duration::from_millis(1)).await;
                     continue;
@@ -111,13 +114,13 @@
         Ok(servers)
     }
 
-    /// Where this server listens.
+    /// The address that this server listens on.
     pub fn address(&self, server: usize) -> SocketAddr {
         let address = Ipv4Addr::from_bits(FIRST_ADDRESS + server as u32);
         SocketAddr::from((address, self.port))
     }
 
-    fn at(&self, address: SocketAddr) -> Option<usize> {
+    fn server_at(&self, address: SocketAddr) -> Option<usize> {
         let IpAddr::V4(address) = address.ip() else {
             return None;
         };
@@ -125,12 +128,12 @@
         (server < self.all.len()).then_some(server)
     }
 
-    /// Ends this server's connections; it takes no more.
-    pub fn end(&self, server: usize) {
-        self.all[server].gone.send_replace(true);
+    /// Removes this server: ends its connections and accepts no more.
+    pub fn remove(&self, server: usize) {
+        self.all[server].removed.send_replace(true);
     }
 
-    /// When a real balancer first probed it or connected to it.
+    /// When a real balancer first sent this server a health check or an attempt.
     pub fn first_seen(&self, server: usize) -> Option<Instant> {
         *self.all[server]
             .first_seen
@@ -142,18 +145,23 @@
         self.all[server].connections.load(Relaxed)
     }
 
-    pub fn attempts_by(&self, cause: Cause) -> u64 {
+    pub fn attempts_by_cause(&self, cause: Cause) -> u64 {
         self.attempts().by_cause.get(&cause).copied().unwrap_or(0)
     }
 
-    /// The most attempts that one of these servers was sent within a second from that moment on.
-    pub fn most_attempts_in_a_second(&self, since: Instant, of: impl Fn(usize) -> bool) -> u64 {
-        let first_second = since.duration_since(self.began).as_secs();
+    /// Highest number of attempts that any server selected by `includes` received within a second,
+    /// from the second of `since` on.
+    pub fn attempts_in_a_second_max(
+        &self,
+        since: Instant,
+        includes: impl Fn(usize) -> bool,
+    ) -> u64 {
+        let first_second = since.duration_since(self.started_at).as_secs();
         let attempts = self.attempts();
         let later = attempts
             .by_second
             .iter()
-            .filter(|((server, second), _)| *second >= first_second && of(*server));
+            .filter(|((server, second), _)| *second >= first_second && includes(*server));
         later.map(|(_, count)| *count).max().unwrap_or(0)
     }
 
@@ -162,20 +170,20 @@
     }
 
     async fn serve(self: Arc<Self>, mut stream: TcpStream, from: SocketAddr) -> Option<()> {
-        let server = self.at(stream.local_addr().ok()?)?;
+        let server = self.server_at(stream.local_addr().ok()?)?;
         let real = from.ip() == REAL_SOURCE;
         let traffic = if real {
             &self.from_real
         } else {
             &self.from_simulated
         };
-        let mut gone = self.all[server].gone.subscribe();
+        let mut removed = self.all[server].removed.subscribe();
         let _ = stream.set_nodelay(true);
-        let mut held = Vec::new();
+        let mut buffer = Vec::new();
         loop {
             let line = tokio::select! {
-                line = read_line(&mut stream, &mut held) => line?,
-                _ = gone.wait_for(|gone| *gone) => return None,
+                line = read_line(&mut stream, &mut buffer) => line?,
+                _ = removed.wait_for(|removed| *removed) => return None,
             };
             if real {
                 let mut first = self.all[server]
@@ -186,9 +194,9 @@
             }
             if line.starts_with("OPEN ") {
                 traffic.attempts.fetch_add(1, Relaxed);
-                return self.hold(server, stream, &line, gone).await;
+                return self.hold_connection(server, stream, &line, removed).await;
             }
-            let answer = self.report(server);
+            let answer = self.load_report(server);
             stream.write_all(answer.as_bytes()).await.ok()?;
             traffic.probes.fetch_add(1, Relaxed);
             traffic
@@ -197,20 +205,20 @@
         }
     }
 
-    fn report(&self, server: usize) -> String {
+    fn load_report(&self, server: usize) -> String {
         let connections = self.connections(server);
         let load = connections as f64 / self.capacity;
         format!("PONG x0={load:.4},inflight={connections}\r\n")
     }
 
-    async fn hold(
+    async fn hold_connection(
         &self,
         server: usize,
         mut stream: TcpStream,
         line: &str,
-        mut gone: watch::Receiver<bool>,
+        mut removed: watch::Receiver<bool>,
     ) -> Option<()> {
-        self.count_connect(server, line);
+        self.count_attempt(server, line);
         let connections = &self.all[server].connections;
         connections.fetch_add(1, Relaxed);
         let held = async {
@@ -221,16 +229,16 @@
         };
         tokio::select! {
             _ = held => {}
-            _ = gone.wait_for(|gone| *gone) => {}
+            _ = removed.wait_for(|removed| *removed) => {}
         }
         connections.fetch_sub(1, Relaxed);
         Some(())
     }
 
-    fn count_connect(&self, server: usize, line: &str) {
+    fn count_attempt(&self, server: usize, line: &str) {
         let mut words = line.split(' ').skip(1);
         let (id, values) = (words.next().unwrap_or(""), words.nth(1).unwrap_or(""));
-        let second = self.began.elapsed().as_secs();
+        let second = self.started_at.elapsed().as_secs();
         let mut attempts = self.attempts();
         let known = !attempts.client_ids.insert(id.to_string());
         let reconnecting = values.split(',').any(|pair| pair == "again=1");
@@ -244,8 +252,8 @@
     }
 }
 
-/// One socket for the addresses of all servers: what arrives by the loopback interface, and nothing
-/// else.
+/// Opens one listening socket for the addresses of all servers. It accepts only connections that
+/// arrive on the loopback interface.
 fn listen() -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.bind_device(Some(LOOPBACK))?;
@@ -253,14 +261,15 @@
     socket.listen(BACKLOG)
 }
 
-/// The next line without its end; none once the connection is over.
-async fn read_line(stream: &mut TcpStream, held: &mut Vec<u8>) -> Option<String> {
+/// Returns the next line without its line end, or `None` once the connection has ended or the line is
+/// too long. `buffer` keeps the bytes after the line.
+async fn read_line(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
     loop {
-        if let Some(end) = held.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = held.drain(..=end).collect();
+        if let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = buffer.drain(..=end).collect();
             return Some(String::from_utf8_lossy(&line).trim_end().to_string());
         }
-        if held.len() > LINE_LIMIT || stream.read_buf(held).await.ok()? == 0 {
+        if buffer.len() > LINE_BYTES_MAX || stream.read_buf(buffer).await.ok()? == 0 {
             return None;
         }
     }
--- a/crates/testbed/src/scale/simulated_balancer.rs
+++ b/crates/testbed/src/scale/simulated_balancer.rs
@@ -1,8 +1,8 @@
-//! Simulated balancers: what reaches others of a balancer, without its clients' lines. Each watches
-//! the endpoint list by HTTP as the real one does, health checks servers in turn at a fixed rate,
-//! names servers to its clients (a random one that is listed), can be killed and started again.
-//! They share this process. It owns each one's connection to discovery and its copy of the endpoint
-//! list.
+//! Simulated balancers: they send the traffic of a balancer to discovery and servers, but don't relay
+//! the lines of their clients. Each one watches the endpoint list over HTTP as a real balancer does,
+//! sends health checks to random listed servers at a fixed rate, and chooses a random listed server
+//! for each of its clients. It can be killed and started again. All run in this process. This module
+//! owns each simulated balancer's connection to discovery and its copy of the endpoint list.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,19 +17,21 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How long a call for the endpoint list is held, as the real balancer has it, and how long past
-/// that it is waited for.
+/// How long discovery is asked to hold a call for the endpoint list. The real balancer uses the same
+/// time.
 const HOLD: Duration = Duration::from_secs(1);
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Until the next call after one that failed, and the least time between two.
+/// How long after the hold time the response is awaited.
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
+/// Time until the next call after a failed one.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest time between the starts of two calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(20);
-/// A health check that has brought nothing by then has failed.
+/// A health check that is not answered within this time has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Simulated balancers connect from the addresses from here on.
-const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 32, 0, 1]);
+/// Source address of the first simulated balancer. The others use the addresses after it.
+const FIRST_SOURCE_ADDRESS: u32 = u32::from_be_bytes([127, 32, 0, 1]);
 
-/// A server as the endpoint list tells it.
+/// An entry in a response of discovery.
 #[derive(Deserialize)]
 struct EndpointUpdate {
     #[serde(rename = "instanceId")]
@@ -39,18 +41,18 @@
     lifecycle: String,
 }
 
-/// An answer of discovery.
+/// A response of discovery.
 #[derive(Deserialize)]
-struct Answer {
+struct EndpointListResponse {
     generation: u64,
     reset: bool,
     instances: Vec<EndpointUpdate>,
 }
 
 #[derive(Default)]
-struct List {
+struct EndpointList {
     by_id: BTreeMap<String, SocketAddr>,
-    /// The same addresses, to draw from.
+    /// The same addresses, for random choice.
     addresses: Vec<SocketAddr>,
 }
 
@@ -59,14 +61,14 @@
     source: Ipv4Addr,
     discovery: SocketAddr,
     probe_interval: Duration,
-    list: Mutex<List>,
+    list: Mutex<EndpointList>,
     rng: Mutex<Rng>,
     alive: watch::Sender<bool>,
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl SimulatedBalancer {
-    /// Starts the one with that number.
+    /// Starts the simulated balancer with this number.
     pub fn start(
         number: usize,
         discovery: SocketAddr,
@@ -74,7 +76,7 @@
         seed: u64,
     ) -> Arc<Self> {
         let balancer = Arc::new(SimulatedBalancer {
-            source: Ipv4Addr::from_bits(FIRST_ADDRESS + number as u32),
+            source: Ipv4Addr::from_bits(FIRST_SOURCE_ADDRESS + number as u32),
             discovery,
             probe_interval: Duration::from_secs_f64(1.0 / probes_per_second.max(1e-3)),
             list: Mutex::default(),
@@ -82,32 +84,32 @@
             alive: watch::channel(false).0,
             tasks: Mutex::default(),
         });
-        balancer.run();
+        balancer.spawn_tasks();
         balancer
     }
 
-    /// Starts it again after [`SimulatedBalancer::kill`], from nothing.
-    pub fn run(self: &Arc<Self>) {
+    /// Starts the tasks, also after [`SimulatedBalancer::kill`]. The endpoint list is empty then.
+    pub fn spawn_tasks(self: &Arc<Self>) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.push(tokio::spawn(self.clone().watch_list()));
-        tasks.push(tokio::spawn(self.clone().probe()));
+        tasks.push(tokio::spawn(self.clone().send_health_checks()));
         self.alive.send_replace(true);
     }
 
-    /// Ends it at once, and with it its clients' connections.
+    /// Terminates the balancer at once, and with it its clients' connections.
     pub fn kill(&self) {
         self.alive.send_replace(false);
         let tasks = std::mem::take(&mut *self.tasks.lock().unwrap_or_else(PoisonError::into_inner));
         tasks.iter().for_each(JoinHandle::abort);
-        *self.list() = List::default();
+        *self.list() = EndpointList::default();
     }
 
-    /// Whether it runs, and news of that.
+    /// Whether the balancer runs. The receiver is notified of changes.
     pub fn alive(&self) -> watch::Receiver<bool> {
         self.alive.subscribe()
     }
 
-    /// A server for one of its clients; none before its list has come.
+    /// Chooses a random listed server; `None` before the endpoint list has been received.
     pub fn pick(&self) -> Option<SocketAddr> {
         let list = self.list();
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
@@ -116,10 +118,10 @@
             .copied()
     }
 
-    /// A connection to a server, from this balancer's own address.
+    /// Connects to a server from this balancer's own address.
     ///
     /// # Errors
-    /// As connecting has them.
+    /// Binding to that address or connecting failed.
     pub async fn connect(&self, server: SocketAddr) -> io::Result<TcpStream> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from((self.source, 0)))?;
@@ -128,68 +130,70 @@
         Ok(stream)
     }
 
-    fn list(&self) -> MutexGuard<'_, List> {
+    fn list(&self) -> MutexGuard<'_, EndpointList> {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn watch_list(self: Arc<Self>) {
         let mut version = None;
-        let mut line = None;
+        let mut connection = None;
         loop {
             let began = tokio::time::Instant::now();
-            let answered =
-                tokio::time::timeout(HOLD + PATIENCE, call(&mut line, self.discovery, version))
-                    .await;
+            let answered = tokio::time::timeout(
+                HOLD + RESPONSE_GRACE,
+                fetch_endpoint_list(&mut connection, self.discovery, version),
+            )
+            .await;
             match answered {
-                Ok(Ok(answer)) => {
-                    version = Some(answer.generation);
-                    self.take(answer);
+                Ok(Ok(response)) => {
+                    version = Some(response.generation);
+                    self.apply(response);
                     tokio::time::sleep_until(began + CALL_INTERVAL).await;
                 }
                 _ => {
-                    line = None;
+                    connection = None;
                     tokio::time::sleep(RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    fn take(&self, answer: Answer) {
-        if !answer.reset && answer.instances.is_empty() {
+    fn apply(&self, response: EndpointListResponse) {
+        if !response.reset && response.instances.is_empty() {
             return;
         }
         let mut list = self.list();
-        if answer.reset {
+        if response.reset {
             list.by_id.clear();
         }
-        for told in answer.instances {
-            match told.lifecycle.as_str() {
-                "Ready" => drop(list.by_id.insert(told.id, told.address)),
-                _ => drop(list.by_id.remove(&told.id)),
+        for update in response.instances {
+            match update.lifecycle.as_str() {
+                "Ready" => drop(list.by_id.insert(update.id, update.address)),
+                _ => drop(list.by_id.remove(&update.id)),
             }
         }
         list.addresses = list.by_id.values().copied().collect();
     }
 
-    async fn probe(self: Arc<Self>) {
+    async fn send_health_checks(self: Arc<Self>) {
         let first = self
             .rng
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .uniform();
-        // So that simulated balancers don't health check in step.
+        // A random delay, so that simulated balancers don't send their health checks in step.
         tokio::time::sleep(self.probe_interval.mul_f64(first)).await;
         let mut ticks = tokio::time::interval(self.probe_interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             if let Some(server) = self.pick() {
-                let _ = tokio::time::timeout(PROBE_TIMEOUT, self.ask_load(server)).await;
+                let _ = tokio::time::timeout(PROBE_TIMEOUT, self.check_health(server)).await;
             }
         }
     }
 
-    async fn ask_load(&self, server: SocketAddr) -> io::Result<()> {
+    async fn check_health(&self, server: SocketAddr) -> io::Result<()> {
         let mut stream = self.connect(server).await?;
         stream.write_all(b"STATS\r\n").await?;
         let mut answer = [0; 128];
@@ -197,17 +201,17 @@
     }
 }
 
-type Line = BufReader<TcpStream>;
+type Connection = BufReader<TcpStream>;
 
-/// One call for the endpoint list, over the connection of the last one where it stays open.
-async fn call(
-    line: &mut Option<Line>,
+/// Makes one call for the endpoint list, over the connection of the previous call if it is still open.
+async fn fetch_endpoint_list(
+    connection: &mut Option<Connection>,
     discovery: SocketAddr,
     version: Option<u64>,
-) -> io::Result<Answer> {
-    let stream = match line {
+) -> io::Result<EndpointListResponse> {
+    let stream = match connection {
         Some(stream) => stream,
-        None => line.insert(BufReader::new(TcpStream::connect(discovery).await?)),
+        None => connection.insert(BufReader::new(TcpStream::connect(discovery).await?)),
     };
     let path = version.map_or("/api/targets".into(), |version| {
         format!("/api/targets?from={version}&hold_ms={}", HOLD.as_millis())
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -1,5 +1,5 @@
-//! Measures a fleet on sockets that runs steadily at one size: what the real balancers send, take
-//! and use.
+//! Measures a fleet on sockets in steady operation at one size: the traffic of the real balancers and
+//! the resources that they use.
 
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
@@ -12,17 +12,17 @@
 use super::scenario::SocketPart;
 use crate::balancer_process::ProcessUsage;
 
-/// After the measurement new servers have so long to be seen: the longest wait for a first health
-/// check.
-const SEEN_WITHIN: Duration = Duration::from_millis(2500);
-/// Changes are carried out at these steps at the most often.
-const STEP: Duration = Duration::from_millis(5);
-/// The longest time that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 60_000;
+/// How long after the measurement a new server may receive its first health check or attempt: the
+/// longest wait for a first health check.
+const SEEN_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Interval between checks for due changes and for servers that have not been seen yet.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest time that the histogram resolves, in milliseconds.
+const CHANGE_SEEN_MAX_MS: u64 = 60_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What was counted up to a moment.
-struct Counted {
+/// Counters and resource usage read at one time.
+struct CounterSnapshot {
     at: Instant,
     probes: u64,
     probe_bytes: u64,
@@ -33,10 +33,10 @@
     usage: ProcessUsage,
 }
 
-impl Counted {
-    fn now(fleet: &Fleet) -> Self {
+impl CounterSnapshot {
+    fn read(fleet: &Fleet) -> Self {
         let (servers, discovery) = (&fleet.servers, &fleet.discovery);
-        Counted {
+        CounterSnapshot {
             at: Instant::now(),
             probes: servers.from_real.probes.load(Relaxed),
             probe_bytes: servers.from_real.probe_bytes.load(Relaxed),
@@ -52,30 +52,30 @@
 /// Runs a fleet at one size and measures it.
 ///
 /// # Errors
-/// It can't be started, or a balancer died.
+/// The fleet could not be started, or a balancer exited unexpectedly.
 pub async fn measure(plan: &FleetPlan, part: &SocketPart) -> Result<Figures, MeasurementError> {
     let mut fleet = Fleet::start(plan).await?;
     tokio::time::sleep(Duration::from_secs_f64(part.settle_seconds)).await;
-    let up = fleet.clients.up();
-    let before = Counted::now(&fleet);
-    let replaced = change_steadily(
+    let established = fleet.clients.established();
+    let before = CounterSnapshot::read(&fleet);
+    let replaced = replace_steadily(
         &mut fleet,
         plan.counts.changes_per_second,
         part.measure_seconds,
     )
     .await;
-    let after = Counted::now(&fleet);
+    let after = CounterSnapshot::read(&fleet);
     wait_until_seen(&fleet, &replaced).await;
-    fleet.all_alive()?;
+    fleet.check_all_alive()?;
     let mut figures = rates(&before, &after, plan.real as f64);
-    figures.list_bytes = Some(fleet.discovery.whole_bytes() as f64);
-    figures.connections_up = Some(up as f64);
-    note_changes(&mut figures, &fleet, &replaced);
+    figures.list_bytes = Some(fleet.discovery.complete_list_bytes() as f64);
+    figures.connections_up = Some(established as f64);
+    record_changes_seen(&mut figures, &fleet, &replaced);
     Ok(figures)
 }
 
-/// Replaces servers one at a time at this rate, for so long.
-async fn change_steadily(fleet: &mut Fleet, per_second: f64, seconds: f64) -> Vec<Replacement> {
+/// Replaces servers one at a time at this rate, for this many seconds.
+async fn replace_steadily(fleet: &mut Fleet, per_second: f64, seconds: f64) -> Vec<Replacement> {
     let (began, mut replaced) = (Instant::now(), Vec::new());
     let end = began + Duration::from_secs_f64(seconds);
     while Instant::now() < end {
@@ -87,41 +87,43 @@
             }
             replaced.extend(new);
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     replaced
 }
 
-/// Until each new server has been seen, or for as long as that may take.
+/// Waits until each new server has been seen, or until the time-out.
 async fn wait_until_seen(fleet: &Fleet, replaced: &[Replacement]) {
-    let until = Instant::now() + SEEN_WITHIN;
+    let until = Instant::now() + SEEN_TIMEOUT;
     let unseen = || {
         replaced
             .iter()
             .any(|new| fleet.servers.first_seen(new.server).is_none())
     };
     while unseen() && Instant::now() < until {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn rates(before: &Counted, after: &Counted, real: f64) -> Figures {
+fn rates(before: &CounterSnapshot, after: &CounterSnapshot, real: f64) -> Figures {
     let seconds = (after.at - before.at).as_secs_f64();
-    let of_each = |before: u64, after: u64| Some((after - before) as f64 / seconds / real);
-    let probe_bytes = of_each(before.probe_bytes, after.probe_bytes);
-    let list_bytes = of_each(before.list_bytes, after.list_bytes);
-    let calls = |counted: &Counted| (counted.list_calls + counted.simulated_calls) as f64;
+    let rate_per_balancer =
+        |before: u64, after: u64| Some((after - before) as f64 / seconds / real);
+    let probe_bytes = rate_per_balancer(before.probe_bytes, after.probe_bytes);
+    let list_bytes = rate_per_balancer(before.list_bytes, after.list_bytes);
+    let calls =
+        |snapshot: &CounterSnapshot| (snapshot.list_calls + snapshot.simulated_calls) as f64;
     let cpu_seconds = after.usage.cpu_seconds - before.usage.cpu_seconds;
     Figures {
-        probes_per_second: of_each(before.probes, after.probes),
+        probes_per_second: rate_per_balancer(before.probes, after.probes),
         probe_bytes_per_second: probe_bytes,
         list_bytes_per_second: list_bytes,
         control_bytes_per_second: probe_bytes
             .zip(list_bytes)
             .map(|(probes, list)| probes + list),
-        list_calls_per_second: of_each(before.list_calls, after.list_calls),
+        list_calls_per_second: rate_per_balancer(before.list_calls, after.list_calls),
         discovery_calls_per_second: Some((calls(after) - calls(before)) / seconds),
-        connects_per_second: of_each(before.attempts, after.attempts),
+        connects_per_second: rate_per_balancer(before.attempts, after.attempts),
         cpu_percent_of_core: Some(100.0 * cpu_seconds / seconds),
         memory_mb: Some(after.usage.memory_mb),
         memory_peak_mb: Some(after.usage.memory_peak_mb),
@@ -130,12 +132,12 @@
     }
 }
 
-fn note_changes(figures: &mut Figures, fleet: &Fleet, replaced: &[Replacement]) {
+fn record_changes_seen(figures: &mut Figures, fleet: &Fleet, replaced: &[Replacement]) {
     if replaced.is_empty() {
         return;
     }
-    let mut times =
-        Histogram::<u64>::new_with_max(LONGEST_MS, SIGNIFICANT_DIGITS).expect("bounds that hold");
+    let mut times = Histogram::<u64>::new_with_max(CHANGE_SEEN_MAX_MS, SIGNIFICANT_DIGITS)
+        .expect("histogram bounds are valid");
     for Replacement { server, listed_at } in replaced {
         if let Some(seen) = fleet.servers.first_seen(*server) {
             times.saturating_record(seen.saturating_duration_since(*listed_at).as_millis() as u64);
--- a/crates/testbed/src/scale/storms.rs
+++ b/crates/testbed/src/scale/storms.rs
@@ -1,6 +1,6 @@
-//! Storms on a fleet on sockets: most balancers killed at once, or many servers replaced at once.
-//! What the fleet does from then on is summed: list calls, connections at each server, attempts by
-//! cause.
+//! Storms in a fleet on sockets: most balancers are killed at once, or many servers are replaced at
+//! once. From then on the endpoint list calls, the connections of each server and the attempts by
+//! cause are counted, summed over the fleet.
 
 use std::collections::HashSet;
 use std::sync::atomic::Ordering::Relaxed;
@@ -12,37 +12,38 @@
 use super::scenario::StormPart;
 use super::servers::Cause;
 
-/// Killed balancers are started again after so long.
-const AWAY: Duration = Duration::from_secs(1);
+/// Time after which killed balancers are started again.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// What happens.
+/// The kind of storm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Storm {
     BalancersKilled,
     ServersReplaced,
 }
 
-/// What was counted up to a moment, summed over the fleet.
-struct Counted {
+/// Counters read at one time, summed over the fleet.
+struct CounterSnapshot {
     list_calls: u64,
     list_bytes: u64,
-    causes: [u64; 3],
-    lost: u64,
+    /// Attempts by cause, in the order of [`CAUSES`].
+    attempts: [u64; 3],
+    connections_lost: u64,
 }
 
 const CAUSES: [Cause; 3] = [Cause::First, Cause::Returning, Cause::Retry];
 
-impl Counted {
-    fn now(fleet: &Fleet) -> Self {
+impl CounterSnapshot {
+    fn read(fleet: &Fleet) -> Self {
         let (real, simulated) = (
             &fleet.discovery.real_calls,
             &fleet.discovery.simulated_calls,
         );
-        Counted {
+        CounterSnapshot {
             list_calls: real.calls.load(Relaxed) + simulated.calls.load(Relaxed),
             list_bytes: real.bytes.load(Relaxed) + simulated.bytes.load(Relaxed),
-            causes: CAUSES.map(|cause| fleet.servers.attempts_by(cause)),
-            lost: fleet.clients.lost(),
+            attempts: CAUSES.map(|cause| fleet.servers.attempts_by_cause(cause)),
+            connections_lost: fleet.clients.lost(),
         }
     }
 }
@@ -50,7 +51,7 @@
 /// Runs a fleet through a storm and measures it.
 ///
 /// # Errors
-/// It can't be started, or a balancer died by itself.
+/// The fleet could not be started, or a balancer exited unexpectedly.
 pub async fn measure(
     plan: &FleetPlan,
     part: &StormPart,
@@ -58,9 +59,9 @@
 ) -> Result<Figures, MeasurementError> {
     let mut fleet = Fleet::start(plan).await?;
     tokio::time::sleep(Duration::from_secs_f64(part.settle_seconds)).await;
-    let up = fleet.clients.up();
-    let (_, most_before) = fleet.connections();
-    let (before, began) = (Counted::now(&fleet), Instant::now());
+    let established = fleet.clients.established();
+    let (_, max_before) = fleet.server_connections();
+    let (before, began) = (CounterSnapshot::read(&fleet), Instant::now());
     let mut new_servers = HashSet::new();
     match storm {
         Storm::BalancersKilled => kill_and_restart(&fleet, part).await?,
@@ -75,19 +76,19 @@
     }
     let end = began + Duration::from_secs_f64(part.measure_seconds);
     tokio::time::sleep_until(end.into()).await;
-    let after = Counted::now(&fleet);
-    fleet.all_alive()?;
-    let (mean, most) = fleet.connections();
+    let after = CounterSnapshot::read(&fleet);
+    fleet.check_all_alive()?;
+    let (mean, max) = fleet.server_connections();
     let (placed_again, p50, p99) = fleet.clients.placed_again();
-    let lost = after.lost - before.lost;
+    let lost = after.connections_lost - before.connections_lost;
     let [first, returning, retried] =
-        [0, 1, 2].map(|at: usize| Some((after.causes[at] - before.causes[at]) as f64));
-    let most_attempts = |of: &dyn Fn(usize) -> bool| {
-        Some(fleet.servers.most_attempts_in_a_second(began, of) as f64)
+        [0, 1, 2].map(|cause: usize| Some((after.attempts[cause] - before.attempts[cause]) as f64));
+    let max_attempts = |includes: &dyn Fn(usize) -> bool| {
+        Some(fleet.servers.attempts_in_a_second_max(began, includes) as f64)
     };
     let is_new = |server: usize| new_servers.contains(&server);
     Ok(Figures {
-        connections_up: Some(up as f64),
+        connections_up: Some(established as f64),
         list_calls: Some((after.list_calls - before.list_calls) as f64),
         list_bytes: Some((after.list_bytes - before.list_bytes) as f64),
         connections_lost: Some(lost as f64),
@@ -95,10 +96,10 @@
         connects_returning: returning,
         connects_retried: retried,
         server_connections_mean: Some(mean),
-        server_connections_max_before: Some(most_before),
-        server_connections_max: Some(most),
-        server_connects_in_a_second_max: most_attempts(&|_| true),
-        new_server_connects_in_a_second_max: most_attempts(&is_new)
+        server_connections_max_before: Some(max_before),
+        server_connections_max: Some(max),
+        server_connects_in_a_second_max: max_attempts(&|_| true),
+        new_server_connects_in_a_second_max: max_attempts(&is_new)
             .filter(|_| !new_servers.is_empty()),
         placed_again_ms_p50: Some(p50),
         placed_again_ms_p99: Some(p99),
@@ -107,20 +108,23 @@
     })
 }
 
-/// Kills the same part of the real and of the simulated balancers at once, and starts them again a
-/// little later.
+/// Kills the same share of the real and of the simulated balancers at once, and starts them again
+/// after a delay.
 async fn kill_and_restart(fleet: &Fleet, part: &StormPart) -> Result<(), MeasurementError> {
     let share = part.killed as f64 / part.fixed.balancers as f64;
-    let of_real = (share * fleet.real.len() as f64).round() as usize;
-    let of_simulated = (part.killed as usize)
-        .saturating_sub(of_real)
+    let real_killed = (share * fleet.real.len() as f64).round() as usize;
+    let simulated_killed = (part.killed as usize)
+        .saturating_sub(real_killed)
         .min(fleet.simulated.len());
-    let (real, simulated) = (&fleet.real[..of_real], &fleet.simulated[..of_simulated]);
+    let (real, simulated) = (
+        &fleet.real[..real_killed],
+        &fleet.simulated[..simulated_killed],
+    );
     real.iter().for_each(|balancer| balancer.kill());
     simulated.iter().for_each(|balancer| balancer.kill());
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(RESTART_DELAY).await;
     real.iter().try_for_each(|balancer| balancer.spawn())?;
-    simulated.iter().for_each(|balancer| balancer.run());
+    simulated.iter().for_each(|balancer| balancer.spawn_tasks());
     for balancer in real {
         balancer.wait_until_ready().await?;
     }
--- a/crates/testbed/src/scale/table.rs
+++ b/crates/testbed/src/scale/table.rs
@@ -1,12 +1,13 @@
-//! The table of a run, in Markdown: one for each part and count that grew, with the fitted slopes
-//! below. It is made from the run's lines alone, so that a stored run gives the same table again.
+//! The tables of a run in Markdown: one for each part and count that grew, with the fitted lines
+//! below it. They are generated from the run's lines alone, so that a stored run gives the same tables
+//! again.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
 use super::measurement::{Line, Part, Varied};
 
-/// All tables of a run.
+/// Generates all tables of a run.
 pub fn markdown(lines: &[Line]) -> String {
     let mut out = String::new();
     for line in lines {
@@ -17,21 +18,23 @@
                 out,
                 "# Scale run `{run}`\n\nMeasured on {cores} cores with {memory} MB, {descriptors} descriptors a process, at {text}."
             )
-            .expect("a string takes all");
+            .expect("writing to a string can't fail");
             if let Some(load) = machine.load_average {
-                writeln!(out, "Load average at the start: {load}.").expect("a string takes all");
+                writeln!(out, "Load average at the start: {load}.")
+                    .expect("writing to a string can't fail");
             }
         }
     }
     for (part, varied) in kinds(lines) {
-        writeln!(out, "\n## {}, by {}\n", part.name(), varied.name()).expect("a string takes all");
+        writeln!(out, "\n## {}, by {}\n", part.name(), varied.name())
+            .expect("writing to a string can't fail");
         out += &measurements(lines, part, varied);
         out += &fits(lines, part, varied);
     }
     out
 }
 
-/// Each part and count that has measurements.
+/// Returns each part and count that has measurements.
 pub fn kinds(lines: &[Line]) -> BTreeSet<(Part, Varied)> {
     let kind = |line: &Line| match line {
         Line::Measurement { part, varied, .. } => Some((*part, *varied)),
@@ -40,8 +43,8 @@
     lines.iter().filter_map(kind).collect()
 }
 
-/// Sizes and figures of one kind, in order.
-pub fn points(lines: &[Line], of: (Part, Varied)) -> Vec<(f64, Vec<(String, f64)>)> {
+/// Returns the sizes and figures of one part and count, in the order of the lines.
+pub fn points(lines: &[Line], kind: (Part, Varied)) -> Vec<(f64, Vec<(String, f64)>)> {
     let one = |line: &Line| match line {
         Line::Measurement {
             part,
@@ -49,7 +52,7 @@
             size,
             figures,
             ..
-        } if (*part, *varied) == of => Some((*size, figures.measured())),
+        } if (*part, *varied) == kind => Some((*size, figures.measured())),
         _ => None,
     };
     lines.iter().filter_map(one).collect()
@@ -65,7 +68,7 @@
             .collect::<String>()
     );
     out += &format!("| --- |{}\n", " ---: |".repeat(points.len()));
-    for name in names(&points) {
+    for name in figure_names(&points) {
         let cell = |(_, figures): &(f64, Vec<(String, f64)>)| {
             let value = figures.iter().find(|(figure, _)| *figure == name);
             value.map_or(" - |".to_string(), |(_, value)| {
@@ -77,13 +80,13 @@
             "| `{name}` |{}",
             points.iter().map(cell).collect::<String>()
         )
-        .expect("a string takes all");
+        .expect("writing to a string can't fail");
     }
     out
 }
 
-/// Names of figures in the order in which they were written first.
-pub fn names(points: &[(f64, Vec<(String, f64)>)]) -> Vec<String> {
+/// Returns the names of the figures in the order in which they first occur.
+pub fn figure_names(points: &[(f64, Vec<(String, f64)>)]) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for (name, _) in points.iter().flat_map(|(_, figures)| figures) {
         if !names.contains(name) {
@@ -113,13 +116,13 @@
             let [intercept, slope, residual] =
                 [intercept, slope, residual].map(|value| rounded(*value));
             writeln!(out, "| `{fit}` | {intercept} | {slope} | {residual} |")
-                .expect("a string takes all");
+                .expect("writing to a string can't fail");
         }
     }
     out
 }
 
-/// Three significant digits, without an exponent.
+/// Formats a value with three significant digits and without an exponent.
 fn rounded(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return value.to_string();
