--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -1,4 +1,4 @@
-//! A balancer's answers to clients, and the close of a flow.
+//! A balancer's answers to clients, and the closing of a flow.
 
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::time::seconds;
@@ -8,8 +8,8 @@
 use super::simulation::Simulation;
 
 impl Simulation<'_> {
-    /// Answers a waiting client whose flow was rejected or has failed; the client decides whether
-    /// to try again.
+    /// Answers a waiting client whose flow was rejected or has failed. The client then decides
+    /// whether to retry.
     pub(super) fn answer(&mut self, flow: FlowId, answer: FinalAnswer, retry_after: Option<Time>) {
         if self.waiting_flow(flow).is_none() {
             return;
@@ -52,8 +52,8 @@
         });
     }
 
-    /// Removes a flow of which nothing more comes. Every flow ends here, except those of a run that
-    /// ends first.
+    /// Removes a flow for which no further event is expected. Every flow is removed here, except
+    /// the flows that are still open when the run ends.
     pub(super) fn close(&mut self, flow: FlowId) {
         let Some(state) = self.flows.remove(&flow) else {
             return;
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to connect a flow to a server, from the dial to their end.
+//! Attempts to connect a flow to a server, from the start of the connection to the attempt's end.
 
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::server::AttemptResponse;
@@ -12,7 +12,7 @@
 use crate::file;
 
 impl Simulation<'_> {
-    /// A balancer dials a server and waits so long.
+    /// A balancer starts an attempt at a server and waits for `timeout` at most.
     pub(super) fn start_attempt(&mut self, flow: FlowId, attempt: Attempt, timeout: Time) {
         let Some(state) = self.flows.get_mut(&flow) else {
             return;
@@ -28,7 +28,7 @@
         );
     }
 
-    /// An attempt arrives at its server, which takes it or not.
+    /// An attempt arrives at its server, which accepts it, rejects it or does not respond.
     pub(super) fn attempt_arrives(&mut self, flow: FlowId, number: usize) {
         let Some(state) = self.flows.get(&flow) else {
             return;
@@ -43,7 +43,7 @@
         let zone = self.balancers[balancer].zone;
         let (offer, events) = self.model.offer(self.now, zone, attempt.server);
         let Some(response) = immediate_response(offer) else {
-            return self.schedule_dial_timeout(flow, number);
+            return self.schedule_connect_timeout(flow, number);
         };
         if response != ServerResponse::Refused {
             self.observe_attempt(balancer, flow, attempt);
@@ -62,11 +62,12 @@
                 response,
             },
         );
-        self.carry_out(events);
+        self.apply_fleet_events(events);
     }
 
-    /// Nothing answers the dial, and the balancer has to find out by itself.
-    fn schedule_dial_timeout(&mut self, flow: FlowId, number: usize) {
+    /// Nothing answers the connection attempt, so the balancer only learns it from its connect
+    /// timeout.
+    fn schedule_connect_timeout(&mut self, flow: FlowId, number: usize) {
         let response = ServerResponse::Unreachable;
         self.schedule(
             self.now + seconds(file::DIAL),
@@ -78,7 +79,7 @@
         );
     }
 
-    /// Records an attempt whose last byte has come to a server.
+    /// Records an attempt whose last byte has reached a server.
     pub(super) fn observe_attempt(&mut self, balancer: usize, flow: FlowId, attempt: Attempt) {
         let Attempt { number, server } = attempt;
         self.observe(Observation::Attempt {
@@ -90,8 +91,8 @@
         });
     }
 
-    /// The balancer learns what a server did with an attempt, or with the connection that came of
-    /// it.
+    /// The balancer learns how a server responded to an attempt, or that the server has closed the
+    /// connection that the attempt established.
     pub(super) fn response_arrives(
         &mut self,
         flow: FlowId,
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Whether a response never arrives: its server has died since, or its zone is cut off.
+    /// Whether a response never arrives, because its server has since died or the balancer's zone
+    /// and the server's zone are disconnected.
     fn is_response_lost(&self, flow: FlowId, server: usize, response: ServerResponse) -> bool {
         let connected = response == ServerResponse::Connected;
         if connected && !self.model.servers[server].connections.contains_key(&flow) {
@@ -129,7 +131,7 @@
         !from_balancer && !self.is_reachable(flow, server)
     }
 
-    /// Whether messages get from a flow's balancer to a server.
+    /// Whether messages from a flow's balancer reach a server.
     pub(super) fn is_reachable(&self, flow: FlowId, server: usize) -> bool {
         let zone = self.balancers[self.flows[&flow].balancer].zone;
         self.model.reaches(zone, self.server_zone(server))
@@ -138,11 +140,11 @@
     fn attempt_succeeded(&mut self, flow: FlowId, attempt: Attempt) {
         let state = self.flows.get_mut(&flow).expect("looked up by the caller");
         if state.phase != FlowPhase::Waiting {
-            // The client has left meanwhile.
+            // The client has disconnected in the meantime.
             return self.attempt_ended(flow, attempt, Ending::may_have_run(AttemptEnd::Cancelled));
         }
         state.phase = FlowPhase::Connected;
-        let (client, moving) = (state.client, state.moving);
+        let (client, migrating) = (state.client, state.migrating);
         let number = attempt.number;
         self.observe(Observation::AttemptEnded {
             at: self.now,
@@ -154,17 +156,17 @@
         self.clients.connected(client);
         self.report_connected(flow);
         self.connection_opened(flow, client);
-        if moving {
-            self.move_client(flow);
+        if migrating {
+            self.migrate_client(flow);
         }
     }
 
-    /// Tells the flow table that a flow is connected, and the load that it brings.
+    /// Tells the flow table that a flow is connected, and the load of its connection.
     fn report_connected(&mut self, flow: FlowId) {
         let state = &self.flows[&flow];
         let (balancer, accepted) = (state.balancer, state.accepted);
         let load = self.clients.get(state.client).map(|known| known.load);
-        self.ask(balancer, |flow_table, now, actions| {
+        self.call_flow_table(balancer, |flow_table, now, actions| {
             flow_table.connected(now, flow, now - accepted, actions);
             if let Some(load) = load {
                 flow_table.update_connection_load(flow, load);
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The balancer cancels the attempt of a client that has left.
+    /// The balancer cancels the attempt of a client that has disconnected.
     pub(super) fn cancel_attempt(&mut self, flow: FlowId) {
         let settled = self
             .flows
@@ -194,7 +196,8 @@
         }
     }
 
-    /// An attempt is no longer in flight. Its server is released before the flow table is told.
+    /// An attempt is no longer in flight. Its load is removed from the server before the flow table
+    /// is told.
     fn attempt_ended(&mut self, flow: FlowId, attempt: Attempt, ending: Ending) {
         let Some(state) = self.flows.get_mut(&flow) else {
             return;
@@ -225,7 +228,7 @@
             end,
             known_unexecuted,
         } = ending;
-        self.ask(balancer, |flow_table, now, actions| {
+        self.call_flow_table(balancer, |flow_table, now, actions| {
             let outcome = EndedAttempt {
                 flow,
                 number,
@@ -239,7 +242,7 @@
     }
 }
 
-/// What a server answers to an attempt; none where nothing answers.
+/// The response of a server to an attempt; `None` if nothing responds.
 fn immediate_response(offer: AttemptResponse) -> Option<ServerResponse> {
     match offer {
         AttemptResponse::NoResponse => None,
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -1,4 +1,4 @@
-//! What clients do: arrive, try to be served, give up, leave, and change their load.
+//! The actions of clients: they arrive, open flows, give up, disconnect and change their load.
 
 use nettlemux_fleet_model::observation::{ClosedBy, Observation};
 use nettlemux_fleet_model::population::Client;
@@ -7,16 +7,16 @@
 use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
 use nettlemux_settings::operator::AdmissionKey;
 
-use super::connections::Closure;
+use super::connections::ConnectionClose;
 use super::event::{Ending, Event};
 use super::flow::{ClientId, FlowPhase, FlowState};
 use super::simulation::Simulation;
 
-/// How long past its deadline a client waits before it takes its flow for lost.
-pub(super) const PATIENCE: Time = 100 * MS;
+/// The time after its deadline at which a client gives up on a flow that was not answered.
+pub(super) const CLIENT_GIVES_UP_AFTER_DEADLINE: Time = 100 * MS;
 
 impl Simulation<'_> {
-    /// A new client arrives and tries at once; the next arrival is scheduled.
+    /// A new client arrives and opens a flow at once. The next arrival is scheduled.
     pub(super) fn client_arrives(&mut self) {
         let client = self.clients.arrive(self.now, &self.model);
         self.schedule_client_done(client);
@@ -25,13 +25,13 @@
         self.schedule(self.now + wait, Event::ClientArrives);
     }
 
-    /// Schedules the time at which a client will have had what it wanted.
+    /// Schedules the time at which a client no longer needs its connection.
     pub(super) fn schedule_client_done(&mut self, client: ClientId) {
         let done = self.clients.get(client).expect("it has just arrived").ends;
         self.schedule(done, Event::ClientDone { client });
     }
 
-    /// A client without a flow tries to be served.
+    /// A client without a flow tries to open one.
     pub(super) fn client_tries(&mut self, client: ClientId) {
         let Some(known) = self.clients.get(client).cloned() else {
             return;
@@ -39,8 +39,8 @@
         if self.flow_of_client.contains_key(&client) || known.gone {
             return;
         }
-        let dealt = self.front.pick_balancer(self.now, known.zone);
-        match dealt.filter(|balancer| self.balancers[*balancer].is_running()) {
+        let picked = self.front_end.pick_balancer(self.now, known.zone);
+        match picked.filter(|balancer| self.balancers[*balancer].is_running()) {
             Some(balancer) => self.accept(client, &known, balancer),
             None => {
                 let wait = self.clients.refused();
@@ -71,7 +71,10 @@
             idempotency,
             deadline,
         });
-        self.schedule(deadline + PATIENCE, Event::PatienceOver { flow: id });
+        self.schedule(
+            deadline + CLIENT_GIVES_UP_AFTER_DEADLINE,
+            Event::ClientGivesUp { flow: id },
+        );
         if known.told {
             self.figures.came_when_told(self.now);
         }
@@ -82,16 +85,19 @@
             is_retry: known.tries > 0,
             latency_deadline: target,
         };
-        self.ask(balancer, |flow_table, now, actions| {
+        self.call_flow_table(balancer, |flow_table, now, actions| {
             flow_table.accept(now, flow, requester, actions)
         });
     }
 
-    /// A flow of a client, under a number of its own.
+    /// Creates a flow of a client, with a unique number.
     pub(super) fn new_flow(&mut self, client: ClientId, deadline: Time) -> Flow {
         let id = self.next_flow;
         self.next_flow += 1;
-        let known = self.clients.get(client).expect("it wants to be served");
+        let known = self
+            .clients
+            .get(client)
+            .expect("clients with a new flow are known");
         Flow {
             id,
             class: known.class,
@@ -104,7 +110,7 @@
         }
     }
 
-    /// The key that admission control counts a flow under.
+    /// The key by which admission control counts a flow.
     fn admission_key(&self, id: ClientId, client: &Client) -> u64 {
         match self
             .model
@@ -118,8 +124,8 @@
         }
     }
 
-    /// A client that is still without an answer takes its flow for lost.
-    pub(super) fn patience_over(&mut self, flow: FlowId) {
+    /// A client that has still not been answered gives up on its flow.
+    pub(super) fn client_gives_up(&mut self, flow: FlowId) {
         let Some(client) = self.waiting_flow(flow).map(|state| state.client) else {
             return;
         };
@@ -129,7 +135,7 @@
         self.retry_after(client, wait);
     }
 
-    /// The client of a flow goes away before it is connected.
+    /// The client of a flow disconnects before the flow is connected to a server.
     fn client_leaves(&mut self, flow: FlowId) {
         let Some(state) = self.flows.get_mut(&flow) else {
             return;
@@ -138,7 +144,7 @@
         let (balancer, client, in_flight) = (state.balancer, state.client, state.attempt.is_some());
         self.flow_of_client.remove(&client);
         self.observe(Observation::ClientLeft { at: self.now, flow });
-        self.ask(balancer, |flow_table, now, actions| {
+        self.call_flow_table(balancer, |flow_table, now, actions| {
             flow_table.client_left(now, flow, actions)
         });
         if !in_flight {
@@ -146,16 +152,16 @@
         }
     }
 
-    /// A client has had what it wanted: it closes its connection, or stops waiting for one.
+    /// A client no longer needs its connection: it closes the connection, or stops waiting for one.
     pub(super) fn client_done(&mut self, client: ClientId) {
         if let Some(flow) = self.flow_of_client.get(&client).copied() {
             if self.connected_flow(flow).is_some() {
-                let closure = Closure {
+                let close = ConnectionClose {
                     by: ClosedBy::Client,
                     client_notified: false,
                     server_healthy: true,
                 };
-                self.close_connection(flow, closure, Ending::may_have_run(AttemptEnd::Done));
+                self.close_connection(flow, close, Ending::may_have_run(AttemptEnd::Done));
             } else {
                 self.client_leaves(flow);
             }
@@ -163,7 +169,7 @@
         self.clients.remove(client);
     }
 
-    /// The load of a connection changes; the next change is scheduled.
+    /// The load of a connection changes. The next change is scheduled.
     pub(super) fn load_changes(&mut self, flow: FlowId) {
         let Some(state) = self.connected_flow(flow) else {
             return;
@@ -182,7 +188,7 @@
         self.schedule(self.now + wait, Event::LoadChanges { flow });
     }
 
-    /// A client tries again after a wait, or has given up for good.
+    /// A client retries after a wait; it has given up permanently if `wait` is `None`.
     pub(super) fn retry_after(&mut self, client: ClientId, wait: Option<Time>) {
         match wait {
             Some(wait) => self.schedule(self.now + wait, Event::ClientTries { client }),
--- a/crates/testbed/src/simulate/commands.rs
+++ b/crates/testbed/src/simulate/commands.rs
@@ -1,4 +1,4 @@
-//! Calls into a balancer's flow table, and the actions that it answers with.
+//! Calls of a balancer's flow table, and the execution of the actions that it returns.
 
 use nettlemux_fleet_model::observation::FinalAnswer;
 use nettlemux_flow_table::PolicyCommand;
@@ -11,7 +11,7 @@
 
 impl Simulation<'_> {
     /// Calls a running balancer's flow table, executes its actions and schedules its next wakeup.
-    pub(super) fn ask(
+    pub(super) fn call_flow_table(
         &mut self,
         balancer: usize,
         call: impl FnOnce(&mut SimulatedFlowTable, Time, &mut Vec<PolicyCommand>),
@@ -51,18 +51,18 @@
                 self.send_answer(flow, FinalAnswer::Rejected, retry_after)
             }
             PolicyCommand::Fail { flow } => self.send_answer(flow, FinalAnswer::Failed, None),
-            PolicyCommand::Migrate { flow } => self.move_client(flow),
+            PolicyCommand::Migrate { flow } => self.migrate_client(flow),
             PolicyCommand::CancelAttempt { flow, .. } => self.cancel_attempt(flow),
             PolicyCommand::CheckHealth { server_id } => {
-                self.start_probe(balancer, server_id as usize)
+                self.start_health_check(balancer, server_id as usize)
             }
-            // The list is delivered whenever it changes, and nothing is simulated between
-            // balancers.
+            // The endpoint list is delivered whenever it changes, and messages between balancers
+            // are not simulated.
             PolicyCommand::PollEndpoints | PolicyCommand::Gossip(_) => {}
         }
     }
 
-    /// Schedules a wakeup where the flow table wants one earlier than is scheduled.
+    /// Schedules a wakeup if the flow table's next timer expires before the scheduled wakeup.
     fn schedule_wakeup(&mut self, balancer: usize) {
         let incarnation = self.incarnation(balancer);
         let state = &mut self.balancers[balancer];
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Calls the flow table at the time that it asked for, unless an earlier wakeup has replaced
-    /// this one.
+    /// Calls the flow table when its timer expires, unless an earlier wakeup has replaced this
+    /// one.
     pub(super) fn wake_up(&mut self, incarnation: Incarnation) {
         let balancer = incarnation.balancer;
         if self.is_current(incarnation) && self.balancers[balancer].wakeup == Some(self.now) {
             self.balancers[balancer].wakeup = None;
-            self.ask(balancer, |flow_table, now, actions| {
+            self.call_flow_table(balancer, |flow_table, now, actions| {
                 flow_table.timer_expired(now, actions)
             });
         }
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -1,4 +1,4 @@
-//! Established connections: how they begin, and how a client, a server or a balancer ends them.
+//! Established connections: how they start, and how a client, a server or a balancer closes them.
 
 use nettlemux_fleet_model::observation::{ClosedBy, Observation};
 use nettlemux_policy::{AttemptEnd, FlowId};
@@ -7,17 +7,17 @@
 use super::flow::ClientId;
 use super::simulation::Simulation;
 
-/// How a connection was closed, as the record has it.
-pub(super) struct Closure {
+/// How a connection was closed, as it is written to the record.
+pub(super) struct ConnectionClose {
     pub(super) by: ClosedBy,
-    /// The server or balancer sent the client away.
+    /// The server or balancer told the client to reconnect before closing the connection.
     pub(super) client_notified: bool,
-    /// The server still answered.
+    /// The server was still responding.
     pub(super) server_healthy: bool,
 }
 
 impl Simulation<'_> {
-    /// Puts a client's load on a server.
+    /// Adds a client's load to a server.
     pub(super) fn attach(&mut self, flow: FlowId, client: ClientId, server: usize) {
         let Some(known) = self.clients.get(client) else {
             return;
@@ -25,13 +25,14 @@
         self.model.servers[server].attach(flow, known.connection());
     }
 
-    /// Takes a flow's load off a server.
+    /// Removes a flow's load from a server.
     pub(super) fn detach(&mut self, flow: FlowId, server: usize) {
         self.model.servers[server].detach(flow);
     }
 
-    /// Schedules what happens to a new connection. A connection that stands when the run starts
-    /// also gets its end here; other clients got theirs when they arrived.
+    /// Schedules the events of a new connection. If the connection exists when the run starts, the
+    /// end of its client is scheduled here as well; for other clients it is scheduled when they
+    /// arrive.
     pub(super) fn connection_opened(&mut self, flow: FlowId, client: ClientId) {
         let known = self.clients.get(client);
         let first_try = known.is_some_and(|client| !client.reconnecting && client.tries == 0);
@@ -43,29 +44,29 @@
         }
     }
 
-    /// A server has reset a connection or client_notified its client to move.
+    /// A server has reset a connection or told its client to move to another server.
     pub(super) fn closed_by_server(&mut self, flow: FlowId, response: ServerResponse) {
         let client_notified = response == ServerResponse::Redirected;
-        let closure = Closure {
+        let close = ConnectionClose {
             by: ClosedBy::Server,
             client_notified,
             server_healthy: false,
         };
-        let Some(client) = self.close_connection(flow, closure, response.ending()) else {
+        let Some(client) = self.close_connection(flow, close, response.ending()) else {
             return;
         };
         self.figures.lost += u64::from(!client_notified);
         self.reconnect(client, client_notified);
     }
 
-    /// The balancer tells a client to move to another server by connecting again, as soon as it is
-    /// connected.
-    pub(super) fn move_client(&mut self, flow: FlowId) {
+    /// The balancer tells a client to move to another server by reconnecting. If the client is not
+    /// connected yet, this happens as soon as it is.
+    pub(super) fn migrate_client(&mut self, flow: FlowId) {
         if self.connected_flow(flow).is_some() {
-            let client_notified = self.announces_moves();
+            let client_notified = self.announces_migrations();
             self.closed_by_balancer(
                 flow,
-                Closure {
+                ConnectionClose {
                     by: ClosedBy::Balancer,
                     client_notified,
                     server_healthy: true,
@@ -74,11 +75,11 @@
             );
             self.figures.moves += 1;
         } else if let Some(state) = self.flows.get_mut(&flow) {
-            state.moving = true;
+            state.migrating = true;
         }
     }
 
-    /// The balancer has heard nothing from a connection's server for too long.
+    /// The server of a connection has sent nothing to the balancer for too long.
     pub(super) fn server_silent(&mut self, flow: FlowId) {
         let Some(state) = self.connected_flow(flow) else {
             return;
@@ -88,12 +89,12 @@
             .connections
             .contains_key(&flow);
         if still_attached && self.is_reachable(flow, attempt.server) {
-            // A zone was cut off and is back: the server was there all the time.
+            // A zone was disconnected and has recovered: the server was alive throughout.
             return;
         }
         self.closed_by_balancer(
             flow,
-            Closure {
+            ConnectionClose {
                 by: ClosedBy::Balancer,
                 client_notified: true,
                 server_healthy: false,
@@ -103,27 +104,27 @@
         self.figures.lost += 1;
     }
 
-    fn closed_by_balancer(&mut self, flow: FlowId, closure: Closure, end: AttemptEnd) {
-        if let Some(client) = self.close_connection(flow, closure, Ending::may_have_run(end)) {
+    fn closed_by_balancer(&mut self, flow: FlowId, close: ConnectionClose, end: AttemptEnd) {
+        if let Some(client) = self.close_connection(flow, close, Ending::may_have_run(end)) {
             self.reconnect(client, true);
         }
     }
 
-    /// Closes a connection: its server is released, the flow table is client_notified, the flow
-    /// ends. Returns its client.
+    /// Closes a connection: removes its load from the server, notifies the flow table and closes
+    /// the flow. Returns the client.
     pub(super) fn close_connection(
         &mut self,
         flow: FlowId,
-        closure: Closure,
+        close: ConnectionClose,
         ending: Ending,
     ) -> Option<ClientId> {
         let state = self.flows.get(&flow)?;
         let (client, attempt) = (state.client, state.attempt?);
-        let Closure {
+        let ConnectionClose {
             by,
             client_notified,
             server_healthy,
-        } = closure;
+        } = close;
         self.observe(Observation::ConnectionClosed {
             at: self.now,
             flow,
@@ -137,9 +138,11 @@
         Some(client)
     }
 
-    /// A client whose connection has ended comes again, the sooner where it was told to move.
-    pub(super) fn reconnect(&mut self, client: ClientId, told_to_move: bool) {
-        let wait = self.clients.reconnect_delay(self.now, client, told_to_move);
+    /// A client whose connection was closed reconnects, sooner if it was told to move.
+    pub(super) fn reconnect(&mut self, client: ClientId, told_to_migrate: bool) {
+        let wait = self
+            .clients
+            .reconnect_delay(self.now, client, told_to_migrate);
         self.retry_after(client, wait);
     }
 }
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,4 +1,4 @@
-//! Delivery of the endpoint list of servers from discovery to the balancers.
+//! Delivery of the endpoint list from discovery to the balancers.
 
 use nettlemux_fleet_model::observation::Observation;
 use nettlemux_policy::EndpointState;
@@ -8,8 +8,8 @@
 use super::simulation::Simulation;
 
 impl Simulation<'_> {
-    /// Sends word of a changed list to every running balancer, each with its own delay.
-    pub(super) fn announce_list(&mut self) {
+    /// Schedules the delivery of a changed list to every running balancer, each with its own delay.
+    pub(super) fn schedule_list_delivery(&mut self) {
         for balancer in 0..self.balancers.len() {
             if self.balancers[balancer].is_running()
                 && let Some(delay) = self.model.discovery()
@@ -20,14 +20,14 @@
         }
     }
 
-    /// A changed list arrives, unless the balancer has restarted or discovery is down now.
+    /// Delivers a changed list, unless the balancer has restarted or discovery is down now.
     pub(super) fn list_arrives(&mut self, balancer: Incarnation) {
         if self.is_current(balancer) && self.model.discovery().is_some() {
             self.deliver_list(balancer.balancer);
         }
     }
 
-    /// Gives a balancer what has changed since its last version, or the whole list where it has
+    /// Sends a balancer the changes since the version that it has, or the complete list if it has
     /// none.
     pub(super) fn deliver_list(&mut self, balancer: usize) {
         let known_version = self.balancers[balancer].list_version;
@@ -50,7 +50,7 @@
             });
         }
         let is_complete = known_version == 0;
-        self.ask(balancer, |flow_table, now, _| {
+        self.call_flow_table(balancer, |flow_table, now, _| {
             flow_table.update_endpoints(now, &entries, is_complete)
         });
     }
--- a/crates/testbed/src/simulate/event.rs
+++ b/crates/testbed/src/simulate/event.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation and the values that they carry.
+//! The events of the simulation and their data.
 
 use nettlemux_fleet_model::observation::FinalAnswer;
 use nettlemux_policy::{AttemptEnd, FlowId, Time};
@@ -11,23 +11,24 @@
 pub(super) enum Event {
     /// The model advances by one step.
     ModelTick,
-    /// The figures that look at every server are taken.
+    /// The figures over all servers are sampled.
     Sample,
     /// A new client arrives.
     ClientArrives,
-    /// A client tries to be served, for the first time or again.
+    /// A client tries to open a flow, for the first time or again.
     ClientTries { client: ClientId },
-    /// A client has had what it wanted.
+    /// A client no longer needs its connection.
     ClientDone { client: ClientId },
     /// The load of a connection changes.
     LoadChanges { flow: FlowId },
-    /// The client of a flow stops waiting for an answer.
-    PatienceOver { flow: FlowId },
-    /// A balancer's flow table asked to be called now.
+    /// The client of a flow gives up waiting for an answer.
+    ClientGivesUp { flow: FlowId },
+    /// A timer of a balancer's flow table expires.
     Wakeup { balancer: Incarnation },
     /// An attempt arrives at its server.
     AttemptArrives { flow: FlowId, number: usize },
-    /// The balancer learns what the server did with an attempt or its connection.
+    /// The balancer learns how the server responded to an attempt, or that the server has closed
+    /// its connection.
     ResponseArrives {
         flow: FlowId,
         number: usize,
@@ -35,10 +36,10 @@
     },
     /// The balancer stops waiting for an attempt.
     AttemptDeadline { flow: FlowId, number: usize },
-    /// The balancer notices that the server of a connection no longer answers.
+    /// The balancer notices that the server of a connection no longer responds.
     ServerSilent { flow: FlowId },
     /// A health check is answered, or fails.
-    ProbeReturns {
+    HealthCheckReturns {
         balancer: Incarnation,
         server: usize,
     },
@@ -46,7 +47,7 @@
     ListArrives { balancer: Incarnation },
     /// A balancer is asked to shut down.
     ShutdownBegins { balancer: usize, downtime: Time },
-    /// A balancer that shuts down moves another part of its clients.
+    /// A balancer that shuts down migrates another part of its clients.
     DrainStep { balancer: Incarnation, since: Time },
     /// A balancer's process ends.
     BalancerEnds {
@@ -56,7 +57,7 @@
     },
     /// A balancer's process starts again.
     BalancerStarts { balancer: usize },
-    /// A mutant sends an answer that it has held back.
+    /// A mutant sends an answer that it has delayed or repeats.
     DelayedAnswer {
         flow: FlowId,
         answer: FinalAnswer,
@@ -64,7 +65,7 @@
     },
 }
 
-/// What a balancer learns from, or about, a server that it sent an attempt to.
+/// The response of a server to an attempt, or what the balancer learned about the server instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerResponse {
     Connected,
@@ -74,12 +75,12 @@
     Unreachable,
     /// The connection was reset.
     Reset,
-    /// The server told the client to go elsewhere.
+    /// The server told the client to move to another server.
     Redirected,
 }
 
 impl ServerResponse {
-    /// How the attempt or connection ended with this response.
+    /// How this response ends the attempt or connection.
     pub(super) fn ending(self) -> Ending {
         let (end, known_unexecuted) = match self {
             ServerResponse::Connected => (AttemptEnd::Done, false),
@@ -102,12 +103,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Ending {
     pub(super) end: AttemptEnd,
-    /// It is certain that the server has not acted on it.
+    /// It is certain that the server has not executed the request.
     pub(super) known_unexecuted: bool,
 }
 
 impl Ending {
-    /// An ending after which the server may have acted.
+    /// An ending after which the server may have executed the request.
     pub(super) fn may_have_run(end: AttemptEnd) -> Self {
         Ending {
             end,
--- a/crates/testbed/src/simulate/faults.rs
+++ b/crates/testbed/src/simulate/faults.rs
@@ -1,4 +1,4 @@
-//! What happens in the model, faults above all, carried out on connections and balancers.
+//! Applies the model's events, most of them faults, to connections and balancers.
 
 use nettlemux_fleet_model::model::FleetEvent;
 use nettlemux_fleet_model::observation::Observation;
@@ -6,20 +6,20 @@
 
 use super::event::{Event, ServerResponse};
 use super::flow::{FlowPhase, FlowState};
-use super::restarts::{RESTART_GAP, SHUTDOWN_TIME};
+use super::restarts::{RESTART_GAP, SHUTDOWN_DURATION};
 use super::simulation::Simulation;
 
-/// After how long, at least and at most, a balancer notices that the server of a connection has
-/// fallen silent: 5 s without an answer to a message, and clients send one every 2 s.
+/// The shortest and the longest time after which a balancer notices that the server of a connection
+/// no longer responds: 5 s without a response to a message, and clients send a message every 2 s.
 const SILENCE_TIMEOUT: [Time; 2] = [5 * SEC, 7 * SEC];
 
 impl Simulation<'_> {
-    /// Carries out what happened in the model. Restarts that begin together are done one after
-    /// another.
-    pub(super) fn carry_out(&mut self, events: Vec<FleetEvent>) {
+    /// Applies the model's events. Balancers whose restarts are requested together are restarted
+    /// one after another.
+    pub(super) fn apply_fleet_events(&mut self, events: Vec<FleetEvent>) {
         let mut restarts = 0;
-        for happening in events {
-            match happening {
+        for event in events {
+            match event {
                 FleetEvent::ConnectionsReset { ids, .. } => {
                     self.send_responses(ids, ServerResponse::Reset)
                 }
@@ -28,12 +28,12 @@
                 }
                 FleetEvent::ConnectionsSilenced { ids, .. } => self.schedule_silence(ids),
                 FleetEvent::ServerStarted { server } => self.server_started(server),
-                FleetEvent::ServerCollapsed { server } => self.server_fell(server),
+                FleetEvent::ServerCollapsed { server } => self.server_collapsed(server),
                 FleetEvent::EndpointsChanged | FleetEvent::DiscoveryRecovered => {
-                    self.announce_list()
+                    self.schedule_list_delivery()
                 }
                 FleetEvent::ZoneConnectivityChanged { cut: false, .. } => {}
-                FleetEvent::ZoneConnectivityChanged { zone, .. } => self.zone_cut_off(zone),
+                FleetEvent::ZoneConnectivityChanged { zone, .. } => self.zone_disconnected(zone),
                 FleetEvent::BalancerRestartRequested { balancer, away } => {
                     self.schedule_restart(balancer, away, restarts);
                     restarts += 1;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends word of a server's end of these connections to their balancers.
+    /// Schedules a server's response for the balancers of these connections.
     fn send_responses(&mut self, flows: Vec<FlowId>, response: ServerResponse) {
         for flow in flows {
             let Some(attempt) = self.flows.get(&flow).and_then(|state| state.attempt) else {
@@ -77,7 +77,7 @@
         });
     }
 
-    fn server_fell(&mut self, server: usize) {
+    fn server_collapsed(&mut self, server: usize) {
         self.figures.fell += 1;
         self.observe(Observation::ServerCollapsed {
             at: self.now,
@@ -85,18 +85,18 @@
         });
     }
 
-    /// Connections between a zone that was cut off and the others fall silent.
-    fn zone_cut_off(&mut self, zone: usize) {
+    /// The connections between a disconnected zone and the other zones no longer carry messages.
+    fn zone_disconnected(&mut self, zone: usize) {
         let crossing = self
             .flows
             .iter()
-            .filter(|(_, state)| self.crosses_border(state, zone));
+            .filter(|(_, state)| self.crosses_zone_boundary(state, zone));
         let flows = crossing.map(|(flow, _)| *flow).collect();
         self.schedule_silence(flows);
     }
 
-    /// Whether a flow is connected from inside a zone to outside of it, or the reverse.
-    fn crosses_border(&self, state: &FlowState, zone: usize) -> bool {
+    /// Whether a flow is connected and exactly one of its balancer and its server is in the zone.
+    fn crosses_zone_boundary(&self, state: &FlowState, zone: usize) -> bool {
         let Some(attempt) = state
             .attempt
             .filter(|_| state.phase == FlowPhase::Connected)
@@ -109,7 +109,7 @@
     }
 
     fn schedule_restart(&mut self, balancer: usize, downtime: Time, earlier: u64) {
-        let wait = earlier * (SHUTDOWN_TIME + downtime + RESTART_GAP);
+        let wait = earlier * (SHUTDOWN_DURATION + downtime + RESTART_GAP);
         self.schedule(
             self.now + wait,
             Event::ShutdownBegins { balancer, downtime },
--- a/crates/testbed/src/simulate/flow.rs
+++ b/crates/testbed/src/simulate/flow.rs
@@ -2,15 +2,15 @@
 
 use nettlemux_policy::Time;
 
-/// A client's number in the model.
+/// The number of a client in the model.
 pub(super) type ClientId = u64;
 
-/// How far a flow has come.
+/// The phase of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FlowPhase {
     /// The client waits for an answer.
     Waiting,
-    /// The client was answered otherwise or has left; an attempt may still be in flight.
+    /// The client was rejected or failed, or has disconnected. An attempt may still be in flight.
     Settled,
     /// The client is connected to a server.
     Connected,
@@ -23,20 +23,20 @@
     pub(super) server: usize,
 }
 
-/// A flow that its balancer has accepted and not yet closed.
+/// A flow that its balancer has accepted and not closed yet.
 pub(super) struct FlowState {
     pub(super) client: ClientId,
     pub(super) balancer: usize,
     pub(super) accepted: Time,
     pub(super) phase: FlowPhase,
-    /// The attempt in flight, or the one that led to the connection.
+    /// The attempt in flight, or the attempt that established the connection.
     pub(super) attempt: Option<Attempt>,
-    /// The client is to be told to move as soon as it is connected.
-    pub(super) moving: bool,
+    /// The client is told to move to another server as soon as it is connected.
+    pub(super) migrating: bool,
 }
 
 impl FlowState {
-    /// A flow whose client waits for an answer.
+    /// Creates a flow whose client waits for an answer.
     pub(super) fn waiting(client: ClientId, balancer: usize, accepted: Time) -> Self {
         FlowState {
             client,
@@ -44,11 +44,11 @@
             accepted,
             phase: FlowPhase::Waiting,
             attempt: None,
-            moving: false,
+            migrating: false,
         }
     }
 
-    /// A connection that stands when the run starts.
+    /// Creates the flow of a connection that exists when the run starts.
     pub(super) fn standing(client: ClientId, balancer: usize, server: usize) -> Self {
         let attempt = Some(Attempt { number: 0, server });
         FlowState {
@@ -57,11 +57,11 @@
             accepted: 0,
             phase: FlowPhase::Connected,
             attempt,
-            moving: false,
+            migrating: false,
         }
     }
 
-    /// The attempt of that number, where it is the current one.
+    /// The current attempt, if it has this number.
     pub(super) fn current_attempt(&self, number: usize) -> Option<Attempt> {
         self.attempt.filter(|attempt| attempt.number == number)
     }
--- a/crates/testbed/src/simulate/mutants.rs
+++ b/crates/testbed/src/simulate/mutants.rs
@@ -1,31 +1,31 @@
-//! Faults that a mutant balancer commits where its actions are executed, rather than in its
-//! decisions. A sound balancer passes through these functions unchanged.
+//! Faults of mutant balancers in the execution of their actions, rather than in their decisions.
+//! For a correct balancer these functions change nothing.
 
 use nettlemux_fleet_model::observation::{FinalAnswer, Observation};
 use nettlemux_fleet_model::time::seconds;
 use nettlemux_policy::{FlowId, MS, Time};
 
 use super::PolicyChoice;
-use super::clients::PATIENCE;
+use super::clients::CLIENT_GIVES_UP_AFTER_DEADLINE;
 use super::event::Event;
 use super::flow::Attempt;
 use super::simulation::Simulation;
 use crate::mutants::Mutant;
 
-/// One in so many attempts is sent twice by the mutant that does this.
-const DUPLICATE_EVERY: u64 = 10;
-/// How long after the first the mutant that answers twice sends its second answer.
+/// [`Mutant::ConnectsTwice`] sends one in this many attempts twice.
+const ATTEMPTS_PER_DUPLICATE: u64 = 10;
+/// The time between the two answers of [`Mutant::AnswersTwice`].
 const SECOND_ANSWER_DELAY: Time = 10 * MS;
-/// How long past the deadline the mutant that answers late does so: before the client's patience is
-/// over.
-const LATENESS: Time = PATIENCE / 2;
+/// The time after the deadline at which [`Mutant::AnswersLate`] answers: before the client gives
+/// up.
+const LATE_ANSWER_DELAY: Time = CLIENT_GIVES_UP_AFTER_DEADLINE / 2;
 
 impl Simulation<'_> {
     fn is_mutant(&self, mutant: Mutant) -> bool {
         self.policy == PolicyChoice::Mutant(mutant)
     }
 
-    /// Sends a rejection or failure to a client; mutants may lose, delay or repeat it.
+    /// Sends a rejection or failure to a client. Mutants may drop, delay or repeat it.
     pub(super) fn send_answer(
         &mut self,
         flow: FlowId,
@@ -56,7 +56,7 @@
         };
         let known = self.clients.get(state.client);
         let wait = known.map_or(0.0, |client| self.model.scenario.types[client.class].wait);
-        let late = state.accepted + seconds(wait) + LATENESS;
+        let late = state.accepted + seconds(wait) + LATE_ANSWER_DELAY;
         self.schedule(
             late,
             Event::DelayedAnswer {
@@ -67,7 +67,7 @@
         );
     }
 
-    /// A held-back answer is sent. Where the client was answered before, it receives this one as
+    /// Sends a delayed answer. If the client was answered before, it receives this answer as
     /// well.
     pub(super) fn delayed_answer(
         &mut self,
@@ -86,10 +86,11 @@
         }
     }
 
-    /// Counts an attempt that has arrived; a mutant sends some to a second server at the same time.
+    /// Counts an attempt that has arrived. [`Mutant::ConnectsTwice`] sends some attempts to a second
+    /// server at the same time.
     pub(super) fn duplicate_attempt(&mut self, balancer: usize, flow: FlowId, attempt: Attempt) {
         self.attempts_arrived += 1;
-        let chosen = self.attempts_arrived.is_multiple_of(DUPLICATE_EVERY);
+        let chosen = self.attempts_arrived.is_multiple_of(ATTEMPTS_PER_DUPLICATE);
         if chosen && self.is_mutant(Mutant::ConnectsTwice) {
             let server = (attempt.server + 1) % self.model.servers.len();
             self.observe_attempt(
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Whether clients are told to move before their connection is closed.
-    pub(super) fn announces_moves(&self) -> bool {
+    /// Whether the balancer tells clients to move before it closes their connection.
+    pub(super) fn announces_migrations(&self) -> bool {
         !self.is_mutant(Mutant::CutsWithoutMove)
     }
 }
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -8,24 +8,27 @@
 use super::event::Event;
 use super::simulation::Simulation;
 
-/// A health check that is not answered by then has failed.
-const PROBE_TIMEOUT: Time = 500 * MS;
-/// A server whose messages take longer than this on average fails its health checks.
-const MESSAGE_TIME_MAX: Time = 3 * PROBE_TIMEOUT;
+/// A health check that is not answered within this time has failed.
+const HEALTH_CHECK_TIMEOUT: Time = 500 * MS;
+/// A server whose average message time is longer than this fails its health checks.
+const PASSING_MESSAGE_TIME_MAX: Time = 3 * HEALTH_CHECK_TIMEOUT;
 
 impl Simulation<'_> {
     /// A balancer sends a health check.
-    pub(super) fn start_probe(&mut self, balancer: usize, server: usize) {
+    pub(super) fn start_health_check(&mut self, balancer: usize, server: usize) {
         let zone = self.balancers[balancer].zone;
         self.figures.probes += 1;
         let latency = self.model.way(zone, self.server_zone(server));
         let balancer = self.incarnation(balancer);
-        self.schedule(self.now + latency, Event::ProbeReturns { balancer, server });
+        self.schedule(
+            self.now + latency,
+            Event::HealthCheckReturns { balancer, server },
+        );
     }
 
-    /// A health check is answered or fails. The way back and the health check's timeout are left
-    /// out, since reports are older than that in any case.
-    pub(super) fn probe_returns(&mut self, incarnation: Incarnation, server: usize) {
+    /// A health check is answered or fails. The latency of the response and the health check's
+    /// timeout are not simulated, since load reports are older than that in any case.
+    pub(super) fn health_check_returns(&mut self, incarnation: Incarnation, server: usize) {
         let balancer = incarnation.balancer;
         if !self.is_current(incarnation) || !self.balancers[balancer].is_running() {
             return;
@@ -37,18 +40,18 @@
         } else {
             None
         };
-        self.ask(balancer, |flow_table, now, actions| {
+        self.call_flow_table(balancer, |flow_table, now, actions| {
             let (passed, report) = (report.is_some(), report.unwrap_or_default());
             flow_table.health_checked(now, server as u64, passed, report, actions);
         });
     }
 
-    /// A server's load report; none where it does not answer in time.
+    /// A server's load report; `None` if the server does not answer in time.
     fn load_report(&mut self, server: usize) -> Option<LoadReport> {
         let fleet = &self.model.scenario.fleet;
         let state = &mut self.model.servers[server];
         let message_time = seconds(state.message_seconds(fleet, self.now));
-        if state.status == ServerStatus::Up && message_time > MESSAGE_TIME_MAX {
+        if state.status == ServerStatus::Up && message_time > PASSING_MESSAGE_TIME_MAX {
             return None;
         }
         state.report(fleet, self.now, &mut self.rng)
--- a/crates/testbed/src/simulate/queue.rs
+++ b/crates/testbed/src/simulate/queue.rs
@@ -1,4 +1,5 @@
-//! The queue of scheduled events, in order of time and, at the same time, of scheduling.
+//! The queue of scheduled events, ordered by time. Events at the same time keep the order in which
+//! they were scheduled.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -7,7 +8,7 @@
 
 use super::event::Event;
 
-/// A priority queue of events, first in first out among those of one time.
+/// A priority queue of events, first in, first out among the events of one time.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -25,15 +26,15 @@
         }));
     }
 
-    /// Removes the earliest event; none is left after the queue ran empty.
+    /// Removes and returns the earliest event; `None` if the queue is empty.
     pub(super) fn pop(&mut self) -> Option<(Time, Event)> {
         let Reverse(first) = self.heap.pop()?;
         Some((first.at, first.event))
     }
 }
 
-/// An event with its place in the order. The sequence number is unique, so the event itself is
-/// never compared.
+/// An event with its sort key. The sequence number is unique, so the event itself is never
+/// compared.
 struct Scheduled {
     at: Time,
     sequence: u64,
--- a/crates/testbed/src/simulate/queue/tests.rs
+++ b/crates/testbed/src/simulate/queue/tests.rs
@@ -2,10 +2,11 @@
 
 use super::*;
 
-/// Events of one time must keep the order in which they were scheduled, or a run would not be the
-/// same twice. There are many of them, since a heap keeps a few in order by chance.
+/// Guards against events at the same time leaving in another order than they were scheduled, which
+/// would make runs irreproducible. Many events are needed, since a heap keeps a few in order by
+/// chance.
 #[test]
-fn events_leave_by_time_and_then_by_scheduling() {
+fn events_leave_ordered_by_time_and_then_by_scheduling_order() {
     const TIMES: u64 = 3;
     const CLIENTS: u64 = 100;
     let mut queue = EventQueue::default();
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -1,4 +1,4 @@
-//! The end of a balancer's process, planned or not, and its return.
+//! The end of a balancer's process, planned or not, and its restart.
 
 use nettlemux_fleet_model::observation::{Idempotency, Observation};
 use nettlemux_fleet_model::time::seconds;
@@ -9,23 +9,23 @@
 use super::flow::{ClientId, FlowPhase, FlowState};
 use super::simulation::Simulation;
 
-// A planned shutdown takes the same course as that of the balancer on sockets. Each time is from
-// its beginning.
+// A planned shutdown has the same phases as that of the balancer on sockets. Each time is measured
+// from the start of the shutdown.
 
-/// The front end stops dealing clients to the balancer.
-const FRONT_STOPS: Time = 300 * MS;
-/// The balancer begins to move its clients.
-const MOVES_BEGIN: Time = 1500 * MS;
-/// The balancer gives up the flows that still wait for an answer.
-const LAST_ANSWER: Time = 3 * SEC;
-/// The last client is moved.
-const MOVES_END: Time = 3200 * MS;
-/// The process ends.
-pub(super) const SHUTDOWN_TIME: Time = 3500 * MS;
-/// How often another part of the clients is moved.
+/// When the front end stops assigning clients to the balancer.
+const FRONT_END_REMOVAL: Time = 300 * MS;
+/// When the balancer starts to migrate its clients.
+const MIGRATION_START: Time = 1500 * MS;
+/// When the balancer gives up the flows that still wait for an answer.
+const ANSWER_CUTOFF: Time = 3 * SEC;
+/// When the last client is migrated.
+const MIGRATION_END: Time = 3200 * MS;
+/// When the process ends.
+pub(super) const SHUTDOWN_DURATION: Time = 3500 * MS;
+/// The interval at which the next part of the clients is migrated.
 const DRAIN_INTERVAL: Time = 50 * MS;
-/// The time between one balancer's return and the next one's shutdown when they are restarted in
-/// turn.
+/// The time between the start of a balancer's new process and the next balancer's shutdown when
+/// balancers are restarted in turn.
 pub(super) const RESTART_GAP: Time = SEC;
 
 impl Simulation<'_> {
@@ -34,10 +34,11 @@
         if !self.balancers[balancer].is_running() {
             return;
         }
-        self.front.mark_dead(balancer, self.now + FRONT_STOPS);
+        self.front_end
+            .mark_dead(balancer, self.now + FRONT_END_REMOVAL);
         let balancer = self.incarnation(balancer);
         self.schedule(
-            self.now + MOVES_BEGIN,
+            self.now + MIGRATION_START,
             Event::DrainStep {
                 balancer,
                 since: self.now,
@@ -48,18 +49,19 @@
             planned: true,
             downtime,
         };
-        self.schedule(self.now + SHUTDOWN_TIME, ends);
+        self.schedule(self.now + SHUTDOWN_DURATION, ends);
     }
 
-    /// Moves as many clients as lets all of them be gone in time, and gives up late flows.
+    /// Migrates enough clients that all are migrated in time, and gives up waiting flows once their
+    /// time has passed.
     pub(super) fn drain_step(&mut self, incarnation: Incarnation, since: Time) {
         if !self.is_current(incarnation) {
             return;
         }
         let balancer = incarnation.balancer;
         let elapsed = self.now - since;
-        self.move_part_of_clients(balancer, elapsed);
-        if elapsed >= LAST_ANSWER {
+        self.migrate_part_of_clients(balancer, elapsed);
+        if elapsed >= ANSWER_CUTOFF {
             self.give_up_waiting_flows(balancer);
         }
         let next = Event::DrainStep {
@@ -69,30 +71,33 @@
         self.schedule(self.now + DRAIN_INTERVAL, next);
     }
 
-    fn move_part_of_clients(&mut self, balancer: usize, elapsed: Time) {
-        let unmoved = self.flows_where(|state| state.balancer == balancer && !state.moving);
-        let steps_left = (MOVES_END.saturating_sub(elapsed) / DRAIN_INTERVAL).max(1) as usize;
-        for flow in unmoved.iter().take(unmoved.len().div_ceil(steps_left)) {
-            self.move_client(*flow);
+    fn migrate_part_of_clients(&mut self, balancer: usize, elapsed: Time) {
+        let unmigrated = self.flows_where(|state| state.balancer == balancer && !state.migrating);
+        let steps_left = (MIGRATION_END.saturating_sub(elapsed) / DRAIN_INTERVAL).max(1) as usize;
+        for flow in unmigrated
+            .iter()
+            .take(unmigrated.len().div_ceil(steps_left))
+        {
+            self.migrate_client(*flow);
         }
     }
 
     /// Ends the attempts of flows that still wait for an answer, and fails those that have none in
     /// flight.
     fn give_up_waiting_flows(&mut self, balancer: usize) {
-        for flow in self.cut_short(balancer) {
+        for flow in self.shorten_waiting_deadlines(balancer) {
             match self.flows.get(&flow).and_then(|state| state.attempt) {
                 Some(attempt) => self.attempt_deadline(flow, attempt.number),
-                None => self.ask(balancer, |flow_table, now, actions| {
+                None => self.call_flow_table(balancer, |flow_table, now, actions| {
                     flow_table.fail(now, flow, actions)
                 }),
             }
         }
     }
 
-    /// Lets the flow table give up what it can, and returns the flows that are still owed an
-    /// answer, in order.
-    fn cut_short(&mut self, balancer: usize) -> Vec<FlowId> {
+    /// Shortens the deadlines in the flow table, and returns the flows that are still not answered,
+    /// in order.
+    fn shorten_waiting_deadlines(&mut self, balancer: usize) -> Vec<FlowId> {
         let Some(flow_table) = &mut self.balancers[balancer].flow_table else {
             return Vec::new();
         };
@@ -104,7 +109,7 @@
         waiting
     }
 
-    /// A balancer's process ends and all its flows are lost.
+    /// A balancer's process ends, and all its flows are lost.
     pub(super) fn balancer_ends(
         &mut self,
         incarnation: Incarnation,
@@ -124,10 +129,10 @@
         });
         if !planned {
             let notice = seconds(self.model.scenario.balancers.notice);
-            self.front.mark_dead(balancer, self.now + notice);
+            self.front_end.mark_dead(balancer, self.now + notice);
         }
         for flow in self.flows_where(|state| state.balancer == balancer) {
-            self.lose_flow(flow);
+            self.drop_flow(flow);
         }
         self.schedule(
             self.now + downtime.max(MS),
@@ -143,8 +148,8 @@
             .collect()
     }
 
-    /// A flow ends with its balancer's process, without any word to its client.
-    fn lose_flow(&mut self, flow: FlowId) {
+    /// Closes a flow whose balancer's process has ended, without notifying the client.
+    fn drop_flow(&mut self, flow: FlowId) {
         let state = &self.flows[&flow];
         let (client, phase) = (state.client, state.phase);
         if let Some(attempt) = state.attempt {
@@ -161,8 +166,8 @@
         }
     }
 
-    /// A client lost its balancer while it waited. It takes a non-idempotent flow for failed, since
-    /// it may have run.
+    /// A client's balancer ended while the client waited. The client considers a non-idempotent flow
+    /// failed, since it may have been executed.
     fn retry_unanswered(&mut self, client: ClientId) {
         let wait = match self.clients.idempotency(client, &self.model.scenario) {
             Idempotency::NonIdempotent => self.clients.failed(client, &self.model.scenario),
@@ -171,9 +176,9 @@
         self.retry_after(client, wait);
     }
 
-    /// A balancer's process starts again and the front end deals clients to it.
-    pub(super) fn balancer_returns(&mut self, balancer: usize) {
+    /// A balancer's process starts again, and the front end assigns clients to it.
+    pub(super) fn restart_balancer(&mut self, balancer: usize) {
         self.start_balancer(balancer);
-        self.front.mark_alive(balancer);
+        self.front_end.mark_alive(balancer);
     }
 }
--- a/crates/testbed/src/simulate/sampling.rs
+++ b/crates/testbed/src/simulate/sampling.rs
@@ -1,4 +1,4 @@
-//! The model's regular step, and the figures that are taken at regular times.
+//! The periodic step of the model, and the figures that are sampled periodically.
 
 use nettlemux_fleet_model::server::ServerStatus;
 use nettlemux_policy::{MS, SEC, Time};
@@ -6,24 +6,25 @@
 use super::event::Event;
 use super::simulation::Simulation;
 
-/// How often the model advances.
+/// The interval at which the model advances.
 pub(super) const TICK_INTERVAL: Time = 100 * MS;
-/// How often the figures that look at every server are taken.
+/// The interval at which the figures over all servers are sampled.
 pub(super) const SAMPLE_INTERVAL: Time = 500 * MS;
 
 impl Simulation<'_> {
-    /// Advances the model, accounts for the worth served since, and carries out what happened.
+    /// Advances the model, adds the worth served since the last step to the figures, and applies the
+    /// model's events.
     pub(super) fn tick_model(&mut self) {
         let events = self.model.tick(self.now);
         let seconds = TICK_INTERVAL as f64 / SEC as f64;
         let wanted = self.clients.wanted * seconds;
         let served = self.model.served(self.now) * seconds;
         self.figures.worth(self.now, (wanted, served), seconds);
-        self.carry_out(events);
+        self.apply_fleet_events(events);
         self.schedule(self.now + TICK_INTERVAL, Event::ModelTick);
     }
 
-    /// Takes the utilization and the message times of all servers.
+    /// Samples the utilization and the message times of all servers.
     pub(super) fn sample(&mut self) {
         let utilizations: Vec<f64> = self.model.utilizations(self.now).collect();
         self.figures.load(self.now, &utilizations);
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -1,4 +1,4 @@
-//! The state of a run, its main loop, and the dispatch of each event to the code that handles it.
+//! The state of a run, its main loop, and the dispatch of each event to its handler.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,17 +23,17 @@
 use crate::record::Writer;
 use crate::rules::RuleChecker;
 
-/// The random stream of the simulation itself; the model and the clients have streams of their own.
+/// The random stream of the simulation itself. The model and the clients have their own streams.
 const RNG_STREAM: u64 = 3;
 
-/// One run. Its methods are spread over the modules beside this one, by the kind of event.
+/// One run. Its methods are in the sibling modules, by the kind of event.
 pub(super) struct Simulation<'a> {
     pub(super) now: Time,
     end: Time,
     queue: EventQueue,
     pub(super) model: FleetModel,
     pub(super) clients: ClientPopulation,
-    pub(super) front: FrontEnd,
+    pub(super) front_end: FrontEnd,
     pub(super) balancers: Vec<Balancer>,
     pub(super) flows: BTreeMap<FlowId, FlowState>,
     /// The flow of each client that has one.
@@ -44,16 +44,17 @@
     pub(super) policy: PolicyChoice,
     pub(super) seed: u64,
     pub(super) rng: Rng,
-    judge: RuleChecker,
+    rule_checker: RuleChecker,
     pub(super) figures: FigureCollector,
     record: Option<&'a mut Writer>,
     record_error: Option<io::Error>,
-    /// Attempts that have arrived at servers, for mutants that misbehave now and then.
+    /// The number of attempts that have arrived at servers, for mutants that misbehave on some
+    /// attempts only.
     pub(super) attempts_arrived: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// A run that has not begun.
+    /// Creates a run that has not started.
     pub(super) fn new(
         scenario: Scenario,
         seed: u64,
@@ -61,14 +62,14 @@
         record: Option<&'a mut Writer>,
     ) -> Self {
         let zones = scenario.zones.number;
-        // Balancers act on news that took this long to arrive; the rule checker allows for it.
-        let slack = seconds(scenario.zones.between.max(scenario.zones.inside)) + MS;
+        // Balancers act on updates that took this long to arrive; the rule checker allows for it.
+        let tolerance = seconds(scenario.zones.between.max(scenario.zones.inside)) + MS;
         Simulation {
             now: 0,
             end: scenario.end(),
             queue: EventQueue::default(),
             clients: ClientPopulation::new(seed),
-            front: FrontEnd::new(scenario.balancers.number, zones),
+            front_end: FrontEnd::new(scenario.balancers.number, zones),
             balancers: (0..scenario.balancers.number)
                 .map(|b| Balancer::new(b % zones))
                 .collect(),
@@ -81,7 +82,7 @@
             policy,
             seed,
             rng: Rng::new(seed, RNG_STREAM),
-            judge: RuleChecker::new(&scenario, slack),
+            rule_checker: RuleChecker::new(&scenario, tolerance),
             figures: FigureCollector::new(seconds(scenario.settle)),
             record,
             record_error: None,
@@ -115,7 +116,7 @@
             .values()
             .filter(|flow| flow.phase == FlowPhase::Connected);
         let standing = connected.count();
-        let verdict = self.judge.finish(self.end);
+        let verdict = self.rule_checker.finish(self.end);
         Ok(Outcome {
             figures: self.figures.finish(standing, &verdict),
             verdict,
@@ -127,10 +128,10 @@
         self.queue.schedule(at, event);
     }
 
-    /// Shows a fact to the rule checker and writes it to the record. The first failure to write is
-    /// kept for the end.
+    /// Passes a fact to the rule checker and writes it to the record. The first write error is kept
+    /// and returned at the end of the run.
     pub(super) fn observe(&mut self, fact: Observation) {
-        self.judge.observe(&fact);
+        self.rule_checker.observe(&fact);
         if let Some(record) = &mut self.record
             && let Err(error) = record.write(&fact)
         {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The run of a balancer's process that is current now.
+    /// The current run of a balancer's process.
     pub(super) fn incarnation(&self, balancer: usize) -> Incarnation {
         Incarnation {
             balancer,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Whether a balancer's process has not ended since.
+    /// Whether this run of a balancer's process is still the current one.
     pub(super) fn is_current(&self, incarnation: Incarnation) -> bool {
         self.balancers[incarnation.balancer].epoch == incarnation.epoch
     }
@@ -187,7 +188,7 @@
             Event::ClientTries { client } => self.client_tries(client),
             Event::ClientDone { client } => self.client_done(client),
             Event::LoadChanges { flow } => self.load_changes(flow),
-            Event::PatienceOver { flow } => self.patience_over(flow),
+            Event::ClientGivesUp { flow } => self.client_gives_up(flow),
             Event::Wakeup { balancer } => self.wake_up(balancer),
             Event::AttemptArrives { flow, number } => self.attempt_arrives(flow, number),
             Event::ResponseArrives {
@@ -199,7 +200,9 @@
             }
             Event::AttemptDeadline { flow, number } => self.attempt_deadline(flow, number),
             Event::ServerSilent { flow } => self.server_silent(flow),
-            Event::ProbeReturns { balancer, server } => self.probe_returns(balancer, server),
+            Event::HealthCheckReturns { balancer, server } => {
+                self.health_check_returns(balancer, server)
+            }
             Event::ListArrives { balancer } => self.list_arrives(balancer),
             Event::ShutdownBegins { balancer, downtime } => {
                 self.shutdown_begins(balancer, downtime)
@@ -212,7 +215,7 @@
             } => {
                 self.balancer_ends(balancer, planned, downtime);
             }
-            Event::BalancerStarts { balancer } => self.balancer_returns(balancer),
+            Event::BalancerStarts { balancer } => self.restart_balancer(balancer),
             Event::DelayedAnswer {
                 flow,
                 answer,
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -15,12 +15,12 @@
 use super::simulation::Simulation;
 use crate::file;
 
-/// Mixed with a balancer's number, so that balancers draw differently (the golden ratio in 64
-/// bits).
+/// Multiplied with a balancer's number, so that each balancer draws different random numbers (the
+/// golden ratio in 64 bits).
 const BALANCER_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Simulation<'_> {
-    /// Sets the run up and schedules the first events.
+    /// Initializes the run and schedules the first events.
     pub(super) fn begin(&mut self) {
         self.observe_header();
         for server in 0..self.model.servers.len() {
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Records where a server is.
+    /// Records the zone, cell and machine of a server.
     pub(super) fn observe_server(&mut self, server: usize) {
         let state = &self.model.servers[server];
         let (zone, cell, machine) = (state.zone, state.cell, state.machine);
@@ -100,18 +100,18 @@
         }
     }
 
-    /// A seed that differs by balancer and by run of its process.
+    /// A seed that differs between balancers and between runs of a balancer's process.
     fn balancer_seed(&self, balancer: usize) -> u64 {
         let epoch = self.balancers[balancer].epoch;
         self.seed ^ (balancer as u64 + 1).wrapping_mul(BALANCER_SEED) ^ u64::from(epoch)
     }
 
-    /// Adds a connection that stands when the run starts.
+    /// Adds a connection that exists when the run starts.
     fn add_standing_connection(&mut self) {
         let client = self.clients.arrive(0, &self.model);
         let known = self.clients.get(client).expect("it has just arrived");
         let (client_zone, load) = (known.zone, known.load);
-        let Some(balancer) = self.front.pick_balancer(0, client_zone) else {
+        let Some(balancer) = self.front_end.pick_balancer(0, client_zone) else {
             return;
         };
         let server = self
