--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -1,5 +1,6 @@
-//! Scenario files: read, checked, changed by a key for a sweep, and turned into the settings that a
-//! balancer gets. It owns the errors that name file, key and reason. It must never run anything.
+//! Scenario files: reads and checks them, sets single keys for a sweep, and converts a scenario into
+//! the settings of a balancer. Errors name the file, the key and the reason. This module must never
+//! run a scenario.
 
 mod error;
 
@@ -14,23 +15,24 @@
 
 pub use error::{ScenarioFileError, ScenarioProblem, SetKeyError};
 
-/// The key that is named where none is known.
+/// The key that an error names if the key at fault is not known.
 pub(crate) const WHOLE_FILE: &str = "(whole file)";
 
-/// Reads a scenario's file.
+/// Reads and checks a scenario file.
 ///
 /// # Errors
-/// Names the file and the key at fault; an unknown key with the nearest known one.
+/// Names the file and the key at fault and, for an unknown key, the known key with the nearest
+/// name.
 pub fn load(file: &Path) -> Result<(Scenario, toml::Table), ScenarioFileError> {
-    let whole = |problem| ScenarioFileError::new(file, WHOLE_FILE, problem);
-    let text = std::fs::read_to_string(file).map_err(|e| whole(ScenarioProblem::Io(e)))?;
+    let file_error = |problem| ScenarioFileError::new(file, WHOLE_FILE, problem);
+    let text = std::fs::read_to_string(file).map_err(|e| file_error(ScenarioProblem::Io(e)))?;
     let table: toml::Table = text
         .parse()
-        .map_err(|e: toml::de::Error| whole(ScenarioProblem::Toml(Box::new(e))))?;
+        .map_err(|e: toml::de::Error| file_error(ScenarioProblem::Toml(Box::new(e))))?;
     Ok((read(&table, file)?, table))
 }
 
-/// Reads a scenario that is in hand already; `file` is named in errors.
+/// Reads and checks a scenario that is already parsed as TOML. Errors name `file`.
 ///
 /// # Errors
 /// As [`load`].
@@ -59,12 +61,13 @@
         });
     }
     match expect.min.is_none() && expect.max.is_none() {
-        true => Err(ScenarioProblem::NoBound),
+        true => Err(ScenarioProblem::MissingBound),
         false => Ok(()),
     }
 }
 
-/// Returns the key and the problem that the TOML reader speaks of: it sets names in backticks.
+/// Returns the key and the problem from a message of the TOML parser, which puts names in
+/// backticks.
 pub(crate) fn key_and_problem(message: &str) -> (String, ScenarioProblem) {
     let mut names = message.split('`').skip(1).step_by(2);
     match (message.starts_with("unknown field"), names.next()) {
@@ -86,14 +89,14 @@
     }
 }
 
-/// Sets one value of a scenario by its path (`clients.rate`, `faults.0.amount`), for a sweep.
+/// Sets one value of a scenario, given by its path (`clients.rate`, `faults.0.amount`), for a sweep.
 ///
 /// # Errors
-/// The path leads nowhere.
+/// The path names a table, a list or an index that the scenario does not have, or no key in a list.
 pub fn set(table: &mut toml::Table, path: &str, value: f64) -> Result<(), SetKeyError> {
     let Some((first, rest)) = path.split_once('.').filter(|(_, rest)| !rest.is_empty()) else {
         let key = path.split('.').next().unwrap_or(path);
-        let new = number_like(table.get(key), value);
+        let new = number_of_same_type(table.get(key), value);
         table.insert(key.into(), new);
         return Ok(());
     };
@@ -102,16 +105,17 @@
         Some(toml::Value::Array(list)) => {
             let (index, key) = rest
                 .split_once('.')
-                .ok_or_else(|| SetKeyError::NoKeyInList { path: path.into() })?;
+                .ok_or_else(|| SetKeyError::MissingKeyInList { path: path.into() })?;
             let inner = table_in_list(list, first, index)?;
             set(inner, key, value)
         }
-        _ => Err(SetKeyError::NoSuchKey { key: first.into() }),
+        _ => Err(SetKeyError::UnknownKey { key: first.into() }),
     }
 }
 
-/// A number of the kind of the old value; an integer where there is none and it is whole.
-fn number_like(old: Option<&toml::Value>, value: f64) -> toml::Value {
+/// Returns the number with the type of the old value. Without an old value, it is an integer if it
+/// has no fractional part.
+fn number_of_same_type(old: Option<&toml::Value>, value: f64) -> toml::Value {
     match old {
         Some(toml::Value::Integer(_)) => toml::Value::Integer(value.round() as i64),
         None if value.fract() == 0.0 => toml::Value::Integer(value as i64),
@@ -119,25 +123,26 @@
     }
 }
 
-/// The table at a place of a list, which stands under `key`.
+/// Returns the table at an index of the list under `key`.
 fn table_in_list<'a>(
     list: &'a mut [toml::Value],
     key: &str,
     index: &str,
 ) -> Result<&'a mut toml::Table, SetKeyError> {
-    let place: usize = index.parse().map_err(|_| SetKeyError::NotAnIndex {
+    let position: usize = index.parse().map_err(|_| SetKeyError::InvalidIndex {
         index: index.into(),
         key: key.into(),
     })?;
-    list.get_mut(place)
+    list.get_mut(position)
         .and_then(toml::Value::as_table_mut)
-        .ok_or_else(|| SetKeyError::OutOfList {
-            index: place,
+        .ok_or_else(|| SetKeyError::IndexOutOfRange {
+            index: position,
             key: key.into(),
         })
 }
 
-/// The settings that a balancer of that zone gets: the platform's form, times in microseconds.
+/// Returns the settings of a balancer in a zone, in the platform's format, with times in
+/// microseconds.
 pub fn settings(scenario: &Scenario, zone: usize) -> Value {
     let us = |s: f64| (s * 1e6).round() as u64;
     let names = |letter: &str, count: usize| {
@@ -178,7 +183,7 @@
         "limits": {"max-connects": limits.attempts, "second-copies": limits.hedging,
             "may-cancel": limits.may_cancel, "probes": limits.health_checks,
             "retry-after": limits.retry_after > 0.0, "max-retry-after": us(limits.retry_after),
-            "dial-timeout": us(DIAL)},
+            "dial-timeout": us(CONNECT_TIMEOUT_SECONDS)},
         "report": {"how": "pull", "fields": ["x0", "inflight"]},
         "service-types": types,
         "specifics": {"groups": scenario.clients.groups > 0,
@@ -186,14 +191,14 @@
     })
 }
 
-/// The admission control as a scenario has it: tenants are told apart by number, and weights name
-/// them c0, c1 and so on.
-pub fn admission(keys: &operator::AdmissionSettings, longest: Time) -> AdmissionConfig {
-    keys.config(longest, |name| {
+/// Returns the configuration of admission control in a scenario. Tenants are identified by number;
+/// the weights name them c0, c1 and so on.
+pub fn admission(keys: &operator::AdmissionSettings, retry_after_max: Time) -> AdmissionConfig {
+    keys.config(retry_after_max, |name| {
         name.strip_prefix('c')
             .and_then(|number| number.parse().ok())
     })
 }
 
-/// Seconds after which a connection that isn't made can't be made.
-pub const DIAL: f64 = 0.25;
+/// The seconds after which a connection that is not established has failed.
+pub const CONNECT_TIMEOUT_SECONDS: f64 = 0.25;
--- a/crates/testbed/src/file/error.rs
+++ b/crates/testbed/src/file/error.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with a scenario's file, and with a key that is set in one.
+//! Errors of scenario files, and of setting a key of a scenario.
 
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with a scenario, and where.
+/// Why a scenario cannot be used, and the key at fault.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: key '{key}': {problem}", .file.display())]
 pub struct ScenarioFileError {
     /// The file.
     pub file: PathBuf,
-    /// The key at fault, with the tables that it stands in.
+    /// The key at fault, with the tables that contain it.
     pub key: String,
-    /// Why its value cannot be used.
+    /// Why the key cannot be used.
     #[source]
     pub problem: ScenarioProblem,
 }
@@ -33,66 +33,66 @@
     /// The file cannot be read.
     #[error(transparent)]
     Io(io::Error),
-    /// The file is no TOML.
+    /// The file is not valid TOML.
     #[error(transparent)]
     Toml(Box<toml::de::Error>),
-    /// A value that the TOML reader refuses, in its words.
+    /// A value that the TOML parser rejects, with the parser's message.
     #[error("{0}")]
     Unreadable(String),
-    /// A key that scenarios do not have.
-    #[error("unknown; {}", Hint { nearest, otherwise: format!("there are {known}") })]
+    /// A key that is not known at this place in the scenario.
+    #[error("unknown; {}", Hint { nearest, otherwise: format!("expected one of {known}") })]
     UnknownKey {
-        /// The known key with the nearest name, where one is near.
+        /// The known key with the nearest name, if one is similar.
         nearest: Option<String>,
-        /// All known keys there, set apart by commas.
+        /// All keys that are known at this place, separated by commas.
         known: String,
     },
-    /// A key that must be there and is not.
+    /// A required key that is missing.
     #[error("missing")]
     Missing,
-    /// A value that the model cannot be run with, in its words.
+    /// A value that the model cannot be run with, with the model's reason.
     #[error("{0}")]
     Invalid(String),
-    /// An expectation of a figure that there is not.
-    #[error("no figure; {}", Hint { nearest, otherwise: known.clone() })]
+    /// An expectation of an unknown figure.
+    #[error("unknown figure; {}", Hint { nearest, otherwise: format!("expected one of {known}") })]
     UnknownFigure {
-        /// The figure with the nearest name, where one is near.
+        /// The figure with the nearest name, if one is similar.
         nearest: Option<String>,
-        /// All figures, set apart by commas.
+        /// All figures, separated by commas.
         known: String,
     },
     /// An expectation without a bound.
-    #[error("neither min nor max")]
-    NoBound,
-    /// A number that is no count or rate.
-    #[error("{value} isn't between 0 and {limit}")]
+    #[error("expected min or max, found neither")]
+    MissingBound,
+    /// A count or rate that is not positive or is too large.
+    #[error("expected a number above 0 and up to {limit}, found {value}")]
     OutOfRange {
         /// The number.
         value: f64,
-        /// The largest that is accepted.
+        /// The largest accepted number.
         limit: f64,
     },
-    /// A phase of a run that is no time or too long.
-    #[error("{value} isn't between 0 and {limit} seconds")]
+    /// The duration of a phase of a run that is not positive or is too long.
+    #[error("expected more than 0 and up to {limit} seconds, found {value}")]
     DurationOutOfRange {
-        /// The phase in seconds.
+        /// The duration of the phase in seconds.
         value: f64,
-        /// The longest that is accepted, in seconds.
+        /// The longest accepted duration, in seconds.
         limit: f64,
     },
-    /// A count that is larger than another key allows.
+    /// A count that exceeds the limit set by another key.
     #[error("{value} is too many for {other}: {limit} at most")]
     TooMany {
         /// The count.
         value: u64,
-        /// The key that limits it.
+        /// The key that limits the count.
         other: &'static str,
-        /// The largest count that it allows.
+        /// The largest allowed count.
         limit: u64,
     },
 }
 
-/// A hint at the name that may be meant, or else something instead.
+/// A hint at the nearest known name, or another text if no known name is similar.
 struct Hint<'a> {
     nearest: &'a Option<String>,
     otherwise: String,
@@ -101,7 +101,7 @@
 impl fmt::Display for Hint<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.nearest {
-            Some(nearest) => write!(f, "is '{nearest}' meant?"),
+            Some(nearest) => write!(f, "did you mean '{nearest}'?"),
             None => f.write_str(&self.otherwise),
         }
     }
@@ -111,29 +111,29 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SetKeyError {
     /// A table or list that the scenario does not have.
-    #[error("there is no '{key}'")]
-    NoSuchKey {
+    #[error("unknown key '{key}'")]
+    UnknownKey {
         /// The key.
         key: String,
     },
-    /// A path that ends at a place of a list.
-    #[error("'{path}' names no key in a list")]
-    NoKeyInList {
-        /// The path, from the list on.
+    /// A path that ends at an index of a list.
+    #[error("expected an index and a key in a list, found '{path}'")]
+    MissingKeyInList {
+        /// The part of the path after the list.
         path: String,
     },
-    /// A place of a list that is no number.
-    #[error("'{index}' is no place in '{key}'")]
-    NotAnIndex {
-        /// The place as it was given.
+    /// An index of a list that is not a number.
+    #[error("expected an index of '{key}', found '{index}'")]
+    InvalidIndex {
+        /// The index as it was given.
         index: String,
         /// The list's key.
         key: String,
     },
-    /// A place beyond the end of a list.
-    #[error("'{key}' has no place {index}")]
-    OutOfList {
-        /// The place, counted from zero.
+    /// An index beyond the end of a list.
+    #[error("'{key}' has no entry {index}")]
+    IndexOutOfRange {
+        /// The index, counted from zero.
         index: usize,
         /// The list's key.
         key: String,
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,5 +1,6 @@
-//! Records: JSON lines, the first a header with the version. It owns their file. A record that was
-//! cut off mid-line is read up to the cut, and the cut is told; one of another version is refused.
+//! Reads and writes record files: JSON lines of observations, the first of which is a header with
+//! the version. A record whose last line is truncated is read up to that line, and the line is
+//! reported. A record of another version is rejected.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -7,7 +8,7 @@
 
 use nettlemux_fleet_model::observation::{Observation, VERSION};
 
-/// Writes a record; its first fact must be the header.
+/// Writes a record. The first observation must be the header.
 pub struct Writer(BufWriter<File>);
 
 impl Writer {
@@ -23,12 +24,12 @@
     ///
     /// # Errors
     /// The file cannot be written.
-    pub fn write(&mut self, seen: &Observation) -> io::Result<()> {
-        serde_json::to_writer(&mut self.0, seen)?;
+    pub fn write(&mut self, observation: &Observation) -> io::Result<()> {
+        serde_json::to_writer(&mut self.0, observation)?;
         self.0.write_all(b"\n")
     }
 
-    /// Writes what is still buffered.
+    /// Writes the buffered observations to the file.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -37,22 +38,22 @@
     }
 }
 
-/// A record as read.
+/// The content of a record file.
 #[derive(Debug, PartialEq)]
 pub struct Read {
     /// The observations, the header first.
     pub seen: Vec<Observation>,
-    /// The line that was cut off, where the last one was.
+    /// The number of the last line if it is truncated.
     pub cut: Option<usize>,
 }
 
-/// A record that cannot be read, by the line at fault.
+/// Why a record cannot be read, and in which line.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {problem}")]
 pub struct RecordError {
     /// The line, counted from one.
     pub line: usize,
-    /// What is wrong there.
+    /// What is wrong in the line.
     #[source]
     pub problem: RecordProblem,
 }
@@ -63,28 +64,28 @@
     /// The line cannot be read from the file.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The line is no observation.
+    /// The line is not an observation.
     #[error(transparent)]
-    NotAnObservation(#[from] serde_json::Error),
+    InvalidObservation(#[from] serde_json::Error),
     /// The record is of another version.
-    #[error("version {version}, not {VERSION}")]
-    OtherVersion {
+    #[error("expected version {VERSION}, found version {version}")]
+    UnsupportedVersion {
         /// The record's version.
         version: u32,
     },
-    /// The first line is another observation than the header.
-    #[error("no header")]
-    NoHeader,
+    /// The first line is an observation other than the header.
+    #[error("expected a header")]
+    MissingHeader,
     /// The file is empty.
-    #[error("nothing")]
+    #[error("the record is empty")]
     Empty,
 }
 
 /// Reads a record.
 ///
 /// # Errors
-/// The file can't be read, is no record or of another version, or has a faulty line that isn't its
-/// last; the line is named.
+/// The file can't be read, is empty, does not start with a header, is of another version, or has an
+/// invalid line other than a truncated last line. The error names the line.
 pub fn read(from: impl io::Read) -> Result<Read, RecordError> {
     let mut reader = BufReader::new(from);
     let (mut seen, mut line, mut text) = (Vec::new(), 0, Vec::new());
@@ -120,8 +121,8 @@
         Observation::Header {
             version: VERSION, ..
         } => Ok(()),
-        Observation::Header { version, .. } => Err(RecordProblem::OtherVersion { version }),
-        _ => Err(RecordProblem::NoHeader),
+        Observation::Header { version, .. } => Err(RecordProblem::UnsupportedVersion { version }),
+        _ => Err(RecordProblem::MissingHeader),
     }
 }
 
--- a/crates/testbed/src/record/tests.rs
+++ b/crates/testbed/src/record/tests.rs
@@ -1,33 +1,36 @@
-//! Reading of records, whole, cut off or faulty.
+//! Reading of complete, truncated and invalid records.
 
 use super::*;
 
 #[test]
-fn a_record_is_read_up_to_where_it_was_cut() {
+fn a_truncated_record_is_read_up_to_its_last_complete_line() {
     let header = Observation::Header {
         version: VERSION,
         scenario: "s".into(),
         seed: 1,
         program: "p".into(),
     };
-    let left = Observation::ClientLeft { at: 5, flow: 7 };
-    let text: String = [&header, &left]
+    let client_left = Observation::ClientLeft { at: 5, flow: 7 };
+    let text: String = [&header, &client_left]
         .iter()
         .map(|s| serde_json::to_string(s).unwrap() + "\n")
         .collect();
-    let whole = read(text.as_bytes()).unwrap();
+    let complete = read(text.as_bytes()).unwrap();
     assert_eq!(
-        whole,
+        complete,
         Read {
-            seen: vec![header.clone(), left],
+            seen: vec![header.clone(), client_left],
             cut: None
         }
     );
-    // Cut anywhere: never a panic, never more than was there.
+    // Truncated at any byte, reading must not panic or return more than the file holds.
     for at in 0..text.len() {
         match read(&text.as_bytes()[..at]) {
-            Ok(cut) => assert!(cut.seen[0] == header && cut.seen.len() <= 2, "{at}"),
-            Err(why) => assert!(why.to_string().starts_with("line 1"), "{at}: {why}"),
+            Ok(truncated) => assert!(
+                truncated.seen[0] == header && truncated.seen.len() <= 2,
+                "{at}"
+            ),
+            Err(error) => assert!(error.to_string().starts_with("line 1"), "{at}: {error}"),
         }
     }
     assert_eq!(
@@ -40,9 +43,9 @@
             .to_string()
             .contains("version 9")
     );
-    let middle = text.replacen("left", "lost", 1) + "\n";
+    let invalid_middle_line = text.replacen("left", "lost", 1) + "\n";
     assert!(
-        read(middle.as_bytes())
+        read(invalid_middle_line.as_bytes())
             .unwrap_err()
             .to_string()
             .starts_with("line 2")
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,7 +1,7 @@
-//! The rule checker. It reads only what the stand-ins observed ([`Observation`]), in order of time,
-//! and keeps what it needs and no more: open flows, recently closed ones, and the recent attempts
-//! at servers in slow start. It must never be told anything by a balancer, nor by the model about
-//! what it would have done.
+//! The rule checker. It reads only the facts that the testbed's clients, servers and discovery
+//! observed ([`Observation`]), in order of time. It keeps only the state that it needs: open flows,
+//! recently closed flows, and the recent attempts at servers in slow start. It must get no input
+//! from a balancer, nor from the model about what the model would have done.
 
 mod records;
 mod verdict;
@@ -16,21 +16,21 @@
 use records::{AttemptRecord, FlowRecord, ServerRecord, SlowStart};
 pub use verdict::{Rule, Verdict, Violation};
 
-/// How long after a flow's end a further answer or attempt is still noticed.
+/// How long a closed flow is kept, to notice further answers and attempts.
 const CLOSED_FLOW_RETENTION: Time = 10 * SEC;
-/// How many violations are described. All are counted.
+/// The number of violations that are described. All violations are counted.
 const EXAMPLES_MAX: usize = 20;
 
-/// Checks the rules over a run.
+/// Checks a run against the rules.
 pub struct RuleChecker {
     hedging: bool,
     grace: Time,
     slow_start: SlowStart,
-    /// The time that is added to each limit.
-    slack: Time,
+    /// The time that is added to each time limit.
+    tolerance: Time,
     servers: BTreeMap<usize, ServerRecord>,
-    /// Since when a balancer knows that a server is not ready, by balancer and server.
-    unready_since: BTreeMap<(usize, usize), Time>,
+    /// The time at which a balancer was notified that a server is not ready, by balancer and server.
+    not_ready_since: BTreeMap<(usize, usize), Time>,
     flows: BTreeMap<u64, FlowRecord>,
     /// Closed flows, in the order in which they were closed.
     closed: VecDeque<(Time, u64)>,
@@ -39,8 +39,8 @@
 }
 
 impl RuleChecker {
-    /// Makes a checker. `slack` is added to each time limit, in nanoseconds.
-    pub fn new(scenario: &Scenario, slack: Time) -> Self {
+    /// Creates a checker. `tolerance` is added to each time limit, in nanoseconds.
+    pub fn new(scenario: &Scenario, tolerance: Time) -> Self {
         let (limits, fleet) = (&scenario.limits, &scenario.fleet);
         RuleChecker {
             hedging: limits.hedging,
@@ -52,9 +52,9 @@
                 collapse_window: seconds(fleet.collapse_window),
                 connection_rate: fleet.connection_rate,
             },
-            slack,
+            tolerance,
             servers: BTreeMap::new(),
-            unready_since: BTreeMap::new(),
+            not_ready_since: BTreeMap::new(),
             flows: BTreeMap::new(),
             closed: VecDeque::new(),
             verdict: Verdict::default(),
@@ -70,20 +70,20 @@
         }
     }
 
-    /// Takes the next fact, in order of time.
+    /// Processes the next fact. Facts must be passed in order of time.
     pub fn observe(&mut self, fact: &Observation) {
         self.now = self.now.max(fact.at().unwrap_or(self.now));
-        self.forget_closed_flows();
+        self.remove_old_closed_flows();
         self.dispatch(fact);
     }
 
-    /// Hands a fact to the check of its kind.
+    /// Passes a fact to the check for its kind.
     fn dispatch(&mut self, fact: &Observation) {
         match *fact {
             Observation::Header { .. } => {}
             Observation::Server {
                 server, zone, cell, ..
-            } => self.server_placed(server, zone, cell),
+            } => self.server_located(server, zone, cell),
             Observation::ServerStarted { at, server } => self.server_started(at, server),
             Observation::ServerCollapsed { server, .. } => self.server_collapsed(server),
             Observation::EndpointNotified {
@@ -129,7 +129,7 @@
         }
     }
 
-    fn server_placed(&mut self, server: usize, zone: usize, cell: usize) {
+    fn server_located(&mut self, server: usize, zone: usize, cell: usize) {
         let record = self.servers.entry(server).or_default();
         (record.zone, record.cell) = (zone, cell);
     }
@@ -145,15 +145,15 @@
         self.violation(Rule::Cold, what);
     }
 
-    fn connection_closed(&mut self, at: Time, id: u64, by: ClosedBy, unannounced: bool) {
-        if by == ClosedBy::Balancer && unannounced {
-            let what = format!("flow {id} was cut off unannounced");
+    fn connection_closed(&mut self, at: Time, id: u64, by: ClosedBy, without_notice: bool) {
+        if by == ClosedBy::Balancer && without_notice {
+            let what = format!("flow {id} was closed without notice to its client");
             self.violation(Rule::Cut, what);
         }
         self.close(at, id);
     }
 
-    fn forget_closed_flows(&mut self) {
+    fn remove_old_closed_flows(&mut self) {
         while let Some((closed_at, flow)) = self.closed.front().copied()
             && closed_at + CLOSED_FLOW_RETENTION < self.now
         {
@@ -164,9 +164,9 @@
 
     fn endpoint_notified(&mut self, at: Time, balancer: usize, server: usize, ready: bool) {
         if ready {
-            self.unready_since.remove(&(balancer, server));
+            self.not_ready_since.remove(&(balancer, server));
         } else {
-            self.unready_since.entry((balancer, server)).or_insert(at);
+            self.not_ready_since.entry((balancer, server)).or_insert(at);
         }
     }
 
@@ -176,10 +176,10 @@
     }
 
     fn client_left(&mut self, at: Time, id: u64) {
-        // Guards against a client that has waited in vain and is taken for one that changed its
-        // mind.
+        // A client that disconnects after its deadline was not answered in time; it must not count
+        // as a client that disconnected of its own accord.
         let unanswered = self.flows.get(&id).filter(|flow| flow.awaits_answer());
-        if unanswered.is_some_and(|flow| at > flow.deadline + self.slack) {
+        if unanswered.is_some_and(|flow| at > flow.deadline + self.tolerance) {
             self.violation(Rule::Lost, format!("flow {id} was not answered in time"));
         }
         self.close(at, id);
@@ -203,8 +203,8 @@
             .map(|(id, _)| *id)
             .collect();
         for id in open {
-            // A balancer that shuts down gracefully still owes each flow an answer and each client
-            // an announcement.
+            // Before a graceful shutdown ends, a balancer must answer each flow and tell each
+            // connected client to move.
             if planned {
                 let (rule, what) = match self.flows[&id].answer {
                     None => (Rule::Lost, "unanswered"),
@@ -215,17 +215,17 @@
             }
             self.close(at, id);
         }
-        self.unready_since
+        self.not_ready_since
             .retain(|(other, _), _| *other != balancer);
     }
 
     fn answered(&mut self, at: Time, id: u64, answer: FinalAnswer) {
         let Some(flow) = self.flows.get_mut(&id) else {
-            let what = format!("flow {id} was answered {answer:?}, long over");
+            let what = format!("flow {id} was answered {answer:?} after it was closed");
             return self.violation(Rule::AfterTheEnd, what);
         };
         let before = flow.answer.replace(answer);
-        let late = at > flow.deadline + self.slack;
+        let late = at > flow.deadline + self.tolerance;
         let client_left = flow.closed_at.is_some() && before.is_none();
         let unsafe_reject = answer == FinalAnswer::Rejected && flow.must_not_be_rejected();
         if answer != FinalAnswer::Connected {
@@ -238,7 +238,7 @@
             self.violation(Rule::Late, format!("flow {id}: {answer:?}"));
         }
         if unsafe_reject {
-            let what = format!("flow {id} was rejected and may have run");
+            let what = format!("flow {id} was rejected and may have been executed");
             self.violation(Rule::Twice, what);
         }
     }
@@ -258,12 +258,12 @@
         self.check_drain(at, balancer, id, server);
         self.check_slow_start(at, server);
         let Some(flow) = self.flows.get(&id) else {
-            let what = format!("an attempt for flow {id}, which nobody asked for");
+            let what = format!("an attempt for unknown flow {id}");
             return self.violation(Rule::AfterTheEnd, what);
         };
         let closed = flow
             .closed_at
-            .is_some_and(|closed| at > closed + self.slack);
+            .is_some_and(|closed| at > closed + self.tolerance);
         let over = flow.answer.is_some() || closed;
         let in_flight = |attempt: &AttemptRecord| attempt.known_unexecuted.is_none();
         let two_in_flight = !self.hedging && flow.attempts.iter().any(in_flight);
@@ -271,7 +271,7 @@
         let flow = self.flows.get_mut(&id).expect("it was found above");
         flow.attempts.push(attempt);
         if over {
-            let what = format!("an attempt for flow {id}, which is answered");
+            let what = format!("an attempt for flow {id}, which is answered or closed");
             self.violation(Rule::AfterTheEnd, what);
         }
         if two_in_flight {
@@ -279,20 +279,20 @@
             self.violation(Rule::TwoInFlight, what);
         }
         if twice {
-            let what = format!("flow {id} went again and may have run");
+            let what = format!("flow {id} was repeated and may have been executed");
             self.violation(Rule::Twice, what);
         }
     }
 
     fn check_drain(&mut self, at: Time, balancer: usize, id: u64, server: usize) {
-        let since = self.unready_since.get(&(balancer, server)).copied();
-        if since.is_some_and(|since| at > since + self.grace + self.slack) {
-            let what = format!("flow {id} went to server {server}, which takes nothing new");
+        let since = self.not_ready_since.get(&(balancer, server)).copied();
+        if since.is_some_and(|since| at > since + self.grace + self.tolerance) {
+            let what = format!("flow {id} was sent to server {server}, which is not ready");
             self.violation(Rule::Drain, what);
         }
     }
 
-    /// Whether the effect of a flow may come twice with one more attempt.
+    /// Whether one more attempt may execute a flow twice.
     fn may_run_twice(&self, flow: &FlowRecord, attempt: &AttemptRecord) -> bool {
         let mut ran = flow.attempts.iter().filter(|other| other.may_have_run());
         match flow.idempotency {
@@ -304,7 +304,7 @@
                     .get(&earlier.server)
                     .zip(self.servers.get(&attempt.server));
                 let dropped = servers.is_some_and(|(first, now)| first.shares_scope(now, scope));
-                !dropped || attempt.at > earlier.at + window + self.slack
+                !dropped || attempt.at > earlier.at + window + self.tolerance
             }),
         }
     }
@@ -330,15 +330,16 @@
         let (sent, budget) = (record.sent.len(), self.slow_start.budget(age));
         if sent as f64 > budget {
             record.sent.clear();
-            let what = format!("server {server} was sent {sent} attempts, {budget:.1} at most");
+            let what =
+                format!("server {server} was sent {sent} attempts, expected at most {budget:.1}");
             self.violation(Rule::Cold, what);
         }
     }
 
-    /// Ends the run. Flows whose deadline has passed by then must have been answered.
+    /// Ends the run. Flows whose deadline has passed at `end` must have been answered.
     pub fn finish(mut self, end: Time) -> Verdict {
         self.now = end;
-        let overdue = |flow: &FlowRecord| flow.deadline + self.slack + MS < end;
+        let overdue = |flow: &FlowRecord| flow.deadline + self.tolerance + MS < end;
         let lost: Vec<u64> = (self.flows.iter())
             .filter(|(_, flow)| flow.awaits_answer() && overdue(flow))
             .map(|(id, _)| *id)
--- a/crates/testbed/src/rules/records.rs
+++ b/crates/testbed/src/rules/records.rs
@@ -1,4 +1,4 @@
-//! What the rule checker keeps of flows, attempts and servers.
+//! The state that the rule checker keeps of flows, attempts and servers.
 
 use std::collections::VecDeque;
 
@@ -6,12 +6,12 @@
 use nettlemux_fleet_model::server::BUDGET_SLACK;
 use nettlemux_policy::{SEC, Time};
 
-/// What is kept of an attempt.
+/// The state of an attempt.
 pub(super) struct AttemptRecord {
     pub(super) number: usize,
     pub(super) server: usize,
     pub(super) at: Time,
-    /// Whether it was known not to have run, once it is no longer in flight.
+    /// Whether it is certain that the attempt was not executed; `None` while it is in flight.
     pub(super) known_unexecuted: Option<bool>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is kept of a flow.
+/// The state of a flow.
 pub(super) struct FlowRecord {
     pub(super) balancer: usize,
     pub(super) idempotency: Idempotency,
@@ -60,30 +60,31 @@
         self.attempts.iter().any(AttemptRecord::may_have_run)
     }
 
-    /// Whether a rejection, which says that a retry is safe, would be wrong.
+    /// Whether a rejection, which tells the client that a retry is safe, would be wrong.
     pub(super) fn must_not_be_rejected(&self) -> bool {
         self.may_have_run()
             && match self.idempotency {
                 Idempotency::Idempotent => false,
-                // Wherever the retry goes, it is dropped while the window lasts.
+                // Any server drops the retry while the deduplication window lasts.
                 Idempotency::Deduplicated { scope, .. } => scope != DeduplicationScope::All,
                 Idempotency::NonIdempotent => true,
             }
     }
 }
 
-/// What is kept of a server.
+/// The state of a server.
 #[derive(Default)]
 pub(super) struct ServerRecord {
     pub(super) zone: usize,
     pub(super) cell: usize,
     pub(super) started: Option<Time>,
-    /// When it got attempts, since it started and while it is in slow start.
+    /// The times of the attempts that the server received within the collapse window, while it is
+    /// in slow start.
     pub(super) sent: VecDeque<Time>,
 }
 
 impl ServerRecord {
-    /// Whether this server drops repeats of attempts at another one.
+    /// Whether this server drops repeats of attempts that were sent to the other server.
     pub(super) fn shares_scope(&self, other: &ServerRecord, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -93,7 +94,7 @@
     }
 }
 
-/// What the rule on servers in slow start depends on.
+/// The scenario's values for the rule on servers in slow start.
 pub(super) struct SlowStart {
     pub(super) initial_capacity: f64,
     pub(super) warm_up: Time,
@@ -103,7 +104,8 @@
 }
 
 impl SlowStart {
-    /// Returns how many attempts a server of this age may get within the collapse window.
+    /// Returns how many attempts a server may get within the collapse window, at this time after its
+    /// start.
     pub(super) fn budget(&self, age: Time) -> f64 {
         let warmth = self.initial_capacity
             + (1.0 - self.initial_capacity) * age as f64 / self.warm_up as f64;
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! The rule checker's verdict on short records, one rule at a time.
+//! The rule checker's verdicts on short sequences of observations, one rule at a time.
 
 use nettlemux_fleet_model::observation::DeduplicationScope;
 
@@ -11,7 +11,7 @@
     serde_json::from_str(text).unwrap()
 }
 
-fn taken(flow: u64, idempotency: Idempotency) -> Observation {
+fn accepted(flow: u64, idempotency: Idempotency) -> Observation {
     Observation::Accepted {
         at: 0,
         balancer: 0,
@@ -20,7 +20,7 @@
         deadline: SEC,
     }
 }
-fn connect(at: Time, number: usize, server: usize) -> Observation {
+fn attempt(at: Time, number: usize, server: usize) -> Observation {
     Observation::Attempt {
         at,
         balancer: 0,
@@ -29,7 +29,7 @@
         server,
     }
 }
-fn ended(number: usize, known_unexecuted: bool) -> Observation {
+fn attempt_ended(number: usize, known_unexecuted: bool) -> Observation {
     Observation::AttemptEnded {
         at: 2,
         flow: 1,
@@ -45,8 +45,8 @@
     }
 }
 
-fn judge(seen: &[Observation]) -> Vec<Rule> {
-    let mut rules = RuleChecker::new(&scenario(), 0);
+fn violated_rules(observations: &[Observation]) -> Vec<Rule> {
+    let mut checker = RuleChecker::new(&scenario(), 0);
     let servers = [(0, 0), (1, 1)].map(|(server, zone)| Observation::Server {
         at: 0,
         server,
@@ -56,55 +56,58 @@
     });
     servers
         .iter()
-        .chain(seen)
-        .for_each(|one| rules.observe(one));
-    rules.finish(9 * SEC).violations.into_keys().collect()
+        .chain(observations)
+        .for_each(|one| checker.observe(one));
+    checker.finish(9 * SEC).violations.into_keys().collect()
 }
 
 #[test]
-fn each_rule_is_judged_by_what_was_seen() {
+fn each_sequence_of_observations_violates_only_the_expected_rules() {
     let zone = Idempotency::Deduplicated {
         scope: DeduplicationScope::Zone,
         window: 50,
     };
-    let up = answered(5, FinalAnswer::Connected);
-    let cut = |told, server_healthy| Observation::ConnectionClosed {
+    let connected = answered(5, FinalAnswer::Connected);
+    let balancer_closes = |client_notified, server_healthy| Observation::ConnectionClosed {
         at: 7,
         flow: 1,
         by: ClosedBy::Balancer,
-        client_notified: told,
+        client_notified,
         server_healthy,
     };
-    let told = Observation::EndpointNotified {
+    let not_ready = Observation::EndpointNotified {
         at: 0,
         balancer: 0,
         server: 0,
         ready: false,
     };
-    let started = Observation::ServerStarted { at: 1, server: 0 };
-    let flood: Vec<Observation> = (0..20)
-        .flat_map(|n| [connect(2, n, 0), ended(n, true)])
+    let server_started = Observation::ServerStarted { at: 1, server: 0 };
+    let too_many_attempts: Vec<Observation> = (0..20)
+        .flat_map(|n| [attempt(2, n, 0), attempt_ended(n, true)])
         .collect();
-    let free = taken(1, Idempotency::Idempotent);
+    let idempotent = accepted(1, Idempotency::Idempotent);
     let cases: Vec<(Vec<Observation>, Vec<Rule>)> = vec![
         (
             vec![
-                free.clone(),
-                connect(1, 0, 0),
-                ended(0, false),
-                connect(3, 1, 1),
-                up.clone(),
+                idempotent.clone(),
+                attempt(1, 0, 0),
+                attempt_ended(0, false),
+                attempt(3, 1, 1),
+                connected.clone(),
             ],
             vec![],
         ),
-        (vec![free.clone()], vec![Rule::Lost]),
+        (vec![idempotent.clone()], vec![Rule::Lost]),
         (
-            vec![free.clone(), Observation::ClientLeft { at: 3, flow: 1 }],
+            vec![
+                idempotent.clone(),
+                Observation::ClientLeft { at: 3, flow: 1 },
+            ],
             vec![],
         ),
         (
             vec![
-                free.clone(),
+                idempotent.clone(),
                 Observation::ClientLeft {
                     at: SEC + 1,
                     flow: 1,
@@ -113,110 +116,142 @@
             vec![Rule::Lost],
         ),
         (
-            vec![free.clone(), up.clone(), answered(6, FinalAnswer::Rejected)],
+            vec![
+                idempotent.clone(),
+                connected.clone(),
+                answered(6, FinalAnswer::Rejected),
+            ],
             vec![Rule::AnsweredTwice],
         ),
         (
-            vec![free.clone(), answered(SEC + 1, FinalAnswer::Failed)],
+            vec![idempotent.clone(), answered(SEC + 1, FinalAnswer::Failed)],
             vec![Rule::Late],
         ),
         (
             vec![
-                free.clone(),
+                idempotent.clone(),
                 answered(5, FinalAnswer::Rejected),
-                connect(6, 0, 0),
+                attempt(6, 0, 0),
             ],
             vec![Rule::AfterTheEnd],
         ),
         (
-            vec![free.clone(), up.clone(), cut(false, true)],
+            vec![
+                idempotent.clone(),
+                connected.clone(),
+                balancer_closes(false, true),
+            ],
             vec![Rule::Cut],
         ),
-        (vec![free.clone(), up.clone(), cut(true, true)], vec![]),
-        (vec![free.clone(), up.clone(), cut(false, false)], vec![]),
         (
-            vec![free.clone(), connect(1, 0, 0), connect(1, 1, 1), up.clone()],
+            vec![
+                idempotent.clone(),
+                connected.clone(),
+                balancer_closes(true, true),
+            ],
+            vec![],
+        ),
+        (
+            vec![
+                idempotent.clone(),
+                connected.clone(),
+                balancer_closes(false, false),
+            ],
+            vec![],
+        ),
+        (
+            vec![
+                idempotent.clone(),
+                attempt(1, 0, 0),
+                attempt(1, 1, 1),
+                connected.clone(),
+            ],
             vec![Rule::TwoInFlight],
         ),
         (
             vec![
-                taken(1, Idempotency::NonIdempotent),
-                connect(1, 0, 0),
-                ended(0, true),
-                connect(3, 1, 1),
-                up.clone(),
+                accepted(1, Idempotency::NonIdempotent),
+                attempt(1, 0, 0),
+                attempt_ended(0, true),
+                attempt(3, 1, 1),
+                connected.clone(),
             ],
             vec![],
         ),
         (
             vec![
-                taken(1, Idempotency::NonIdempotent),
-                connect(1, 0, 0),
-                ended(0, false),
-                connect(3, 1, 1),
-                up.clone(),
+                accepted(1, Idempotency::NonIdempotent),
+                attempt(1, 0, 0),
+                attempt_ended(0, false),
+                attempt(3, 1, 1),
+                connected.clone(),
             ],
             vec![Rule::Twice],
         ),
         (
             vec![
-                taken(1, Idempotency::NonIdempotent),
-                connect(1, 0, 0),
-                ended(0, false),
+                accepted(1, Idempotency::NonIdempotent),
+                attempt(1, 0, 0),
+                attempt_ended(0, false),
                 answered(5, FinalAnswer::Rejected),
             ],
             vec![Rule::Twice],
         ),
         (
             vec![
-                taken(1, zone),
-                connect(1, 0, 0),
-                ended(0, false),
-                connect(3, 1, 0),
-                up.clone(),
+                accepted(1, zone),
+                attempt(1, 0, 0),
+                attempt_ended(0, false),
+                attempt(3, 1, 0),
+                connected.clone(),
             ],
             vec![],
         ),
         (
             vec![
-                taken(1, zone),
-                connect(1, 0, 0),
-                ended(0, false),
-                connect(3, 1, 1),
-                up.clone(),
+                accepted(1, zone),
+                attempt(1, 0, 0),
+                attempt_ended(0, false),
+                attempt(3, 1, 1),
+                connected.clone(),
             ],
             vec![Rule::Twice],
         ),
         (
             vec![
-                taken(1, zone),
-                connect(1, 0, 0),
-                ended(0, false),
-                connect(60, 1, 0),
-                up.clone(),
+                accepted(1, zone),
+                attempt(1, 0, 0),
+                attempt_ended(0, false),
+                attempt(60, 1, 0),
+                connected.clone(),
             ],
             vec![Rule::Twice],
         ),
         (
             vec![
-                free.clone(),
-                told.clone(),
-                connect(400 * MS, 0, 0),
-                up.clone(),
+                idempotent.clone(),
+                not_ready.clone(),
+                attempt(400 * MS, 0, 0),
+                connected.clone(),
             ],
             vec![],
         ),
         (
             vec![
-                free.clone(),
-                told,
-                connect(401 * MS, 0, 0),
+                idempotent.clone(),
+                not_ready,
+                attempt(401 * MS, 0, 0),
                 answered(500 * MS, FinalAnswer::Connected),
             ],
             vec![Rule::Drain],
         ),
         (
-            [vec![free.clone(), started], flood, vec![up.clone()]].concat(),
+            [
+                vec![idempotent.clone(), server_started],
+                too_many_attempts,
+                vec![connected.clone()],
+            ]
+            .concat(),
             vec![Rule::Cold],
         ),
         (
@@ -225,7 +260,7 @@
         ),
         (
             vec![
-                free.clone(),
+                idempotent.clone(),
                 Observation::BalancerEnded {
                     at: 1,
                     balancer: 0,
@@ -236,7 +271,7 @@
         ),
         (
             vec![
-                free,
+                idempotent,
                 Observation::BalancerEnded {
                     at: 1,
                     balancer: 0,
@@ -246,7 +281,11 @@
             vec![Rule::Lost],
         ),
     ];
-    for (i, (seen, broken)) in cases.into_iter().enumerate() {
-        assert_eq!(judge(&seen), broken, "case {i}: {seen:?}");
+    for (i, (observations, expected)) in cases.into_iter().enumerate() {
+        assert_eq!(
+            violated_rules(&observations),
+            expected,
+            "case {i}: {observations:?}"
+        );
     }
 }
--- a/crates/testbed/src/rules/verdict.rs
+++ b/crates/testbed/src/rules/verdict.rs
@@ -1,31 +1,32 @@
-//! The rules, and the verdict on a run.
+//! The rules, and the result of checking a run against them.
 
 use std::collections::BTreeMap;
 
 use nettlemux_policy::Time;
 use serde::Serialize;
 
-/// The rules, by the names that reports have.
+/// The rules, serialized by their names in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Rule 1: a flow without an answer by its deadline.
+    /// Rule 1: a flow was not answered by its deadline.
     Lost,
-    /// Rule 1: a second answer.
+    /// Rule 1: a flow was answered a second time.
     AnsweredTwice,
-    /// Rule 1: an answer after the deadline.
+    /// Rule 1: a flow was answered after its deadline.
     Late,
     /// Rule 1: an answer or an attempt for a flow that is closed.
     AfterTheEnd,
-    /// Rule 1: a connection ended by the balancer, unannounced, while its server still answered.
+    /// Rule 1: the balancer closed a connection without notice to its client, while the server was
+    /// still responding.
     Cut,
-    /// Rule 2: an effect that may come twice.
+    /// Rule 2: a flow may have been executed twice.
     Twice,
-    /// Rule 2: two attempts in flight.
+    /// Rule 2: a flow had two attempts in flight.
     TwoInFlight,
     /// Rule 3: an attempt at a draining or removed server after the grace.
     Drain,
-    /// Rule 4: more attempts than a server in slow start can bear.
+    /// Rule 4: a server in slow start got more attempts than it can handle.
     Cold,
 }
 
@@ -34,7 +35,7 @@
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// When it was noticed, in nanoseconds from the start of the run.
+    /// When the violation was noticed, in nanoseconds since the start of the run.
     pub at: Time,
     /// What was observed.
     pub what: String,
@@ -43,18 +44,18 @@
 /// The result of a whole run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// How often each rule was violated.
+    /// The number of violations of each rule.
     pub violations: BTreeMap<Rule, usize>,
-    /// The first violations.
+    /// The first violations, with descriptions.
     pub examples: Vec<Violation>,
-    /// How many flows balancers have accepted.
+    /// The number of flows that balancers accepted.
     pub flows: usize,
-    /// How many attempts servers have got.
+    /// The number of attempts that servers received.
     pub attempts: usize,
 }
 
 impl Verdict {
-    /// Whether all rules were kept.
+    /// Whether no rule was violated.
     pub fn kept(&self) -> bool {
         self.violations.is_empty()
     }
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -70,7 +70,7 @@
     fn schedule_connect_timeout(&mut self, flow: FlowId, number: usize) {
         let response = ServerResponse::Unreachable;
         self.schedule(
-            self.now + seconds(file::DIAL),
+            self.now + seconds(file::CONNECT_TIMEOUT_SECONDS),
             Event::ResponseArrives {
                 flow,
                 number,
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -310,7 +310,7 @@
         (
             "hollow_limit = 20",
             "hollow_limt = 20",
-            "key 'hollow_limt': unknown; is 'hollow_limit' meant?",
+            "key 'hollow_limt': unknown; did you mean 'hollow_limit'?",
         ),
         ("real_balancers = 1\n", "", "key 'real_balancers': missing"),
         (
@@ -351,7 +351,7 @@
         (
             "[module]",
             "[modul]",
-            "key 'modul': unknown; is 'module' meant?",
+            "key 'modul': unknown; did you mean 'module'?",
         ),
         ("name = \"small\"", "name = ", "some.toml"),
     ] {
@@ -375,7 +375,7 @@
     let (lines, output) = scale("faulty", &small().replacen("groups", "grups", 1));
     assert_eq!((lines, output.status.code()), (Vec::new(), Some(2)));
     assert!(
-        report(&output).contains("key 'grups': unknown; is 'groups' meant?"),
+        report(&output).contains("key 'grups': unknown; did you mean 'groups'?"),
         "{}",
         report(&output)
     );
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -223,7 +223,7 @@
         (
             "seconds = 60",
             "second = 60",
-            "key 'second': unknown; is 'seconds' meant?",
+            "key 'second': unknown; did you mean 'seconds'?",
         ),
         ("seconds = 60", "seconds = -1", "key 'seconds'"),
         ("seconds = 60\n", "", "key 'seconds': missing"),
@@ -257,7 +257,7 @@
         (
             "worth =",
             "wroth =",
-            "key 'expect.wroth': no figure; is 'worth' meant?",
+            "key 'expect.wroth': unknown figure; did you mean 'worth'?",
         ),
         ("[expect]", "[expect", "key '(whole file)'"),
     ] {
