--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -326,17 +326,17 @@
         (
             "groups = 2000",
             "groups = 0",
-            "key 'module.fixed.groups': 0 isn't",
+            "key 'module.fixed.groups': expected a number above 0 and up to 100000000, found 0",
         ),
         (
             "settle_seconds = 1.0",
             "settle_seconds = 3600",
-            "key 'sockets.settle_seconds': 3600 isn't",
+            "key 'sockets.settle_seconds': expected more than 0 and up to 60 seconds, found 3600",
         ),
         (
             "servers = [20, 60, 120, 240]",
             "servers = [20, nan]",
-            "key 'module.sizes.servers': NaN isn't",
+            "key 'module.sizes.servers': expected a number above 0 and up to 100000000, found NaN",
         ),
         (
             "killed = 7",
