--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -1,7 +1,7 @@
-//! What a balancer's decisions may come from in virtual time: the policy, or a textbook baseline to
-//! hold it against. Baselines keep the rules on repeats and drains, as any sound balancer would,
-//! and know nothing of load reports, cold servers or moving: they place by their own counts alone.
-//! Each owns its draws.
+//! The policies that a balancer can run in virtual time: nettlemux's own policy, or a textbook
+//! baseline to compare it with. Baselines follow the rules on repeats and draining servers, as any
+//! correct balancer does. They ignore load reports, slow start and migration, and place flows by
+//! their own connection counts alone. Each baseline has its own random stream.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -14,12 +14,12 @@
 };
 use nettlemux_settings::{DrainMigration, Settings};
 
-/// How long before an attempt timeout a balancer answers in virtual time, as one on sockets does.
+/// The time before a deadline by which a balancer answers in virtual time, as on sockets.
 pub const MARGIN: Time = 15 * MS;
-/// The longest Retry-After of a baseline.
+/// The range of a baseline's Retry-After.
 const RETRY_AFTER_SECONDS: [f64; 2] = [0.25, 1.0];
 
-/// A policy, by the name that the command line has.
+/// The kind of a policy, selected by its name on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
     /// The policy that balancers run.
@@ -28,14 +28,14 @@
     Random,
     /// Each server in turn.
     RoundRobin,
-    /// The server with the fewest own connections.
+    /// The server with the fewest connections from this balancer.
     LeastConnections,
-    /// The one of two random servers with the fewer own connections (Mitzenmacher 2001).
+    /// Of two random servers, the one with fewer connections from this balancer (Mitzenmacher 2001).
     PowerOfTwo,
 }
 
 impl PolicyKind {
-    /// All policies that nettlemux's own is compared with.
+    /// All policies that nettlemux's own policy is compared with.
     pub const BASELINES: [PolicyKind; 4] = [
         PolicyKind::Random,
         PolicyKind::RoundRobin,
@@ -43,7 +43,7 @@
         PolicyKind::PowerOfTwo,
     ];
 
-    /// Returns the name that the command line has.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Nettlemux => "module",
@@ -63,9 +63,11 @@
     }
 }
 
-/// A name that no policy has.
+/// The name of an unknown policy.
 #[derive(Debug, thiserror::Error)]
-#[error("'{name}' is none of module, random, round-robin, least-connections, power-of-two")]
+#[error(
+    "expected one of module, random, round-robin, least-connections, power-of-two, found '{name}'"
+)]
 pub struct UnknownPolicy {
     /// The name that was given.
     pub name: String,
@@ -82,7 +84,7 @@
     }
 }
 
-/// Returns the policy as a balancer on sockets has it.
+/// Returns the policy that a balancer on sockets runs.
 pub fn balancer_policy(settings: &Settings, seed: u64) -> Policy {
     settings
         .policy(seed, MARGIN, DrainMigration::Enabled)
@@ -92,13 +94,13 @@
 struct Baseline {
     kind: PolicyKind,
     rng: Rng,
-    types: Vec<TrafficClass>,
-    attempts: usize,
+    traffic_classes: Vec<TrafficClass>,
+    attempts_max: usize,
     servers: BTreeMap<ServerId, Endpoint>,
-    /// Own connections and attempts on each.
-    own: BTreeMap<ServerId, usize>,
+    /// The number of this balancer's connections and attempts at each server.
+    connection_counts: BTreeMap<ServerId, usize>,
     flows: BTreeMap<FlowId, ServerId>,
-    turn: usize,
+    placements: usize,
 }
 
 impl Baseline {
@@ -106,26 +108,30 @@
         Baseline {
             kind,
             rng: Rng::new(seed, 9),
-            types: settings
+            traffic_classes: settings
                 .traffic_classes()
                 .expect("the testbed makes valid settings"),
-            attempts: settings.attempts_max().unwrap_or(1),
+            attempts_max: settings.attempts_max().unwrap_or(1),
             servers: BTreeMap::new(),
-            own: BTreeMap::new(),
+            connection_counts: BTreeMap::new(),
             flows: BTreeMap::new(),
-            turn: 0,
+            placements: 0,
         }
     }
 
-    /// Whether a repeat there can do no harm.
-    fn safe(&self, now: Time, flow: &Flow, server: &Endpoint) -> bool {
-        let mut ran = flow.attempts.iter().filter(|c| !c.known_unexecuted);
-        match self.types[flow.class].idempotency {
+    /// Whether an attempt at this server cannot execute the flow a second time, unless the flow is
+    /// idempotent.
+    fn is_repeat_safe(&self, now: Time, flow: &Flow, server: &Endpoint) -> bool {
+        let mut ran = flow
+            .attempts
+            .iter()
+            .filter(|attempt| !attempt.known_unexecuted);
+        match self.traffic_classes[flow.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => ran.next().is_none(),
-            Idempotency::Deduplicated { scope, window } => ran.all(|c| {
-                let first = self.servers.get(&c.server_id);
-                let same = match scope {
+            Idempotency::Deduplicated { scope, window } => ran.all(|attempt| {
+                let first = self.servers.get(&attempt.server_id);
+                let same_scope = match scope {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => {
                         first.is_some_and(|first| first.zone == server.zone)
@@ -134,14 +140,17 @@
                         first.is_some_and(|first| first.cell == server.cell)
                     }
                 };
-                same && now + MARGIN < c.at + window
+                same_scope && now + MARGIN < attempt.at + window
             }),
         }
     }
 
     fn reject_or_fail(&mut self, flow: &Flow) -> Placement {
-        let ran = flow.attempts.iter().any(|c| !c.known_unexecuted);
-        match self.types[flow.class].idempotency {
+        let ran = flow
+            .attempts
+            .iter()
+            .any(|attempt| !attempt.known_unexecuted);
+        match self.traffic_classes[flow.class].idempotency {
             Idempotency::NonIdempotent if ran => Placement::Fail,
             Idempotency::Deduplicated { scope, .. } if ran && scope != DeduplicationScope::All => {
                 Placement::Fail
@@ -156,19 +165,19 @@
         }
     }
 
-    fn held(&self, server_id: ServerId) -> usize {
-        self.own.get(&server_id).copied().unwrap_or(0)
+    fn connection_count(&self, server_id: ServerId) -> usize {
+        self.connection_counts.get(&server_id).copied().unwrap_or(0)
     }
 
-    fn enter(&mut self, flow: FlowId, server_id: ServerId) {
-        self.strike(flow);
+    fn assign(&mut self, flow: FlowId, server_id: ServerId) {
+        self.release(flow);
         self.flows.insert(flow, server_id);
-        *self.own.entry(server_id).or_default() += 1;
+        *self.connection_counts.entry(server_id).or_default() += 1;
     }
 
-    fn strike(&mut self, flow: FlowId) {
+    fn release(&mut self, flow: FlowId) {
         if let Some(server_id) = self.flows.remove(&flow)
-            && let Some(count) = self.own.get_mut(&server_id)
+            && let Some(count) = self.connection_counts.get_mut(&server_id)
         {
             *count -= 1;
         }
@@ -177,53 +186,61 @@
 
 impl LoadBalancingPolicy for Baseline {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
-        let left = flow.deadline.saturating_sub(now + MARGIN);
-        if left == 0
-            || flow.attempts.len() >= self.attempts
-            || flow.attempts.iter().any(|c| c.in_flight)
+        let time_left = flow.deadline.saturating_sub(now + MARGIN);
+        if time_left == 0
+            || flow.attempts.len() >= self.attempts_max
+            || flow.attempts.iter().any(|attempt| attempt.in_flight)
         {
             return self.reject_or_fail(flow);
         }
-        let ready = self
-            .servers
-            .values()
-            .filter(|s| s.state == EndpointState::Ready && self.safe(now, flow, s));
+        let ready = self.servers.values().filter(|server| {
+            server.state == EndpointState::Ready && self.is_repeat_safe(now, flow, server)
+        });
         let all: Vec<ServerId> = ready.map(|server| server.server_id).collect();
-        let fresh: Vec<ServerId> = all
+        let untried: Vec<ServerId> = all
             .iter()
             .copied()
-            .filter(|server_id| flow.attempts.iter().all(|c| c.server_id != *server_id))
+            .filter(|server_id| {
+                flow.attempts
+                    .iter()
+                    .all(|attempt| attempt.server_id != *server_id)
+            })
             .collect();
-        let among = if fresh.is_empty() { all } else { fresh };
-        if among.is_empty() {
+        let candidates = if untried.is_empty() { all } else { untried };
+        if candidates.is_empty() {
             return self.reject_or_fail(flow);
         }
-        self.turn += 1;
-        let start = self.rng.index_below(among.len());
+        self.placements += 1;
+        let start = self.rng.index_below(candidates.len());
         let server_id = match self.kind {
-            PolicyKind::Random | PolicyKind::Nettlemux => among[start],
-            PolicyKind::RoundRobin => among[self.turn % among.len()],
-            // Ties fall anywhere, so that balancers don't fill the first server together.
+            PolicyKind::Random | PolicyKind::Nettlemux => candidates[start],
+            PolicyKind::RoundRobin => candidates[self.placements % candidates.len()],
+            // Ties are broken at random, so that balancers don't all choose the first server.
             PolicyKind::LeastConnections => {
-                let order = (0..among.len()).map(|i| among[(start + i) % among.len()]);
+                let order =
+                    (0..candidates.len()).map(|i| candidates[(start + i) % candidates.len()]);
                 order
-                    .min_by_key(|server_id| self.held(*server_id))
-                    .expect("not empty")
+                    .min_by_key(|server_id| self.connection_count(*server_id))
+                    .expect("at least one candidate")
             }
             PolicyKind::PowerOfTwo => {
-                let two = [among[start], among[self.rng.index_below(among.len())]];
-                two.into_iter()
-                    .min_by_key(|server_id| self.held(*server_id))
-                    .expect("two")
+                let two_candidates = [
+                    candidates[start],
+                    candidates[self.rng.index_below(candidates.len())],
+                ];
+                two_candidates
+                    .into_iter()
+                    .min_by_key(|server_id| self.connection_count(*server_id))
+                    .expect("two candidates")
             }
         };
-        self.enter(flow.id, server_id);
-        // Each try gets its part of the time that is left.
-        let tries = (self.attempts - flow.attempts.len()) as u64;
+        self.assign(flow.id, server_id);
+        // Each remaining attempt gets an equal share of the time that is left.
+        let attempts_left = (self.attempts_max - flow.attempts.len()) as u64;
         Placement::Forward {
             server_id,
-            timeout: left / tries.max(1),
-            send_within: left,
+            timeout: time_left / attempts_left.max(1),
+            send_within: time_left,
         }
     }
 
@@ -233,7 +250,7 @@
             PolicyEvent::AttemptEnded {
                 flow, unanswered, ..
             } => {
-                self.strike(flow);
+                self.release(flow);
                 actions.placement = unanswered.map(|flow| self.place(now, flow));
             }
             PolicyEvent::ClientLeft { flow } => actions
@@ -259,7 +276,7 @@
     fn endpoint_poll_failed(&mut self, _: Time) {}
 
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
-        self.enter(flow.id, server_id);
+        self.assign(flow.id, server_id);
     }
 
     fn update_connection_load(&mut self, _: FlowId, _: f64) {}
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,6 +1,6 @@
-//! Experiments in virtual time: the same seeds under two policies, one key over several values, and
-//! a hunt for the worst day. It owns how runs are shared out among threads; each run is its own, so
-//! what comes out doesn't depend on their number.
+//! Experiments in virtual time: comparisons of two policies on the same seeds, and a hunt for the
+//! faults under which the policy does worst. Runs are divided among threads. Each run is
+//! independent, so the results don't depend on the number of threads.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -15,7 +15,8 @@
 use crate::rules::Verdict;
 use crate::simulate::{Outcome, PolicyChoice, simulate};
 
-/// Runs without a record, in order of the endpoint list, on so many threads.
+/// Runs all simulations without a record on up to this many threads. The outcomes are in the order
+/// of `runs`.
 pub fn all(runs: &[(Scenario, u64, PolicyChoice)], threads: usize) -> Vec<Outcome> {
     let next = AtomicUsize::new(0);
     let done: Mutex<Vec<Option<Outcome>>> = Mutex::new(runs.iter().map(|_| None).collect());
@@ -24,11 +25,11 @@
             scope.spawn(|| {
                 loop {
                     let index = next.fetch_add(1, Ordering::Relaxed);
-                    let Some((scenario, seed, who)) = runs.get(index) else {
+                    let Some((scenario, seed, policy)) = runs.get(index) else {
                         break;
                     };
-                    let outcome =
-                        simulate(scenario, *seed, *who, None).expect("nothing is written");
+                    let outcome = simulate(scenario, *seed, *policy, None)
+                        .expect("a run without a record has no write errors");
                     done.lock().unwrap_or_else(PoisonError::into_inner)[index] = Some(outcome);
                 }
             });
@@ -36,20 +37,20 @@
     });
     let done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
     done.into_iter()
-        .map(|outcome| outcome.expect("each was run"))
+        .map(|outcome| outcome.expect("every run has an outcome"))
         .collect()
 }
 
-/// A mean and the half-width of its 95 % interval (Student's t); no interval for one value.
+/// A mean and the half-width of its 95 % confidence interval (Student's t).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The mean over the seeds.
     pub mean: f64,
-    /// Half the width of the 95 % interval, where there are two seeds or more.
+    /// Half the width of the 95 % confidence interval; `None` for fewer than two seeds.
     pub within: Option<f64>,
 }
 
-/// Estimates the mean of these values.
+/// Estimates the mean of the values and its confidence interval.
 pub fn estimate(values: &[f64]) -> Estimate {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -70,20 +71,20 @@
     }
 }
 
-/// One figure under both, and the paired difference.
+/// One figure under both policies, and the paired difference.
 #[derive(Clone, Debug)]
 pub struct Row {
     /// The figure's name.
     pub name: &'static str,
-    /// The figure of the first side.
+    /// The figure under the first policy.
     pub a: Estimate,
-    /// The figure of the second side.
+    /// The figure under the second policy.
     pub b: Estimate,
-    /// The paired difference, the second side's figure less the first's.
+    /// The mean over the seeds of the first policy's figure minus the second's.
     pub difference: Estimate,
 }
 
-/// The same seeds under two policies.
+/// Runs the same seeds under two policies and compares the figures.
 pub fn compare(
     scenario: &Scenario,
     a: PolicyChoice,
@@ -91,7 +92,7 @@
     seeds: u64,
     threads: usize,
 ) -> Vec<Row> {
-    let each = |who| (0..seeds).map(move |k| (scenario.clone(), scenario.seed + k, who));
+    let each = |policy| (0..seeds).map(move |k| (scenario.clone(), scenario.seed + k, policy));
     let runs: Vec<_> = each(a).chain(each(b)).collect();
     let outcomes = all(&runs, threads);
     let (first, second) = outcomes.split_at(seeds as usize);
@@ -105,7 +106,7 @@
         .collect()
 }
 
-/// Pairs of figures from the same seeds.
+/// Compares figures pairwise; both slices hold the runs of the same seeds in the same order.
 pub fn rows(a: &[Figures], b: &[Figures]) -> Vec<Row> {
     let names = crate::figures::NAMES.iter().map(|(name, _)| *name);
     names
@@ -127,21 +128,21 @@
         .collect()
 }
 
-/// What a hunt has found.
+/// The result of a hunt.
 pub struct Found {
-    /// The scenario with the faults that were found.
+    /// The worst scenario found, after its faults were reduced.
     pub scenario: Scenario,
-    /// How much more of the worth the best baseline serves than the policy, and one more for
-    /// each rule that was broken.
+    /// The share of the worth that the best baseline serves beyond the policy's share, plus 1 for
+    /// each rule that the policy violated.
     pub badness: f64,
-    /// What the rule checker said of it.
+    /// The rule checker's verdict on the policy in this scenario.
     pub verdict: Verdict,
-    /// How many scenarios were tried.
+    /// The number of scenarios that were tried.
     pub tried: usize,
 }
 
-/// How bad a day is: what the best baseline serves beyond the policy, and 1 for each rule that the
-/// policy breaks.
+/// Rates a scenario: the share of the worth that the best baseline serves beyond the policy's share,
+/// plus 1 for each rule that the policy violates.
 fn badness(policy: &Outcome, baselines: &[Outcome]) -> f64 {
     let best = baselines
         .iter()
@@ -150,86 +151,99 @@
     policy.verdict.violations.len() as f64 + best - policy.figures.get("worth")
 }
 
-fn judge(scenarios: &[Scenario], threads: usize) -> Vec<(f64, Verdict)> {
+fn evaluate(scenarios: &[Scenario], threads: usize) -> Vec<(f64, Verdict)> {
     let baselines = [PolicyKind::LeastConnections, PolicyKind::RoundRobin];
     let each = |s: &Scenario| {
-        let whos = std::iter::once(PolicyKind::Nettlemux).chain(baselines);
-        whos.map(|kind| (s.clone(), s.seed, PolicyChoice::Policy(kind)))
+        let policies = std::iter::once(PolicyKind::Nettlemux).chain(baselines);
+        policies
+            .map(|kind| (s.clone(), s.seed, PolicyChoice::Policy(kind)))
             .collect::<Vec<_>>()
     };
     let runs: Vec<_> = scenarios.iter().flat_map(each).collect();
     let mut outcomes = all(&runs, threads).into_iter();
-    let of = 1 + baselines.len();
+    let runs_per_scenario = 1 + baselines.len();
     let mut out = Vec::new();
     for _ in scenarios {
-        let mut day: Vec<Outcome> = outcomes.by_ref().take(of).collect();
-        let rest = day.split_off(1);
-        let policy = day.pop().expect("the first run is the policy's");
+        let mut scenario_outcomes: Vec<Outcome> =
+            outcomes.by_ref().take(runs_per_scenario).collect();
+        let rest = scenario_outcomes.split_off(1);
+        let policy = scenario_outcomes
+            .pop()
+            .expect("the first run is the policy's");
         out.push((badness(&policy, &rest), policy.verdict));
     }
     out
 }
 
-/// Draws days of up to three faults, keeps the worst and cuts it down while it stays nearly as bad.
+/// Draws scenarios with one to three faults, keeps the worst, and reduces its faults while it stays
+/// nearly as bad.
 pub fn hunt(scenario: &Scenario, seed: u64, tries: usize, threads: usize) -> Found {
     let mut rng = Rng::new(seed, 21);
-    let days: Vec<Scenario> = (0..tries.max(1))
+    let candidates: Vec<Scenario> = (0..tries.max(1))
         .map(|_| {
-            let mut day = scenario.clone();
-            day.faults = (0..1 + rng.index_below(3))
-                .map(|_| draw(&day, &mut rng))
+            let mut candidate = scenario.clone();
+            candidate.faults = (0..1 + rng.index_below(3))
+                .map(|_| draw_fault(&candidate, &mut rng))
                 .collect();
-            day.expect.clear();
-            day
+            candidate.expect.clear();
+            candidate
         })
         .collect();
-    let judged = judge(&days, threads);
-    let worst = (0..judged.len())
-        .max_by(|a, b| judged[*a].0.total_cmp(&judged[*b].0))
-        .expect("one at least");
-    let (mut found, mut bad) = (days[worst].clone(), judged[worst].clone());
-    let mut tried = days.len();
-    // Each round offers all days that are smaller by one step and takes the first that is nearly as
-    // bad.
-    while let Some((smaller, as_bad, looked)) = smaller(&found, bad.0, threads) {
-        tried += looked;
-        (found, bad) = (smaller, as_bad);
+    let evaluated = evaluate(&candidates, threads);
+    let worst = (0..evaluated.len())
+        .max_by(|a, b| evaluated[*a].0.total_cmp(&evaluated[*b].0))
+        .expect("at least one scenario is drawn");
+    let (mut found, mut rating) = (candidates[worst].clone(), evaluated[worst].clone());
+    let mut tried = candidates.len();
+    // Each round evaluates all scenarios that are reduced by one step and continues with the first
+    // that is nearly as bad.
+    while let Some((smaller, smaller_rating, evaluated_count)) = reduce(&found, rating.0, threads) {
+        tried += evaluated_count;
+        (found, rating) = (smaller, smaller_rating);
     }
     found.name = format!("{}-hunted", scenario.name);
     Found {
         scenario: found,
-        badness: bad.0,
-        verdict: bad.1,
+        badness: rating.0,
+        verdict: rating.1,
         tried,
     }
 }
 
-/// So much of its badness a day keeps that is cut down.
-const KEPT: f64 = 0.8;
+/// The share of its badness that a scenario must keep when it is reduced.
+const KEPT_BADNESS_SHARE: f64 = 0.8;
 
-fn smaller(of: &Scenario, bad: f64, threads: usize) -> Option<(Scenario, (f64, Verdict), usize)> {
-    let mut days = Vec::new();
-    for i in 0..of.faults.len() {
-        if of.faults.len() > 1 {
-            let mut day = of.clone();
-            day.faults.remove(i);
-            days.push(day);
+fn reduce(
+    scenario: &Scenario,
+    badness_to_keep: f64,
+    threads: usize,
+) -> Option<(Scenario, (f64, Verdict), usize)> {
+    let mut candidates = Vec::new();
+    for i in 0..scenario.faults.len() {
+        if scenario.faults.len() > 1 {
+            let mut candidate = scenario.clone();
+            candidate.faults.remove(i);
+            candidates.push(candidate);
         }
-        if of.faults[i].lasts > 4.0 {
-            let mut day = of.clone();
-            day.faults[i].lasts = (day.faults[i].lasts / 2.0).round();
-            days.push(day);
+        if scenario.faults[i].lasts > 4.0 {
+            let mut candidate = scenario.clone();
+            candidate.faults[i].lasts = (candidate.faults[i].lasts / 2.0).round();
+            candidates.push(candidate);
         }
     }
-    let judged = judge(&days, threads);
-    let looked = days.len();
-    let first = judged
-        .iter()
-        .position(|(badness, _)| *badness >= KEPT * bad && *badness > 0.0)?;
-    Some((days.swap_remove(first), judged[first].clone(), looked))
+    let evaluated = evaluate(&candidates, threads);
+    let evaluated_count = candidates.len();
+    let first = evaluated.iter().position(|(badness, _)| {
+        *badness >= KEPT_BADNESS_SHARE * badness_to_keep && *badness > 0.0
+    })?;
+    Some((
+        candidates.swap_remove(first),
+        evaluated[first].clone(),
+        evaluated_count,
+    ))
 }
 
-/// Faults that a hunt draws from.
+/// The kinds of faults that a hunt draws from.
 const HUNTED_KINDS: [FaultKind; 18] = [
     FaultKind::Crash,
     FaultKind::Vanish,
@@ -251,17 +265,17 @@
     FaultKind::Surge,
 ];
 
-/// Draws a fault. The order and number of draws are part of what a seed means.
-fn draw(scenario: &Scenario, rng: &mut Rng) -> Fault {
-    let half = |value: f64| (value * 2.0).round() / 2.0;
+/// Draws a fault. The order and number of draws must not change, or a seed would give other faults.
+fn draw_fault(scenario: &Scenario, rng: &mut Rng) -> Fault {
+    let round_to_half = |value: f64| (value * 2.0).round() / 2.0;
     let what = HUNTED_KINDS[rng.index_below(HUNTED_KINDS.len())];
     let amount = draw_amount(what, rng);
     let latest = (scenario.seconds - scenario.settle) * 0.6;
     Fault {
         what,
-        at: half(scenario.settle + rng.uniform_between(1.0, latest.max(1.0)))
+        at: round_to_half(scenario.settle + rng.uniform_between(1.0, latest.max(1.0)))
             .min(scenario.seconds - 0.5),
-        lasts: half(rng.uniform_between(4.0, 20.0)),
+        lasts: round_to_half(rng.uniform_between(4.0, 20.0)),
         share: draw_share(what, rng),
         who: Vec::new(),
         zone: rng.index_below(scenario.zones.number),
@@ -274,7 +288,7 @@
     }
 }
 
-/// Draws how strong a fault of this kind is; kinds without a strength draw nothing.
+/// Draws the strength of a fault of this kind. Kinds without a strength draw nothing.
 fn draw_amount(what: FaultKind, rng: &mut Rng) -> f64 {
     match what {
         FaultKind::Slow | FaultKind::Decay => rng.uniform_between(0.2, 0.7),
@@ -287,7 +301,7 @@
     }
 }
 
-/// Draws the share of servers that a fault meets; restarts in turn draw nothing.
+/// Draws the share of servers that a fault affects. Restarts in turn draw nothing.
 fn draw_share(what: FaultKind, rng: &mut Rng) -> f64 {
     match what {
         FaultKind::RestartInTurn => 0.0,
--- a/crates/testbed/src/experiment/tests.rs
+++ b/crates/testbed/src/experiment/tests.rs
@@ -1,9 +1,9 @@
-//! Estimates of means and their intervals.
+//! Estimates of means and their confidence intervals.
 
 use super::*;
 
 #[test]
-fn intervals_are_students() {
+fn confidence_intervals_follow_students_t_distribution() {
     assert_eq!(
         estimate(&[2.0]),
         Estimate {
--- a/crates/testbed/src/mutants.rs
+++ b/crates/testbed/src/mutants.rs
@@ -1,7 +1,7 @@
-//! Balancers that break one rule each on purpose, to show that the rule checker catches them. What
-//! can be done in the decisions is done by a [`LoadBalancingPolicy`] around the sound one; the rest
-//! is done by the driver where it carries acts out. It owns nothing else and is never part of a run
-//! that isn't asked for it.
+//! Mutants: balancers that each break one rule on purpose, to show that the rule checker detects it.
+//! If the fault is in the decisions, it is made by a [`LoadBalancingPolicy`] that wraps the correct
+//! policy. Other faults are made by the simulation or the socket run where actions are executed.
+//! Mutants run only if they are requested.
 
 use nettlemux_flow_table::LoadBalancingPolicy;
 use nettlemux_policy::{
@@ -21,17 +21,17 @@
     AnswersTwice,
     /// Answers some flows after their deadline.
     AnswersLate,
-    /// Makes two attempts at a time.
+    /// Makes two attempts at the same time.
     ConnectsTwice,
-    /// Takes draining servers for ready.
+    /// Treats draining servers as ready.
     SendsToDraining,
     /// Sends all flows to the server that started last.
     FloodsCold,
-    /// Ends connections without announcing it to the client.
+    /// Closes connections without telling the client to move.
     CutsWithoutMove,
-    /// Repeats flows that must not be repeated.
+    /// Repeats flows that must not be repeated because they are not idempotent.
     RepeatsNonIdempotent,
-    /// Rejects flows of which an attempt may have run.
+    /// Rejects flows of which an attempt may have been executed.
     RejectsWhatMayHaveRun,
 }
 
@@ -49,7 +49,7 @@
         Mutant::RejectsWhatMayHaveRun,
     ];
 
-    /// Returns the name that the command line has.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Mutant::LosesAnswers => "loses-answers",
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The rule that it breaks.
+    /// The rule that the mutant breaks.
     pub fn breaks(self) -> Rule {
         match self {
             Mutant::LosesAnswers => Rule::Lost,
@@ -78,47 +78,48 @@
         }
     }
 
-    /// The policies of one that breaks its rule in its decisions; else the sound one.
+    /// Returns the mutant's policy: a faulty one if the mutant breaks its rule in its decisions, else
+    /// the correct one.
     pub fn policy(self, settings: &Value, seed: u64) -> Box<dyn LoadBalancingPolicy> {
-        let sound = |settings: &Value| -> Box<dyn LoadBalancingPolicy> {
-            let settings = Settings::within(settings).expect("an object");
+        let correct = |settings: &Value| -> Box<dyn LoadBalancingPolicy> {
+            let settings = Settings::within(settings).expect("the testbed makes valid settings");
             Box::new(crate::baselines::balancer_policy(&settings, seed))
         };
         match self {
             Mutant::SendsToDraining | Mutant::FloodsCold | Mutant::RejectsWhatMayHaveRun => {
                 Box::new(MutantPolicy {
-                    inner: sound(settings),
+                    inner: correct(settings),
                     mutant: self,
-                    youngest: None,
+                    last_started: None,
                 })
             }
             Mutant::RepeatsNonIdempotent => {
                 let mut settings = settings.clone();
-                for one in settings["service-types"]
+                for traffic_class in settings["service-types"]
                     .as_array_mut()
                     .into_iter()
                     .flatten()
                 {
-                    one["repeat"] = "free".into();
+                    traffic_class["repeat"] = "free".into();
                 }
-                sound(&settings)
+                correct(&settings)
             }
-            _ => sound(settings),
+            _ => correct(settings),
         }
     }
 }
 
-/// A sound policies that is misled, or whose word is bent.
+/// A correct policy whose input or whose placements are changed.
 struct MutantPolicy {
     inner: Box<dyn LoadBalancingPolicy>,
     mutant: Mutant,
     /// The server that started last.
-    youngest: Option<(Time, ServerId)>,
+    last_started: Option<(Time, ServerId)>,
 }
 
 impl MutantPolicy {
-    fn mutate(&self, place: Placement, flow: &Flow) -> Placement {
-        match (place, self.mutant, self.youngest) {
+    fn alter_placement(&self, placement: Placement, flow: &Flow) -> Placement {
+        match (placement, self.mutant, self.last_started) {
             (
                 Placement::Forward {
                     timeout,
@@ -135,28 +136,28 @@
             (Placement::Fail, Mutant::RejectsWhatMayHaveRun, _) if !flow.attempts.is_empty() => {
                 Placement::Reject { retry_after: None }
             }
-            (place, ..) => place,
+            (placement, ..) => placement,
         }
     }
 }
 
 impl LoadBalancingPolicy for MutantPolicy {
     fn place(&mut self, now: Time, flow: &Flow) -> Placement {
-        let place = self.inner.place(now, flow);
-        self.mutate(place, flow)
+        let placement = self.inner.place(now, flow);
+        self.alter_placement(placement, flow)
     }
 
     fn on_event(&mut self, now: Time, event: PolicyEvent) -> Actions {
         let mut actions = self.inner.on_event(now, event);
         if let (
-            Some(place),
+            Some(placement),
             PolicyEvent::AttemptEnded {
                 unanswered: Some(flow),
                 ..
             },
         ) = (actions.placement, event)
         {
-            actions.placement = Some(self.mutate(place, flow));
+            actions.placement = Some(self.alter_placement(placement, flow));
         }
         actions
     }
@@ -172,7 +173,9 @@
                 entry.state = EndpointState::Ready;
             }
             if self.mutant == Mutant::FloodsCold && entry.started > 0 {
-                self.youngest = self.youngest.max(Some((entry.started, entry.server_id)));
+                self.last_started = self
+                    .last_started
+                    .max(Some((entry.started, entry.server_id)));
                 entry.started = 0;
             }
         }
