--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Whether an attempt at this server cannot execute the flow a second time, unless the flow is
-    /// idempotent.
+    /// Whether a further attempt at this server is safe: the flow is idempotent, or the attempt
+    /// cannot execute it a second time.
     fn is_repeat_safe(&self, now: Time, flow: &Flow, server: &Endpoint) -> bool {
         let mut ran = flow
             .attempts
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -129,7 +129,7 @@
 }
 
 /// The result of a hunt.
-pub struct Found {
+pub struct HuntResult {
     /// The worst scenario found, after its faults were reduced.
     pub scenario: Scenario,
     /// The share of the worth that the best baseline serves beyond the policy's share, plus 1 for
@@ -177,7 +177,7 @@
 
 /// Draws scenarios with one to three faults, keeps the worst, and reduces its faults while it stays
 /// nearly as bad.
-pub fn hunt(scenario: &Scenario, seed: u64, tries: usize, threads: usize) -> Found {
+pub fn hunt(scenario: &Scenario, seed: u64, tries: usize, threads: usize) -> HuntResult {
     let mut rng = Rng::new(seed, 21);
     let candidates: Vec<Scenario> = (0..tries.max(1))
         .map(|_| {
@@ -202,7 +202,7 @@
         (found, rating) = (smaller, smaller_rating);
     }
     found.name = format!("{}-hunted", scenario.name);
-    Found {
+    HuntResult {
         scenario: found,
         badness: rating.0,
         verdict: rating.1,
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -268,7 +268,7 @@
         let in_flight = |attempt: &AttemptRecord| attempt.known_unexecuted.is_none();
         let two_in_flight = !self.hedging && flow.attempts.iter().any(in_flight);
         let twice = self.may_run_twice(flow, &attempt);
-        let flow = self.flows.get_mut(&id).expect("it was found above");
+        let flow = self.flows.get_mut(&id).expect("the flow was found above");
         flow.attempts.push(attempt);
         if over {
             let what = format!("an attempt for flow {id}, which is answered or closed");
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -14,7 +14,10 @@
         if self.waiting_flow(flow).is_none() {
             return;
         }
-        let state = self.flows.get_mut(&flow).expect("it is waiting");
+        let state = self
+            .flows
+            .get_mut(&flow)
+            .expect("the flow was found waiting");
         state.phase = FlowPhase::Settled;
         let (client, in_flight) = (state.client, state.attempt.is_some());
         self.flow_of_client.remove(&client);
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -27,7 +27,11 @@
 
     /// Schedules the time at which a client no longer needs its connection.
     pub(super) fn schedule_client_done(&mut self, client: ClientId) {
-        let done = self.clients.get(client).expect("it has just arrived").ends;
+        let done = self
+            .clients
+            .get(client)
+            .expect("the client has just arrived")
+            .ends;
         self.schedule(done, Event::ClientDone { client });
     }
 
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -93,9 +93,10 @@
     fn new_policy(&self, balancer: usize, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         let settings = &self.settings[self.balancers[balancer].zone];
         match self.policy {
-            PolicyChoice::Policy(kind) => {
-                kind.policy(&Settings::within(settings).expect("an object"), seed)
-            }
+            PolicyChoice::Policy(kind) => kind.policy(
+                &Settings::within(settings).expect("the testbed makes valid settings"),
+                seed,
+            ),
             PolicyChoice::Mutant(mutant) => mutant.policy(settings, seed),
         }
     }
@@ -109,7 +110,10 @@
     /// Adds a connection that exists when the run starts.
     fn add_standing_connection(&mut self) {
         let client = self.clients.arrive(0, &self.model);
-        let known = self.clients.get(client).expect("it has just arrived");
+        let known = self
+            .clients
+            .get(client)
+            .expect("the client has just arrived");
         let (client_zone, load) = (known.zone, known.load);
         let Some(balancer) = self.front_end.pick_balancer(0, client_zone) else {
             return;
