--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rule checker. It reads only the facts that the testbed's clients, servers and discovery
 //! observed ([`Observation`]), in order of time. It keeps only the state that it needs: open flows,
 //! recently closed flows, and the recent attempts at servers in slow start. It must get no input
-//! from a balancer, nor from the model about what the model would have done.
+//! from a balancer, nor the model's expectation of a correct decision.
 
 mod records;
 mod verdict;
@@ -206,11 +206,11 @@
             // Before a graceful shutdown ends, a balancer must answer each flow and tell each
             // connected client to move.
             if planned {
-                let (rule, what) = match self.flows[&id].answer {
+                let (rule, state) = match self.flows[&id].answer {
                     None => (Rule::Lost, "unanswered"),
                     Some(_) => (Rule::Cut, "open"),
                 };
-                let what = format!("flow {id} was {what} when balancer {balancer} ended");
+                let what = format!("flow {id} was {state} when balancer {balancer} ended");
                 self.violation(rule, what);
             }
             self.close(at, id);
@@ -232,10 +232,13 @@
             self.close(at, id);
         }
         if let Some(before) = before {
-            let what = format!("flow {id}: {before:?}, then {answer:?}");
+            let what = format!("flow {id} was answered {before:?}, then {answer:?}");
             self.violation(Rule::AnsweredTwice, what);
         } else if late && !client_left {
-            self.violation(Rule::Late, format!("flow {id}: {answer:?}"));
+            self.violation(
+                Rule::Late,
+                format!("flow {id} was answered {answer:?} after its deadline"),
+            );
         }
         if unsafe_reject {
             let what = format!("flow {id} was rejected and may have been executed");
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Ends the attempts of flows that still wait for an answer, and fails those that have none in
-    /// flight.
+    /// Ends the attempts of flows that still wait for an answer, and fails the flows without an
+    /// attempt in flight.
     fn give_up_waiting_flows(&mut self, balancer: usize) {
         for flow in self.shorten_waiting_deadlines(balancer) {
             match self.flows.get(&flow).and_then(|state| state.attempt) {
