--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -310,7 +310,7 @@
         (
             "hollow_limit = 20",
             "hollow_limt = 20",
-            "key 'hollow_limt': unknown; is 'hollow_limit' meant?",
+            "key 'hollow_limt': unknown; did you mean 'hollow_limit'?",
         ),
         ("real_balancers = 1\n", "", "key 'real_balancers': missing"),
         (
@@ -326,17 +326,17 @@
         (
             "groups = 2000",
             "groups = 0",
-            "key 'module.fixed.groups': 0 isn't",
+            "key 'module.fixed.groups': expected a number above 0 and up to 100000000, found 0",
         ),
         (
             "settle_seconds = 1.0",
             "settle_seconds = 3600",
-            "key 'sockets.settle_seconds': 3600 isn't",
+            "key 'sockets.settle_seconds': expected more than 0 and up to 60 seconds, found 3600",
         ),
         (
             "servers = [20, 60, 120, 240]",
             "servers = [20, nan]",
-            "key 'module.sizes.servers': NaN isn't",
+            "key 'module.sizes.servers': expected a number above 0 and up to 100000000, found NaN",
         ),
         (
             "killed = 7",
@@ -351,7 +351,7 @@
         (
             "[module]",
             "[modul]",
-            "key 'modul': unknown; is 'module' meant?",
+            "key 'modul': unknown; did you mean 'module'?",
         ),
         ("name = \"small\"", "name = ", "some.toml"),
     ] {
@@ -375,7 +375,7 @@
     let (lines, output) = scale("faulty", &small().replacen("groups", "grups", 1));
     assert_eq!((lines, output.status.code()), (Vec::new(), Some(2)));
     assert!(
-        report(&output).contains("key 'grups': unknown; is 'groups' meant?"),
+        report(&output).contains("key 'grups': unknown; did you mean 'groups'?"),
         "{}",
         report(&output)
     );
