--- a/crates/adapter/src/balancer.rs
+++ b/crates/adapter/src/balancer.rs
@@ -29,7 +29,7 @@
     /// # Errors
     /// Returns an error if a setting is missing or invalid.
     pub fn new(seed: u64, settings: &Settings) -> Result<Self, WireError> {
-        let margin = ANSWER_MARGIN_BATCHES * settings.batch_interval()?;
+        let margin = ANSWER_MARGIN_BATCHES * settings.simulator_batch_interval()?;
         let policy = settings.policy(seed, margin, DrainMigration::Disabled)?;
         Ok(SimulatedBalancer {
             flow_table: FlowTable::new(policy),
--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -165,7 +165,7 @@
     ) -> Result<Self, StartError> {
         let policy = settings.policy(config.seed, ANSWER_MARGIN, DrainMigration::Enabled)?;
         let mut decisions = DecisionParts {
-            first_line_settings: FirstLineSettings::new(settings)?,
+            first_line_settings: FirstLineSettings::from_platform(settings)?,
             flow_table: FlowTable::new(policy),
             admission_seed: None,
         };
--- a/crates/balancer/src/operator_file.rs
+++ b/crates/balancer/src/operator_file.rs
@@ -7,7 +7,7 @@
 use nettlemux_admission::AdmissionConfig;
 use nettlemux_dataplane::retry;
 use nettlemux_policy::Time;
-use nettlemux_settings::operator::{self, DeprecatedName, OperatorFile};
+use nettlemux_settings::operator::{self, OperatorFile};
 use tracing::warn;
 
 /// An error in the operator's file, or a failure to read it.
@@ -55,8 +55,12 @@
 
 /// Logs a warning for each key that is written under a deprecated name.
 pub fn warn_of_deprecated(operator: &OperatorFile) {
-    for DeprecatedName { old, new } in &operator.deprecated {
-        warn!(old, new, "deprecated name in the operator's file");
+    for name in &operator.deprecated {
+        warn!(
+            old = name.deprecated,
+            new = name.current,
+            "deprecated name in the operator's file"
+        );
     }
 }
 
--- a/crates/balancer/src/reload.rs
+++ b/crates/balancer/src/reload.rs
@@ -100,7 +100,7 @@
 
     fn merge_settings(&self, new: &Config) -> Result<MergedSettings, SettingsError> {
         let settings = new.settings.merged_with_previous(&self.config.settings)?;
-        let first_line = FirstLineSettings::new(&settings)?;
+        let first_line = FirstLineSettings::from_platform(&settings)?;
         Ok(MergedSettings {
             settings,
             first_line,
--- a/crates/balancer/src/startup.rs
+++ b/crates/balancer/src/startup.rs
@@ -49,8 +49,12 @@
     for unknown in &config.unknown_keys {
         println!("{unknown}");
     }
-    for DeprecatedName { old, new } in &operator.deprecated {
-        println!("operator's file: '{old}' is deprecated; use '{new}'");
+    for DeprecatedName {
+        deprecated,
+        current,
+    } in &operator.deprecated
+    {
+        println!("operator's file: '{deprecated}' is deprecated; use '{current}'");
     }
     println!(
         "{}: listens at {}, discovery agent at {}: configuration is valid",
--- a/crates/candidates/src/candidate_set.rs
+++ b/crates/candidates/src/candidate_set.rs
@@ -92,13 +92,13 @@
     }
 
     /// Returns whether the whole list may be scanned now. If so, the scan is charged to the budget.
-    pub fn may_walk_list(&mut self, now: u64) -> bool {
+    pub fn try_begin_list_scan(&mut self, now: u64) -> bool {
         self.list_scans.try_take(now, 1.0)
     }
 
     /// Returns whether the entries received by gossip may be scanned now to drop the expired ones.
     /// If so, the scan is charged to the budget.
-    pub fn may_expire_gossip(&mut self, now: u64) -> bool {
+    pub fn try_begin_gossip_expiry(&mut self, now: u64) -> bool {
         self.gossip_expiries.try_take(now, 1.0)
     }
 }
--- a/crates/candidates/tests/candidate_set.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -86,11 +86,11 @@
 fn list_scans_and_gossip_expiries_keep_to_their_rates() {
     let mut candidates = candidate_set(600);
     let scans = (0..10_000)
-        .filter(|ms| candidates.may_walk_list(ms * SEC / 1_000))
+        .filter(|ms| candidates.try_begin_list_scan(ms * SEC / 1_000))
         .count();
     assert!((20..=22).contains(&scans), "{scans} list scans in 10 s");
     let expiries = (0..60_000)
-        .filter(|ms| candidates.may_expire_gossip(ms * SEC / 1_000))
+        .filter(|ms| candidates.try_begin_gossip_expiry(ms * SEC / 1_000))
         .count();
     assert!(
         (6..=7).contains(&expiries),
--- a/crates/line-protocol/src/settings.rs
+++ b/crates/line-protocol/src/settings.rs
@@ -45,9 +45,9 @@
     ///
     /// # Errors
     /// If a setting is invalid. The error names it.
-    pub fn new(settings: &Settings) -> Result<Self, SettingsError> {
+    pub fn from_platform(settings: &Settings) -> Result<Self, SettingsError> {
         let names = settings.traffic_class_names().into_iter();
-        let waits = settings.flow_timeouts();
+        let waits = settings.traffic_class_timeouts();
         let classes =
             names
                 .zip(waits)
--- a/crates/policy/examples/long_lists/main.rs
+++ b/crates/policy/examples/long_lists/main.rs
@@ -76,7 +76,7 @@
 fn balancer(seed: u64, zone: u64, balancers: f64, view: ListView) -> Policy {
     let mut endpoints = EndpointConfig::default();
     if view == ListView::Whole {
-        endpoints.whole_list_max = usize::MAX;
+        endpoints.full_scan_servers_max = usize::MAX;
     }
     let config = PolicyConfig {
         balancers,
@@ -93,7 +93,7 @@
         },
         health_checks: HealthCheckConfig {
             enabled: true,
-            cost: HEALTH_CHECK_COST,
+            cost_per_check: HEALTH_CHECK_COST,
         },
         slow_start: SlowStartConfig {
             initial_capacity_fraction: 0.2,
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -17,14 +17,14 @@
     pub is_polled: bool,
     /// Number of servers up to which the whole list is considered for each flow. On a longer list
     /// only candidates are considered.
-    pub whole_list_max: usize,
+    pub full_scan_servers_max: usize,
 }
 
 impl Default for EndpointConfig {
     fn default() -> Self {
         EndpointConfig {
             is_polled: false,
-            whole_list_max: WHOLE_LIST_MAX,
+            full_scan_servers_max: WHOLE_LIST_MAX,
         }
     }
 }
@@ -93,7 +93,7 @@
             servers: BTreeMap::new(),
             draining: BTreeSet::new(),
             candidates: None,
-            whole_list_max: config.whole_list_max,
+            whole_list_max: config.full_scan_servers_max,
             salt: hash(seed),
             next_poll_at: config.is_polled.then_some(0),
         }
@@ -200,10 +200,10 @@
 
     /// Whether the whole of a long list may be walked now. A permitted walk is charged to the
     /// budget.
-    pub(crate) fn may_walk_list(&mut self, now: Time) -> bool {
+    pub(crate) fn try_begin_list_scan(&mut self, now: Time) -> bool {
         self.candidates
             .as_mut()
-            .is_some_and(|candidates| candidates.may_walk_list(now))
+            .is_some_and(|candidates| candidates.try_begin_list_scan(now))
     }
 
     /// Schedules the next poll of the list.
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -102,7 +102,7 @@
         }
         let may_send = self.take_token(now);
         let candidates = endpoints.candidates.as_mut();
-        if candidates.is_none_or(|candidates| candidates.may_expire_gossip(now)) {
+        if candidates.is_none_or(|candidates| candidates.try_begin_gossip_expiry(now)) {
             self.expire(now);
         }
         if !may_send {
--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -44,7 +44,7 @@
     /// Whether servers may be checked at all.
     pub enabled: bool,
     /// Cost of a check as a fraction of a flow's value.
-    pub cost: f64,
+    pub cost_per_check: f64,
 }
 
 /// Schedules the health checks.
@@ -62,7 +62,7 @@
     pub(crate) fn new(config: &HealthCheckConfig, balancers: f64) -> Self {
         HealthChecks {
             enabled: config.enabled,
-            cost: config.cost.max(0.0),
+            cost: config.cost_per_check.max(0.0),
             balancers,
             interval: CHECK_INTERVAL_MIN,
             is_on_demand: false,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -15,8 +15,8 @@
 //! - Flows of one *group* share common work, which a server does once for the group. A server
 //!   *holds* a group while it has connections of the group. A group that no server holds has a
 //!   *home server*.
-//! - A *long list* is an endpoint list of more than [`EndpointConfig::whole_list_max`] servers. For
-//!   each flow only some of its servers, the *candidates*, are considered.
+//! - A *long list* is an endpoint list of more than [`EndpointConfig::full_scan_servers_max`]
+//!   servers. For each flow only some of its servers, the *candidates*, are considered.
 //!
 //! ```
 //! use nettlemux_policy::*;
@@ -72,7 +72,7 @@
 pub use endpoints::EndpointConfig;
 pub use gossip::GossipConfig;
 pub use health_checks::{CHECK_INTERVAL_MAX, CHECK_INTERVAL_MIN, HealthCheckConfig};
-pub use load_reports::{EXCLUDING_REPORT_AGE_MAX, OVERLOAD_UTILIZATION, PLACEMENT_REPORT_AGE_MAX};
+pub use load_reports::{EXCLUSION_REPORT_AGE_MAX, OVERLOAD_UTILIZATION, PLACEMENT_REPORT_AGE_MAX};
 pub use migration::MigrationConfig;
 pub use placement::{NEW_GROUP_UTILIZATION_MAX, PLACEMENT_UTILIZATION_MAX};
 pub use policy::Policy;
--- a/crates/policy/src/load_reports.rs
+++ b/crates/policy/src/load_reports.rs
@@ -13,7 +13,7 @@
 pub const PLACEMENT_REPORT_AGE_MAX: Time = SEC;
 /// Age up to which a report of a full server keeps flows off the server, if health checks are made
 /// on demand. Later the server is checked again.
-pub const EXCLUDING_REPORT_AGE_MAX: Time = 8 * SEC;
+pub const EXCLUSION_REPORT_AGE_MAX: Time = 8 * SEC;
 /// Time from the moment that a report describes until the report arrives.
 pub(crate) const REPORT_DELAY: Time = SEC;
 /// Minimum number of connections that a server is assumed to hold, so that its first connection
--- a/crates/policy/src/load_reports/tests.rs
+++ b/crates/policy/src/load_reports/tests.rs
@@ -43,11 +43,11 @@
 fn a_report_is_outdated_past_its_age_unless_a_check_has_just_ended() {
     let mut load = ServerLoad::default();
     load.record_report(T0, 0.5);
-    assert!(!load.is_outdated(T0 + 8 * SEC - 1, EXCLUDING_REPORT_AGE_MAX));
-    assert!(load.is_outdated(T0 + 8 * SEC, EXCLUDING_REPORT_AGE_MAX));
+    assert!(!load.is_outdated(T0 + 8 * SEC - 1, EXCLUSION_REPORT_AGE_MAX));
+    assert!(load.is_outdated(T0 + 8 * SEC, EXCLUSION_REPORT_AGE_MAX));
     load.record_check(T0 + 8 * SEC);
-    assert!(!load.is_outdated(T0 + 9 * SEC - 1, EXCLUDING_REPORT_AGE_MAX));
-    assert!(load.is_outdated(T0 + 9 * SEC, EXCLUDING_REPORT_AGE_MAX));
+    assert!(!load.is_outdated(T0 + 9 * SEC - 1, EXCLUSION_REPORT_AGE_MAX));
+    assert!(load.is_outdated(T0 + 9 * SEC, EXCLUSION_REPORT_AGE_MAX));
 }
 
 #[test]
--- a/crates/policy/src/migration.rs
+++ b/crates/policy/src/migration.rs
@@ -28,7 +28,7 @@
 pub struct MigrationConfig {
     /// Whether clients are migrated off a draining server before it stops. This ends as soon as a
     /// draining server turns out to disconnect its clients itself.
-    pub off_draining: bool,
+    pub migrate_off_draining: bool,
 }
 
 /// The next connection to migrate off one draining server.
@@ -50,7 +50,7 @@
 impl Migration {
     pub(crate) fn new(config: &MigrationConfig, warm_up: Time) -> Self {
         Migration {
-            off_draining: config.off_draining,
+            off_draining: config.migrate_off_draining,
             drain_duration: warm_up.max(2 * DRAIN_DELAY),
             next_drain_step_at: None,
         }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -9,7 +9,7 @@
 use crate::group_affinity::GroupAffinity;
 use crate::health_checks::HealthChecks;
 use crate::load_reports::{
-    EXCLUDING_REPORT_AGE_MAX, ExpectedUtilization, OVERLOAD_UTILIZATION, PLACEMENT_REPORT_AGE_MAX,
+    EXCLUSION_REPORT_AGE_MAX, ExpectedUtilization, OVERLOAD_UTILIZATION, PLACEMENT_REPORT_AGE_MAX,
     REPORT_DELAY, SERVER_CONNECTIONS_MIN,
 };
 use crate::recent_connections::RATE_WINDOW;
@@ -404,7 +404,7 @@
 
     /// Whether the last report is too old to keep flows off the server.
     fn is_excluding_report_outdated(&self, server: &Server) -> bool {
-        self.is_outdated(server, EXCLUDING_REPORT_AGE_MAX)
+        self.is_outdated(server, EXCLUSION_REPORT_AGE_MAX)
     }
 
     /// Whether checks are made on demand and the server's last report is older than `age_max`.
--- a/crates/policy/src/policy/placing.rs
+++ b/crates/policy/src/policy/placing.rs
@@ -33,7 +33,7 @@
             let further = self.candidates(flow, ZoneReach::AllZones);
             selection = select(further.as_deref());
         }
-        let walks_list = selection.eligible.is_empty() && self.endpoints.may_walk_list(now);
+        let walks_list = selection.eligible.is_empty() && self.endpoints.try_begin_list_scan(now);
         if walks_list {
             selection = self.query(now, flow, priority_utilization, None).select();
         }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -88,7 +88,9 @@
                 let is_deduplicated = |attempt: &Attempt| {
                     let earlier = endpoints.servers.get(&attempt.server_id);
                     scope == DeduplicationScope::All
-                        || earlier.is_some_and(|earlier| scope.same(&earlier.endpoint, endpoint))
+                        || earlier.is_some_and(|earlier| {
+                            scope.drops_repeats_between(&earlier.endpoint, endpoint)
+                        })
                 };
                 self.resend_time_left(now, flow, idempotency) > 0
                     && possibly_executed(flow).all(is_deduplicated)
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -26,7 +26,7 @@
 
 impl DeduplicationScope {
     /// Whether these two servers drop each other's repeats.
-    pub fn same(self, one: &Endpoint, other: &Endpoint) -> bool {
+    pub fn drops_repeats_between(self, one: &Endpoint, other: &Endpoint) -> bool {
         match self {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => one.zone == other.zone,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -29,7 +29,7 @@
 pub fn health_check_config(cost: f64) -> HealthCheckConfig {
     HealthCheckConfig {
         enabled: true,
-        cost,
+        cost_per_check: cost,
     }
 }
 
@@ -154,7 +154,9 @@
                 overload_multiple: 3.0,
                 overload_window: 3 * SEC,
             },
-            migration: MigrationConfig { off_draining: true },
+            migration: MigrationConfig {
+                migrate_off_draining: true,
+            },
             ..PolicyConfig::default()
         };
         let mut policy = Policy::new(
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -389,7 +389,7 @@
 fn list_of_200_servers_gives_the_same_decisions_if_all_lists_are_scanned_in_full() {
     let list = servers(WHOLE_LIST_MAX);
     let whole_list = EndpointConfig {
-        whole_list_max: usize::MAX,
+        full_scan_servers_max: usize::MAX,
         ..EndpointConfig::default()
     };
     let scans_all = PolicyConfig {
--- a/crates/policy/tests/migration.rs
+++ b/crates/policy/tests/migration.rs
@@ -145,7 +145,9 @@
     ] {
         let config = PolicyConfig {
             health_checks: HealthCheckConfig::default(),
-            migration: MigrationConfig { off_draining: true },
+            migration: MigrationConfig {
+                migrate_off_draining: true,
+            },
             ..config()
         };
         let mut policy = balancer_with(Idempotency::Idempotent, config);
@@ -188,7 +190,9 @@
     }
     // A client that was not notified leaves: the draining server sends its clients away itself.
     let config = PolicyConfig {
-        migration: MigrationConfig { off_draining: true },
+        migration: MigrationConfig {
+            migrate_off_draining: true,
+        },
         ..config()
     };
     let mut policy = balancer_with(Idempotency::Idempotent, config);
--- a/crates/settings/src/operator/deprecated.rs
+++ b/crates/settings/src/operator/deprecated.rs
@@ -4,20 +4,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeprecatedName {
     /// The deprecated name in the file, with the path of its tables.
-    pub old: &'static str,
+    pub deprecated: &'static str,
     /// The current name.
-    pub new: &'static str,
+    pub current: &'static str,
 }
 
 /// The paths of renamed keys.
 const RENAMED_KEYS: [DeprecatedName; 2] = [
     DeprecatedName {
-        old: "door",
-        new: "admission",
+        deprecated: "door",
+        current: "admission",
     },
     DeprecatedName {
-        old: "peers.to",
-        new: "peers.addresses",
+        deprecated: "peers.to",
+        current: "peers.addresses",
     },
 ];
 /// The paths at which a file may set what identifies a key of admission control.
@@ -25,8 +25,8 @@
 /// The deprecated value at these paths.
 const DEPRECATED_ADMISSION_KEY: &str = "customer";
 const RENAMED_ADMISSION_KEY: DeprecatedName = DeprecatedName {
-    old: "by = \"customer\"",
-    new: "by = \"tenant\"",
+    deprecated: "by = \"customer\"",
+    current: "by = \"tenant\"",
 };
 
 /// Returns the deprecated names in the file.
@@ -37,7 +37,7 @@
         keys.try_fold(first, |value, key| value.get(key))
     };
     let mut deprecated = RENAMED_KEYS.to_vec();
-    deprecated.retain(|key| value(key.old).is_some());
+    deprecated.retain(|key| value(key.deprecated).is_some());
     let admission_key = ADMISSION_KEY_PATHS.into_iter().find_map(value);
     if admission_key.and_then(toml::Value::as_str) == Some(DEPRECATED_ADMISSION_KEY) {
         deprecated.push(RENAMED_ADMISSION_KEY);
@@ -47,14 +47,16 @@
 
 /// Returns the path in the file of the key whose current path is `current`.
 pub(super) fn name_in_file(current: &'static str, deprecated: &[DeprecatedName]) -> &'static str {
-    let renamed = deprecated.iter().find(|key| key.new == current);
-    renamed.map_or(current, |key| key.old)
+    let renamed = deprecated.iter().find(|key| key.current == current);
+    renamed.map_or(current, |key| key.deprecated)
 }
 
 /// Returns the current name of the key that has the name `name` and the path `path` in the file.
 pub(super) fn current_name<'a>(path: &str, name: &'a str) -> &'a str {
-    let renamed = RENAMED_KEYS.iter().find(|renamed| renamed.old == path);
+    let renamed = RENAMED_KEYS
+        .iter()
+        .find(|renamed| renamed.deprecated == path);
     renamed.map_or(name, |renamed| {
-        renamed.new.rsplit('.').next().unwrap_or(name)
+        renamed.current.rsplit('.').next().unwrap_or(name)
     })
 }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// If the setting is missing or invalid.
-    pub fn batch_interval(&self) -> Result<Time, SettingsError> {
+    pub fn simulator_batch_interval(&self) -> Result<Time, SettingsError> {
         self.time(keys::BATCH_INTERVAL)
     }
 
--- a/crates/settings/src/platform/policy.rs
+++ b/crates/settings/src/platform/policy.rs
@@ -62,14 +62,14 @@
             },
             health_checks: HealthCheckConfig {
                 enabled: self.is_allowed(keys::HEALTH_CHECKS_ALLOWED)?,
-                cost: self.number_or(keys::HEALTH_CHECK_COST, 0.0)?,
+                cost_per_check: self.number_or(keys::HEALTH_CHECK_COST, 0.0)?,
             },
             endpoints: EndpointConfig {
                 is_polled: self.endpoint_poll_interval_max()?.is_some(),
                 ..EndpointConfig::default()
             },
             migration: MigrationConfig {
-                off_draining: drain_migration == DrainMigration::Enabled,
+                migrate_off_draining: drain_migration == DrainMigration::Enabled,
             },
             slow_start,
         };
--- a/crates/settings/src/platform/traffic_class.rs
+++ b/crates/settings/src/platform/traffic_class.rs
@@ -20,7 +20,7 @@
 
     /// Returns how long clients of each traffic class wait for an answer, in nanoseconds; `None` if
     /// the settings have no limit.
-    pub fn flow_timeouts(&self) -> Vec<Option<Time>> {
+    pub fn traffic_class_timeouts(&self) -> Vec<Option<Time>> {
         let classes = self.list(keys::TRAFFIC_CLASSES).iter();
         classes
             .map(|class| {
@@ -33,7 +33,7 @@
     /// Returns the longest timeout of all traffic classes, in nanoseconds; [`Time::MAX`] if a class
     /// has no limit or there are no classes.
     pub fn flow_timeout_max(&self) -> Time {
-        let timeouts = self.flow_timeouts().into_iter();
+        let timeouts = self.traffic_class_timeouts().into_iter();
         let timeouts = timeouts.map(|timeout| timeout.unwrap_or(Time::MAX));
         timeouts.max().unwrap_or(Time::MAX)
     }
--- a/crates/settings/tests/operator_file.rs
+++ b/crates/settings/tests/operator_file.rs
@@ -106,7 +106,7 @@
     let reported: Vec<(&str, &str)> = old
         .deprecated
         .iter()
-        .map(|key| (key.old, key.new))
+        .map(|key| (key.deprecated, key.current))
         .collect();
     assert_eq!(
         reported,
--- a/crates/settings/tests/platform_settings.rs
+++ b/crates/settings/tests/platform_settings.rs
@@ -84,7 +84,7 @@
     assert_eq!(settings.attempts_max().unwrap(), 1);
     assert_eq!(settings.max_retry_after().unwrap(), None);
     assert_eq!(settings.endpoint_poll_interval_max().unwrap(), None);
-    assert_eq!(settings.flow_timeouts(), [None, Some(3000 * MS)]);
+    assert_eq!(settings.traffic_class_timeouts(), [None, Some(3000 * MS)]);
     assert_eq!(settings.flow_timeout_max(), u64::MAX);
     assert!(!settings.gossip_allowed().unwrap() && !settings.has_groups());
     assert!(settings.has_load_reports());
