--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -313,7 +313,7 @@
 
     /// Returns a Retry-After for a flow that was admitted and then rejected by the policy, `None`
     /// if the flow is not an admitted flow.
-    pub fn retry_after_for(&mut self, now: Time, flow: FlowId) -> Option<Time> {
+    pub fn schedule_rejection_retry_after(&mut self, now: Time, flow: FlowId) -> Option<Time> {
         let AdmittedFlow { key, client } = *self.admitted.get(&flow)?;
         Some(self.schedule_retry_after(now, key, client, 0))
     }
--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -94,9 +94,9 @@
         health_checker: shared.health_checker(),
         gossip: gossip.sender,
         seed: config.seed,
-        margin: ANSWER_MARGIN,
+        deadline_margin: ANSWER_MARGIN,
         answer_deadline: AnswerDeadline::new(settings.flow_timeout_max()),
-        pending_connections: shared.dataplane.budgets.pending.clone(),
+        pending_connections: shared.dataplane.descriptor_budgets.pending.clone(),
     });
     let dispatcher_handle = may::go!(move || dispatcher.run());
     let agent = Agent::new(config.discovery);
@@ -145,7 +145,7 @@
         .set_worker_pin(false);
     // Stacks are pooled: if an accepted client needed a new stack and it could not be mapped at
     // that moment, the client would be lost.
-    runtime.set_pool_capacity(budgets.coroutines());
+    runtime.set_pool_capacity(budgets.coroutines_max());
 }
 
 /// The decision-making components: the flow table, which contains the policy and admission control,
@@ -229,7 +229,7 @@
         let dataplane = Arc::new(Dataplane {
             dispatcher: dispatcher.clone(),
             buffers: BufferPool::new(),
-            budgets,
+            descriptor_budgets: budgets,
             client_ids: Arc::default(),
             settings: runtime_settings.clone(),
             next_flow: AtomicU64::new(1),
@@ -244,7 +244,7 @@
     fn health_checker(&self) -> HealthChecker {
         HealthChecker::new(health_check::HealthCheckContext {
             dispatcher: self.dispatcher.clone(),
-            descriptors: self.dataplane.budgets.control.clone(),
+            descriptors: self.dataplane.descriptor_budgets.control.clone(),
             buffers: self.dataplane.buffers.clone(),
             settings: self.runtime_settings.clone(),
         })
@@ -255,7 +255,7 @@
             agent,
             settings: self.runtime_settings.clone(),
             seed,
-            descriptors: self.dataplane.budgets.control.clone(),
+            descriptors: self.dataplane.descriptor_budgets.control.clone(),
             buffers: self.dataplane.buffers.clone(),
         }
     }
@@ -286,8 +286,8 @@
         Err(_) => match re_exec()? {},
     };
     let listener = opened.map_err(|source| StartError::Listener { address, source })?;
-    let flows = dataplane.budgets.flows.limit();
-    let waiting = dataplane.budgets.pending.limit();
+    let flows = dataplane.descriptor_budgets.flows.limit();
+    let waiting = dataplane.descriptor_budgets.pending.limit();
     info!(name = config.name, listen = %address, sockets = config.descriptors_max, flows, waiting, "serving");
     Ok(listener)
 }
--- a/crates/balancer/tests/deadlines.rs
+++ b/crates/balancer/tests/deadlines.rs
@@ -70,7 +70,7 @@
     const IDLE_CLIENTS: usize = 400;
     /// The grace: the longest time from when discovery has the change and is reachable until the
     /// balancer knows it.
-    const CHANGE_KNOWN_AFTER_MAX: Duration = Duration::from_secs(6);
+    const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
     let balancer = TestBalancer::with_config(2, |config| {
         let config = with_settings(&config, &[("limits/probes", json!(false))]);
         config.replace("\"sockets\":1024", "\"sockets\":256")
@@ -110,8 +110,8 @@
         (0..6).all(|_| is_answered(connect())) && balancer.servers[1].first_lines().len() == before
     });
     assert!(
-        back_at.elapsed() < CHANGE_KNOWN_AFTER_MAX,
-        "expected the drain to be known within {CHANGE_KNOWN_AFTER_MAX:?}, took {:?}",
+        back_at.elapsed() < CHANGE_DEADLINE,
+        "expected the drain to be known within {CHANGE_DEADLINE:?}, took {:?}",
         back_at.elapsed()
     );
     drop(idle);
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -17,7 +17,7 @@
 
 /// The longest time until the balancer knows a change, from when discovery has the change and is
 /// reachable.
-const CHANGE_KNOWN_AFTER_MAX: Duration = Duration::from_secs(6);
+const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
 
 /// How long a call waits in the queue of a discovery service that all balancers share. The service
 /// rejects calls after 2 s in the queue, so this is just below that limit.
@@ -57,7 +57,7 @@
             .find_map(|call| call.answered_at.filter(|at| *at > recovered_at))
     };
     // Waits longer than the limit so that a time above the limit can be reported.
-    while answered().is_none() && recovered_at.elapsed() < 3 * CHANGE_KNOWN_AFTER_MAX {
+    while answered().is_none() && recovered_at.elapsed() < 3 * CHANGE_DEADLINE {
         thread::sleep(Duration::from_millis(20));
     }
     answered().map_or(recovered_at.elapsed(), |at| at - recovered_at)
@@ -78,7 +78,7 @@
                 let late = &late;
                 scope.spawn(move || {
                     let took = time_until_answered(failure, Duration::from_millis(ms));
-                    if took >= CHANGE_KNOWN_AFTER_MAX {
+                    if took >= CHANGE_DEADLINE {
                         late.lock().unwrap().push(format!(
                             "{failure:?}, recovered after {ms} ms: answered {took:?} later"
                         ));
@@ -90,7 +90,7 @@
     let late = late.into_inner().unwrap();
     assert!(
         late.is_empty(),
-        "expected an answer within {CHANGE_KNOWN_AFTER_MAX:?} of the recovery: {late:#?}"
+        "expected an answer within {CHANGE_DEADLINE:?} of the recovery: {late:#?}"
     );
 }
 
@@ -372,8 +372,8 @@
                 });
                 let took = recovered_at.elapsed();
                 assert!(
-                    took < CHANGE_KNOWN_AFTER_MAX,
-                    "{discovery}: expected the drain in {CHANGE_KNOWN_AFTER_MAX:?}, took {took:?}"
+                    took < CHANGE_DEADLINE,
+                    "{discovery}: expected the drain in {CHANGE_DEADLINE:?}, took {took:?}"
                 );
             });
         }
--- a/crates/dataplane/src/attempt.rs
+++ b/crates/dataplane/src/attempt.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::dataplane::Dataplane;
 use crate::flow_guard::FlowGuard;
-use crate::messages::{AttemptOutcome, AttemptTarget, FlowCommand, FlowEvent};
+use crate::messages::{AttemptOutcome, AttemptTarget, CoroutineEvent, FlowCommand};
 use crate::socket::Socket;
 use crate::wire::{self, ServerAnswer};
 
@@ -242,7 +242,7 @@
                 },
             }
             if let Some(line) = wire::first_line(&received[..length]) {
-                self.check_answer(&received[..line.next])?;
+                self.check_answer(&received[..line.next_start])?;
                 return Ok(ServerConnection {
                     socket: server,
                     received,
@@ -269,16 +269,16 @@
 
     fn wait(&mut self, until: Time) -> Wakeup {
         match self.flow.client.mailbox.next(until) {
-            None | Some(FlowEvent::Command(FlowCommand::AttemptTimedOut)) => Wakeup::TimedOut,
-            Some(FlowEvent::Command(FlowCommand::CancelAttempt)) if self.client_left => {
+            None | Some(CoroutineEvent::Command(FlowCommand::AttemptTimedOut)) => Wakeup::TimedOut,
+            Some(CoroutineEvent::Command(FlowCommand::CancelAttempt)) if self.client_left => {
                 Wakeup::Cancelled
             }
-            Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) => {
+            Some(CoroutineEvent::Command(FlowCommand::Migrate { line_deadline })) => {
                 self.flow.migrate_by = Some(line_deadline);
                 Wakeup::Progress
             }
-            Some(FlowEvent::Command(_) | FlowEvent::Stop) => Wakeup::Progress,
-            Some(FlowEvent::SocketReady) => {
+            Some(CoroutineEvent::Command(_) | CoroutineEvent::Stop) => Wakeup::Progress,
+            Some(CoroutineEvent::SocketReady) => {
                 if self.has_client_left() {
                     self.flow.continue_answer();
                 }
--- a/crates/dataplane/src/attempt/tests.rs
+++ b/crates/dataplane/src/attempt/tests.rs
@@ -21,7 +21,7 @@
     Arc::new(Dataplane {
         dispatcher: messages.sender(),
         buffers: BufferPool::new(),
-        budgets: DescriptorBudgets::new(256, 32 << 20),
+        descriptor_budgets: DescriptorBudgets::new(256, 32 << 20),
         client_ids: Arc::default(),
         settings: SharedSettings::new(RuntimeSettings {
             connect_timeout: SEC,
--- a/crates/dataplane/src/connection.rs
+++ b/crates/dataplane/src/connection.rs
@@ -11,7 +11,7 @@
 use crate::clock;
 use crate::descriptors::DescriptorPermit;
 use crate::mailbox::Mailbox;
-use crate::messages::FlowEvent;
+use crate::messages::CoroutineEvent;
 use crate::socket::Socket;
 use crate::wire::{self, LineBounds};
 
@@ -51,7 +51,7 @@
 /// A socket together with the mailbox of the coroutine that uses it.
 pub struct Connection {
     /// Receives the coroutine's notifications.
-    pub mailbox: Mailbox<FlowEvent>,
+    pub mailbox: Mailbox<CoroutineEvent>,
     /// The socket.
     pub socket: Socket,
 }
@@ -69,7 +69,7 @@
     /// # Errors
     /// The connection isn't established in time, or it has failed.
     pub fn dial(
-        mailbox: Mailbox<FlowEvent>,
+        mailbox: Mailbox<CoroutineEvent>,
         address: SocketAddr,
         permit: DescriptorPermit,
         deadline: Time,
@@ -85,7 +85,7 @@
     fn wait(&self, deadline: Time) -> Result<(), ConnectionError> {
         match self.mailbox.next(deadline) {
             None => Err(ConnectionError::Deadline),
-            Some(FlowEvent::Stop) => Err(ConnectionError::Stopped),
+            Some(CoroutineEvent::Stop) => Err(ConnectionError::Stopped),
             Some(_) => Ok(()),
         }
     }
@@ -157,7 +157,7 @@
     /// never stops sending: after `LINGER_DRAIN_BYTES_MAX` nothing more is read, and the peer has
     /// `LINGER_OVERFLOW_TIMEOUT` to read the answer.
     pub fn close_lingering(&self, deadline: Time) {
-        self.socket.end_sending();
+        self.socket.shutdown_write();
         let mut rest = [0; LINGER_READ_BYTES];
         let mut drained = 0;
         while drained < LINGER_DRAIN_BYTES_MAX {
--- a/crates/dataplane/src/dataplane.rs
+++ b/crates/dataplane/src/dataplane.rs
@@ -20,7 +20,7 @@
     /// Line buffers.
     pub buffers: Arc<BufferPool>,
     /// Permits to open sockets.
-    pub budgets: DescriptorBudgets,
+    pub descriptor_budgets: DescriptorBudgets,
     /// The clients' own ids.
     pub client_ids: Arc<ClientIds>,
     /// The current settings.
--- a/crates/dataplane/src/descriptors.rs
+++ b/crates/dataplane/src/descriptors.rs
@@ -45,11 +45,11 @@
 
     /// Takes a permit; `None` if all are in use.
     pub fn try_acquire(self: &Arc<Self>) -> Option<DescriptorPermit> {
-        self.try_acquire_leaving(0)
+        self.try_acquire_with_reserve(0)
     }
 
     /// Takes a permit; `None` unless more than `reserve` are left.
-    pub fn try_acquire_leaving(self: &Arc<Self>, reserve: usize) -> Option<DescriptorPermit> {
+    pub fn try_acquire_with_reserve(self: &Arc<Self>, reserve: usize) -> Option<DescriptorPermit> {
         let one_more = |in_use| (in_use + reserve < self.limit).then_some(in_use + 1);
         let acquired = self
             .in_use
@@ -125,7 +125,7 @@
     /// Returns the largest number of coroutines that can exist at a time. Their stacks are mapped at
     /// the start. There is one coroutine for each pending connection, flow and health check, and a
     /// watcher for each of their sockets.
-    pub fn coroutines(&self) -> usize {
+    pub fn coroutines_max(&self) -> usize {
         let of_pending = 2 * self.pending.limit();
         let of_flows = 3 * self.flows.limit();
         let of_control = 2 * self.control.limit();
--- a/crates/dataplane/src/descriptors/tests.rs
+++ b/crates/dataplane/src/descriptors/tests.rs
@@ -6,9 +6,9 @@
 fn a_permit_is_released_when_its_last_clone_is_dropped() {
     let descriptors = DescriptorBudget::new(3);
     let first = descriptors.try_acquire().expect("room");
-    let second = descriptors.try_acquire_leaving(1).expect("room");
+    let second = descriptors.try_acquire_with_reserve(1).expect("room");
     // Guards against flows that leave no descriptor for health checks and discovery.
-    assert!(descriptors.try_acquire_leaving(1).is_none());
+    assert!(descriptors.try_acquire_with_reserve(1).is_none());
     let _last = descriptors.try_acquire().expect("the reserved permit");
     assert!(descriptors.try_acquire().is_none());
     drop((first.clone(), second));
--- a/crates/dataplane/src/discovery/agent.rs
+++ b/crates/dataplane/src/discovery/agent.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use crate::mailbox::Sender;
-use crate::messages::FlowEvent;
+use crate::messages::CoroutineEvent;
 
 /// The discovery agent's current address.
 pub struct Agent {
@@ -22,7 +22,7 @@
     /// gets another revision.
     pub revision: u64,
     /// Sends events to the coroutine that waits for the agent.
-    notifier: Option<Sender<FlowEvent>>,
+    notifier: Option<Sender<CoroutineEvent>>,
 }
 
 impl Agent {
@@ -43,7 +43,7 @@
         current.address = address;
         current.revision += 1;
         if let Some(notifier) = &current.notifier {
-            notifier.send(FlowEvent::Stop);
+            notifier.send(CoroutineEvent::Stop);
         }
     }
 
@@ -52,11 +52,11 @@
         self.current().clone()
     }
 
-    /// Registers `notifier`, which replaces the previous one and is sent [`FlowEvent::Stop`] when
-    /// the address changes. Returns false if the address has changed since `location` was read.
+    /// Registers `notifier`, which replaces the previous one and is sent [`CoroutineEvent::Stop`]
+    /// when the address changes. Returns false if the address has changed since `location` was read.
     pub(super) fn notify_on_change(
         &self,
-        notifier: Sender<FlowEvent>,
+        notifier: Sender<CoroutineEvent>,
         location: &Location,
     ) -> bool {
         let mut current = self.current();
--- a/crates/dataplane/src/discovery/backoff.rs
+++ b/crates/dataplane/src/discovery/backoff.rs
@@ -1,7 +1,7 @@
 //! The backoff after a failed discovery poll: exponential with full jitter (Marc Brooker,
 //! "Exponential Backoff And Jitter", AWS Architecture Blog, 2015). Its base is proportional to the
 //! duration of the failed poll. This module owns the random draws and the limits that make a change
-//! known within [`CHANGE_KNOWN_AFTER_MAX`]. It must never do I/O.
+//! known within [`CHANGE_DEADLINE`]. It must never do I/O.
 
 use nanorand::{Rng, WyRand};
 use nettlemux_policy::{MS, SEC, Time};
@@ -10,8 +10,8 @@
 pub const BACKOFF_MIN: Time = 50 * MS;
 /// The time within which the balancer must know a change, from when discovery has the change and is
 /// reachable, whatever failed before.
-pub const CHANGE_KNOWN_AFTER_MAX: Time = 6 * SEC;
-/// The part of [`CHANGE_KNOWN_AFTER_MAX`] that is reserved for late timers and a busy processor.
+pub const CHANGE_DEADLINE: Time = 6 * SEC;
+/// The part of [`CHANGE_DEADLINE`] that is reserved for late timers and a busy processor.
 const SCHEDULING_MARGIN: Time = 250 * MS;
 /// The timeout of the first poll of a watch if one service answers the polls of all balancers one
 /// after another. Prevents the balancer from abandoning a poll that is still queued and that the
@@ -21,7 +21,7 @@
 /// The longest time until the next poll starts. It counts from the response to the failed poll,
 /// even if that was a rejection. If there was no response, it counts from the start of the failed
 /// poll, since discovery may have become reachable at any moment after that.
-pub const NEXT_POLL_AFTER_MAX: Time = CHANGE_KNOWN_AFTER_MAX - SCHEDULING_MARGIN - QUEUE_TIMEOUT;
+pub const NEXT_POLL_AFTER_MAX: Time = CHANGE_DEADLINE - SCHEDULING_MARGIN - QUEUE_TIMEOUT;
 /// The upper bound of the random backoff, as a multiple of the duration of the failed poll. It
 /// doubles with each earlier failure in a row. The duration measures the service's queue, and every
 /// balancer whose poll was in that queue polls again. Prevents a hundred balancers from polling
--- a/crates/dataplane/src/discovery/backoff/tests.rs
+++ b/crates/dataplane/src/discovery/backoff/tests.rs
@@ -60,7 +60,7 @@
                 };
                 let known_after = reachable_for + longest + QUEUE_TIMEOUT;
                 assert!(
-                    known_after < CHANGE_KNOWN_AFTER_MAX - 100 * MS,
+                    known_after < CHANGE_DEADLINE - 100 * MS,
                     "{kind:?} {duration} {failures}: {known_after}"
                 );
             }
@@ -130,7 +130,7 @@
     for seed in 0..50 {
         let mut rng = WyRand::new_seed(seed);
         let fast = poll_shared_service(30, &mut rng);
-        let is_in_time = |at: &Time| *at < CHANGE_KNOWN_AFTER_MAX;
+        let is_in_time = |at: &Time| *at < CHANGE_DEADLINE;
         assert!(
             fast.answered_at.len() == 100 && fast.answered_at.iter().all(is_in_time),
             "seed {seed}"
@@ -144,15 +144,13 @@
     }
 }
 
-/// The longest backoff and the longest wait in the queue fit into [`CHANGE_KNOWN_AFTER_MAX`], and
-/// that wait is longer than the service's own limit of 2 s.
+/// The longest backoff and the longest wait in the queue fit into [`CHANGE_DEADLINE`], and that
+/// wait is longer than the service's own limit of 2 s.
 #[test]
 fn backoff_and_queue_timeout_fit_into_the_change_deadline() {
     const {
-        assert!(
-            NEXT_POLL_AFTER_MAX + QUEUE_TIMEOUT < CHANGE_KNOWN_AFTER_MAX && QUEUE_TIMEOUT > 2 * SEC
-        )
-    };
+        assert!(NEXT_POLL_AFTER_MAX + QUEUE_TIMEOUT < CHANGE_DEADLINE && QUEUE_TIMEOUT > 2 * SEC);
+    }
 }
 
 /// Guards against abandoning polls that are queued at the service: the service still processes each
--- a/crates/dataplane/src/discovery/list.rs
+++ b/crates/dataplane/src/discovery/list.rs
@@ -173,7 +173,7 @@
         cell: text(value, key::CELL),
         state,
         weight: parse_weight(value),
-        started: parse_start_time(value),
+        started_at: parse_start_time(value),
     })
 }
 
--- a/crates/dataplane/src/discovery/list/tests.rs
+++ b/crates/dataplane/src/discovery/list/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(first.name, "s-1");
     assert_eq!(first.cell, "3");
     assert_eq!(first.state, EndpointState::Ready);
-    assert_eq!(first.started, 1_700_000_000_123 * MS);
+    assert_eq!(first.started_at, 1_700_000_000_123 * MS);
     assert_eq!(second.name, "s-3");
     assert_eq!(second.state, EndpointState::Removed);
     assert_eq!(third.name, "s-5");
--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -28,7 +28,8 @@
 use crate::health_check::HealthChecker;
 use crate::mailbox::{Mailbox, Sender};
 use crate::messages::{
-    AttemptTarget, DiscoveredEndpoint, DispatcherMessage, FlowCommand, FlowEvent, GossipMessage,
+    AttemptTarget, CoroutineEvent, DiscoveredEndpoint, DispatcherMessage, FlowCommand,
+    GossipMessage,
 };
 
 /// Longest wait for a message while no timer is set.
@@ -71,7 +72,7 @@
             health_checker: config.health_checker,
             gossip: config.gossip,
             seed: config.seed,
-            deadline_margin: config.margin,
+            deadline_margin: config.deadline_margin,
             shutdown: GracefulShutdown::new(config.answer_deadline, config.pending_connections),
             next_timer: None,
         }
@@ -202,7 +203,7 @@
         now: Time,
         flow: Flow,
         client: ClientIdentity,
-        mailbox: Sender<FlowEvent>,
+        mailbox: Sender<CoroutineEvent>,
     ) {
         self.clients.insert(flow.id, mailbox, None);
         self.call_flow_table(now, |flow_table, commands| {
@@ -212,7 +213,7 @@
 
     /// Answers the request to reopen a connection that was open at `server_name` before the
     /// balancer started.
-    fn adopt_connection(&mut self, flow: Flow, server_name: &str, mailbox: Sender<FlowEvent>) {
+    fn adopt_connection(&mut self, flow: Flow, server_name: &str, mailbox: Sender<CoroutineEvent>) {
         let server_id = self.servers.server_id(server_name);
         let command = match self.servers.get(server_id) {
             _ if self.shutdown.answer_deadline_passed() => FlowCommand::Fail,
@@ -225,7 +226,7 @@
             }),
             None => FlowCommand::EndpointUnknown,
         };
-        mailbox.send(FlowEvent::Command(command));
+        mailbox.send(CoroutineEvent::Command(command));
         let id = flow.id;
         let adoption = Adoption { flow, server_id };
         self.clients.insert(id, mailbox, Some(adoption));
--- a/crates/dataplane/src/dispatcher/clients.rs
+++ b/crates/dataplane/src/dispatcher/clients.rs
@@ -5,7 +5,7 @@
 use nettlemux_policy::{Flow, FlowId, ServerId};
 
 use crate::mailbox::Sender;
-use crate::messages::{FlowCommand, FlowEvent};
+use crate::messages::{CoroutineEvent, FlowCommand};
 
 /// A connection that was open before the balancer started and has not been reopened yet.
 pub(super) struct Adoption {
@@ -15,7 +15,7 @@
 
 /// The client of one flow.
 pub(super) struct Client {
-    mailbox: Sender<FlowEvent>,
+    mailbox: Sender<CoroutineEvent>,
     /// Set until the adopted connection is reopened; `None` for new flows.
     pub adoption: Option<Adoption>,
 }
@@ -28,7 +28,12 @@
 
 impl ClientTable {
     /// Adds the client of a flow. `adoption` is set for a connection that was open before the start.
-    pub fn insert(&mut self, flow: FlowId, mailbox: Sender<FlowEvent>, adoption: Option<Adoption>) {
+    pub fn insert(
+        &mut self,
+        flow: FlowId,
+        mailbox: Sender<CoroutineEvent>,
+        adoption: Option<Adoption>,
+    ) {
         self.clients.insert(flow, Client { mailbox, adoption });
     }
 
@@ -65,7 +70,7 @@
     /// Sends a command to the flow's coroutine. Does nothing if the flow has no client.
     pub fn command(&self, flow: FlowId, command: FlowCommand) {
         if let Some(client) = self.clients.get(&flow) {
-            client.mailbox.send(FlowEvent::Command(command));
+            client.mailbox.send(CoroutineEvent::Command(command));
         }
     }
 
@@ -74,7 +79,7 @@
         for client in self.clients.values() {
             if client.adoption.is_some() {
                 let command = FlowCommand::AttemptTimedOut;
-                client.mailbox.send(FlowEvent::Command(command));
+                client.mailbox.send(CoroutineEvent::Command(command));
             }
         }
     }
--- a/crates/dataplane/src/dispatcher/config.rs
+++ b/crates/dataplane/src/dispatcher/config.rs
@@ -29,7 +29,7 @@
     pub seed: u64,
     /// The time that policies built from new settings leave before a flow's deadline, in
     /// nanoseconds.
-    pub margin: Time,
+    pub deadline_margin: Time,
     /// When the last answer is due after SIGTERM.
     pub answer_deadline: AnswerDeadline,
     /// The descriptors of connections that are not flows yet or are being closed.
--- a/crates/dataplane/src/dispatcher/server_directory.rs
+++ b/crates/dataplane/src/dispatcher/server_directory.rs
@@ -74,7 +74,7 @@
     /// Records that discovery has answered. A server that is first listed after this call can't have
     /// started before it.
     pub fn discovery_answered(&mut self) {
-        self.start_times.begin_watch();
+        self.start_times.record_first_update();
     }
 
     /// Applies an update of the endpoint list. Returns it with numbers in place of names.
@@ -114,7 +114,9 @@
             cell: self.cells.number_by_arrival(&entry.cell),
             state: entry.state,
             weight: entry.weight,
-            started: self.start_times.local_start(now, server_id, entry.started),
+            started: self
+                .start_times
+                .local_start(now, server_id, entry.started_at),
         }
     }
 
--- a/crates/dataplane/src/flow_guard.rs
+++ b/crates/dataplane/src/flow_guard.rs
@@ -141,7 +141,7 @@
             retry_after_ms = retry_after.map(|after| after / MS),
             "flow rejected"
         );
-        self.answer(wire::rejection(retry_after).as_bytes());
+        self.answer(wire::rejection_line(retry_after).as_bytes());
     }
 
     /// Answers that the flow has failed.
@@ -182,7 +182,7 @@
             .unwrap_or(self.unwritten_answer.len());
         self.unwritten_answer = &self.unwritten_answer[written..];
         if self.unwritten_answer.is_empty() {
-            self.client.socket.end_sending();
+            self.client.socket.shutdown_write();
         }
     }
 
@@ -202,7 +202,7 @@
         if self.answer_pending {
             error!(id = self.id, "flow dropped without an answer, failing it");
             let _ = self.client.socket.write(wire::REPLY_FAILED);
-            self.client.socket.end_sending();
+            self.client.socket.shutdown_write();
         }
         self.notify_dispatcher(DispatcherMessage::FlowClosed { flow: self.id });
     }
--- a/crates/dataplane/src/flow_guard/tests.rs
+++ b/crates/dataplane/src/flow_guard/tests.rs
@@ -18,7 +18,7 @@
     let dataplane = Arc::new(Dataplane {
         dispatcher: messages.sender(),
         buffers: BufferPool::new(),
-        budgets: DescriptorBudgets::new(256, 32 << 20),
+        descriptor_budgets: DescriptorBudgets::new(256, 32 << 20),
         client_ids: Arc::default(),
         settings: Arc::default(),
         next_flow: AtomicU64::new(1),
--- a/crates/dataplane/src/health_check/context.rs
+++ b/crates/dataplane/src/health_check/context.rs
@@ -33,7 +33,7 @@
     /// Takes a permit for a connection; `None` if only the descriptors for discovery are left.
     pub(super) fn acquire_permit(&self) -> Option<DescriptorPermit> {
         self.descriptors
-            .try_acquire_leaving(DISCOVERY_RESERVED_DESCRIPTORS)
+            .try_acquire_with_reserve(DISCOVERY_RESERVED_DESCRIPTORS)
     }
 
     /// Returns whether a connection may stay open until the next check. The last few descriptors
--- a/crates/dataplane/src/health_check/exchange.rs
+++ b/crates/dataplane/src/health_check/exchange.rs
@@ -35,7 +35,7 @@
     let line = connection.read_line(&mut buffer[..], &mut filled, deadline)?;
     let text = &buffer[..line.length];
     debug!(server = server.name, answer = %String::from_utf8_lossy(text), "health check answered");
-    let is_last_line = line.next == filled;
+    let is_last_line = line.next_start == filled;
     Ok(Exchange {
         answer: HealthCheckAnswer::parse(text, &settings.report_format),
         connection: is_last_line.then_some(connection),
--- a/crates/dataplane/src/mailbox/tests.rs
+++ b/crates/dataplane/src/mailbox/tests.rs
@@ -7,7 +7,7 @@
 use nettlemux_policy::MS;
 
 use super::*;
-use crate::timer::wait_step_ms;
+use crate::timer::check_delay_ms;
 
 /// Longest time that a coroutine of these tests may take.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
@@ -48,6 +48,6 @@
     sender.send(7);
     let (message, took) = join(read);
     assert!(message == Some(7) && took < 1000 * MS);
-    let lengths: std::collections::BTreeSet<u64> = (0..100_000).map(wait_step_ms).collect();
+    let lengths: std::collections::BTreeSet<u64> = (0..100_000).map(check_delay_ms).collect();
     assert!(lengths.len() < 200);
 }
--- a/crates/dataplane/src/messages.rs
+++ b/crates/dataplane/src/messages.rs
@@ -16,7 +16,7 @@
 use crate::mailbox::Sender;
 
 /// An event that wakes a flow's coroutine.
-pub enum FlowEvent {
+pub enum CoroutineEvent {
     /// One of its sockets may be ready.
     SocketReady,
     /// The dispatcher has sent a command.
@@ -43,7 +43,7 @@
     /// Its share of attempts relative to other servers; 1 if the entry had none.
     pub weight: f64,
     /// When it started, in nanoseconds of Unix time by discovery's clock; 0 if long ago.
-    pub started: Time,
+    pub started_at: Time,
 }
 
 /// A message between balancers: a server holds connections of a group. The group and the server are
@@ -93,7 +93,7 @@
         /// Its client, for admission control.
         client: ClientIdentity,
         /// Receives the commands to its coroutine.
-        mailbox: Sender<FlowEvent>,
+        mailbox: Sender<CoroutineEvent>,
     },
     /// A connection that was open before the balancer started has to be reopened.
     AdoptConnection {
@@ -102,7 +102,7 @@
         /// The name of the server at which it was open.
         server_name: String,
         /// Receives the commands to its coroutine.
-        mailbox: Sender<FlowEvent>,
+        mailbox: Sender<CoroutineEvent>,
     },
     /// An attempt has succeeded.
     Connected {
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -15,7 +15,9 @@
 use crate::connection::LINGER_TIMEOUT;
 use crate::dataplane::Dataplane;
 use crate::flow_guard::FlowGuard;
-use crate::messages::{AttemptOutcome, AttemptTarget, DispatcherMessage, FlowCommand, FlowEvent};
+use crate::messages::{
+    AttemptOutcome, AttemptTarget, CoroutineEvent, DispatcherMessage, FlowCommand,
+};
 use crate::socket::Socket;
 use crate::wire::{self, LineScanner};
 
@@ -80,7 +82,7 @@
     if between_lines {
         let _ = flow.client.write(wire::REPLY_MIGRATE, deadline);
     }
-    server.end_sending();
+    server.shutdown_write();
     drop(server);
     flow.client.close_lingering(deadline);
 }
@@ -204,7 +206,7 @@
     /// when the other side takes too long to end.
     fn check_ends(&mut self, now: Time, server_sent: bool) -> ControlFlow<Close> {
         if self.downstream.sender_ended && self.downstream.end_forwarded {
-            match self.scanner.last_end() {
+            match self.scanner.announced_end() {
                 Some(last) => self.report_end_with(last.end, last.report),
                 None => self.report_end(AttemptEnd::ConnectionLost),
             }
@@ -312,7 +314,7 @@
 
     fn wait(&mut self, until: Time) {
         // Any other event was meant for the attempt or only wakes this coroutine.
-        if let Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) =
+        if let Some(CoroutineEvent::Command(FlowCommand::Migrate { line_deadline })) =
             self.flow.client.mailbox.next(until)
         {
             self.flow.migrate_by = Some(line_deadline);
--- a/crates/dataplane/src/relay/direction.rs
+++ b/crates/dataplane/src/relay/direction.rs
@@ -113,7 +113,7 @@
     /// Forwards the sender's end of stream, once.
     fn forward_end(&mut self, receiver: &Socket) {
         if !self.end_forwarded {
-            receiver.end_sending();
+            receiver.shutdown_write();
             self.end_forwarded = true;
         }
         self.buffer = None;
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -11,7 +11,7 @@
 use crate::clock;
 use crate::dataplane::Dataplane;
 use crate::flow_guard::FlowGuard;
-use crate::messages::{DispatcherMessage, FlowCommand, FlowEvent};
+use crate::messages::{CoroutineEvent, DispatcherMessage, FlowCommand};
 use crate::timer;
 
 /// Time after the flow's deadline in which the dispatcher's command may still arrive. A later
@@ -78,16 +78,16 @@
     }
     loop {
         match flow.client.mailbox.next(flow.deadline + COMMAND_GRACE) {
-            Some(FlowEvent::Command(FlowCommand::Migrate { line_deadline })) => {
+            Some(CoroutineEvent::Command(FlowCommand::Migrate { line_deadline })) => {
                 flow.migrate_by = Some(line_deadline)
             }
             // These are for an attempt that has ended meanwhile.
             Some(
-                FlowEvent::Command(FlowCommand::CancelAttempt | FlowCommand::AttemptTimedOut)
-                | FlowEvent::Stop,
+                CoroutineEvent::Command(FlowCommand::CancelAttempt | FlowCommand::AttemptTimedOut)
+                | CoroutineEvent::Stop,
             ) => {}
-            Some(FlowEvent::Command(command)) => return RouteDecision::Command(command),
-            Some(FlowEvent::SocketReady) => {
+            Some(CoroutineEvent::Command(command)) => return RouteDecision::Command(command),
+            Some(CoroutineEvent::SocketReady) => {
                 if flow.client_has_left() {
                     return RouteDecision::ClientLeft;
                 }
--- a/crates/dataplane/src/socket.rs
+++ b/crates/dataplane/src/socket.rs
@@ -19,7 +19,7 @@
 use crate::descriptors::DescriptorPermit;
 use crate::errno::{EALREADY, EINPROGRESS, EISCONN, ENOBUFS, ENOMEM};
 use crate::mailbox::Sender;
-use crate::messages::FlowEvent;
+use crate::messages::CoroutineEvent;
 use crate::timer;
 
 /// The interval until the retry of a call that the system has refused for a temporary lack of
@@ -40,7 +40,7 @@
     stream: Option<Arc<TcpStream>>,
     /// The stream as registered with the selector; empty until registration succeeds.
     registered: OnceLock<CoIo<Arc<TcpStream>>>,
-    notifier: Sender<FlowEvent>,
+    notifier: Sender<CoroutineEvent>,
     permit: Mutex<DescriptorPermit>,
     /// The socket has been dropped.
     closed: AtomicBool,
@@ -79,7 +79,7 @@
     /// that sends much from filling the owner's mailbox.
     fn notify(&self) {
         if !self.notified.swap(true, Ordering::AcqRel) {
-            self.notifier.send(FlowEvent::SocketReady);
+            self.notifier.send(CoroutineEvent::SocketReady);
         }
     }
 
@@ -121,7 +121,11 @@
 impl Socket {
     /// Takes over a non-blocking stream. `notifier` notifies the owner of possible events on the
     /// stream.
-    pub fn new(stream: TcpStream, permit: DescriptorPermit, notifier: Sender<FlowEvent>) -> Self {
+    pub fn new(
+        stream: TcpStream,
+        permit: DescriptorPermit,
+        notifier: Sender<CoroutineEvent>,
+    ) -> Self {
         // Without this, Nagle's algorithm would delay small lines.
         let _ = stream.set_nodelay(true);
         let inner = Arc::new(Inner {
@@ -150,7 +154,7 @@
     pub fn dial(
         address: SocketAddr,
         permit: DescriptorPermit,
-        notifier: Sender<FlowEvent>,
+        notifier: Sender<CoroutineEvent>,
     ) -> io::Result<Self> {
         let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         retry_interrupted(|| socket.set_nonblocking(true))?;
@@ -255,7 +259,7 @@
 
     /// Shuts down the sending side. The peer reads all written bytes and then the end of the
     /// stream.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.inner.stream().shutdown(Shutdown::Write);
     }
 
@@ -271,7 +275,7 @@
         // Shut down now and not when the watcher releases the stream. Otherwise an abandoned
         // attempt could still be in flight when the next one is made.
         if !self.inner.reset.load(Ordering::Acquire) {
-            self.end_sending();
+            self.shutdown_write();
         }
         self.inner.closed.store(true, Ordering::Release);
         // Wakes the watcher, which then releases its reference to the stream.
--- a/crates/dataplane/src/start_times.rs
+++ b/crates/dataplane/src/start_times.rs
@@ -58,7 +58,7 @@
 
     /// Records that discovery has sent an update of the list. Starts that are first reported after
     /// this call happened after that update.
-    pub fn begin_watch(&mut self) {
+    pub fn record_first_update(&mut self) {
         self.is_watching = true;
     }
 
--- a/crates/dataplane/src/start_times/tests.rs
+++ b/crates/dataplane/src/start_times/tests.rs
@@ -13,7 +13,7 @@
         let mut start_times = StartTimes::default();
         // On the first list the wall clock is used, except for a start time in its future.
         assert_eq!(start_times.local_start(NOW, 1, reported), reported.min(NOW));
-        start_times.begin_watch();
+        start_times.record_first_update();
         assert_eq!(
             start_times.local_start(NOW + SEC, 1, reported),
             reported.min(NOW),
--- a/crates/dataplane/src/timer.rs
+++ b/crates/dataplane/src/timer.rs
@@ -122,13 +122,13 @@
 /// off.
 fn next_check(now: Time, deadline: Time) -> Time {
     let remaining_ms = deadline.saturating_sub(now).div_ceil(MS);
-    deadline.min(now + wait_step_ms(remaining_ms) * MS)
+    deadline.min(now + check_delay_ms(remaining_ms) * MS)
 }
 
 /// Returns after how many milliseconds the queue next checks a wait that has `remaining_ms` left.
 /// Rounds down to a few distinct lengths, so that the entry is usually queued early enough for a
 /// shorter wait that follows.
-pub(crate) fn wait_step_ms(remaining_ms: u64) -> u64 {
+pub(crate) fn check_delay_ms(remaining_ms: u64) -> u64 {
     match remaining_ms {
         0..=50 => remaining_ms.max(1),
         51..=1000 => round_down(remaining_ms, 10),
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -165,7 +165,7 @@
 }
 
 /// Returns the answer to a client whose flow is rejected, with the Retry-After if there is one.
-pub fn rejection(retry_after: Option<Time>) -> String {
+pub fn rejection_line(retry_after: Option<Time>) -> String {
     match retry_after {
         Some(retry_after) => format!("{} {}\r\n", word::OVERLOADED, retry_after / MS),
         None => format!("{}\r\n", word::OVERLOADED),
@@ -178,7 +178,7 @@
     /// The length of the line in bytes, without its line end.
     pub length: usize,
     /// The offset of the next line.
-    pub next: usize,
+    pub next_start: usize,
 }
 
 /// Returns the bounds of the first line, or `None` if the line is incomplete. Lines end with CRLF
@@ -188,7 +188,7 @@
     let has_carriage_return = end > 0 && bytes[end - 1] == b'\r';
     Some(LineBounds {
         length: end - usize::from(has_carriage_return),
-        next: end + 1,
+        next_start: end + 1,
     })
 }
 
--- a/crates/dataplane/src/wire/line_scanner.rs
+++ b/crates/dataplane/src/wire/line_scanner.rs
@@ -27,7 +27,7 @@
     /// The length of the current line so far, in bytes.
     length: usize,
     /// The end that the last complete line has announced.
-    last_end: Option<ConnectionEnd>,
+    announced_end: Option<ConnectionEnd>,
 }
 
 impl LineScanner {
@@ -37,7 +37,7 @@
             report_format,
             kept: [0; KEPT_BYTES_MAX],
             length: 0,
-            last_end: None,
+            announced_end: None,
         }
     }
 
@@ -65,7 +65,7 @@
         let kept = &self.kept[..self.length.min(KEPT_BYTES_MAX)];
         let line = std::str::from_utf8(kept).ok()?.trim_end();
         let (word, rest) = split_word(line);
-        self.last_end = announced_end(word).map(|end| ConnectionEnd {
+        self.announced_end = announced_end(word).map(|end| ConnectionEnd {
             end,
             report: parse_report(rest, &self.report_format),
         });
@@ -77,8 +77,8 @@
     }
 
     /// Returns the end of the connection, if the server's last complete line announced it.
-    pub fn last_end(&self) -> Option<ConnectionEnd> {
-        self.last_end
+    pub fn announced_end(&self) -> Option<ConnectionEnd> {
+        self.announced_end
     }
 
     /// Returns whether no line is incomplete.
--- a/crates/dataplane/src/wire/tests.rs
+++ b/crates/dataplane/src/wire/tests.rs
@@ -91,7 +91,7 @@
             utilization: Some(0.61),
         };
         assert_eq!(
-            (scanner.is_between_lines(), scanner.last_end()),
+            (scanner.is_between_lines(), scanner.announced_end()),
             (
                 true,
                 Some(ConnectionEnd {
@@ -111,9 +111,18 @@
     }
     assert_eq!(
         first_line(b"PING\r\nx"),
-        Some(LineBounds { length: 4, next: 6 })
+        Some(LineBounds {
+            length: 4,
+            next_start: 6
+        })
+    );
+    assert_eq!(
+        first_line(b"\n"),
+        Some(LineBounds {
+            length: 0,
+            next_start: 1
+        })
     );
-    assert_eq!(first_line(b"\n"), Some(LineBounds { length: 0, next: 1 }));
     assert_eq!(first_line(b"PING\r"), None);
 }
 
--- a/crates/flow-table/src/table/admission.rs
+++ b/crates/flow-table/src/table/admission.rs
@@ -104,7 +104,8 @@
         from_policy: Option<Time>,
     ) -> Option<Time> {
         let admission = self.admission.as_mut().filter(|_| from_policy.is_some());
-        let from_queue = admission.and_then(|admission| admission.retry_after_for(now, flow));
+        let from_queue =
+            admission.and_then(|admission| admission.schedule_rejection_retry_after(now, flow));
         from_queue.or(from_policy)
     }
 }
--- a/crates/line-protocol/src/accepted.rs
+++ b/crates/line-protocol/src/accepted.rs
@@ -54,12 +54,12 @@
 
     /// Returns whether the line ends with CRLF, rather than with LF alone.
     pub fn line_ends_with_crlf(&self) -> bool {
-        self.line.next == self.line.length + b"\r\n".len()
+        self.line.next_start == self.line.length + b"\r\n".len()
     }
 
     /// Returns whether bytes after the line have been received.
     pub fn has_more_than_line(&self) -> bool {
-        self.filled > self.line.next
+        self.filled > self.line.next_start
     }
 
     /// Answers a request that can't be served, and closes the connection.
@@ -77,15 +77,16 @@
     pub fn answer(mut self, answer: &[u8], dataplane: &Dataplane) -> Option<Self> {
         let deadline = clock::now() + LINGER_TIMEOUT;
         self.client.write(answer, deadline).ok()?;
-        self.buffer.copy_within(self.line.next..self.filled, 0);
-        self.filled -= self.line.next;
+        self.buffer
+            .copy_within(self.line.next_start..self.filled, 0);
+        self.filled -= self.line.next_start;
         self.next_line(dataplane)
     }
 
     /// Reads the next line; `None` if the connection ends or is refused before it.
     pub fn next_line(mut self, dataplane: &Dataplane) -> Option<Self> {
         // If no descriptors are left for flows, only data that has already arrived is read.
-        let is_full = !dataplane.budgets.flows.has_more_than(0);
+        let is_full = !dataplane.descriptor_budgets.flows.has_more_than(0);
         let deadline = if is_full { clock::now() } else { self.deadline };
         let mut result = self.read_line(deadline);
         // A connection may be evicted just after a complete line has arrived on it. Reading once
@@ -128,7 +129,7 @@
                 // linger if the descriptor is needed: a flood of connections that send nothing
                 // would keep other clients out.
                 let timeout = if descriptor_needed { 0 } else { LINGER_TIMEOUT };
-                self.refuse_within(wire::rejection(None).as_bytes(), timeout);
+                self.refuse_within(wire::rejection_line(None).as_bytes(), timeout);
             }
             // The client has closed the connection: nobody is left to answer.
             _ => debug!(%error, bytes = self.filled, "connection closed before its first line"),
--- a/crates/line-protocol/src/acceptor.rs
+++ b/crates/line-protocol/src/acceptor.rs
@@ -104,7 +104,7 @@
         if let Err(error) = set_nonblocking(&stream, deadline) {
             warn!(%error, "setting up an accepted connection failed; rejecting it");
             // The send buffer is empty, so this write doesn't block.
-            let _ = (&stream).write_all(wire::rejection(None).as_bytes());
+            let _ = (&stream).write_all(wire::rejection_line(None).as_bytes());
             return None;
         }
         let client = Connection::new(stream, permit);
@@ -121,7 +121,7 @@
     loop {
         // The permit is acquired before a connection is accepted: without a permit, connections wait
         // in the listener's queue.
-        let Some(permit) = acceptor.dataplane.budgets.pending.try_acquire() else {
+        let Some(permit) = acceptor.dataplane.descriptor_budgets.pending.try_acquire() else {
             let pending = &acceptor.pending_connections;
             pending.evict_oldest(clock::now(), ACCEPT_BATCH_MAX);
             timer::sleep(ACCEPT_PAUSE);
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -5,7 +5,7 @@
 use nettlemux_dataplane::client_ids::ClientId;
 use nettlemux_dataplane::dataplane::Dataplane;
 use nettlemux_dataplane::pipeline::AdmittedFlow;
-use nettlemux_dataplane::wire::{REPLY_FAILED, REPLY_NO_LOAD_REPORT, REPLY_PONG, rejection};
+use nettlemux_dataplane::wire::{REPLY_FAILED, REPLY_NO_LOAD_REPORT, REPLY_PONG, rejection_line};
 use nettlemux_flow_table::ClientIdentity;
 use nettlemux_policy::{Flow, MS, SEC, Time};
 use thiserror::Error;
@@ -154,10 +154,10 @@
     accepted: AcceptedConnection,
     new_flow: NewFlow,
 ) -> Option<AdmittedFlow> {
-    let Some(permit) = dataplane.budgets.flows.try_acquire() else {
-        let in_use = dataplane.budgets.flows.in_use();
+    let Some(permit) = dataplane.descriptor_budgets.flows.try_acquire() else {
+        let in_use = dataplane.descriptor_budgets.flows.in_use();
         warn!(in_use, "no descriptors left for flows; rejecting a client");
-        accepted.refuse(rejection(None).as_bytes());
+        accepted.refuse(rejection_line(None).as_bytes());
         return None;
     };
     accepted.client.socket.replace_permit(permit);
--- a/crates/line-protocol/src/pending.rs
+++ b/crates/line-protocol/src/pending.rs
@@ -7,7 +7,7 @@
 
 use nettlemux_dataplane::clock;
 use nettlemux_dataplane::mailbox::Sender;
-use nettlemux_dataplane::messages::FlowEvent;
+use nettlemux_dataplane::messages::CoroutineEvent;
 use nettlemux_policy::{MS, Time};
 
 /// A connection that has been pending for less is not evicted: its line may be in transit.
@@ -27,7 +27,7 @@
 
 struct PendingEntry {
     since: Time,
-    notifier: Sender<FlowEvent>,
+    notifier: Sender<CoroutineEvent>,
     is_evicted: bool,
 }
 
@@ -37,7 +37,7 @@
     }
 
     /// Adds a connection. `notifier` tells its owner when it is evicted.
-    pub fn add(self: &Arc<Self>, notifier: Sender<FlowEvent>) -> PendingConnection {
+    pub fn add(self: &Arc<Self>, notifier: Sender<CoroutineEvent>) -> PendingConnection {
         let mut state = self.state();
         state.last_number += 1;
         let number = state.last_number;
@@ -61,7 +61,7 @@
             entries.filter(|entry| !entry.is_evicted && entry.since + PENDING_TIME_MIN <= now);
         for entry in evictable.take(count) {
             entry.is_evicted = true;
-            entry.notifier.send(FlowEvent::Stop);
+            entry.notifier.send(CoroutineEvent::Stop);
         }
     }
 }
--- a/crates/line-protocol/src/unanswered.rs
+++ b/crates/line-protocol/src/unanswered.rs
@@ -44,7 +44,7 @@
             && thread::panicking()
         {
             let _ = connection.socket.write(wire::REPLY_FAILED);
-            connection.socket.end_sending();
+            connection.socket.shutdown_write();
         }
     }
 }
