--- a/crates/balancer/tests/common/balancer.rs
+++ b/crates/balancer/tests/common/balancer.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-use super::faults::Faults;
+use super::faults::FaultPlan;
 use super::toy::{DiscoveryAgent, ToyServer};
 use super::{Client, EXAMPLE, unused_address, wait_for, with_settings};
 
@@ -19,12 +19,12 @@
     pub agent: Arc<DiscoveryAgent>,
     pub servers: Vec<Arc<ToyServer>>,
     pub config_file: PathBuf,
-    pub config: String,
+    pub config_text: String,
     /// The plan of faults injected into its system calls. `None` if it was started without one.
-    pub faults: Option<Faults>,
+    pub faults: Option<FaultPlan>,
 }
 
-fn spawn_serve(config_file: &Path, arguments: &[&str], faults: Option<&Faults>) -> Child {
+fn spawn_serve(config_file: &Path, arguments: &[&str], faults: Option<&FaultPlan>) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
     command
         .args(["serve", "--log", "debug", "--config"])
@@ -32,7 +32,7 @@
         .args(arguments)
         .stderr(Stdio::null());
     if let Some(faults) = faults {
-        faults.load_into(&mut command);
+        faults.preload_into(&mut command);
     }
     command.spawn().unwrap()
 }
@@ -53,7 +53,7 @@
     /// Starts a balancer with an empty fault plan and waits until it serves. The test injects
     /// faults later through [`faults`](Self::faults).
     pub fn with_faults(servers: usize, change: impl Fn(String) -> String) -> Self {
-        let balancer = TestBalancer::start(servers, change, Some(Faults::none()));
+        let balancer = TestBalancer::start(servers, change, Some(FaultPlan::empty()));
         balancer.wait_until_serving();
         balancer
     }
@@ -62,7 +62,7 @@
     pub fn start(
         servers: usize,
         change: impl Fn(String) -> String,
-        faults: Option<Faults>,
+        faults: Option<FaultPlan>,
     ) -> Self {
         let agent = DiscoveryAgent::start("127.0.0.1:0").unwrap();
         let servers: Vec<Arc<ToyServer>> = (0..servers)
@@ -87,7 +87,7 @@
             agent,
             servers,
             config_file,
-            config,
+            config_text: config,
             faults,
         }
     }
@@ -96,7 +96,7 @@
     pub fn wait_until_serving(&self) {
         self.wait_until_listening();
         wait_for("the endpoint list", || {
-            self.client("c=chat,d=1000").receives("UP 1")
+            self.client("c=chat,d=1000").next_line_is("UP 1")
         });
     }
 
@@ -108,7 +108,7 @@
     ///
     /// # Panics
     /// If it was started without one.
-    pub fn faults(&self) -> &Faults {
+    pub fn faults(&self) -> &FaultPlan {
         self.faults
             .as_ref()
             .expect("the balancer was started without a fault plan")
@@ -116,7 +116,7 @@
 
     /// Kills it and restarts it with some settings changed, as in [`with_settings`].
     pub fn restart_with_settings(&mut self, changes: &[(&str, Value)]) {
-        self.restart_with_config(&with_settings(&self.config, changes));
+        self.restart_with_config(&with_settings(&self.config_text, changes));
     }
 
     /// Kills it and restarts it with another configuration.
@@ -148,7 +148,7 @@
 
     /// Connects a client and sends an `OPEN` first line with these values.
     pub fn client(&self, values: &str) -> Client {
-        Client::open(self.address, values)
+        Client::connect_with_open_line(self.address, values)
     }
 
     /// Sends a signal, given as an option of `kill`, such as `-HUP`.
--- a/crates/balancer/tests/common/client.rs
+++ b/crates/balancer/tests/common/client.rs
@@ -19,13 +19,14 @@
     ///
     /// # Panics
     /// If the connection can't be established or the text can't be sent.
-    pub fn new(address: SocketAddr, text: &[u8]) -> Self {
-        Client::try_new(address, text).expect("connecting to the address and sending the text")
+    pub fn connect_and_send(address: SocketAddr, text: &[u8]) -> Self {
+        Client::try_connect_and_send(address, text)
+            .expect("connecting to the address and sending the text")
     }
 
     /// Connects and sends this text. Returns `None` if the connection can't be established or the
     /// text can't be sent.
-    pub fn try_new(address: SocketAddr, text: &[u8]) -> Option<Self> {
+    pub fn try_connect_and_send(address: SocketAddr, text: &[u8]) -> Option<Self> {
         let mut stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         stream.write_all(text).ok()?;
@@ -34,11 +35,11 @@
     }
 
     /// Connects and sends an `OPEN` first line with a new connection id and these values.
-    pub fn open(address: SocketAddr, values: &str) -> Self {
+    pub fn connect_with_open_line(address: SocketAddr, values: &str) -> Self {
         // Every connection has its own id.
         static IDS: AtomicU64 = AtomicU64::new(0x9b1f);
         let id = IDS.fetch_add(1, Ordering::Relaxed);
-        Client::new(address, format!("OPEN {id:x} 7f3a {values}\r\n").as_bytes())
+        Client::connect_and_send(address, format!("OPEN {id:x} 7f3a {values}\r\n").as_bytes())
     }
 
     /// Returns the next line without its line end. Returns `end` at the end of the stream, `reset`
@@ -54,7 +55,7 @@
     }
 
     /// Reads the next line and returns whether it is the expected one.
-    pub fn receives(&mut self, expected: &str) -> bool {
+    pub fn next_line_is(&mut self, expected: &str) -> bool {
         self.read_line() == expected
     }
 
--- a/crates/balancer/tests/common/draws.rs
+++ b/crates/balancer/tests/common/draws.rs
@@ -1,13 +1,13 @@
 //! A seeded random number generator for tests.
 
 /// A random number generator (xorshift64*). The same seed gives the same numbers.
-pub struct Draws {
+pub struct SeededRandom {
     state: u64,
 }
 
-impl Draws {
+impl SeededRandom {
     pub fn new(seed: u64) -> Self {
-        Draws {
+        SeededRandom {
             state: seed.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         }
     }
@@ -21,7 +21,7 @@
     }
 
     /// Returns a random element of `all`.
-    pub fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
+    pub fn choose<T: Copy>(&mut self, all: &[T]) -> T {
         all[self.below(all.len() as u64) as usize]
     }
 }
--- a/crates/balancer/tests/common/faults.rs
+++ b/crates/balancer/tests/common/faults.rs
@@ -21,24 +21,24 @@
 pub const EHOSTUNREACH: i32 = 113;
 
 /// A plan of faults, empty at first. Dropping it removes its file.
-pub struct Faults {
+pub struct FaultPlan {
     plan_file: PathBuf,
 }
 
-impl Faults {
+impl FaultPlan {
     /// Creates an empty plan.
-    pub fn none() -> Self {
+    pub fn empty() -> Self {
         static PLANS_CREATED: AtomicU64 = AtomicU64::new(0);
         let number = PLANS_CREATED.fetch_add(1, Ordering::Relaxed);
         let plan_file =
             std::env::temp_dir().join(format!("nettlemux-faults-{}-{number}", std::process::id()));
         std::fs::write(&plan_file, "").unwrap();
-        Faults { plan_file }
+        FaultPlan { plan_file }
     }
 
     /// Replaces the plan and resets its counts of calls. The format of the lines is described in
     /// `tests/preload/faults.rs`.
-    pub fn set(&self, lines: &str) {
+    pub fn replace(&self, lines: &str) {
         // Written to another file and renamed, so that the library never reads a partial plan.
         let new = self.plan_file.with_extension("new");
         std::fs::write(&new, lines).unwrap();
@@ -47,18 +47,18 @@
 
     /// Removes all faults from the plan.
     pub fn clear(&self) {
-        self.set("");
+        self.replace("");
     }
 
     /// Makes a command preload the library and follow this plan.
-    pub fn load_into(&self, command: &mut Command) {
+    pub fn preload_into(&self, command: &mut Command) {
         command
             .env("LD_PRELOAD", preload_library())
             .env("NETTLEMUX_FAULTS", &self.plan_file);
     }
 }
 
-impl Drop for Faults {
+impl Drop for FaultPlan {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.plan_file);
     }
--- a/crates/balancer/tests/common/late_server.rs
+++ b/crates/balancer/tests/common/late_server.rs
@@ -15,14 +15,14 @@
 /// A server whose connections are established late. Its accept queue is full, so the kernel drops
 /// the SYN of a further connection, which stays pending. It is established once the queue has room
 /// and the client's kernel retransmits the SYN, one second after the first.
-pub struct LateServer {
+pub struct DelayedAcceptServer {
     listener: TcpListener,
     pub address: SocketAddr,
     /// Fills the accept queue.
     _first: TcpStream,
 }
 
-impl LateServer {
+impl DelayedAcceptServer {
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
@@ -31,7 +31,7 @@
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        LateServer {
+        DelayedAcceptServer {
             listener,
             address,
             _first: TcpStream::connect(address).unwrap(),
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -24,8 +24,8 @@
 
 pub use balancer::TestBalancer;
 pub use client::Client;
-pub use late_server::LateServer;
-pub use scripted_server::{AfterAnswer, server_that_says};
+pub use late_server::DelayedAcceptServer;
+pub use scripted_server::{BehaviorAfterAnswer, start_fixed_answer_server};
 
 /// The configuration of the README's example.
 pub const EXAMPLE: &str = include_str!("../../../../examples/balancer.json");
--- a/crates/balancer/tests/common/scripted_server.rs
+++ b/crates/balancer/tests/common/scripted_server.rs
@@ -12,9 +12,9 @@
 
 /// What a server does with a connection after it has answered the first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterAnswer {
+pub enum BehaviorAfterAnswer {
     /// Shuts down its sending direction.
-    EndSending,
+    ShutdownWrite,
     /// Leaves its sending direction open.
     KeepOpen,
 }
@@ -23,7 +23,7 @@
 const NEXT_LINE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Starts a server that answers each `OPEN` first line with this text. Returns its address.
-pub fn server_that_says(text: &'static str, then: AfterAnswer) -> SocketAddr {
+pub fn start_fixed_answer_server(text: &'static str, then: BehaviorAfterAnswer) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -36,7 +36,7 @@
                 continue;
             }
             let _ = (&stream).write_all(text.as_bytes());
-            if then == AfterAnswer::EndSending {
+            if then == BehaviorAfterAnswer::ShutdownWrite {
                 let _ = stream.shutdown(Shutdown::Write);
             }
             stream.set_read_timeout(Some(NEXT_LINE_TIMEOUT)).unwrap();
@@ -61,7 +61,7 @@
         let first_lines_of_removed_server = || balancer.servers[0].first_lines().len();
         wait_for("the new endpoint list", || {
             let before = first_lines_of_removed_server();
-            balancer.client("c=chat,d=900").receives("UP 1")
+            balancer.client("c=chat,d=900").next_line_is("UP 1")
                 && first_lines_of_removed_server() == before
         });
         balancer
@@ -69,7 +69,7 @@
 
     /// Starts a balancer whose only server drains, without health checks. Clients of the first
     /// traffic class have a set-up target of 4 s, so they wait long for another server.
-    pub fn without_ready_servers() -> Self {
+    pub fn with_draining_server_only() -> Self {
         let balancer = TestBalancer::with_config(1, |config| {
             with_settings(
                 &config,
--- a/crates/balancer/tests/configuration.rs
+++ b/crates/balancer/tests/configuration.rs
@@ -36,7 +36,7 @@
         wait_for(case, || {
             balancer
                 .client(&format!("c={class},d=900,g=room"))
-                .receives("UP 1")
+                .next_line_is("UP 1")
         });
     }
     balancer.terminate();
@@ -298,13 +298,13 @@
         ToyServer::start("127.0.0.1:0").unwrap(),
     );
     other_agent.publish("s-other", server.address, "Ready");
-    let changed_config = balancer.config.replace(
+    let changed_config = balancer.config_text.replace(
         &balancer.agent.address.to_string(),
         &other_agent.address.to_string(),
     );
     balancer.reload(&changed_config);
     wait_for("the other agent's endpoint list", || {
-        balancer.client("c=chat,d=900").receives("UP 1") && !server.first_lines().is_empty()
+        balancer.client("c=chat,d=900").next_line_is("UP 1") && !server.first_lines().is_empty()
     });
 }
 
--- a/crates/balancer/tests/crossings.rs
+++ b/crates/balancer/tests/crossings.rs
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 use common::toy::ServerBehavior;
-use common::{Client, LateServer, TestBalancer, wait_for, with_settings};
+use common::{Client, DelayedAcceptServer, TestBalancer, wait_for, with_settings};
 use serde_json::json;
 
 /// Starts a balancer whose only listed server is this one. It makes no health checks and has long
 /// connect timeouts and latency objectives.
-fn balancer_with_only_server(late: &LateServer, may_cancel: bool) -> TestBalancer {
+fn balancer_with_only_server(late: &DelayedAcceptServer, may_cancel: bool) -> TestBalancer {
     let balancer = TestBalancer::with_config(1, |config| {
         with_settings(
             &config,
@@ -51,7 +51,7 @@
         for may_cancel in [false, true] {
             for disconnect in ["close", "reset", "close after data", "half-close"] {
                 scope.spawn(move || {
-                    let late = LateServer::new();
+                    let late = DelayedAcceptServer::new();
                     let balancer = balancer_with_only_server(&late, may_cancel);
                     wait_for("end of the pending connects", || {
                         !late.has_pending_connect()
@@ -94,11 +94,11 @@
 /// be forwarded once a server is ready.
 #[test]
 fn client_that_ends_its_stream_with_its_first_line_gets_err_at_once_and_is_not_forwarded() {
-    let balancer = TestBalancer::without_ready_servers();
+    let balancer = TestBalancer::with_draining_server_only();
     let since = Instant::now();
     // Accepted before, so that the line and the end of the stream are one event.
     let mut clients: Vec<Client> = (0..5)
-        .map(|_| Client::new(balancer.address, b"PING\r\n"))
+        .map(|_| Client::connect_and_send(balancer.address, b"PING\r\n"))
         .collect();
     clients
         .iter_mut()
@@ -124,7 +124,7 @@
         .agent
         .publish("s-0", balancer.servers[0].address, "Ready");
     wait_for("the ready server", || {
-        balancer.client("c=chat,d=900").receives("UP 1")
+        balancer.client("c=chat,d=900").next_line_is("UP 1")
     });
     let seen = balancer.servers[0].first_lines();
     assert!(
@@ -146,7 +146,7 @@
     /// to finish the setup before, and short enough for the second attempt to start connecting
     /// within the window.
     const CLOSE_FIRST_ATTEMPT_AFTER: Duration = Duration::from_millis(1400);
-    let late = LateServer::new();
+    let late = DelayedAcceptServer::new();
     let balancer = TestBalancer::with_config(1, |config| {
         let order = json!({"name": "order", "setup-target": 4_000_000, "value": 1.0, "repeat": "guarded", "group": "all",
             "window": DEDUPLICATION_WINDOW.as_micros() as u64});
@@ -260,7 +260,7 @@
     thread::scope(|scope| {
         for change in ["Terminating", "Gone", "new address"] {
             scope.spawn(move || {
-                let late = LateServer::new();
+                let late = DelayedAcceptServer::new();
                 let balancer = balancer_with_only_server(&late, true);
                 wait_for("end of the pending connects", || {
                     !late.has_pending_connect()
@@ -276,7 +276,7 @@
                     }
                 }
                 // The balancer knows the new list once several clients in a row are served there.
-                let served = || balancer.client("c=chat,d=60").receives("UP 1");
+                let served = || balancer.client("c=chat,d=60").next_line_is("UP 1");
                 wait_for("the new endpoint list", || (0..4).all(|_| served()));
                 assert_eq!(
                     late.accept_first_line(),
@@ -309,13 +309,16 @@
                 .last()
                 .is_some_and(|line| line.contains("d=2"))
         });
-        let (closed_before, since) = (balancer.servers[0].closed_connections(), Instant::now());
+        let (closed_before, since) = (
+            balancer.servers[0].closed_connection_count(),
+            Instant::now(),
+        );
         balancer.while_stopped(|| {
             drop(client);
             balancer.servers[0].send_to_all("UP 1\r\n");
         });
         wait_for("close of the server's connection", || {
-            balancer.servers[0].closed_connections() > closed_before
+            balancer.servers[0].closed_connection_count() > closed_before
         });
         assert!(
             since.elapsed() < Duration::from_millis(1500),
--- a/crates/balancer/tests/deadlines.rs
+++ b/crates/balancer/tests/deadlines.rs
@@ -75,8 +75,8 @@
         let config = with_settings(&config, &[("limits/probes", json!(false))]);
         config.replace("\"sockets\":1024", "\"sockets\":256")
     });
-    assert!(balancer.config.contains("\"sockets\":256"));
-    balancer.agent.silence();
+    assert!(balancer.config_text.contains("\"sockets\":256"));
+    balancer.agent.stop_answering();
     let idle: Vec<TcpStream> = (0..IDLE_CLIENTS)
         .filter_map(|_| TcpStream::connect(balancer.address).ok())
         .collect();
@@ -91,7 +91,7 @@
     let connect = || {
         static IDS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let id = IDS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        Client::try_new(
+        Client::try_connect_and_send(
             balancer.address,
             format!("OPEN crowd{id:x} k c=chat,d=900\r\n").as_bytes(),
         )
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -38,11 +38,11 @@
         )
     });
     balancer.agent.set_behavior(failure);
-    let before = balancer.agent.calls().len();
+    let before = balancer.agent.recorded_calls().len();
     wait_for("second failing call", || {
-        balancer.agent.calls().len() >= before + 2
+        balancer.agent.recorded_calls().len() >= before + 2
     });
-    let second = balancer.agent.calls()[before + 1];
+    let second = balancer.agent.recorded_calls()[before + 1];
     thread::sleep(recovery_delay.saturating_sub(second.received_at.elapsed()));
     let recovered_at = Instant::now();
     balancer
@@ -50,9 +50,9 @@
         .publish("s-0", balancer.servers[0].address, "Terminating");
     balancer
         .agent
-        .set_behavior(AgentBehavior::Answering(QUEUE_WAIT));
+        .set_behavior(AgentBehavior::Serving(QUEUE_WAIT));
     let answered = || {
-        balancer.agent.calls()[before..]
+        balancer.agent.recorded_calls()[before..]
             .iter()
             .find_map(|call| call.answered_at.filter(|at| *at > recovered_at))
     };
@@ -104,16 +104,16 @@
     wait_for("call from the newest version", || {
         balancer
             .agent
-            .calls()
+            .recorded_calls()
             .last()
             .is_some_and(|call| call.from_version == Some(newest))
     });
     balancer
         .agent
         .set_behavior(AgentBehavior::Closing(Duration::ZERO));
-    let before = balancer.agent.calls().len();
+    let before = balancer.agent.recorded_calls().len();
     wait_for("call whose connection is closed", || {
-        balancer.agent.calls().len() > before
+        balancer.agent.recorded_calls().len() > before
     });
     balancer
         .agent
@@ -126,10 +126,10 @@
     );
     balancer
         .agent
-        .set_behavior(AgentBehavior::Answering(Duration::ZERO));
+        .set_behavior(AgentBehavior::Serving(Duration::ZERO));
     wait_for("drain of server s-1", || {
         let before = balancer.servers[1].first_lines().len();
-        (0..6).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
+        (0..6).all(|_| balancer.client("c=chat,d=900").next_line_is("UP 1"))
             && balancer.servers[1].first_lines().len() == before
     });
 }
@@ -143,20 +143,20 @@
         balancer
             .agent
             .set_behavior(AgentBehavior::Closing(Duration::ZERO));
-        let before = balancer.agent.calls().len();
+        let before = balancer.agent.recorded_calls().len();
         wait_for("call whose connection is closed", || {
-            balancer.agent.calls().len() > before
+            balancer.agent.recorded_calls().len() > before
         });
         balancer
             .agent
-            .set_behavior(AgentBehavior::Answering(Duration::ZERO));
-        let before = balancer.agent.calls().len();
+            .set_behavior(AgentBehavior::Serving(Duration::ZERO));
+        let before = balancer.agent.recorded_calls().len();
         // The update answers a call that is held, so that the next call is made at once.
         balancer
             .agent
             .publish("s-0", balancer.servers[0].address, "Ready");
         wait_for("answered call", || {
-            balancer.agent.calls()[before..]
+            balancer.agent.recorded_calls()[before..]
                 .iter()
                 .any(|call| call.answered_at.is_some())
         });
@@ -166,7 +166,7 @@
     }
     let full_lists = balancer
         .agent
-        .calls()
+        .recorded_calls()
         .iter()
         .filter(|call| call.from_version.is_none() && call.answered_at.is_some())
         .count();
@@ -198,15 +198,15 @@
     let newest_is_asked_for = || {
         balancer
             .agent
-            .calls()
+            .recorded_calls()
             .last()
             .is_some_and(|call| call.from_version == Some(newest))
     };
     wait_for("call from the newest version", newest_is_asked_for);
-    balancer.agent.silence();
-    let before = balancer.agent.calls().len();
+    balancer.agent.stop_answering();
+    let before = balancer.agent.recorded_calls().len();
     wait_for("call to the silent agent", || {
-        balancer.agent.calls().len() > before && newest_is_asked_for()
+        balancer.agent.recorded_calls().len() > before && newest_is_asked_for()
     });
     // The drain gets a version below the known one. Only the lower version shows the restart.
     balancer
@@ -216,7 +216,7 @@
     balancer.agent.resume();
     wait_for("drain of server s-1", || {
         let before = balancer.servers[1].first_lines().len();
-        (0..6).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
+        (0..6).all(|_| balancer.client("c=chat,d=900").next_line_is("UP 1"))
             && balancer.servers[1].first_lines().len() == before
     });
 }
@@ -257,7 +257,7 @@
 fn invalid_or_immediate_agent_answers_neither_end_nor_busy_the_balancer() {
     let balancer = TestBalancer::new(1);
     let mut configured_address = balancer.agent.address.to_string();
-    let mut config = balancer.config.clone();
+    let mut config = balancer.config_text.clone();
     for (what, body) in [
         (
             "no changes, answered at once",
@@ -308,7 +308,7 @@
     for (discovery, calls_min, calls_max) in [("push", 30, 80), ("ask", 2, 22)] {
         let (address, calls) = start_fixed_answer_agent("503 Busy", String::new());
         let config = balancer
-            .config
+            .config_text
             .replace(&balancer.agent.address.to_string(), &address.to_string());
         balancer.reload(&with_settings(&config, &[("discovery", json!(discovery))]));
         wait_for(discovery, || calls.load(Ordering::Relaxed) > 0);
@@ -367,7 +367,7 @@
                 balancer.agent.resume();
                 wait_for("drain of server s-1", || {
                     let before = balancer.servers[1].first_lines().len();
-                    (0..6).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
+                    (0..6).all(|_| balancer.client("c=chat,d=900").next_line_is("UP 1"))
                         && balancer.servers[1].first_lines().len() == before
                 });
                 let took = recovered_at.elapsed();
--- a/crates/balancer/tests/first_lines.rs
+++ b/crates/balancer/tests/first_lines.rs
@@ -31,7 +31,7 @@
         b"\r\n",
     ]
     .concat();
-    let mut served = Client::new(balancer.address, b"OPEN aa k c=chat,d=900\r\n");
+    let mut served = Client::connect_and_send(balancer.address, b"OPEN aa k c=chat,d=900\r\n");
     assert_eq!(served.read_line(), "UP 1");
     for bad in [
         &b"HELLO\r\n"[..],
@@ -47,7 +47,7 @@
         b"OPEN aa k c=chat,d=900\r\n",
         b"OPEN 1 k c=chat,d=900\r\nOPEN 2 k c=chat,d=900\r\n",
     ] {
-        let mut client = Client::new(balancer.address, bad);
+        let mut client = Client::connect_and_send(balancer.address, bad);
         assert_eq!(
             (client.read_line(), client.read_line()),
             ("ERR".into(), "end".into()),
@@ -65,12 +65,12 @@
         1
     );
     served.assert_echo("still there");
-    let mut flood = Client::new(balancer.address, &b"PING\r\n".repeat(300));
+    let mut flood = Client::connect_and_send(balancer.address, &b"PING\r\n".repeat(300));
     assert!(
         (0..20).map(|_| flood.read_line()).any(|line| line == "ERR"),
         "expected ERR after hundreds of commands at once"
     );
-    let mut split = Client::new(balancer.address, b"PING\r\nPI");
+    let mut split = Client::connect_and_send(balancer.address, b"PING\r\nPI");
     assert_eq!(split.read_line(), "PONG");
     split.send("NG\r\n");
     assert_eq!(split.read_line(), "PONG");
@@ -104,12 +104,13 @@
     });
     let since = Instant::now();
     let mut silent: Vec<Client> = (0..300)
-        .map(|_| Client::new(balancer.address, b""))
+        .map(|_| Client::connect_and_send(balancer.address, b""))
         .collect();
-    let mut incomplete = Client::new(balancer.address, b"OPEN 1 k c=ch");
+    let mut incomplete = Client::connect_and_send(balancer.address, b"OPEN 1 k c=ch");
     let endless: Vec<_> = (0..4)
         .map(|_| {
-            let mut client = Client::new(balancer.address, b"OPEN 1 k c=chat,d=900,x=");
+            let mut client =
+                Client::connect_and_send(balancer.address, b"OPEN 1 k c=chat,d=900,x=");
             let mut out = client.stream.try_clone().unwrap();
             let answer = thread::spawn(move || client.read_line());
             (
@@ -195,7 +196,7 @@
 /// sent: unread data must not reset the connection, which would discard the answer.
 #[test]
 fn client_that_sends_up_to_60_kb_before_it_is_served_reads_its_answer() {
-    let balancer = TestBalancer::without_ready_servers();
+    let balancer = TestBalancer::with_draining_server_only();
     for size in [300, 20_000, 60_000] {
         let mut client = balancer.client("c=chat,d=3000");
         thread::sleep(Duration::from_millis(150));
--- a/crates/balancer/tests/gossip.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -79,7 +79,7 @@
     for address in &addresses {
         wait_for("PONG", || TcpStream::connect(address).is_ok());
         wait_for("endpoint list", || {
-            Client::open(*address, "c=chat,d=1000").receives("UP 1")
+            Client::connect_with_open_line(*address, "c=chat,d=1000").next_line_is("UP 1")
         });
     }
     let open_flow = |address: SocketAddr, group: &str| {
@@ -87,7 +87,8 @@
             .iter()
             .map(|server| server.first_lines().len())
             .collect();
-        let mut client = Client::open(address, &format!("c=chat,d=1000,g={group}"));
+        let mut client =
+            Client::connect_with_open_line(address, &format!("c=chat,d=1000,g={group}"));
         assert_eq!(client.read_line(), "UP 1");
         let after = servers.iter().map(|server| server.first_lines().len());
         let server = before
--- a/crates/balancer/tests/leave.rs
+++ b/crates/balancer/tests/leave.rs
@@ -11,9 +11,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::recorder::Recorder;
+use common::recorder::RecordingServer;
 use common::toy::ServerBehavior;
-use common::{Client, LateServer, TestBalancer, wait_for, with_settings};
+use common::{Client, DelayedAcceptServer, TestBalancer, wait_for, with_settings};
 use serde_json::json;
 use socket2::SockRef;
 
@@ -77,7 +77,7 @@
 
 /// Starts a balancer without health checks whose clients have a long latency objective, and a
 /// recorder that is not in its endpoint list yet.
-fn start_balancer_and_recorder(may_cancel: bool) -> (TestBalancer, Recorder) {
+fn start_balancer_and_recorder(may_cancel: bool) -> (TestBalancer, RecordingServer) {
     let balancer = TestBalancer::with_config(1, |config| {
         with_settings(
             &config,
@@ -92,7 +92,7 @@
             ],
         )
     });
-    (balancer, Recorder::start())
+    (balancer, RecordingServer::start())
 }
 
 /// Drains the only server and waits until no client is placed any more.
@@ -114,7 +114,7 @@
         format!("OPEN {name}{id} k{i} c=chat,d=4500,g={name}{i}\r\n")
     };
     (0..count)
-        .map(|i| Client::new(balancer.address, open(i).as_bytes()))
+        .map(|i| Client::connect_and_send(balancer.address, open(i).as_bytes()))
         .collect()
 }
 
@@ -139,16 +139,16 @@
 }
 
 /// Asserts that the balancer still serves a client that stays, and places it on the recorder.
-fn assert_staying_client_is_served(balancer: &TestBalancer, recorder: &Recorder) {
+fn assert_staying_client_is_served(balancer: &TestBalancer, recorder: &RecordingServer) {
     wait_for("a client served by the recorder", || {
         connect_clients(balancer, "staying", 1)
             .remove(0)
-            .receives("UP 1")
+            .next_line_is("UP 1")
     });
     let seen = recorder.attempts.lock().unwrap();
     assert!(seen.iter().any(|attempt| {
         attempt
-            .line
+            .first_line
             .as_ref()
             .is_some_and(|(_, line)| line.contains("staying"))
     }));
@@ -168,7 +168,7 @@
                     balancer
                         .restart_with_arguments(&["--operator", operator_file.to_str().unwrap()]);
                     wait_for("an endpoint list", || {
-                        balancer.client("c=chat,d=1000").receives("UP 1")
+                        balancer.client("c=chat,d=1000").next_line_is("UP 1")
                     });
                 }
                 drain_only_server(&balancer);
@@ -178,7 +178,7 @@
                 thread::sleep(TRIGGER_DELAY);
                 balancer.agent.publish("s-new", recorder.address, "Ready");
                 thread::sleep(OBSERVATION_TIME);
-                recorder.assert_only_from("staying", "waiting");
+                recorder.assert_attempts_only_from("staying", "waiting");
                 assert_staying_client_is_served(&balancer, &recorder);
                 let _ = std::fs::remove_file(operator_file);
             });
@@ -197,7 +197,7 @@
                 let (balancer, recorder) = start_balancer_and_recorder(true);
                 let mut busy: Vec<Client> = (0..300)
                     .map(|_| balancer.client("c=chat,d=900"))
-                    .filter_map(|mut client| client.receives("UP 1").then_some(client))
+                    .filter_map(|mut client| client.next_line_is("UP 1").then_some(client))
                     .collect();
                 drain_only_server(&balancer);
                 let (leaving, staying) = (
@@ -223,7 +223,7 @@
                 });
                 let answers: Vec<String> = staying.iter_mut().map(Client::read_line).collect();
                 thread::sleep(OBSERVATION_TIME);
-                recorder.assert_only_from("staying", "busy");
+                recorder.assert_attempts_only_from("staying", "busy");
                 assert!(
                     busy.len() >= 50 && answers.iter().any(|answer| answer == "UP 1"),
                     "expected at least 50 open connections and UP 1 for a staying client, \
@@ -243,7 +243,7 @@
     let (balancer, recorder) = start_balancer_and_recorder(true);
     let mut busy: Vec<Client> = (0..300)
         .map(|_| balancer.client("c=chat,d=900"))
-        .filter_map(|mut client| client.receives("UP 1").then_some(client))
+        .filter_map(|mut client| client.next_line_is("UP 1").then_some(client))
         .collect();
     drain_only_server(&balancer);
     let leaving = connect_clients(&balancer, "leaving", 10);
@@ -260,7 +260,9 @@
     let disconnected_at = Instant::now();
     thread::sleep(OBSERVATION_TIME);
     for attempt in recorder.attempts.lock().unwrap().iter() {
-        let delay = attempt.at.saturating_duration_since(disconnected_at);
+        let delay = attempt
+            .accepted_at
+            .saturating_duration_since(disconnected_at);
         assert!(
             delay <= ATTEMPT_AFTER_DISCONNECT_MAX + SCHEDULING_TOLERANCE,
             "expected no attempt this long after the disconnects: {attempt:?}, {delay:?} after"
@@ -331,7 +333,7 @@
         for stopped in [false, true] {
             for how in DISCONNECTS {
                 scope.spawn(move || {
-                    let late = LateServer::new();
+                    let late = DelayedAcceptServer::new();
                     let (balancer, recorder) = start_balancer_and_recorder(false);
                     balancer.agent.publish("s-late", late.address, "Ready");
                     balancer
@@ -357,7 +359,10 @@
                         disconnect_and_time_out()
                     };
                     thread::sleep(OBSERVATION_TIME);
-                    recorder.assert_only_from("staying", &format!("stopped={stopped} {how:?}"));
+                    recorder.assert_attempts_only_from(
+                        "staying",
+                        &format!("stopped={stopped} {how:?}"),
+                    );
                     assert_eq!(
                         late.accept_first_line(),
                         "",
@@ -428,10 +433,10 @@
         disconnect_times.into_inner().unwrap(),
         own_sent.into_inner().unwrap(),
     );
-    let recording_delay = recorder.own_lateness(&own_sent);
+    let recording_delay = recorder.longest_recording_delay(&own_sent);
     let mut matched = 0;
     for attempt in recorder.attempts.lock().unwrap().iter() {
-        let Some((at, line)) = &attempt.line else {
+        let Some((at, line)) = &attempt.first_line else {
             continue;
         };
         let disconnected = disconnect_times
@@ -442,7 +447,7 @@
         };
         matched += 1;
         let delay = attempt
-            .at
+            .accepted_at
             .max(*at)
             .saturating_duration_since(*disconnected_at);
         // Twice the delay, since the test's own lines may have missed the longest one.
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -28,7 +28,7 @@
     );
     drop(clients);
     wait_for("free descriptors", || {
-        balancer.client("c=chat,d=900").receives("UP 1")
+        balancer.client("c=chat,d=900").next_line_is("UP 1")
     });
 }
 
@@ -43,7 +43,7 @@
         balancer
             .servers
             .iter()
-            .all(|server| server.health_checks() >= 2)
+            .all(|server| server.health_check_count() >= 2)
     });
     let open = std::fs::read_dir(format!("/proc/{}/fd", balancer.process.id()))
         .unwrap()
@@ -78,7 +78,7 @@
     let mut open: Vec<Client> = Vec::new();
     let served = (0..60).filter(|n| {
         open.push(balancer.client(&format!("c=chat,d=2000,g=r{n}")));
-        open.last_mut().unwrap().receives("UP 1")
+        open.last_mut().unwrap().next_line_is("UP 1")
     });
     let served = served.count();
     let status =
@@ -109,7 +109,7 @@
 fn list_of_200_servers_is_fully_checked_within_32_mb_and_256_descriptors() {
     let balancer = start_small_balancer(200);
     wait_for("health checks", || {
-        balancer.servers[0].health_checks() > 300
+        balancer.servers[0].health_check_count() > 300
     });
     let _open = assert_serves_within_limits(&balancer);
 }
@@ -124,17 +124,17 @@
     let balancer = start_small_balancer(1024);
     // Health checks made before the whole list was known don't count.
     std::thread::sleep(Duration::from_secs(1));
-    let (before, since) = (balancer.servers[0].health_checks(), Instant::now());
+    let (before, since) = (balancer.servers[0].health_check_count(), Instant::now());
     std::thread::sleep(Duration::from_secs(3));
-    let checked = (balancer.servers[0].health_checks() - before) as f64;
+    let checked = (balancer.servers[0].health_check_count() - before) as f64;
     let allowed = HEALTH_CHECKS_PER_SECOND_MAX * (since.elapsed().as_secs_f64() + 1.0) + 1.0;
     assert!(
         checked <= allowed,
         "expected at most {allowed} health checks, found {checked}"
     );
     let _open = assert_serves_within_limits(&balancer);
-    let before = balancer.servers[0].health_checks();
+    let before = balancer.servers[0].health_check_count();
     wait_for("health checks of servers that hold its connections", || {
-        balancer.servers[0].health_checks() > before + 10
+        balancer.servers[0].health_check_count() > before + 10
     });
 }
--- a/crates/balancer/tests/relay.rs
+++ b/crates/balancer/tests/relay.rs
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 
 use common::toy::ServerBehavior;
-use common::{AfterAnswer, Client, TestBalancer, server_that_says};
+use common::{BehaviorAfterAnswer, Client, TestBalancer, start_fixed_answer_server};
 
 #[test]
 fn lines_and_ends_of_streams_are_forwarded_in_both_directions() {
     let balancer = TestBalancer::new(1);
     // Guards against treating the bytes of one read as one line: lines arrive split and joined.
-    let mut client = Client::new(balancer.address, b"OPEN 1 k c=ch");
+    let mut client = Client::connect_and_send(balancer.address, b"OPEN 1 k c=ch");
     thread::sleep(Duration::from_millis(30));
     client.send("at,d=900,x=7\r\n");
     assert_eq!(client.read_line(), "UP 1");
@@ -75,16 +75,16 @@
 #[test]
 fn lines_that_arrive_in_one_read_with_up_are_forwarded_in_order() {
     for (text, then) in [
-        ("UP 1\r\nBYE\r\n", AfterAnswer::EndSending),
-        ("UP 1\r\nMOVE\r\n", AfterAnswer::EndSending),
+        ("UP 1\r\nBYE\r\n", BehaviorAfterAnswer::ShutdownWrite),
+        ("UP 1\r\nMOVE\r\n", BehaviorAfterAnswer::ShutdownWrite),
         (
             "UP 1\r\nLOAD 7\r\nok x\r\nBYE inflight=1,util=0.2\r\n",
-            AfterAnswer::EndSending,
+            BehaviorAfterAnswer::ShutdownWrite,
         ),
-        ("UP 1\r\n", AfterAnswer::EndSending),
-        ("UP 1\r\nLOAD 7\r\nok x\r\n", AfterAnswer::KeepOpen),
+        ("UP 1\r\n", BehaviorAfterAnswer::ShutdownWrite),
+        ("UP 1\r\nLOAD 7\r\nok x\r\n", BehaviorAfterAnswer::KeepOpen),
     ] {
-        let balancer = TestBalancer::with_only_server(server_that_says(text, then));
+        let balancer = TestBalancer::with_only_server(start_fixed_answer_server(text, then));
         let mut client = balancer.client("c=chat,d=900");
         for line in text.lines() {
             assert_eq!(
@@ -93,7 +93,7 @@
                 "expected the lines and the end that the server sent: {text:?}"
             );
         }
-        if then == AfterAnswer::EndSending {
+        if then == BehaviorAfterAnswer::ShutdownWrite {
             assert_eq!(
                 client.read_line(),
                 "end",
--- a/crates/balancer/tests/reload.rs
+++ b/crates/balancer/tests/reload.rs
@@ -16,7 +16,7 @@
 fn reload_switches_to_a_new_discovery_address_and_ignores_an_invalid_file() {
     let mut balancer = TestBalancer::new(2);
     let other = DiscoveryAgent::start("127.0.0.1:0").unwrap();
-    let first = balancer.config.clone();
+    let first = balancer.config_text.clone();
     let moved = first.replace(
         &balancer.agent.address.to_string(),
         &other.address.to_string(),
@@ -38,7 +38,7 @@
     let since = Instant::now();
     wait_for("the endpoint list of the other agent", || {
         let before = balancer.servers[0].first_lines().len();
-        (0..4).all(|_| balancer.client("c=chat,d=900").receives("UP 1"))
+        (0..4).all(|_| balancer.client("c=chat,d=900").next_line_is("UP 1"))
             && balancer.servers[0].first_lines().len() == before
     });
     assert!(since.elapsed() < Duration::from_secs(2));
@@ -52,7 +52,7 @@
     other.publish("s-2", balancer.servers[0].address, "Ready");
     wait_for("the next update of the other agent", || {
         let before = balancer.servers[0].first_lines().len();
-        balancer.client("c=chat,d=900").receives("UP 1")
+        balancer.client("c=chat,d=900").next_line_is("UP 1")
             && balancer.servers[0].first_lines().len() == before + 1
     });
     balancer.terminate();
@@ -91,7 +91,7 @@
         TcpStream::connect(balancer.address).is_ok()
     });
     wait_for("an endpoint list", || {
-        balancer.client("c=chat,d=900,g=warm").receives("UP 1")
+        balancer.client("c=chat,d=900,g=warm").next_line_is("UP 1")
     });
     let mut first = connect_limited(&balancer);
     assert_eq!(first.read_line(), "UP 1");
@@ -114,7 +114,7 @@
     write_limit("door", "2");
     balancer.signal("-HUP");
     wait_for("the new limit", || {
-        connect_limited(&balancer).receives("UP 1")
+        connect_limited(&balancer).next_line_is("UP 1")
     });
     drop(first);
     balancer.terminate();
@@ -127,7 +127,7 @@
 #[test]
 fn new_settings_are_applied_on_sighup_and_reverted_by_another_sighup() {
     let mut balancer = TestBalancer::new(2);
-    let first = balancer.config.clone();
+    let first = balancer.config_text.clone();
     // The second settings differ in structure: the traffic classes are in another order, one is new
     // and one is removed, balancers may gossip, and only one attempt is allowed.
     let mut changed: serde_json::Value = serde_json::from_str(&first).unwrap();
@@ -184,7 +184,7 @@
             "round {round}: expected no second attempt"
         );
         wait_for("the new traffic class", || {
-            balancer.client("c=lab,d=900").receives("UP 1")
+            balancer.client("c=lab,d=900").next_line_is("UP 1")
         });
         // Now only one attempt is allowed.
         balancer
@@ -218,7 +218,7 @@
         }
         thread::sleep(Duration::from_millis(100));
         wait_for("the second settings", || {
-            balancer.client("c=lab,d=900").receives("UP 1")
+            balancer.client("c=lab,d=900").next_line_is("UP 1")
         });
         // A reload with the first settings reverts the change.
         balancer.reload(&first);
@@ -240,7 +240,7 @@
             is_busy && has_retried
         });
         wait_for("a served client after the busy servers", || {
-            balancer.client("c=order,d=1000").receives("UP 1")
+            balancer.client("c=order,d=1000").next_line_is("UP 1")
         });
         open_clients
             .iter_mut()
--- a/crates/balancer/tests/shutdown.rs
+++ b/crates/balancer/tests/shutdown.rs
@@ -20,7 +20,7 @@
     wait_for("an endpoint list", || {
         balancer
             .client(&format!("c=chat,d={deadline_ms}"))
-            .receives("UP 1")
+            .next_line_is("UP 1")
     });
     balancer
 }
@@ -44,7 +44,7 @@
                 assert_eq!(client.read_line(), "UP 1");
                 std::fs::write(
                     &balancer.config_file,
-                    with_settings(&balancer.config, &deadline_settings(after)),
+                    with_settings(&balancer.config_text, &deadline_settings(after)),
                 )
                 .unwrap();
                 let since = Instant::now();
@@ -81,7 +81,7 @@
     let mut balancer = start_balancer(300);
     std::fs::write(
         &balancer.config_file,
-        with_settings(&balancer.config, &deadline_settings(1500)),
+        with_settings(&balancer.config_text, &deadline_settings(1500)),
     )
     .unwrap();
     balancer.signal("-HUP");
@@ -169,13 +169,14 @@
                 wait_for("an endpoint list", || {
                     balancer
                         .client(&format!("c=order,d={longest}"))
-                        .receives("ERR")
+                        .next_line_is("ERR")
                 });
                 balancer.servers[0].set_behavior(behavior);
                 let since = Instant::now();
                 balancer.terminate();
-                let mut incomplete = Client::new(balancer.address, b"OPEN half k c=chat,");
-                let mut last = Client::new(balancer.address, b"OPEN last k c=chat,");
+                let mut incomplete =
+                    Client::connect_and_send(balancer.address, b"OPEN half k c=chat,");
+                let mut last = Client::connect_and_send(balancer.address, b"OPEN last k c=chat,");
                 thread::sleep(Duration::from_millis(390).saturating_sub(since.elapsed()));
                 let mut late = balancer.client(&format!("c=order,d={}", longest.min(90)));
                 incomplete.send(&format!("d={}\r\n", longest.min(90)));
@@ -227,7 +228,7 @@
     let mut balancer = TestBalancer::new(1);
     balancer.restart_with_settings(&deadline_settings(400));
     wait_for("an endpoint list", || {
-        balancer.client("c=chat,d=400").receives("UP 1")
+        balancer.client("c=chat,d=400").next_line_is("UP 1")
     });
     balancer.servers[0].set_behavior(ServerBehavior::Silent);
     let mut clients: Vec<Client> = ["c=chat,at=s-0", "c=chat,at=s-none"]
@@ -257,7 +258,7 @@
     let mut balancer = TestBalancer::new(1);
     balancer.restart_with_settings(&deadline_settings(200));
     wait_for("an endpoint list", || {
-        balancer.client("c=chat,d=200").receives("UP 1")
+        balancer.client("c=chat,d=200").next_line_is("UP 1")
     });
     let mut clients: Vec<Client> = (0..6).map(|_| balancer.client("c=chat,d=200")).collect();
     clients
--- a/crates/balancer/tests/soak.rs
+++ b/crates/balancer/tests/soak.rs
@@ -15,8 +15,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::draws::Draws;
-use common::faults::{ENOBUFS, ENOMEM, Faults};
+use common::draws::SeededRandom;
+use common::faults::{ENOBUFS, ENOMEM, FaultPlan};
 use common::toy::{DiscoveryAgent, ServerBehavior};
 use common::{Client, TestBalancer, deadline_settings, wait_for, with_settings};
 use socket2::SockRef;
@@ -62,10 +62,10 @@
 
 impl ShutdownPlan {
     fn new(seed: u64) -> Self {
-        let mut draws = Draws::new(seed);
+        let mut draws = SeededRandom::new(seed);
         let deadlines_ms = [
-            draws.one_of(&[200, 500, 1000, 3000]),
-            draws.one_of(&[300, 800, 3000]),
+            draws.choose(&[200, 500, 1000, 3000]),
+            draws.choose(&[300, 800, 3000]),
         ];
         let mut signals = Vec::new();
         for _ in 0..draws.below(3) {
@@ -73,7 +73,7 @@
         }
         signals.push(("-TERM", draws.below(60)));
         for _ in 0..draws.below(4) {
-            signals.push((draws.one_of(&["-HUP", "-TERM", "-INT"]), draws.below(120)));
+            signals.push((draws.choose(&["-HUP", "-TERM", "-INT"]), draws.below(120)));
         }
         let faults = [
             String::new(),
@@ -127,7 +127,7 @@
 fn open_flow(balancer: &TestBalancer, plan: &ShutdownPlan, deadline_ms: u64) -> Option<String> {
     let since = Instant::now();
     let number = since.elapsed().as_nanos();
-    let mut client = Client::try_new(balancer.address, b"")?;
+    let mut client = Client::try_connect_and_send(balancer.address, b"")?;
     let id = format!(
         "{:x}{:x}",
         client.stream.local_addr().unwrap().port(),
@@ -166,13 +166,13 @@
 
 impl ExtraFaults {
     fn new(seed: u64) -> Self {
-        let mut draws = Draws::new(!seed);
+        let mut draws = SeededRandom::new(!seed);
         ExtraFaults {
             servers_left: (draws.below(3) == 0).then(|| 1 + draws.below(2) as usize),
             resetting_server: draws.below(3) == 0,
-            unread_clients: draws.one_of(&[0, 0, 3, 8]),
+            unread_clients: draws.choose(&[0, 0, 3, 8]),
             discovery_silent: draws.below(3) == 0,
-            busy_threads: draws.one_of(&[0, 0, 0, 4]),
+            busy_threads: draws.choose(&[0, 0, 0, 4]),
         }
     }
 }
@@ -233,15 +233,18 @@
     let sockets = if plan.silent_crowd { 256 } else { 1024 };
     let sockets = format!("\"sockets\": {sockets}");
     let config = |config: String| config.replace("\"sockets\": 1024", &sockets);
-    let mut balancer = TestBalancer::start(3, config, Some(Faults::none()));
+    let mut balancer = TestBalancer::start(3, config, Some(FaultPlan::empty()));
     balancer.wait_until_serving();
-    let config = with_settings(&balancer.config, &deadline_settings(plan.deadlines_ms[0]));
+    let config = with_settings(
+        &balancer.config_text,
+        &deadline_settings(plan.deadlines_ms[0]),
+    );
     balancer.restart_with_config(&config);
     let deadline_ms = plan.deadlines_ms[0];
     wait_for("endpoint list", || {
         balancer
             .client(&format!("c=chat,d={deadline_ms}"))
-            .receives("UP 1")
+            .next_line_is("UP 1")
     });
     balancer
 }
@@ -251,7 +254,7 @@
     let mut open = Vec::new();
     while open.len() < OPEN_CONNECTIONS {
         let mut client = balancer.client(&format!("c=chat,d={deadline_ms}"));
-        if client.receives("UP 1") {
+        if client.next_line_is("UP 1") {
             open.push(client);
         }
     }
@@ -266,10 +269,13 @@
     extra: &ExtraFaults,
     smaller_agent: &DiscoveryAgent,
 ) -> Instant {
-    let config = with_settings(&balancer.config, &deadline_settings(plan.deadlines_ms[1]));
+    let config = with_settings(
+        &balancer.config_text,
+        &deadline_settings(plan.deadlines_ms[1]),
+    );
     std::fs::write(&balancer.config_file, &config).unwrap();
     if extra.discovery_silent {
-        balancer.agent.silence();
+        balancer.agent.stop_answering();
     }
     let mut reloads = 0;
     let mut terminated = None;
@@ -317,7 +323,7 @@
     }
     let smaller_agent = start_smaller_agent(balancer, extra);
     let _load = ProcessorLoad::start(extra.busy_threads);
-    balancer.faults().set(&plan.faults);
+    balancer.faults().replace(&plan.faults);
     thread::scope(|scope| {
         let users: Vec<_> = open
             .into_iter()
--- a/crates/balancer/tests/sockets.rs
+++ b/crates/balancer/tests/sockets.rs
@@ -67,7 +67,7 @@
             .for_each(|server| server.set_behavior(ServerBehavior::Serving));
         // Servers are ejected after failures. The next case starts when a client is served again.
         wait_for("recovery", || {
-            balancer.client("c=chat,d=1000").receives("UP 1")
+            balancer.client("c=chat,d=1000").next_line_is("UP 1")
         });
     }
 }
@@ -110,7 +110,7 @@
         "expected no new flow on a draining server"
     );
     // Guards against a balancer that waits forever for an agent that has stopped answering.
-    balancer.agent.silence();
+    balancer.agent.stop_answering();
     thread::sleep(Duration::from_millis(1200));
     balancer
         .agent
--- a/crates/balancer/tests/starts.rs
+++ b/crates/balancer/tests/starts.rs
@@ -107,7 +107,10 @@
         .unwrap();
     wait_for("the listener", || TcpStream::connect(address).is_ok());
     for _ in 0..200 {
-        assert_eq!(Client::new(address, b"PING\r\n").read_line(), "PONG");
+        assert_eq!(
+            Client::connect_and_send(address, b"PING\r\n").read_line(),
+            "PONG"
+        );
     }
     assert!(
         Command::new("kill")
--- a/crates/balancer/tests/system_calls.rs
+++ b/crates/balancer/tests/system_calls.rs
@@ -65,7 +65,7 @@
     let balancer = balancer();
     for every in [1, 2, 7] {
         let plan = format!("epoll_ctl fail {ENOMEM} 0 {every} 40");
-        balancer.faults().set(&plan);
+        balancer.faults().replace(&plan);
         assert_all_served(&balancer, &plan);
     }
 }
@@ -77,7 +77,7 @@
     let balancer = balancer();
     for call in ["ioctl", "fcntl"] {
         let plan = format!("{call} fail {EINTR} 0 3 60");
-        balancer.faults().set(&plan);
+        balancer.faults().replace(&plan);
         assert_all_served(&balancer, &plan);
     }
 }
@@ -92,7 +92,7 @@
         ("recv short 1 0 1", 2000),
         ("send short 3 0 2\nrecv short 2 0 3", 1500),
     ] {
-        balancer.faults().set(plan);
+        balancer.faults().replace(plan);
         assert_all_served(&balancer, plan);
         // An answer of the balancer itself has to arrive complete too.
         balancer
@@ -109,7 +109,9 @@
             .servers
             .iter()
             .for_each(|server| server.set_behavior(ServerBehavior::Serving));
-        wait_for(plan, || balancer.client("c=chat,d=900").receives("UP 1"));
+        wait_for(plan, || {
+            balancer.client("c=chat,d=900").next_line_is("UP 1")
+        });
     }
 }
 
@@ -121,7 +123,7 @@
     for call in ["recv", "send"] {
         for errno in [ENOMEM, ENOBUFS] {
             let plan = format!("{call} fail {errno} 0 3 200");
-            balancer.faults().set(&plan);
+            balancer.faults().replace(&plan);
             assert_all_served(&balancer, &plan);
         }
     }
@@ -147,7 +149,7 @@
     ];
     for (call, errno) in cases {
         let plan = format!("{call} fail {errno} 0 3 60");
-        balancer.faults().set(&plan);
+        balancer.faults().replace(&plan);
         let mut clients: Vec<Client> = (0..CLIENTS)
             .map(|_| balancer.client("c=chat,d=2000"))
             .collect();
@@ -159,7 +161,9 @@
             );
         }
         balancer.faults().clear();
-        wait_for(&plan, || balancer.client("c=chat,d=900").receives("UP 1"));
+        wait_for(&plan, || {
+            balancer.client("c=chat,d=900").next_line_is("UP 1")
+        });
     }
 }
 
@@ -169,7 +173,7 @@
 fn servers_are_used_at_once_after_all_connects_failed_for_a_second() {
     let balancer = balancer();
     for errno in [ENETUNREACH, EADDRNOTAVAIL, ENOBUFS] {
-        balancer.faults().set(&format!("connect fail {errno}"));
+        balancer.faults().replace(&format!("connect fail {errno}"));
         let since = Instant::now();
         while since.elapsed() < Duration::from_secs(1) {
             let mut client = balancer.client("c=order,d=400");
@@ -195,12 +199,12 @@
 /// and the next one is made at once, other coroutines never get their turn.
 #[test]
 fn interrupted_connects_to_discovery_do_not_keep_the_worker_busy() {
-    let faults = Faults::none();
-    faults.set(&format!("connect fail {EINTR}"));
+    let faults = FaultPlan::empty();
+    faults.replace(&format!("connect fail {EINTR}"));
     let balancer = TestBalancer::start(1, |config| config, Some(faults));
     let is_answering = || {
-        Client::try_new(balancer.address, b"PING\r\n")
-            .is_some_and(|mut client| client.receives("PONG"))
+        Client::try_connect_and_send(balancer.address, b"PING\r\n")
+            .is_some_and(|mut client| client.next_line_is("PONG"))
     };
     wait_for("PONG", is_answering);
     balancer.faults().clear();
@@ -219,21 +223,23 @@
             balancer
                 .servers
                 .iter()
-                .all(|server| server.closed_connections() == server.first_lines().len())
+                .all(|server| server.closed_connection_count() == server.first_lines().len())
         };
         wait_for("end of the first clients", no_open_connections);
         thread::sleep(Duration::from_millis(200));
         let full_list_calls = || {
             balancer
                 .agent
-                .calls()
+                .recorded_calls()
                 .iter()
                 .filter(|call| call.from_version.is_none())
                 .count()
         };
         let before = full_list_calls();
         // Without clients and health checks, the failing read is that of the discovery connection.
-        balancer.faults().set(&format!("recv fail {errno} 0 1 1"));
+        balancer
+            .faults()
+            .replace(&format!("recv fail {errno} 0 1 1"));
         wait_for("call for the full list", || full_list_calls() > before);
     }
 }
@@ -250,15 +256,15 @@
             .iter()
             .enumerate()
             .for_each(|(i, server)| agent.publish(&format!("s-{i}"), server.address, "Ready"));
-        let moved = balancer.config.replace(
+        let moved = balancer.config_text.replace(
             &balancer.agent.address.to_string(),
             &agent.address.to_string(),
         );
         match failure {
             "open64" => balancer
                 .faults()
-                .set(&format!("open64 fail {ENFILE} 0 1 2")),
-            "read" => balancer.faults().set(&format!("read fail {EIO} 0 1 2")),
+                .replace(&format!("open64 fail {ENFILE} 0 1 2")),
+            "read" => balancer.faults().replace(&format!("read fail {EIO} 0 1 2")),
             _ => {}
         }
         let first_text = if failure == "half" {
@@ -269,9 +275,9 @@
         balancer.reload(first_text);
         thread::sleep(Duration::from_millis(400));
         std::fs::write(&balancer.config_file, &moved).unwrap();
-        wait_for(failure, || !agent.calls().is_empty());
+        wait_for(failure, || !agent.recorded_calls().is_empty());
         assert!(
-            balancer.client("c=chat,d=900").receives("UP 1"),
+            balancer.client("c=chat,d=900").next_line_is("UP 1"),
             "{failure}: expected clients to be served after the reload"
         );
     }
@@ -295,14 +301,14 @@
     thread::scope(|scope| {
         for (call, errno) in cases {
             scope.spawn(move || {
-                let faults = Faults::none();
-                faults.set(&format!("{call} fail {errno}"));
+                let faults = FaultPlan::empty();
+                faults.replace(&format!("{call} fail {errno}"));
                 let balancer = TestBalancer::start(1, |config| config, Some(faults));
                 thread::sleep(FAILURE_TIME);
                 balancer.faults().clear();
                 let is_answering = || {
-                    Client::try_new(balancer.address, b"PING\r\n")
-                        .is_some_and(|mut c| c.receives("PONG"))
+                    Client::try_connect_and_send(balancer.address, b"PING\r\n")
+                        .is_some_and(|mut c| c.next_line_is("PONG"))
                 };
                 wait_for(&format!("start after failed {call}"), is_answering);
                 balancer.wait_until_serving();
@@ -315,15 +321,15 @@
 /// has to affect the system call that it names, and no other.
 #[test]
 fn start_fails_when_listen_keeps_failing() {
-    let faults = Faults::none();
-    faults.set("listen fail 22");
+    let faults = FaultPlan::empty();
+    faults.replace("listen fail 22");
     let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux"));
     let file =
         std::env::temp_dir().join(format!("nettlemux-no-listener-{}.json", std::process::id()));
     let config = common::EXAMPLE.replace("127.0.0.1:7000", &common::unused_address().to_string());
     std::fs::write(&file, config).unwrap();
     command.args(["serve", "--config"]).arg(&file);
-    faults.load_into(&mut command);
+    faults.preload_into(&mut command);
     let output = command.output().unwrap();
     let _ = std::fs::remove_file(file);
     let printed = String::from_utf8(output.stderr).unwrap();
@@ -342,7 +348,7 @@
     let mut open = Vec::new();
     for every in [3, 2, 1] {
         let plan = format!("mmap fail {ENOMEM} 0 {every} 12\nmmap64 fail {ENOMEM} 0 {every} 12");
-        balancer.faults().set(&plan);
+        balancer.faults().replace(&plan);
         for _ in 0..130 {
             let mut client = balancer.client("c=chat,d=2000");
             let answer = client.read_line();
--- a/crates/balancer/tests/timers.rs
+++ b/crates/balancer/tests/timers.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::faults::Faults;
+use common::faults::FaultPlan;
 use common::toy::ServerBehavior;
 use common::{TestBalancer, with_settings};
 use serde_json::json;
@@ -30,7 +30,7 @@
 
 fn balancer(servers: usize) -> TestBalancer {
     let change = |config: String| with_settings(&config, &[("limits/probes", json!(false))]);
-    TestBalancer::start(servers, change, Some(Faults::none()))
+    TestBalancer::start(servers, change, Some(FaultPlan::empty()))
 }
 
 /// Guards against flows that are never answered. This happens if the thread that starts a timed
@@ -42,7 +42,7 @@
     for server in &balancer.servers {
         server.set_behavior(ServerBehavior::Silent);
     }
-    balancer.faults().set("futex_wake stall 35 0 29");
+    balancer.faults().replace("futex_wake stall 35 0 29");
     let mut errors = Vec::new();
     for _ in 0..ROUNDS {
         errors.extend(open_flows(&balancer));
@@ -93,7 +93,7 @@
     let (address, complete) = start_reading_server();
     balancer.agent.publish("s-0", address, "Ready");
     balancer.wait_until_serving();
-    balancer.faults().set("futex_wake stall 3 0 1");
+    balancer.faults().replace("futex_wake stall 3 0 1");
     let mut client = balancer.client("c=chat,d=1000");
     assert_eq!(client.read_line(), "UP 1");
     let line = format!("{}\r\n", "x".repeat(LINE_BYTES - 2));
--- a/crates/balancer/tests/wall_clock.rs
+++ b/crates/balancer/tests/wall_clock.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-use common::faults::Faults;
+use common::faults::FaultPlan;
 use common::toy::{ServerBehavior, ToyServer};
 use common::{TestBalancer, wait_for, with_settings};
 use serde_json::json;
@@ -28,8 +28,8 @@
 /// Starts a balancer whose wall clock is `step` seconds ahead, with servers whose warm-up takes
 /// `warm_up`.
 fn balancer(step: i64, start_capacity: f64, warm_up: Duration) -> TestBalancer {
-    let faults = Faults::none();
-    faults.set(&format!("clock_gettime step {step}"));
+    let faults = FaultPlan::empty();
+    faults.replace(&format!("clock_gettime step {step}"));
     let config = |config: String| {
         with_settings(
             &config,
@@ -142,7 +142,9 @@
         let since = Instant::now();
         let mut client = balancer.client("c=order,d=600");
         thread::sleep(Duration::from_millis(200));
-        balancer.faults().set(&format!("clock_gettime step {step}"));
+        balancer
+            .faults()
+            .replace(&format!("clock_gettime step {step}"));
         let answer = client.read_line();
         let took = since.elapsed().as_millis();
         // A flow that was forwarded uses its whole deadline. A flow that waits, because earlier
@@ -168,6 +170,6 @@
         .iter()
         .for_each(|server| server.set_behavior(ServerBehavior::Serving));
     wait_for("served client", || {
-        balancer.client("c=chat,d=900").receives("UP 1")
+        balancer.client("c=chat,d=900").next_line_is("UP 1")
     });
 }
--- a/crates/dataplane/src/discovery/agent.rs
+++ b/crates/dataplane/src/discovery/agent.rs
@@ -53,7 +53,8 @@
     }
 
     /// Registers `notifier`, which replaces the previous one and is sent [`CoroutineEvent::Stop`]
-    /// when the address changes. Returns false if the address has changed since `location` was read.
+    /// when the address changes. Returns false if the address has changed since `location` was
+    /// read.
     pub(super) fn notify_on_change(
         &self,
         notifier: Sender<CoroutineEvent>,
--- a/crates/line-protocol/tests/spoilt_bytes.rs
+++ b/crates/line-protocol/tests/spoilt_bytes.rs
@@ -6,7 +6,7 @@
 
 use std::panic::catch_unwind;
 
-use draws::Draws;
+use draws::SeededRandom;
 use nettlemux_dataplane::discovery::parse_list_update;
 use nettlemux_dataplane::wire::{self, HealthCheckAnswer, LineScanner, ServerAnswer};
 use nettlemux_line_protocol::first_line;
@@ -31,14 +31,14 @@
 ];
 
 /// Returns a valid text with a few of its bytes changed.
-fn corrupted(draws: &mut Draws) -> Vec<u8> {
-    let mut text = draws.one_of(&VALID_TEXTS).as_bytes().to_vec();
+fn corrupted(draws: &mut SeededRandom) -> Vec<u8> {
+    let mut text = draws.choose(&VALID_TEXTS).as_bytes().to_vec();
     for _ in 0..draws.below(CHANGES_BOUND) {
         let at = draws.below(text.len() as u64 + 1) as usize;
         match draws.below(4) {
-            0 if at < text.len() => text[at] = draws.one_of(INSERTED_BYTES),
+            0 if at < text.len() => text[at] = draws.choose(INSERTED_BYTES),
             1 if at < text.len() => drop(text.remove(at)),
-            2 => text.insert(at, draws.one_of(INSERTED_BYTES)),
+            2 => text.insert(at, draws.choose(INSERTED_BYTES)),
             _ => text.extend_from_within(at..),
         }
     }
@@ -67,7 +67,7 @@
 fn corrupted_bytes_cause_no_panic() {
     let panicked: Vec<u64> = (0..SEEDS)
         .filter(|seed| {
-            let mut draws = Draws::new(*seed);
+            let mut draws = SeededRandom::new(*seed);
             let text = corrupted(&mut draws);
             let cut = draws.below(text.len() as u64 + 1) as usize;
             catch_unwind(|| parse_all(&text, cut)).is_err()
--- a/crates/settings/tests/extreme_figures.rs
+++ b/crates/settings/tests/extreme_figures.rs
@@ -6,7 +6,7 @@
 
 use std::panic::catch_unwind;
 
-use draws::Draws;
+use draws::SeededRandom;
 use nettlemux_policy::{
     AttemptEnd, Endpoint, EndpointState, Flow, MS, Placement, Policy, PolicyEvent, SEC, Time,
 };
@@ -50,7 +50,7 @@
     "/accounts/0/fraction",
 ];
 
-fn settings(draws: &mut Draws) -> Value {
+fn settings(draws: &mut SeededRandom) -> Value {
     let mut settings = json!({
         "costs": {"probe": 0.01}, "replicas-of-me": 2, "surplus-value": 0.5,
         "contract": {"start-capacity": 0.35, "warm-up": 8e6, "fall-multiple": 3.0, "fall": 2e6},
@@ -60,13 +60,13 @@
         "service-types": [{"name": "a", "hard-limit": 1e6, "value": 1.0, "repeat": "free"}],
     });
     for _ in 0..1 + draws.below(3) {
-        let path = draws.one_of(&NUMERIC_SETTINGS);
-        *settings.pointer_mut(path).unwrap() = draws.one_of(&NUMBERS).parse().unwrap();
+        let path = draws.choose(&NUMERIC_SETTINGS);
+        *settings.pointer_mut(path).unwrap() = draws.choose(&NUMBERS).parse().unwrap();
     }
     settings
 }
 
-fn endpoint_list(draws: &mut Draws) -> Vec<Endpoint> {
+fn endpoint_list(draws: &mut SeededRandom) -> Vec<Endpoint> {
     let endpoint = |server_id, weight: &str| Endpoint {
         server_id,
         state: EndpointState::Ready,
@@ -75,7 +75,7 @@
         ..Endpoint::default()
     };
     (0..SERVERS)
-        .map(|id| endpoint(id, draws.one_of(&NUMBERS)))
+        .map(|id| endpoint(id, draws.choose(&NUMBERS)))
         .collect()
 }
 
@@ -90,7 +90,7 @@
 
 /// Runs one seed. Panics if a decision panics.
 fn run(seed: u64) {
-    let mut draws = Draws::new(seed);
+    let mut draws = SeededRandom::new(seed);
     let settings = settings(&mut draws);
     let parsed = Settings::within(&settings).unwrap();
     let mut policy = match parsed.policy(seed, 15 * MS, DrainMigration::Enabled) {
@@ -106,11 +106,11 @@
 }
 
 /// One load report, one flow with its attempt, and one timer event.
-fn step(policy: &mut Policy, draws: &mut Draws, now: Time, id: u64) {
+fn step(policy: &mut Policy, draws: &mut SeededRandom, now: Time, id: u64) {
     let report = format!(
         "busy={},rif={}",
-        draws.one_of(&NUMBERS),
-        draws.one_of(&NUMBERS)
+        draws.choose(&NUMBERS),
+        draws.choose(&NUMBERS)
     );
     let report = LoadReportFormat::default().parse(&report, '=').unwrap();
     let health_checked = PolicyEvent::HealthChecked {
@@ -137,7 +137,7 @@
             _ => PolicyEvent::Connected { flow: id, took },
         };
         policy.on_event(now + took, event);
-        policy.update_connection_load(id, draws.one_of(&NUMBERS).parse().unwrap());
+        policy.update_connection_load(id, draws.choose(&NUMBERS).parse().unwrap());
     }
     policy.on_event(now, PolicyEvent::TimerExpired);
     policy.time_to_next_timer(now);
--- a/examples/toy/agent.rs
+++ b/examples/toy/agent.rs
@@ -71,10 +71,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentBehavior {
     /// Answers each call.
-    Answering(Duration),
+    Serving(Duration),
     /// Reads calls and answers none.
     Silent,
-    /// Answers each call with status 503, unless the behavior is `Answering` by the time that the call
+    /// Answers each call with status 503, unless the behavior is `Serving` by the time that the call
     /// is processed.
     Rejecting(Duration),
     /// Closes the connection.
@@ -98,7 +98,7 @@
     list: Mutex<EndpointList>,
     changed: Condvar,
     behavior: Mutex<AgentBehavior>,
-    calls: Mutex<Vec<RecordedCall>>,
+    recorded_calls: Mutex<Vec<RecordedCall>>,
 }
 
 /// The parameters in the request line of a call.
@@ -138,8 +138,8 @@
             address: listener.local_addr()?,
             list: Mutex::default(),
             changed: Condvar::new(),
-            behavior: Mutex::new(AgentBehavior::Answering(Duration::ZERO)),
-            calls: Mutex::default(),
+            behavior: Mutex::new(AgentBehavior::Serving(Duration::ZERO)),
+            recorded_calls: Mutex::default(),
         });
         let serving = agent.clone();
         thread::spawn(move || {
@@ -188,13 +188,13 @@
     }
 
     /// Stops answering calls until [`resume`](Self::resume).
-    pub fn silence(&self) {
+    pub fn stop_answering(&self) {
         self.set_behavior(AgentBehavior::Silent);
     }
 
     /// Answers each call without a delay from now on.
     pub fn resume(&self) {
-        self.set_behavior(AgentBehavior::Answering(Duration::ZERO));
+        self.set_behavior(AgentBehavior::Serving(Duration::ZERO));
     }
 
     fn behavior(&self) -> AgentBehavior {
@@ -207,13 +207,13 @@
     }
 
     /// Returns the recorded calls, in order.
-    pub fn calls(&self) -> Vec<RecordedCall> {
-        self.calls.lock().unwrap().clone()
+    pub fn recorded_calls(&self) -> Vec<RecordedCall> {
+        self.recorded_calls.lock().unwrap().clone()
     }
 
     /// Records a call and returns its index.
     fn record_call(&self, from_version: Option<u64>) -> usize {
-        let mut calls = self.calls.lock().unwrap();
+        let mut calls = self.recorded_calls.lock().unwrap();
         if calls.len() < RECORDED_CALLS_MAX {
             calls.push(RecordedCall {
                 from_version,
@@ -232,11 +232,11 @@
             let request = ListRequest::read(&mut lines)?;
             let call = self.record_call(request.from_version);
             match self.behavior() {
-                AgentBehavior::Answering(delay) => thread::sleep(delay),
+                AgentBehavior::Serving(delay) => thread::sleep(delay),
                 AgentBehavior::Silent => continue,
                 AgentBehavior::Rejecting(delay) => {
                     thread::sleep(delay);
-                    if !matches!(self.behavior(), AgentBehavior::Answering(_)) {
+                    if !matches!(self.behavior(), AgentBehavior::Serving(_)) {
                         out.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                             .ok()?;
                         continue;
@@ -248,7 +248,7 @@
                 }
             }
             let body = self.wait_for_change(&request);
-            self.calls.lock().unwrap()[call].answered_at = Some(Instant::now());
+            self.recorded_calls.lock().unwrap()[call].answered_at = Some(Instant::now());
             write!(
                 out,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
--- a/examples/toy/server.rs
+++ b/examples/toy/server.rs
@@ -32,9 +32,9 @@
     behavior: Mutex<ServerBehavior>,
     load: Mutex<f64>,
     first_lines: Mutex<Vec<String>>,
-    health_checks: Mutex<usize>,
+    health_check_count: Mutex<usize>,
     open: Mutex<Vec<TcpStream>>,
-    closed_connections: Mutex<usize>,
+    closed_connection_count: Mutex<usize>,
 }
 
 impl ToyServer {
@@ -49,9 +49,9 @@
             behavior: Mutex::new(ServerBehavior::Serving),
             load: Mutex::new(INITIAL_LOAD),
             first_lines: Mutex::default(),
-            health_checks: Mutex::default(),
+            health_check_count: Mutex::default(),
             open: Mutex::default(),
-            closed_connections: Mutex::default(),
+            closed_connection_count: Mutex::default(),
         });
         let serving = server.clone();
         thread::spawn(move || {
@@ -83,13 +83,13 @@
     }
 
     /// Returns the number of health checks that the server has received.
-    pub fn health_checks(&self) -> usize {
-        *self.health_checks.lock().unwrap()
+    pub fn health_check_count(&self) -> usize {
+        *self.health_check_count.lock().unwrap()
     }
 
     /// Returns the number of connections that the balancer has closed.
-    pub fn closed_connections(&self) -> usize {
-        *self.closed_connections.lock().unwrap()
+    pub fn closed_connection_count(&self) -> usize {
+        *self.closed_connection_count.lock().unwrap()
     }
 
     /// Sends this text on all open connections.
@@ -118,7 +118,7 @@
                 self.answer_line(&line, &mut out)?;
             }
         }
-        *self.closed_connections.lock().unwrap() += 1;
+        *self.closed_connection_count.lock().unwrap() += 1;
         // A silent server keeps its side open. This simulates a machine that has vanished.
         while self.behavior() == ServerBehavior::Silent {
             thread::sleep(SILENCE_CHECK_INTERVAL);
@@ -128,7 +128,7 @@
 
     fn answer_health_check(&self, request: &str, out: &mut TcpStream) -> Option<()> {
         let behavior = self.behavior();
-        *self.health_checks.lock().unwrap() += 1;
+        *self.health_check_count.lock().unwrap() += 1;
         let load = *self.load.lock().unwrap();
         let report = if request == "STATS" {
             format!(" x0={load},util={load}")
