--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -1,5 +1,6 @@
-//! The figures of a run, by name: gathered by a driver, told as a table, as JSON and against
-//! expectations. It owns their names; what a name means is the same for both drivers.
+//! The figures of a run, by name. The simulation or the socket run collects them; they are printed
+//! as a table or as JSON and compared with the scenario's expectations. This module owns the names.
+//! A name means the same in simulations and in socket runs.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,152 +14,159 @@
 
 use crate::rules::Verdict;
 
-/// All figures, each with what it means.
+/// The names of all figures, each with its description.
 pub const NAMES: [(&str, &str); 32] = [
     (
         "worth",
-        "part of the worth wanted that was served in time, from the settling on",
+        "share of the requested value that was served in time, after the settling time",
     ),
-    ("worth_worst", "the same in the worst 5 s"),
+    ("worth_worst", "the same, in the worst 5 s"),
     (
         "goodput",
-        "worth served in time a second, from the settling on",
+        "value served in time per second, after the settling time",
     ),
     (
         "setup_p50",
-        "seconds from a flow's taking to its connection, median",
+        "seconds from accepting a flow to its connection, median",
     ),
     ("setup_p99", "the same, 99th percentile"),
     (
         "setup_in_target",
-        "part of established flows that were so within their target",
+        "share of established flows that met their latency objective",
     ),
     (
         "message_p50",
-        "seconds of a message on average on the server where it is, median over connections and time",
+        "mean seconds of a message on its server, median over connections and time",
     ),
     ("message_p99", "the same, 99th percentile"),
-    ("flows", "flows taken"),
+    ("flows", "flows accepted"),
     (
         "established",
-        "part of the flows answered that were established",
+        "share of the answered flows that were established",
     ),
-    ("rejected", "part that was rejected"),
-    ("aborted", "part that was aborted"),
+    ("rejected", "share of the answered flows that were rejected"),
+    ("aborted", "share of the answered flows that failed"),
     ("unanswered", "flows whose client gave up without an answer"),
-    ("connects_per_flow", "connects made for each flow"),
+    ("connects_per_flow", "connection attempts per flow"),
     (
         "moves_per_established",
-        "connections moved by balancers for each established",
+        "connections migrated by balancers per established flow",
     ),
     (
         "lost_per_established",
-        "connections reset by servers or with their balancer for each established",
+        "connections reset by servers or lost with their balancer, per established flow",
+    ),
+    (
+        "reconnects_worst",
+        "reconnecting clients in the worst second",
     ),
-    ("reconnects_worst", "returning clients in the worst second"),
     (
         "spread",
-        "deviation of the servers' load over their mean, on average",
+        "standard deviation of the servers' utilization over its mean, average of all samples",
     ),
-    ("hot", "part of server time over 0.8 of capacity"),
-    ("fell", "cold servers that fell over"),
-    ("clients_lost", "clients that gave up for good"),
-    ("standing", "connections at the end"),
-    ("rules_broken", "breaks of the four rules"),
-    ("probes", "probes made"),
+    ("hot", "share of server time above 0.8 of capacity"),
+    ("fell", "servers that collapsed in slow start"),
+    ("clients_lost", "clients that gave up permanently"),
+    ("standing", "connections at the end of the run"),
+    ("rules_broken", "violations of the four rules"),
+    ("probes", "health checks sent"),
     (
         "quiet_p50",
-        "seconds from when a client of any tenant but the first wants service until it has it, tries and all, median",
+        "seconds from a client's first request to its connection, retries included, for all tenants but the first, median",
     ),
     ("quiet_p99", "the same, 99th percentile"),
     (
         "quiet_lost",
-        "part of such clients' answers that were rejections or failures",
+        "share of the answers to clients of these tenants that were rejections or failures",
     ),
     (
         "told_served",
-        "part of those that came back when they were told to and were then established",
+        "share of the clients that retried at their Retry-After time that were then established",
     ),
     (
         "told_slice",
-        "most that came back when told to in one tenth of a second, over the mean of those that have any",
+        "most clients that retried at their Retry-After time in a tenth of a second, over the mean of the tenths with any",
     ),
     (
         "balancer_cpu",
-        "processor seconds a second of each balancer's process, on average; 0 in virtual time",
+        "CPU seconds per second of a balancer process, average; 0 in virtual time",
     ),
     (
         "balancer_mb",
-        "largest resident memory of a balancer's process, in MB; 0 in virtual time",
+        "largest resident memory of a balancer process, in MB; 0 in virtual time",
     ),
-    ("steps", "events of virtual time, or lines on sockets"),
+    ("steps", "events in virtual time, or lines on sockets"),
 ];
 
-/// Counts and histograms while a run goes on.
+/// Collects the counts and histograms of a run that is in progress.
 pub struct FigureCollector {
     settle: Time,
-    wanted: f64,
-    served: f64,
-    seconds: f64,
-    recent: (Time, f64, f64),
-    worst: f64,
-    setup: Histogram<u64>,
-    message: Histogram<u64>,
-    in_target: u64,
-    /// Flows that balancers have accepted.
+    requested_value: f64,
+    served_value: f64,
+    measured_seconds: f64,
+    /// Start, requested value and served value of the current [`VALUE_WINDOW`].
+    window: (Time, f64, f64),
+    worst_window: f64,
+    setup_time: Histogram<u64>,
+    message_time: Histogram<u64>,
+    within_objective: u64,
+    /// Flows that balancers accepted.
     pub flows: u64,
     answers: BTreeMap<FinalAnswer, u64>,
     /// Flows without an answer.
     pub unanswered: u64,
-    /// Attempts that were made.
+    /// Connection attempts.
     pub attempts: u64,
     /// Connections that balancers migrated.
     pub moves: u64,
     /// Connections that were reset.
     pub lost: u64,
+    /// The current second, its reconnecting clients, and the most in any second.
     reconnecting: (Time, u64, u64),
-    quiet: Histogram<u64>,
-    quiet_lost: u64,
-    quiet_answers: u64,
-    told_served: u64,
-    told_answers: u64,
-    /// By tenth of a second.
-    told: BTreeMap<u64, u64>,
+    other_tenants_setup: Histogram<u64>,
+    other_tenants_lost: u64,
+    other_tenants_answers: u64,
+    retries_established: u64,
+    retries_answered: u64,
+    /// Clients that retried at their Retry-After time, by tenth of a second.
+    retries: BTreeMap<u64, u64>,
+    /// Sum of the relative standard deviations, and the number of samples.
     spread: (f64, f64),
+    /// Samples above [`HOT_UTILIZATION`], and all samples, each of one server.
     hot: (f64, f64),
-    /// Servers that collapsed in their slow start.
+    /// Servers that collapsed in slow start.
     pub fell: u64,
-    /// Clients that gave up for good.
+    /// Clients that gave up permanently.
     pub clients_lost: u64,
-    /// Health checks that were sent.
+    /// Health checks sent.
     pub probes: u64,
-    /// Events that the simulation has handled.
+    /// Events that the simulation handled.
     pub steps: u64,
 }
 
-/// Worth is looked at over so long for its worst.
-const STRETCH: Time = 5 * SEC;
-/// The figure past which a server is hot, as the design has it.
-const HOT: f64 = 0.8;
+/// Length of the windows whose lowest served share is `worth_worst`.
+const VALUE_WINDOW: Time = 5 * SEC;
+/// The utilization above which a server is hot, as the design defines it.
+const HOT_UTILIZATION: f64 = 0.8;
 
 fn histogram() -> Histogram<u64> {
-    // Microseconds to ten minutes, three digits.
-    Histogram::new_with_bounds(1, 600_000_000, 3).expect("fixed bounds")
+    // From 1 µs to ten minutes, with three significant digits.
+    Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are valid constants")
 }
 
 impl FigureCollector {
-    /// Makes an empty collection that counts from the settling time on.
+    /// Creates an empty collector whose methods ignore what happens before the settling time `settle`.
     pub fn new(settle: Time) -> Self {
         FigureCollector {
             settle,
-            wanted: 0.0,
-            served: 0.0,
-            seconds: 0.0,
-            recent: (settle, 0.0, 0.0),
-            worst: 1.0,
-            setup: histogram(),
-            message: histogram(),
-            in_target: 0,
+            requested_value: 0.0,
+            served_value: 0.0,
+            measured_seconds: 0.0,
+            window: (settle, 0.0, 0.0),
+            worst_window: 1.0,
+            setup_time: histogram(),
+            message_time: histogram(),
+            within_objective: 0,
             flows: 0,
             answers: BTreeMap::new(),
             unanswered: 0,
@@ -166,12 +174,12 @@
             moves: 0,
             lost: 0,
             reconnecting: (0, 0, 0),
-            quiet: histogram(),
-            quiet_lost: 0,
-            quiet_answers: 0,
-            told_served: 0,
-            told_answers: 0,
-            told: BTreeMap::new(),
+            other_tenants_setup: histogram(),
+            other_tenants_lost: 0,
+            other_tenants_answers: 0,
+            retries_established: 0,
+            retries_answered: 0,
+            retries: BTreeMap::new(),
             spread: (0.0, 0.0),
             hot: (0.0, 0.0),
             fell: 0,
@@ -181,23 +189,23 @@
         }
     }
 
-    /// Worth wanted and served over the last stretch, both times its length in seconds.
+    /// Adds the value requested and served during the last `seconds`, each multiplied by that time.
     pub fn worth(&mut self, now: Time, (wanted, served): (f64, f64), seconds: f64) {
         if now < self.settle {
             return;
         }
-        self.seconds += seconds;
-        self.wanted += wanted;
-        self.served += served;
-        let (since, w, s) = self.recent;
-        (self.recent.1, self.recent.2) = (w + wanted, s + served);
-        if now >= since + STRETCH {
-            self.worst = self.worst.min(part(s + served, w + wanted));
-            self.recent = (now, 0.0, 0.0);
+        self.measured_seconds += seconds;
+        self.requested_value += wanted;
+        self.served_value += served;
+        let (since, w, s) = self.window;
+        (self.window.1, self.window.2) = (w + wanted, s + served);
+        if now >= since + VALUE_WINDOW {
+            self.worst_window = self.worst_window.min(ratio(s + served, w + wanted));
+            self.window = (now, 0.0, 0.0);
         }
     }
 
-    /// Takes the utilization of each server.
+    /// Records a sample of every server's utilization.
     pub fn load(&mut self, now: Time, utilizations: &[f64]) {
         if now < self.settle || utilizations.is_empty() {
             return;
@@ -214,28 +222,29 @@
         );
         self.hot.0 += utilizations
             .iter()
-            .filter(|utilization| **utilization > HOT)
+            .filter(|utilization| **utilization > HOT_UTILIZATION)
             .count() as f64;
         self.hot.1 += utilizations.len() as f64;
     }
 
-    /// Takes the mean time of a message on one server, in seconds, and its connections.
+    /// Records the mean time of a message on one server, in seconds, once for each of the server's
+    /// connections.
     pub fn message(&mut self, now: Time, seconds: f64, connections: u64) {
         if now >= self.settle && connections > 0 {
-            self.message
+            self.message_time
                 .saturating_record_n((seconds * 1e6) as u64, connections);
         }
     }
 
-    /// Takes a final answer, the time that it took and its latency objective.
+    /// Records the final answer to a flow, the time that it took and the flow's latency objective.
     pub fn answered(&mut self, now: Time, with: FinalAnswer, took: Time, target: Time) {
         if now < self.settle {
             return;
         }
         *self.answers.entry(with).or_default() += 1;
         if with == FinalAnswer::Connected {
-            self.setup.saturating_record(took / 1000);
-            self.in_target += u64::from(took <= target);
+            self.setup_time.saturating_record(took / 1000);
+            self.within_objective += u64::from(took <= target);
         }
     }
 
@@ -251,77 +260,83 @@
         }
     }
 
-    /// A client's flow was answered.
+    /// Records the final answer to a flow for the figures of its client.
     pub fn of_client(&mut self, now: Time, client: &Client, with: FinalAnswer) {
         if now < self.settle {
             return;
         }
         let established = with == FinalAnswer::Connected;
         if client.told {
-            self.told_answers += 1;
-            self.told_served += u64::from(established);
+            self.retries_answered += 1;
+            self.retries_established += u64::from(established);
         }
         if client.tenant > 0 {
-            self.quiet_answers += 1;
-            self.quiet_lost += u64::from(!established);
+            self.other_tenants_answers += 1;
+            self.other_tenants_lost += u64::from(!established);
             if established {
-                self.quiet
+                self.other_tenants_setup
                     .saturating_record(now.saturating_sub(client.since) / 1000);
             }
         }
     }
 
-    /// A client comes back when it was told to.
+    /// Counts a client that retries at its Retry-After time.
     pub fn came_when_told(&mut self, now: Time) {
         if now >= self.settle {
-            *self.told.entry(now / (SEC / 10)).or_default() += 1;
+            *self.retries.entry(now / (SEC / 10)).or_default() += 1;
         }
     }
 
-    fn told_slice(&self) -> f64 {
-        let most = self.told.values().max().copied().unwrap_or(0) as f64;
-        part(
-            most * self.told.len() as f64,
-            self.told.values().sum::<u64>() as f64,
+    fn retry_peak_ratio(&self) -> f64 {
+        let most = self.retries.values().max().copied().unwrap_or(0) as f64;
+        ratio(
+            most * self.retries.len() as f64,
+            self.retries.values().sum::<u64>() as f64,
         )
     }
 
-    /// Returns the figures of the run.
+    /// Returns the figures of the run. `standing` is the number of connections at its end.
     pub fn finish(self, standing: usize, verdict: &Verdict) -> Figures {
         let answer = |with| self.answers.get(&with).copied().unwrap_or(0) as f64;
         let answered: f64 = self.answers.values().sum::<u64>() as f64;
         let established = answer(FinalAnswer::Connected);
         let seconds = |histogram: &Histogram<u64>, at| histogram.value_at_quantile(at) as f64 / 1e6;
         let values = [
-            part(self.served, self.wanted),
-            self.worst,
-            part(self.served, self.seconds),
-            seconds(&self.setup, 0.5),
-            seconds(&self.setup, 0.99),
-            part(self.in_target as f64, established),
-            seconds(&self.message, 0.5),
-            seconds(&self.message, 0.99),
+            ratio(self.served_value, self.requested_value),
+            self.worst_window,
+            ratio(self.served_value, self.measured_seconds),
+            seconds(&self.setup_time, 0.5),
+            seconds(&self.setup_time, 0.99),
+            ratio(self.within_objective as f64, established),
+            seconds(&self.message_time, 0.5),
+            seconds(&self.message_time, 0.99),
             self.flows as f64,
-            part(established, answered),
-            part(answer(FinalAnswer::Rejected), answered),
-            part(answer(FinalAnswer::Failed), answered),
+            ratio(established, answered),
+            ratio(answer(FinalAnswer::Rejected), answered),
+            ratio(answer(FinalAnswer::Failed), answered),
             self.unanswered as f64,
-            part(self.attempts as f64, self.flows as f64),
-            part(self.moves as f64, established),
-            part(self.lost as f64, established),
+            ratio(self.attempts as f64, self.flows as f64),
+            ratio(self.moves as f64, established),
+            ratio(self.lost as f64, established),
             self.reconnecting.2 as f64,
-            part(self.spread.0, self.spread.1),
-            part(self.hot.0, self.hot.1),
+            ratio(self.spread.0, self.spread.1),
+            ratio(self.hot.0, self.hot.1),
             self.fell as f64,
             self.clients_lost as f64,
             standing as f64,
             verdict.violations.values().sum::<usize>() as f64,
             self.probes as f64,
-            seconds(&self.quiet, 0.5),
-            seconds(&self.quiet, 0.99),
-            part(self.quiet_lost as f64, self.quiet_answers as f64),
-            part(self.told_served as f64, self.told_answers as f64),
-            self.told_slice(),
+            seconds(&self.other_tenants_setup, 0.5),
+            seconds(&self.other_tenants_setup, 0.99),
+            ratio(
+                self.other_tenants_lost as f64,
+                self.other_tenants_answers as f64,
+            ),
+            ratio(
+                self.retries_established as f64,
+                self.retries_answered as f64,
+            ),
+            self.retry_peak_ratio(),
             0.0,
             0.0,
             self.steps as f64,
@@ -330,10 +345,9 @@
     }
 }
 
-/// A part of a whole; all of it where there is nothing to have a part of, 0 where the part is 0
-/// too.
-fn part(of: f64, whole: f64) -> f64 {
-    if whole > 0.0 { of / whole } else { 0.0 }
+/// Returns `part / whole`, and 0 if `whole` is 0.
+fn ratio(part: f64, whole: f64) -> f64 {
+    if whole > 0.0 { part / whole } else { 0.0 }
 }
 
 /// A run's figures.
@@ -341,7 +355,7 @@
 pub struct Figures(pub BTreeMap<&'static str, f64>);
 
 impl Figures {
-    /// Returns a figure by its name; 0 where there is none of that name.
+    /// Returns a figure by its name, NaN if there is no figure of that name.
     pub fn get(&self, name: &str) -> f64 {
         self.0.get(name).copied().unwrap_or(f64::NAN)
     }
@@ -351,28 +365,32 @@
         json!(self.0)
     }
 
-    /// A table, in the order of [`NAMES`].
+    /// Returns the figures as a table, in the order of [`NAMES`].
     pub fn table(&self) -> String {
         let mut out = String::new();
-        for (name, means) in NAMES {
-            writeln!(out, "{name:<22} {:>12}  {means}", show(self.get(name)))
-                .expect("a string takes all");
+        for (name, description) in NAMES {
+            writeln!(
+                out,
+                "{name:<22} {:>12}  {description}",
+                show(self.get(name))
+            )
+            .expect("writing to a string never fails");
         }
         out
     }
 
-    /// What is not as the scenario expects; empty where all is.
+    /// Returns a message for each figure that is outside the bounds that the scenario expects.
     pub fn unmet(&self, scenario: &Scenario) -> Vec<String> {
         let check = |(name, expect): (&String, &Expect)| {
             let value = self.get(name);
-            let under = expect.min.is_some_and(|min| value.is_nan() || value < min);
-            let over = expect.max.is_some_and(|max| value.is_nan() || value > max);
-            let bound = if under {
-                ("under", expect.min)
+            let below = expect.min.is_some_and(|min| value.is_nan() || value < min);
+            let above = expect.max.is_some_and(|max| value.is_nan() || value > max);
+            let bound = if below {
+                ("below", expect.min)
             } else {
-                ("over", expect.max)
+                ("above", expect.max)
             };
-            (under || over).then(|| {
+            (below || above).then(|| {
                 format!(
                     "{name} {} is {} {}",
                     show(value),
@@ -385,7 +403,7 @@
     }
 }
 
-/// Four digits that count.
+/// Formats a value with at most four decimals, fewer for larger values.
 pub fn show(value: f64) -> String {
     match value.abs() {
         size if size >= 1000.0 || value.fract() == 0.0 => format!("{value:.0}"),
