--- a/crates/testbed/src/balancer_process.rs
+++ b/crates/testbed/src/balancer_process.rs
@@ -1,5 +1,6 @@
-//! What can be seen of a balancer's process from outside: what the system says of it, whether it
-//! answers, and the end of its log. It owns nothing, and must never start or end a process.
+//! Observes a balancer process from outside: its resource usage as the system reports it, whether
+//! it answers `PING`, and the end of its log. This module holds no state and never starts or ends a
+//! process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -9,15 +10,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// How long the answer to a `PING` is waited for.
+/// Time limit for the answer to a `PING`.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// Lines of a log that are told where its balancer has died.
-const LOG_LINES: usize = 20;
-/// Where the user and the system time of `/proc/PID/stat` stand, counted in words after the
-/// program's name in brackets.
-const CPU_TIME_WORDS: [usize; 2] = [11, 12];
+/// Lines of a balancer's log that are reported when it has died or is not ready in time.
+const REPORTED_LOG_LINES: usize = 20;
+/// Indexes of the user and the system time in `/proc/PID/stat`, among the fields after the program's
+/// name in parentheses.
+const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
-/// What the system says of a process.
+/// The resource usage of a process as the system reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ProcessUsage {
     pub cpu_seconds: f64,
@@ -27,7 +28,7 @@
 }
 
 impl ProcessUsage {
-    /// Returns what the process with this id uses; zeros where it doesn't run.
+    /// Returns the usage of the process with this id, all zeros if it is not running.
     pub(crate) fn of(process_id: u32) -> Self {
         let folder = format!("/proc/{process_id}");
         let read = |name: &str| fs::read_to_string(format!("{folder}/{name}")).unwrap_or_default();
@@ -41,16 +42,18 @@
     }
 }
 
-/// User and system time of a `/proc/PID/stat`.
+/// Returns the sum of user and system time in the text of a `/proc/PID/stat`, in seconds.
 fn cpu_seconds(stat: &str) -> f64 {
     let after_name = stat.rsplit(')').next().unwrap_or_default();
-    let words: Vec<&str> = after_name.split_whitespace().collect();
-    let ticks = CPU_TIME_WORDS.map(|at| words.get(at).and_then(|word| word.parse::<f64>().ok()));
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
+    let ticks =
+        CPU_TIME_FIELDS.map(|at| fields.get(at).and_then(|field| field.parse::<f64>().ok()));
     let ticks: f64 = ticks.into_iter().flatten().sum();
     ticks / rustix::param::clock_ticks_per_second() as f64
 }
 
-/// A line of a `/proc/PID/status` that is a number of kilobytes.
+/// Returns the value of a line of a `/proc/PID/status` that is in kilobytes, converted to megabytes.
+/// 0 if there is no such line.
 fn megabytes(status: &str, name: &str) -> f64 {
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     let kilobytes = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
@@ -59,20 +62,20 @@
 
 /// Returns whether the balancer at this address answers `PING`.
 pub(crate) async fn answers_ping(address: SocketAddr) -> bool {
-    let ask = async {
+    let ping = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"PING\r\n").await.ok()?;
         let mut answer = [0; 6];
         stream.read_exact(&mut answer).await.ok()?;
         (&answer == b"PONG\r\n").then_some(())
     };
-    matches!(tokio::time::timeout(PING_TIMEOUT, ask).await, Ok(Some(())))
+    matches!(tokio::time::timeout(PING_TIMEOUT, ping).await, Ok(Some(())))
 }
 
-/// Returns the last lines of a log; nothing where it can't be read.
+/// Returns the last lines of a log, or an empty string if it cannot be read.
 pub(crate) fn log_end(log: &Path) -> String {
     let text = fs::read(log).unwrap_or_default();
     let text = String::from_utf8_lossy(&text);
     let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(LOG_LINES)..].join("\n")
+    lines[lines.len().saturating_sub(REPORTED_LOG_LINES)..].join("\n")
 }
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -1,6 +1,7 @@
-//! The check of the rule checker itself: sound balancers must pass, and each that breaks a rule on
-//! purpose must be caught at that rule. It owns the scenario on which all of them have the
-//! occasion, and must never count a break of another rule as a catch.
+//! The check of the rule checker itself: sound balancers must pass, and each mutant, which breaks a
+//! rule on purpose, must be detected by a violation of that rule. A violation of another rule never
+//! counts as a detection. This module owns the scenarios, which give every mutant the occasion to
+//! break its rule.
 
 use std::fmt::Write;
 use std::io;
@@ -16,109 +17,109 @@
 use crate::simulate::{PolicyChoice, simulate};
 use crate::sockets::{self, Outcome, Program, SocketRunError};
 
-const SCENARIO: (&str, &str) = (
+const SIMULATED_SCENARIO: (&str, &str) = (
     "testbed/scenarios/self-check.toml",
     include_str!("../../../testbed/scenarios/self-check.toml"),
 );
-const ON_SOCKETS: (&str, &str) = (
+const SOCKET_SCENARIO: (&str, &str) = (
     "testbed/scenarios/self-check-sockets.toml",
     include_str!("../../../testbed/scenarios/self-check-sockets.toml"),
 );
 
-/// Results so far, and how many were not as they must be.
+/// The results so far as text, and the number of all and of failed checks.
 #[derive(Default)]
 struct CheckReport {
     text: String,
     all: usize,
-    missed: usize,
+    failed: usize,
 }
 
 impl CheckReport {
-    fn say(&mut self, name: &str, good: bool, what: &str) {
+    fn add_result(&mut self, name: &str, passed: bool, what: &str) {
         self.all += 1;
-        self.missed += usize::from(!good);
-        let word = if good { "ok  " } else { "FAIL" };
-        writeln!(self.text, "{word} {name:<36} {what}").expect("a string takes all");
+        self.failed += usize::from(!passed);
+        let word = if passed { "ok  " } else { "FAIL" };
+        writeln!(self.text, "{word} {name:<36} {what}").expect("writing to a string never fails");
     }
 
-    fn sound(&mut self, name: &str, verdict: &Verdict) {
+    fn add_sound(&mut self, name: &str, verdict: &Verdict) {
         let what = format!(
             "rules kept over {} flows: {:?}",
             verdict.flows, verdict.violations
         );
-        self.say(name, verdict.kept() && verdict.flows > 0, &what);
+        self.add_result(name, verdict.kept() && verdict.flows > 0, &what);
     }
 
-    fn caught(&mut self, name: &str, mutant: Mutant, verdict: &Verdict) {
+    fn add_mutant(&mut self, name: &str, mutant: Mutant, verdict: &Verdict) {
         let count = verdict
             .violations
             .get(&mutant.breaks())
             .copied()
             .unwrap_or(0);
-        self.say(
+        self.add_result(
             name,
             count > 0,
-            &format!("{:?} seen {count} times", mutant.breaks()),
+            &format!("{:?} detected {count} times", mutant.breaks()),
         );
     }
 
-    /// Reports a run on sockets; one that is void is no pass, but a break that was seen was seen,
-    /// however slow the machine.
-    fn socket_run(&mut self, run: &CheckedRun, outcome: &Outcome) {
+    /// Adds the result of a run on sockets. A void run of a sound balancer fails. A mutant's violation
+    /// counts even if the run is void, because a slow machine does not take back what was observed.
+    fn add_socket_run(&mut self, run: &CheckedRun, outcome: &Outcome) {
         match (run.mutant, &outcome.void) {
-            (Some(mutant), _) => self.caught(&run.name, mutant, &outcome.verdict),
-            (None, Some(void)) => self.say(&run.name, false, &format!("void: {void}")),
-            (None, None) => self.sound_socket_run(&run.name, outcome),
+            (Some(mutant), _) => self.add_mutant(&run.name, mutant, &outcome.verdict),
+            (None, Some(void)) => self.add_result(&run.name, false, &format!("void: {void}")),
+            (None, None) => self.add_sound_socket_run(&run.name, outcome),
         }
     }
 
-    fn sound_socket_run(&mut self, name: &str, outcome: &Outcome) {
-        self.sound(name, &outcome.verdict);
+    fn add_sound_socket_run(&mut self, name: &str, outcome: &Outcome) {
+        self.add_sound(name, &outcome.verdict);
         for example in &outcome.verdict.examples {
             let at_ms = example.at / MS;
             self.text += &format!("     {:?} at {at_ms} ms: {}\n", example.rule, example.what);
         }
-        for why in &outcome.died {
-            self.say(name, false, why);
+        for death in &outcome.died {
+            self.add_result(name, false, death);
         }
     }
 
-    fn closed(mut self) -> (String, bool) {
-        let good = self.missed == 0;
+    fn finish(mut self) -> (String, bool) {
+        let passed = self.failed == 0;
         writeln!(
             self.text,
             "{} passed, {} failed",
-            self.all - self.missed,
-            self.missed
+            self.all - self.failed,
+            self.failed
         )
-        .expect("a string takes all");
-        (self.text, good)
+        .expect("writing to a string never fails");
+        (self.text, passed)
     }
 }
 
 /// Why the rule checker could not be checked.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// A scenario of the check is no TOML.
+    /// A scenario of the check is not valid TOML.
     #[error("{file}: {source}")]
     Toml {
         /// The scenario's file.
         file: &'static str,
-        /// What the TOML reader found.
+        /// The error of the TOML parser.
         source: Box<toml::de::Error>,
     },
-    /// A scenario of the check is faulty.
+    /// A scenario of the check is invalid.
     #[error(transparent)]
     ScenarioFile(#[from] ScenarioFileError),
-    /// A run in virtual time could not be made.
+    /// A run in virtual time failed.
     #[error(transparent)]
     Simulation(#[from] io::Error),
-    /// A run on sockets could not be made.
+    /// A run on sockets failed.
     #[error("{name}: {source}")]
     SocketRun {
-        /// What was run.
+        /// The name of the run.
         name: String,
-        /// Why it could not be made.
+        /// The cause.
         source: SocketRunError,
     },
 }
@@ -131,58 +132,61 @@
     Ok(file::read(&table, Path::new(file))?)
 }
 
-/// In virtual time: what to print, and whether the rule checker is to be trusted.
+/// Checks the rule checker in virtual time. Returns the report to print, and whether all checks
+/// passed.
 ///
 /// # Errors
-/// The scenario is faulty.
+/// The scenario is invalid, or a run failed.
 pub fn self_check() -> Result<(String, bool), CheckError> {
-    let scenario = scenario(SCENARIO)?;
+    let scenario = scenario(SIMULATED_SCENARIO)?;
     let run = |who| simulate(&scenario, scenario.seed, who, None);
     let mut report = CheckReport::default();
-    report.sound(
+    report.add_sound(
         "sound",
         &run(PolicyChoice::Policy(PolicyKind::Nettlemux))?.verdict,
     );
     for mutant in Mutant::ALL {
-        report.caught(
+        report.add_mutant(
             mutant.name(),
             mutant,
             &run(PolicyChoice::Mutant(mutant))?.verdict,
         );
     }
-    Ok(report.closed())
+    Ok(report.finish())
 }
 
-/// The same on sockets, with small balancers started from the testbed's program and, where it is
-/// named, the real one. All run side by side, each between stand-ins of its own.
+/// Checks the rule checker on sockets, like [`self_check`] in virtual time. `testbed` is the
+/// testbed's own program, which is started as each of the small balancers. `real` is the program of
+/// the real balancer, which is checked too if it is given. Several runs are made at the same time,
+/// each with stand-ins of its own. A void run of a sound balancer does not pass.
 ///
 /// # Errors
-/// The scenario is faulty or a run could not be made; a run that is void is no pass.
+/// The scenario is invalid, or a run failed.
 pub fn on_sockets(testbed: &Path, real: Option<&Path>) -> Result<(String, bool), CheckError> {
-    let scenario = scenario(ON_SOCKETS)?;
+    let scenario = scenario(SOCKET_SCENARIO)?;
     let mut report = CheckReport::default();
-    // A few at a time: the stand-ins of all at once would need more cores than there are.
+    // The stand-ins of all runs at once would need more cores than the machine has.
     for runs in checked_runs(testbed, real).chunks(CONCURRENT_RUNS) {
-        for (run, outcome) in runs.iter().zip(run_side_by_side(&scenario, runs)) {
+        for (run, outcome) in runs.iter().zip(run_concurrently(&scenario, runs)) {
             let outcome = outcome.map_err(|source| CheckError::SocketRun {
                 name: run.name.clone(),
                 source,
             })?;
-            report.socket_run(run, &outcome);
+            report.add_socket_run(run, &outcome);
         }
     }
-    Ok(report.closed())
+    Ok(report.finish())
 }
 
-/// A run on sockets that the rule checker must judge rightly.
+/// A run on sockets whose verdict is checked.
 struct CheckedRun {
     name: String,
-    /// What it breaks; none where it is sound.
+    /// The mutant that runs; `None` for a sound balancer.
     mutant: Option<Mutant>,
     program: Program,
 }
 
-/// All runs on sockets, the sound ones first.
+/// Returns all runs on sockets, those of sound balancers first.
 fn checked_runs(testbed: &Path, real: Option<&Path>) -> Vec<CheckedRun> {
     let small = |name: &str| Program {
         path: testbed.into(),
@@ -206,8 +210,8 @@
     std::iter::once(sound).chain(real).chain(mutants).collect()
 }
 
-/// Makes the runs at the same time, each on a thread of its own.
-fn run_side_by_side(
+/// Makes the runs at the same time, each on its own thread.
+fn run_concurrently(
     scenario: &Scenario,
     runs: &[CheckedRun],
 ) -> Vec<Result<Outcome, SocketRunError>> {
@@ -223,5 +227,5 @@
     })
 }
 
-/// Runs on sockets at a time.
+/// Runs on sockets that are made at the same time.
 const CONCURRENT_RUNS: usize = 4;
--- a/crates/testbed/src/file_error.rs
+++ b/crates/testbed/src/file_error.rs
@@ -3,18 +3,18 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A file, folder or program that cannot be used.
+/// An operation on a file, folder or program that failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", .path.display())]
 pub struct FileError {
     /// The file, folder or program.
     pub path: PathBuf,
-    /// What the system said.
+    /// The error that the system returned.
     pub source: io::Error,
 }
 
 impl FileError {
-    /// Returns a function that adds the path to an error of the system, for `map_err`.
+    /// Returns a function for `map_err` that adds the path to a system error.
     pub fn at(path: &Path) -> impl Fn(io::Error) -> FileError + '_ {
         move |source| FileError {
             path: path.into(),
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,13 @@
 //! The testbed: scenarios in virtual time and on sockets, experiments, the rule checker and scale
 //! runs.
 //!
-//! [`simulate`] runs a scenario in virtual time with a policy in each balancer, [`sockets`] runs it
-//! in real time with balancer processes between stand-ins. [`rules`] checks any run by what was
-//! observed alone; [`experiment`] compares, sweeps and hunts; [`scale`] grows one count at a time,
-//! and [`capacity`] writes the capacity page from what it measured. Uses go down to the fleet model
-//! and the flow table. Nothing here may know how the policy decides.
+//! [`simulate`] runs a scenario in virtual time with a policy in each balancer. [`sockets`] runs it
+//! in real time with balancer processes between stand-ins for the clients, servers and discovery.
+//! [`rules`] checks any run from the observations alone. [`experiment`] compares
+//! policies on the same seeds, sweeps a scenario key, and hunts for the scenario with the worst result. [`scale`] measures
+//! while one count grows at a time, and [`capacity`] writes the capacity page from these
+//! measurements. The crate depends on the fleet model and the flow table. Nothing here may depend on
+//! how the policy decides.
 
 #![warn(missing_docs)]
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What the commands print: the figures of a run, comparisons and broken rules.
+//! The output of the commands: the figures of a run, comparisons, and violations of the rules.
 
 use std::fmt::Write as _;
 
@@ -9,18 +9,18 @@
 use nettlemux_testbed::rules::{Verdict, Violation};
 use serde_json::json;
 
-/// What a command prints, and its verdict.
+/// The output of a command, and whether it passed.
 pub struct Output {
-    /// What is printed on standard output.
+    /// The text for standard output.
     pub text: String,
-    /// Whether all was as expected.
+    /// Whether everything was as expected.
     pub passed: bool,
-    /// Whether the machine was too slow for the run to be a result.
+    /// Whether the run is void, for example because the machine was too slow.
     pub void: bool,
 }
 
 impl Output {
-    /// The output of a command that has come to a result.
+    /// Creates the output of a command whose result is valid.
     pub fn new(text: String, passed: bool) -> Self {
         Output {
             text,
@@ -38,15 +38,15 @@
     pub policy: &'a str,
     pub figures: Figures,
     pub verdict: Verdict,
-    /// On sockets, the use of each balancer: processor seconds a second, and the largest resident
-    /// memory in MB.
+    /// In a run on sockets, the usage of each balancer: CPU seconds per second, and the largest
+    /// resident memory in MB.
     pub balancers: Vec<(f64, f64)>,
-    /// Whether the run was in virtual time.
+    /// Whether the run was a simulation in virtual time.
     pub simulated: bool,
 }
 
 impl RunReport<'_> {
-    /// Returns the run as text or as JSON, and whether the rules and all expectations were kept.
+    /// Returns the run as text or as JSON, and whether the rules and all expectations were met.
     pub fn output(&self, json: bool) -> Output {
         let unmet = self.figures.unmet(self.scenario);
         let passed = unmet.is_empty() && self.verdict.kept();
@@ -68,18 +68,18 @@
     fn text(&self, unmet: &[String], passed: bool) -> String {
         let mut out = self.figures.table();
         for (balancer, (cpu, memory)) in self.balancers.iter().enumerate() {
-            let usage = format!("{cpu:.4} processor seconds a second, {memory:.1} MB at most");
-            writeln!(out, "balancer {balancer}: {usage}").expect("a string takes all");
+            let usage = format!("{cpu:.4} CPU seconds per second, {memory:.1} MB at peak");
+            writeln!(out, "balancer {balancer}: {usage}").expect("writing to a string never fails");
         }
         out += &violations(&self.verdict);
         for what in unmet {
-            writeln!(out, "unmet: {what}").expect("a string takes all");
+            writeln!(out, "unmet: {what}").expect("writing to a string never fails");
         }
-        out += &self.last_line(unmet.len(), passed);
+        out += &self.summary(unmet.len(), passed);
         out
     }
 
-    fn last_line(&self, unmet: usize, passed: bool) -> String {
+    fn summary(&self, unmet: usize, passed: bool) -> String {
         let word = if passed { "good" } else { "NOT GOOD" };
         let how = match self.simulated {
             true => "simulated",
@@ -96,7 +96,7 @@
     }
 }
 
-/// Says in a few words whether the rules were kept.
+/// Returns a short text that says whether the rules were kept, or which were broken how often.
 pub fn rules(verdict: &Verdict) -> String {
     if verdict.kept() {
         return format!(
@@ -112,17 +112,24 @@
     format!("RULES BROKEN: {}", each.join(", "))
 }
 
-/// Lists the first violations of the rules, one a line.
+/// Lists the first violations of the rules, one per line.
 pub fn violations(verdict: &Verdict) -> String {
     let at = |violation: &Violation| violation.at as f64 / SEC as f64;
     verdict
         .examples
         .iter()
-        .map(|one| format!("{:>9.3} s {:?}: {}\n", at(one), one.rule, one.what))
+        .map(|example| {
+            format!(
+                "{:>9.3} s {:?}: {}\n",
+                at(example),
+                example.rule,
+                example.what
+            )
+        })
         .collect()
 }
 
-/// Shows an estimate with its 95 % interval.
+/// Formats an estimate with its 95 % interval.
 pub fn interval(estimate: Estimate) -> String {
     match estimate.within {
         Some(within) => format!("{} ± {}", show(estimate.mean), show(within)),
@@ -137,7 +144,7 @@
     pub b: &'a str,
     /// How the runs were made: simulated or on sockets.
     pub how: &'a str,
-    /// How many pairs of runs there are.
+    /// Number of pairs of runs.
     pub seeds: u64,
     pub rows: &'a [Row],
 }
@@ -178,7 +185,7 @@
                 "{:<22} {:>20} {:>20} {:>20}",
                 row.name, cells[0], cells[1], cells[2]
             )
-            .expect("a string takes all");
+            .expect("writing to a string never fails");
         }
         out
     }
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -1,11 +1,11 @@
 //! Discrete-event simulation of a scenario in virtual time.
 //!
-//! [`simulate`] plays a scenario's model (servers, discovery, clients and faults) against simulated
+//! [`simulate`] runs a scenario's model (servers, discovery, clients and faults) against simulated
 //! balancers. Their decisions come from a [`PolicyChoice`]: the policy, a baseline, or a balancer
 //! that breaks a rule on purpose. The simulation itself decides nothing: it delivers events between
-//! clients, balancers and servers, shows every observable fact to the rule checker, and gathers the
-//! figures. Events take effect in order of time, and at the same time in the order in which they
-//! were scheduled, so the same scenario, seed and decisions always give the same record.
+//! clients, balancers and servers, passes every observation to the rule checker, and collects the
+//! figures. Events take effect in order of time, and events of the same time in the order in which
+//! they were scheduled, so the same scenario, seed and decisions always give the same record.
 
 mod answers;
 mod attempts;
@@ -46,7 +46,7 @@
 }
 
 impl PolicyChoice {
-    /// The name as the command line has it.
+    /// Returns the name as it is written on the command line.
     pub fn name(self) -> &'static str {
         match self {
             PolicyChoice::Policy(kind) => kind.name(),
@@ -59,14 +59,14 @@
 pub struct Outcome {
     /// The figures, from the settling time on.
     pub figures: Figures,
-    /// What the rule checker of the rules says.
+    /// The verdict of the rule checker.
     pub verdict: Verdict,
 }
 
-/// Runs a scenario to its end. `record` receives every observable fact.
+/// Runs a scenario to its end. `record` receives every observation.
 ///
 /// # Errors
-/// The record can't be written.
+/// The record cannot be written.
 pub fn simulate(
     scenario: &Scenario,
     seed: u64,
