--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,7 +1,6 @@
-//! The capacity page: that the committed one is what the stored run and the assumptions give, that
-//! a change of any of the three is noticed, what is said of bad input, and the arithmetic against
-//! figures worked out by hand. The run in `capacity/synthetic-run.jsonl` is made up, never
-//! measured.
+//! The capacity page: the committed page matches the stored run and the assumptions, a change of any
+//! of the three is detected, invalid input is reported, and the arithmetic agrees with figures
+//! calculated by hand. The run in `capacity/synthetic-run.jsonl` is synthetic, not measured.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -29,8 +28,8 @@
     std::fs::read_to_string(file).unwrap()
 }
 
-/// A folder of its own with the committed page and assumptions and the synthetic run; removed when
-/// dropped.
+/// A temporary folder with copies of the committed page and assumptions and of the synthetic run. It
+/// is removed on drop.
 struct Scratch {
     folder: PathBuf,
     files: Files,
@@ -57,25 +56,25 @@
         std::fs::read_to_string(&self.files.page).unwrap()
     }
 
-    /// The row of a table that begins with this figure.
+    /// Returns the first table row for this quantity.
     fn row(&self, quantity: &str) -> String {
-        let begin = format!("| {quantity} |");
+        let prefix = format!("| {quantity} |");
         let page = self.page();
         let rows: Vec<&str> = page
             .lines()
-            .filter(|line| line.starts_with(&begin))
+            .filter(|line| line.starts_with(&prefix))
             .collect();
         assert!(!rows.is_empty(), "no row '{quantity}'");
         rows[0].to_string()
     }
 
-    fn command(&self, more: &[&str]) -> Output {
+    fn command(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
         command.arg("capacity").arg("--run").arg(&self.files.run);
         command
             .arg("--assumptions")
             .arg(&self.files.assumptions)
-            .args(more)
+            .args(arguments)
             .arg(&self.files.page);
         command.output().unwrap()
     }
@@ -92,17 +91,17 @@
 }
 
 #[test]
-fn the_committed_page_is_what_the_stored_run_and_the_assumptions_give() {
+fn committed_page_matches_the_stored_run_and_the_assumptions() {
     let stale = capacity::check(&committed()).unwrap();
     assert!(
         stale.is_empty(),
-        "stale: {stale:?}; `nettlemux-testbed capacity --write` writes them anew"
+        "stale: {stale:?}; `nettlemux-testbed capacity --write` regenerates them"
     );
 }
 
-/// Guards against figures in the text that stay as they were when the run changes.
+/// Guards against figures in the handwritten text, which would not follow a new run.
 #[test]
-fn text_by_hand_quotes_no_figures() {
+fn handwritten_text_contains_no_figures() {
     let prose = capacity::prose(&committed()).unwrap();
     let quoting: Vec<&str> = prose
         .lines()
@@ -112,13 +111,13 @@
 }
 
 #[test]
-fn a_figure_that_is_edited_by_hand_is_noticed_and_written_anew() {
+fn figure_edited_by_hand_is_reported_and_regenerated() {
     let scratch = Scratch::new("edited");
     assert!(scratch.command(&["--write"]).status.success());
     let sound = scratch.page();
     let row = scratch.row("one placement");
     let edited = row.replacen("752", "75", 1);
-    assert_ne!(row, edited, "the figure stands in the row");
+    assert_ne!(row, edited, "the row contains the figure");
     std::fs::write(&scratch.files.page, sound.replacen(&row, &edited, 1)).unwrap();
     let output = scratch.command(&[]);
     assert_eq!(output.status.code(), Some(1), "{}", text_of(&output));
@@ -133,13 +132,13 @@
 }
 
 #[test]
-fn a_run_that_changes_makes_the_page_stale() {
+fn changed_or_missing_run_makes_the_page_stale() {
     let scratch = Scratch::new("run-changes");
     capacity::write(&scratch.files).unwrap();
     assert!(capacity::check(&scratch.files).unwrap().is_empty());
     let slope = r#""fit":"place_p50_us","varied":"servers","intercept":2,"slope":0.125"#;
     let changed = synthetic_run().replacen(slope, &slope.replace("0.125", "0.126"), 1);
-    assert_ne!(changed, synthetic_run(), "the fixture has that slope");
+    assert_ne!(changed, synthetic_run(), "the fixture contains this slope");
     std::fs::write(&scratch.files.run, changed).unwrap();
     let stale = capacity::check(&scratch.files).unwrap();
     assert!(
@@ -149,12 +148,12 @@
     std::fs::remove_file(&scratch.files.run).unwrap();
     assert!(
         capacity::check(&scratch.files).unwrap().contains(&"run"),
-        "the run is gone"
+        "the run was deleted"
     );
 }
 
 #[test]
-fn an_assumption_that_changes_makes_the_page_stale() {
+fn changed_assumption_makes_the_page_stale() {
     let scratch = Scratch::new("assumption-changes");
     capacity::write(&scratch.files).unwrap();
     let text = std::fs::read_to_string(&scratch.files.assumptions).unwrap();
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn without_a_run_no_measured_figure_is_made_up() {
+fn without_a_stored_run_measured_figures_are_shown_as_not_measured() {
     let scratch = Scratch::new("no-run");
     std::fs::remove_file(&scratch.files.run).unwrap();
     capacity::write(&scratch.files).unwrap();
@@ -190,16 +189,16 @@
     }
 }
 
-/// Worked out by hand from the synthetic slopes at 6,000 servers, 1,400 balancers and an hour's
-/// life.
+/// The expected values are calculated by hand from the synthetic slopes at 6,000 servers, 1,400
+/// balancers and a connection lifetime of one hour.
 #[test]
-fn figures_are_slope_times_count() {
+fn figures_follow_from_fitted_lines_and_counts() {
     let scratch = Scratch::new("arithmetic");
     capacity::write(&scratch.files).unwrap();
     let cases = [
         // 2 + 0.125 x 3,000, 6,000 and 12,000.
         ("one placement", "377 / 752 / 1,502"),
-        // 5 / 0.25 of payload and 3 x 52 of headers.
+        // 5 / 0.25 bytes of payload and 3 x 52 bytes of headers.
         ("one probe", "176"),
         // 50 + 0.05 x servers.
         (
@@ -210,14 +209,14 @@
             "bytes of the policy's health checks",
             "35,200 / 61,600 / 114,400",
         ),
-        // 0.0025 / 0.25 % of a core a health check.
+        // 0.0025 / 0.25 % of a core per health check.
         ("processor for the policy's health checks", "2 / 3.5 / 6.5"),
         // 10 + 0.25 x servers.
         (
             "probes on sockets, at the run's price",
             "760 / 1,510 / 3,010",
         ),
-        // 300 + 20 x 6,000 + 52 x 3 x (1,510 + 1), and so at the others.
+        // 300 + 20 x 6,000 + 52 x 3 x (1,510 + 1), and likewise for the other sizes.
         (
             "control bytes on sockets, at the run's price",
             "179,016 / 356,016 / 710,016",
@@ -230,7 +229,7 @@
         // 800 x servers, and 565 x 44,286.
         ("the policy's state of servers", "2.4 / 4.8 / 9.6"),
         ("the policy's state of own connections", "25"),
-        // 0.0125 / 0.125 % of a core for each, times new connections a second.
+        // 0.0125 / 0.125 % of a core for each connection, times new connections per second.
         (
             "processor for setting connections up",
             "7.38 / 1.23 / 0.154",
@@ -239,13 +238,13 @@
         ("new connections", "73.8 / 12.3 / 1.54"),
         // 4 + 0.25 x servers.
         ("all calls for one new connection", "754 / 1,504 / 3,004"),
-        // 1,504 us x new connections a second, in percent of a core.
+        // 1,504 us x new connections per second, in percent of a core.
         ("placing, over the lives", "11.1 / 1.85 / 0.231"),
         // 100 + 200 x servers.
         ("a whole list", "600,100 / 1,200,100 / 2,400,100"),
         // 62e6 / 1,400.
         ("own connections", "44,286"),
-        // (20,000 + 200) / 4 in the middle.
+        // (20,000 + 200) / 4 for the middle value.
         (
             "a change of the configuration within its time",
             "300 / 5,050 / 50,050",
@@ -258,13 +257,13 @@
             "{quantity}: {expected} is not in {row}"
         );
     }
-    // 2 million clients over 1,400 x 30 / 31 balancers; 1,504 us each.
+    // 2 million clients divided among 1,400 x 30 / 31 balancers, at 1,504 us each.
     let zone = scratch.row("a zone goes");
     assert!(
         zone.contains("| 2,000,000 | 1,476 |") && zone.contains("| 2.22 |"),
         "{zone}"
     );
-    // (100 + 200 x 6,000) / 10 s of 2,000; 20,200 / 4 s of 2,000.
+    // (100 + 200 x 6,000) / 10 s and 20,200 / 4 s, each of a budget of 2,000 bytes per second.
     let first = "Missing first: **a whole list in parts or from a neighbour, and a pace for changes of it** (bytes a \
         second of a whole list within the time to be ready: 60 times its budget). Runner-up: **changes of the \
         configuration, told from the control machines as differences** (bytes a second of a change within its time: \
@@ -272,7 +271,8 @@
         control budget** (bytes a second of the policy's health checks, measured with the operators' own connections: 30.8 \
         times its budget); ";
     assert!(scratch.page().contains(first), "{}", scratch.page());
-    // 6,000 x (1 - e^-7.38) / 10 s x 176 bytes of 2,000: ranked, but no need of today.
+    // 6,000 x (1 - e^-7.38) / 10 s x 176 bytes, of a budget of 2,000 bytes per second. It is ranked,
+    // but not currently needed.
     let verdict = scratch
         .page()
         .lines()
@@ -290,15 +290,14 @@
         scratch
             .page()
             .contains("| balancers | 100 | list_calls | 1,234 |"),
-        "the played storm is listed"
+        "the simulated storm is listed"
     );
 }
 
-/// Guards against a ratio of slopes where health checks no longer grow with the endpoint list: a
-/// budget bounds them.
+/// Guards against a ratio of slopes in a case where the rate of health checks does not grow with the
+/// endpoint list because a budget bounds it.
 #[test]
-fn where_probes_do_not_grow_with_the_list_a_probes_bytes_are_read_at_a_size_and_its_processor_time_is_not_known()
- {
+fn with_a_constant_check_rate_bytes_per_check_are_interpolated_and_cpu_time_is_not_measured() {
     let scratch = Scratch::new("flat-probes");
     let slope = r#""fit":"probes_per_second","varied":"servers","intercept":10,"slope":0.25"#;
     let run = synthetic_run();
@@ -312,7 +311,7 @@
     )
     .unwrap();
     capacity::write(&scratch.files).unwrap();
-    // 30,000 / 1,510 of payload, half a way between the two sizes around 6,000 servers.
+    // 30,000 / 1,510 bytes of payload, interpolated halfway between the two sizes around 6,000 servers.
     assert!(
         scratch
             .row("one probe")
@@ -325,7 +324,7 @@
 }
 
 #[test]
-fn a_stored_run_that_is_faulty_is_named_by_line_and_key() {
+fn invalid_stored_run_is_rejected_with_line_and_key() {
     let head = r#"{"run":"a","machine":{},"text":"0"}"#;
     let fit = r#"{"run":"a","part":"module","fit":"x","varied":"servers","intercept":1,"slope":2,"residual":0}"#;
     let point =
@@ -380,12 +379,12 @@
         ),
     ];
     for (text, expected) in cases {
-        let fault = StoredRun::parse(Path::new("run.jsonl"), &text)
+        let error = StoredRun::parse(Path::new("run.jsonl"), &text)
             .expect_err(expected)
             .to_string();
         assert!(
-            fault.contains("run.jsonl: ") && fault.contains(expected),
-            "'{fault}' is not '{expected}'"
+            error.contains("run.jsonl: ") && error.contains(expected),
+            "expected '{expected}', found '{error}'"
         );
     }
     let run =
@@ -402,10 +401,10 @@
     );
 }
 
-/// Guards against a line through all sizes that is under 0 at small ones, where the program's
-/// figure bends.
+/// Guards against figures from a line fitted through all sizes, which is below 0 at small sizes if
+/// the measured figure is not linear.
 #[test]
-fn a_figure_is_read_between_measured_sizes_and_on_the_line_beyond() {
+fn figures_are_interpolated_between_measured_sizes_and_extrapolated_with_the_fitted_line() {
     let point = |size: f64, value: &str| {
         format!(
             r#"{{"run":"a","part":"module","varied":"servers","size":{size},"fixed":{{}},"figures":{{"x":{value}}}}}"#
@@ -413,7 +412,7 @@
     };
     let lines = [
         r#"{"run":"a","machine":{},"text":"0"}"#.to_string(),
-        // Out of order, and one size at which it was not measured.
+        // The sizes are out of order, and the figure was not measured at one of them.
         point(100.0, "30"),
         point(10.0, "2"),
         point(40.0, "null"),
@@ -440,7 +439,7 @@
 }
 
 #[test]
-fn assumptions_that_are_faulty_are_named_by_line_and_key() {
+fn invalid_assumptions_are_rejected_with_line_and_key() {
     let sound = std::fs::read_to_string(committed().assumptions).unwrap();
     let line_of = |key: &str| {
         sound
@@ -499,16 +498,19 @@
         (change("[requirements]", "[letter"), "line ".into()),
     ];
     for (text, expected) in cases {
-        let fault = Assumptions::parse(Path::new("assumptions.toml"), &text)
+        let error = Assumptions::parse(Path::new("assumptions.toml"), &text)
             .expect_err(&expected)
             .to_string();
-        assert!(fault.starts_with("assumptions.toml: "), "{fault}");
-        assert!(fault.contains(&expected), "'{fault}' is not '{expected}'");
+        assert!(error.starts_with("assumptions.toml: "), "{error}");
+        assert!(
+            error.contains(&expected),
+            "expected '{expected}', found '{error}'"
+        );
     }
 }
 
 #[test]
-fn a_page_with_a_marker_missing_is_named_and_left_as_it_is() {
+fn page_with_a_missing_or_repeated_marker_is_rejected_and_left_unchanged() {
     let marker = "<!-- generated: server -->";
     let page = std::fs::read_to_string(committed().page).unwrap();
     let cases = [
@@ -531,12 +533,12 @@
             "{}",
             text_of(&output)
         );
-        assert_eq!(scratch.page(), text, "nothing was written");
+        assert_eq!(scratch.page(), text, "the page is unchanged");
     }
 }
 
 #[test]
-fn a_faulty_run_ends_the_command_and_leaves_the_page() {
+fn invalid_stored_run_fails_the_command_and_leaves_the_page_unchanged() {
     let scratch = Scratch::new("cut-off");
     let before = scratch.page();
     let run = synthetic_run();
@@ -551,10 +553,9 @@
     assert_eq!(scratch.page(), before);
 }
 
-/// The longest answer of discovery that is read, by its old and its new name.
-/// Guards against constants of the program that change while the page goes on with the old ones.
+/// Guards against a page that uses outdated values after constants in the source code have changed.
 #[test]
-fn constants_of_the_program_are_as_the_assumptions_repeat_them() {
+fn constants_in_the_assumptions_match_the_source_code() {
     let assumptions = Assumptions::load(&committed().assumptions).unwrap();
     let code = &assumptions.code;
     let cases = [
@@ -630,7 +631,7 @@
         assert_eq!(repeated, value, "{constant}");
         assert!(
             sources.contains(constant),
-            "'{constant}' has changed: docs/scale/assumptions.toml, [code]"
+            "'{constant}' has changed: update [code] in docs/scale/assumptions.toml"
         );
     }
 }
@@ -646,7 +647,7 @@
 }
 
 #[test]
-fn numbers_have_three_digits_and_commas() {
+fn numbers_are_formatted_with_three_digits_and_thousands_separators() {
     let cases = [
         (0.0, "0"),
         (1.0, "1"),
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn up_to_the_whole_list_probes_grow_with_it_and_one_placement_looks_at_it_all() {
+fn lists_up_to_whole_list_max_are_checked_in_full_and_scanned_in_full_for_each_placement() {
     for servers in [20, 60, 120, WHOLE_LIST_MAX as u64] {
         let figures = measure(servers, 0.0);
         assert_all_are_probed(servers, &figures);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn past_the_whole_list_probes_keep_to_their_budget_and_placements_to_their_candidates() {
+fn above_whole_list_max_health_checks_keep_their_budget_and_placements_consider_only_candidates() {
     for servers in [WHOLE_LIST_MAX as u64 + 1, 240, 600, 3_000, 12_000] {
         let figures = measure_long_list(servers, 0.0);
         assert_probes_use_their_budget(servers, &figures);
@@ -206,7 +206,7 @@
 /// Guards against a driver that takes "not yet" for leaving: past the sparse limit hardly any flow
 /// was placed.
 #[test]
-fn past_the_sparse_limit_flows_are_asked_about_again_and_placed() {
+fn with_costly_health_checks_waiting_flows_are_retried_and_placed() {
     for servers in SPARSE_SERVERS {
         let figures = measure_sparse(servers, 2.0);
         assert_eq!(figures.placed_share, Some(1.0), "{figures:?}");
@@ -220,7 +220,7 @@
 /// Guards against flows that are held for ever, since each new one asks for a figure of its own
 /// before those that have come are looked at.
 #[test]
-fn past_the_sparse_limit_flows_that_come_close_together_are_placed_too() {
+fn with_costly_health_checks_flows_in_quick_succession_are_all_placed() {
     for servers in SPARSE_SERVERS {
         let (dense, sparse) = (measure(servers, 0.0), measure_sparse(servers, 50.0));
         assert_eq!(sparse.placed_share, Some(1.0), "{sparse:?}");
@@ -237,7 +237,7 @@
 /// ever where changes come fast. Servers that have gone count to the endpoint list while they hold
 /// own connections, so few are listed where many change.
 #[test]
-fn probes_go_on_while_the_list_changes_many_times_a_second() {
+fn health_checks_continue_while_the_list_changes_many_times_per_second() {
     for (servers, changes_per_second) in [(190, 2.0), (60, 2.0), (60, 32.0)] {
         let (counts, part) = module(servers, 4, 0.0);
         let counts = Counts {
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn probes_of_a_long_list_go_on_within_their_budget_while_it_changes_many_times_a_second() {
+fn health_checks_of_a_long_list_keep_their_budget_while_it_changes_many_times_per_second() {
     for servers in [240, 3_000] {
         for changes_per_second in [2.0, 32.0] {
             assert_probes_use_their_budget(
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn bytes_are_counted_of_each_server_and_connection() {
+fn measured_bytes_per_server_and_connection_are_plausible() {
     let (one, other) = (measure(60, 0.0), measure(240, 0.0));
     for figures in [&one, &other] {
         assert!(
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn the_scenarios_in_the_repository_are_good() {
+fn repository_scale_scenarios_are_valid_and_complete() {
     for name in ["small.toml", "full.toml"] {
         let scenario = ScaleScenario::load(&folder().join(name)).unwrap();
         assert!(
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_faulty_key_is_named_with_its_file() {
+fn invalid_scale_scenario_is_rejected_with_its_key_and_file() {
     for (good, bad, named) in [
         (
             "hollow_limit = 20",
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_faulty_scenario_ends_the_run_before_a_line_is_written() {
+fn invalid_scale_scenario_fails_the_run_before_a_line_is_written() {
     let (lines, output) = scale("faulty", &small().replacen("groups", "grups", 1));
     assert_eq!((lines, output.status.code()), (Vec::new(), Some(2)));
     assert!(
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn a_size_that_would_pass_the_memory_limit_is_named_and_not_begun() {
+fn size_that_would_exceed_the_memory_limit_is_reported_and_not_started() {
     let text = only("module").replacen("[20, 60, 120, 240]", "[20, 4_000, 60]", 1);
     let (lines, output) = scale("memory", &format!("{text}\n[limits]\nmemory_mb = 70\n"));
     assert_eq!(measured_sizes(&lines), [20.0], "the size before it stands");
@@ -422,7 +422,7 @@
 
 /// There is no such balancer: had anything been started the error would name its file.
 #[test]
-fn sizes_that_would_pass_the_limits_of_descriptors_or_processes_are_not_begun() {
+fn sizes_that_would_exceed_the_descriptor_or_process_limit_are_not_started() {
     let sockets = only("sockets") + "\n[limits]\ndescriptors = 90\n";
     let (lines, output) = scale("descriptors", &sockets);
     assert_eq!(
@@ -452,7 +452,7 @@
 }
 
 #[test]
-fn each_limit_is_held_against_what_is_needed() {
+fn each_limit_is_compared_with_its_need() {
     let allowed = Limits {
         memory_mb: 10,
         descriptors: 20,
@@ -502,7 +502,7 @@
 }
 
 #[test]
-fn what_is_needed_grows_with_each_count() {
+fn needed_resources_grow_with_each_count() {
     let scenario = ScaleScenario::load(&folder().join("full.toml")).unwrap();
     let part = scenario.sockets.unwrap();
     let need = |varied, size| limits::of_sockets(&part.fixed.with(varied, size), &part, 20_000);
@@ -586,7 +586,7 @@
 
 /// Guards against a run that is cut off between two pieces of one line.
 #[test]
-fn each_line_is_written_whole_in_one_piece_and_read_again() {
+fn each_line_is_written_in_one_call_and_can_be_read_back() {
     let mut pieces = Pieces::default();
     let mut writer = LineWriter::new(&mut pieces);
     lines()
@@ -611,7 +611,7 @@
 }
 
 #[test]
-fn the_form_of_the_lines_is_as_documented() {
+fn lines_are_serialized_as_documented() {
     let text: Vec<String> = lines()
         .iter()
         .map(|line| serde_json::to_string(line).unwrap())
@@ -638,7 +638,7 @@
 }
 
 #[test]
-fn a_run_that_is_cut_off_leaves_whole_lines_only() {
+fn killed_run_leaves_only_complete_lines() {
     let file = Temporary::new("cut-off");
     let (toml, path) = (
         file.0.with_extension("toml"),
@@ -672,7 +672,7 @@
 }
 
 #[test]
-fn straight_lines_are_fitted_with_what_they_miss() {
+fn least_squares_gives_intercept_slope_and_residual() {
     let exact = [
         (60.0, 35.0),
         (600.0, 305.0),
@@ -704,7 +704,7 @@
 
 /// Guards against a stored run that nobody can read any more, or a table that isn't its own.
 #[test]
-fn the_stored_run_is_read_and_its_table_is_made_from_it() {
+fn stored_table_matches_the_stored_run() {
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale");
     let text = std::fs::read_to_string(stored.join("run.jsonl")).unwrap();
     let lines = measurement::read(&text).unwrap();
@@ -714,7 +714,7 @@
 }
 
 #[test]
-fn the_table_and_the_plot_are_made_from_the_lines_alone() {
+fn table_and_plot_are_generated_from_the_lines_alone() {
     let markdown = table::markdown(&lines());
     for expected in [
         "8 cores with 1000 MB",
@@ -745,7 +745,7 @@
 
 /// The names that runs are stored under outlive the names in the code.
 #[test]
-fn stored_runs_are_read_and_written_as_they_were() {
+fn stored_run_is_read_and_serialized_unchanged() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale/run.jsonl");
     let text = std::fs::read_to_string(file).unwrap();
     let lines = measurement::read(&text).unwrap();
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -1,5 +1,5 @@
-//! the testbed as it is run: scenarios kept in the repository, the command line, and what must come
-//! out the same each time.
+//! Runs of the testbed: the scenarios in the repository, the command line, the self-check and the
+//! reproducibility of runs.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -23,18 +23,18 @@
         .0
 }
 
-fn lab(args: &[&str]) -> Output {
+fn run_testbed(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_nettlemux-testbed"))
         .args(args)
         .output()
         .unwrap()
 }
 
-fn temporary(name: &str) -> PathBuf {
+fn temporary_file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("nettlemux-testbed-{}-{name}", std::process::id()))
 }
 
-fn module(scenario: &Scenario, seed: u64) -> nettlemux_testbed::simulate::Outcome {
+fn simulate_policy(scenario: &Scenario, seed: u64) -> nettlemux_testbed::simulate::Outcome {
     simulate(
         scenario,
         seed,
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn the_judge_catches_each_mischief_and_passes_a_sound_balancer() {
-    let output = lab(&["self-check"]);
+fn each_mutant_is_detected_and_the_sound_policy_passes_in_virtual_time() {
+    let output = run_testbed(&["self-check"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
         output.status.success() && text.ends_with("10 passed, 0 failed\n"),
@@ -54,19 +54,19 @@
     );
 }
 
-/// The same where what crosses real sockets is all that the rule checker sees.
+/// On sockets the rule checker observes only the traffic that reaches the stand-ins.
 #[test]
-fn the_judge_catches_each_mischief_on_sockets() {
-    let lab = Path::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
-    let (text, good) = nettlemux_testbed::check::on_sockets(lab, None).unwrap();
-    assert!(good && text.ends_with("10 passed, 0 failed\n"), "{text}");
+fn each_mutant_is_detected_and_the_sound_balancer_passes_on_sockets() {
+    let testbed = Path::new(env!("CARGO_BIN_EXE_nettlemux-testbed"));
+    let (text, passed) = nettlemux_testbed::check::on_sockets(testbed, None).unwrap();
+    assert!(passed && text.ends_with("10 passed, 0 failed\n"), "{text}");
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_doesnt() {
+fn same_seed_gives_an_identical_record_and_another_seed_a_different_one() {
     let scenario = load("two-faults");
     let run = |name: &str, seed: u64| {
-        let file = temporary(name);
+        let file = temporary_file(name);
         let mut writer = Writer::create(&file).unwrap();
         let outcome = simulate(
             &scenario,
@@ -82,11 +82,13 @@
     };
     let ((first, a), (second, b), (other, _)) = (run("a", 3), run("b", 3), run("c", 4));
     assert!(first == second && a.figures == b.figures && first != other);
-    // The record alone leads the rule checker to the same verdict.
+    // The rule checker comes to the same verdict from the record alone.
     let read = record::read(&first[..]).unwrap();
-    let mut judge = RuleChecker::new(&scenario, SEC / 100);
-    read.seen.iter().for_each(|seen| judge.observe(seen));
-    let verdict = judge.finish(scenario.end());
+    let mut checker = RuleChecker::new(&scenario, SEC / 100);
+    read.seen
+        .iter()
+        .for_each(|observation| checker.observe(observation));
+    let verdict = checker.finish(scenario.end());
     assert!(
         verdict.kept()
             && verdict.flows == a.verdict.flows
@@ -94,10 +96,10 @@
     );
 }
 
-/// Each scenario in the repository must load and be as it expects, the policy deciding; `size` and
-/// `many` are too long for here.
+/// Runs each scenario in the repository with the policy, except `size` and `many`, which take too
+/// long for a test.
 #[test]
-fn the_scenarios_are_as_they_expect() {
+fn repository_scenarios_meet_their_expectations_and_keep_the_rules() {
     for entry in std::fs::read_dir(scenarios()).unwrap() {
         let path = entry.unwrap().path();
         let (scenario, _) = file::load(&path).unwrap();
@@ -105,7 +107,7 @@
             continue;
         }
         assert_eq!(path.file_stem().unwrap().to_string_lossy(), scenario.name);
-        let outcome = module(&scenario, scenario.seed);
+        let outcome = simulate_policy(&scenario, scenario.seed);
         assert_eq!(
             outcome.figures.unmet(&scenario),
             Vec::<String>::new(),
@@ -121,15 +123,15 @@
     }
 }
 
-/// Guards against a fault that does nothing, or that stays when it is over: each kind must leave a
-/// mark, and no kind may make a sound module break a rule or lose a flow.
+/// Guards against a fault kind that has no effect or does not end: each kind must change the figures,
+/// and no kind may make the sound policy break a rule or leave a flow unanswered.
 #[test]
-fn every_fault_acts_and_breaks_no_rule() {
+fn every_fault_kind_changes_the_figures_and_breaks_no_rule() {
     let mut scenario = load("calm");
     (scenario.seconds, scenario.zones.number) = (45.0, 2);
     scenario.clients.tenants = vec![0.5, 0.5];
     scenario.expect.clear();
-    let calm = module(&scenario, 1).figures;
+    let calm = simulate_policy(&scenario, 1).figures;
     for (what, share, amount) in [
         (FaultKind::Crash, 0.3, 0.0),
         (FaultKind::Vanish, 0.3, 0.0),
@@ -152,73 +154,78 @@
         (FaultKind::Surge, 0.0, 3.0),
         (FaultKind::TenantSurge, 0.0, 4.0),
     ] {
-        let mut day = scenario.clone();
+        let mut faulted = scenario.clone();
         let text = format!(
             r#"{{"what": {}, "at": 12, "for": 15, "share": {share}, "amount": {amount}}}"#,
             serde_json::to_string(&what).unwrap()
         );
-        day.faults.push(serde_json::from_str(&text).unwrap());
-        day.check().unwrap();
-        let outcome = module(&day, 1);
+        faulted.faults.push(serde_json::from_str(&text).unwrap());
+        faulted.check().unwrap();
+        let outcome = simulate_policy(&faulted, 1);
         assert!(outcome.verdict.kept(), "{what:?}: {:?}", outcome.verdict);
         assert_eq!(outcome.figures.get("unanswered"), 0.0, "{what:?}");
-        assert_ne!(outcome.figures, calm, "{what:?} does nothing");
+        assert_ne!(outcome.figures, calm, "{what:?} changes nothing");
     }
-    // Two that are silent alone: discovery has nothing to tell on a calm day.
+    // These two have an effect only together with a change of the fleet, because discovery has no
+    // updates to send otherwise.
     for (what, amount) in [("list-silent", 0.0), ("list-late", 5.0)] {
-        let mut day = scenario.clone();
+        let mut faulted = scenario.clone();
         for (what, amount, at) in [(what, amount, 10), ("shrink", 3.0, 12)] {
             let text = format!(
                 r#"{{"what": "{what}", "at": {at}, "for": 15, "share": 0.3, "amount": {amount}}}"#
             );
-            day.faults.push(serde_json::from_str(&text).unwrap());
+            faulted.faults.push(serde_json::from_str(&text).unwrap());
         }
-        let with = module(&day, 1);
-        day.faults.remove(0);
-        assert_ne!(module(&day, 1).figures, with.figures, "{what} does nothing");
-        assert!(with.verdict.kept(), "{what}: {:?}", with.verdict);
+        let outcome = simulate_policy(&faulted, 1);
+        faulted.faults.remove(0);
+        assert_ne!(
+            simulate_policy(&faulted, 1).figures,
+            outcome.figures,
+            "{what} changes nothing"
+        );
+        assert!(outcome.verdict.kept(), "{what}: {:?}", outcome.verdict);
     }
 }
 
 #[test]
-fn hard_cases_keep_the_rules() {
-    let day = |faults: &str, seconds: f64| {
-        let mut day = load("calm");
-        day.seconds = seconds;
-        day.faults = serde_json::from_str(faults).unwrap();
-        day.check().unwrap();
-        let outcome = module(&day, 2);
+fn extreme_fault_combinations_break_no_rule() {
+    let run = |faults: &str, seconds: f64| {
+        let mut scenario = load("calm");
+        scenario.seconds = seconds;
+        scenario.faults = serde_json::from_str(faults).unwrap();
+        scenario.check().unwrap();
+        let outcome = simulate_policy(&scenario, 2);
         assert!(outcome.verdict.kept(), "{faults}: {:?}", outcome.verdict);
         outcome.figures
     };
-    // The fleet turns over whole within one list's delay.
-    day(
+    // All servers are replaced within the delay of one endpoint list.
+    run(
         r#"[{"what": "grow", "at": 10, "share": 1}, {"what": "shrink", "at": 12, "for": 0.1, "amount": 2,
         "who": [0,1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20,21,22,23]}]"#,
         40.0,
     );
-    // All balancers die at the same moment, while the store is slow.
-    let figures = day(
+    // All balancers die at the same time while the store is slow.
+    let figures = run(
         r#"[{"what": "balancers-die", "at": 10, "for": 2}, {"what": "store-slow", "at": 8, "amount": 0.2}]"#,
         40.0,
     );
     assert!(figures.get("reconnects_worst") > 20.0 && figures.get("standing") > 100.0);
-    // Everything at once.
-    day(
+    // Many faults at the same time.
+    run(
         r#"[{"what": "vanish", "at": 10, "share": 0.2}, {"what": "crash", "at": 11, "share": 0.2},
         {"what": "list-silent", "at": 9, "for": 6}, {"what": "restart-in-turn", "at": 10, "amount": 1},
         {"what": "fast-errors", "at": 12, "share": 0.2}, {"what": "surge", "at": 14, "amount": 3}]"#,
         50.0,
     );
-    // No server is left.
-    let figures = day(r#"[{"what": "crash", "at": 10, "for": 10}]"#, 40.0);
+    // All servers crash.
+    let figures = run(r#"[{"what": "crash", "at": 10, "for": 10}]"#, 40.0);
     assert!(figures.get("worth_worst") < 0.05 && figures.get("unanswered") == 0.0);
 }
 
 #[test]
-fn faulty_scenarios_are_named_by_their_key() {
+fn invalid_scenario_is_rejected_with_its_key_and_file() {
     let calm = std::fs::read_to_string(scenarios().join("calm.toml")).unwrap();
-    let file = temporary("faulty.toml");
+    let file = temporary_file("faulty.toml");
     for (from, to, key) in [
         (
             "seconds = 60",
@@ -262,7 +269,7 @@
         ("[expect]", "[expect", "key '(whole file)'"),
     ] {
         std::fs::write(&file, calm.replacen(from, to, 1)).unwrap();
-        let output = lab(&["simulate", file.to_str().unwrap()]);
+        let output = run_testbed(&["simulate", file.to_str().unwrap()]);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
             output.status.code() == Some(2) && text.contains(key),
@@ -274,26 +281,29 @@
         );
     }
     std::fs::remove_file(file).unwrap();
-    assert_eq!(lab(&["simulate", "nowhere.toml"]).status.code(), Some(2));
+    assert_eq!(
+        run_testbed(&["simulate", "nowhere.toml"]).status.code(),
+        Some(2)
+    );
 }
 
 #[test]
-fn exit_codes_and_json_are_for_scripts() {
+fn simulate_reports_the_result_as_json_and_unmet_expectations_by_exit_code() {
     let calm = scenarios().join("calm.toml");
     let calm = calm.to_str().unwrap();
-    let output = lab(&["simulate", calm, "--json"]);
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert!(output.status.success() && told["good"] == true && told["simulated"] == true);
-    assert!(told["figures"]["worth"].as_f64().unwrap() > 0.8);
-    // What is not as expected is told, last in one line.
-    let file = temporary("unmet.toml");
+    let output = run_testbed(&["simulate", calm, "--json"]);
+    let json: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert!(output.status.success() && json["good"] == true && json["simulated"] == true);
+    assert!(json["figures"]["worth"].as_f64().unwrap() > 0.8);
+    // Unmet expectations are listed, and the last line says that the run is not good.
+    let file = temporary_file("unmet.toml");
     let text = std::fs::read_to_string(calm).unwrap();
     std::fs::write(
         &file,
         text.replace("[expect]", "[expect]\nspread = { max = 0.0001 }"),
     )
     .unwrap();
-    let output = lab(&["simulate", file.to_str().unwrap()]);
+    let output = run_testbed(&["simulate", file.to_str().unwrap()]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
         output.status.code() == Some(1) && text.contains("unmet: spread"),
@@ -310,7 +320,7 @@
 }
 
 #[test]
-fn experiments_pair_seeds_sweep_and_hunt() {
+fn compare_pairs_seeds_and_sweep_prints_each_value_and_hunt_finds_faults() {
     let mut scenario = load("crash");
     scenario.seconds = 40.0;
     let (a, b) = (
@@ -323,11 +333,11 @@
         worth.difference.mean > worth.difference.within.unwrap(),
         "{worth:?}"
     );
-    // Nothing differs from itself, however many threads there are.
+    // A policy compared with itself shows no differences on several threads either.
     let same = experiment::compare(&scenario, a, a, 2, 2);
     assert!(same.iter().all(|row| row.difference.mean == 0.0));
     let crash = scenarios().join("crash.toml");
-    let output = lab(&[
+    let output = run_testbed(&[
         "sweep",
         "--key",
         "clients.rate",
@@ -343,16 +353,16 @@
         "{text}"
     );
     let path = crash.to_str().unwrap();
-    let output = lab(&[
+    let output = run_testbed(&[
         "compare", "--a", "module", "--b", "random", "--seeds", "2", "--json", path,
     ]);
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    let json: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert!(
-        told["a"] == "module" && told["b"] == "random" && told["rows"][0]["figure"] == "worth",
-        "{told}"
+        json["a"] == "module" && json["b"] == "random" && json["rows"][0]["figure"] == "worth",
+        "{json}"
     );
-    let unlike = lab(&["compare", "--a", "module", "--b", "./nettlemux", path]);
-    assert!(unlike.status.code() == Some(2));
+    let mixed = run_testbed(&["compare", "--a", "module", "--b", "./nettlemux", path]);
+    assert!(mixed.status.code() == Some(2));
     let found = experiment::hunt(&scenario, 1, 6, 4);
     assert!(!found.scenario.faults.is_empty() && found.tried >= 6);
     found.scenario.check().unwrap();
