--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Scale runs: their counts, their limits, what they say to faulty scenarios, and that a run that
-//! is cut off leaves whole lines only. What needs the real balancer stands in the balancer's tests.
+//! Scale runs: their counts and limits, the errors for invalid scenarios, and the lines that a killed
+//! run leaves behind. Tests that need the real balancer are in the balancer's crate.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -28,22 +28,22 @@
 }
 
 fn parse(text: &str) -> Result<ScaleScenario, String> {
-    ScaleScenario::parse(text, Path::new("some.toml")).map_err(|faulty| faulty.to_string())
+    ScaleScenario::parse(text, Path::new("some.toml")).map_err(|error| error.to_string())
 }
 
-/// A file of this test's own, removed at its end.
-struct Temporary(PathBuf);
+/// The path of temporary files of one test, without extension. The files are removed on drop.
+struct TemporaryFiles(PathBuf);
 
-impl Temporary {
+impl TemporaryFiles {
     fn new(name: &str) -> Self {
-        Temporary(std::env::temp_dir().join(format!(
+        TemporaryFiles(std::env::temp_dir().join(format!(
             "nettlemux-scale-test-{}-{name}",
             std::process::id()
         )))
     }
 }
 
-impl Drop for Temporary {
+impl Drop for TemporaryFiles {
     fn drop(&mut self) {
         for extension in ["toml", "jsonl", "md", "svg"] {
             let _ = std::fs::remove_file(self.0.with_extension(extension));
@@ -51,9 +51,9 @@
     }
 }
 
-/// Runs the testbed on this scenario, without a balancer; its lines and what it said.
-fn scale(name: &str, scenario: &str) -> (Vec<Line>, Output) {
-    let file = Temporary::new(name);
+/// Makes a scale run of this scenario without a balancer program. Returns the lines and the output.
+fn run_scale(name: &str, scenario: &str) -> (Vec<Line>, Output) {
+    let file = TemporaryFiles::new(name);
     let (toml, lines) = (
         file.0.with_extension("toml"),
         file.0.with_extension("jsonl"),
@@ -69,11 +69,11 @@
     (measurement::read(&written).unwrap(), output)
 }
 
-fn report(output: &Output) -> String {
+fn stderr_of(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn module(servers: u64, balancers: u64, probe_price: f64) -> (Counts, DecisionsPart) {
+fn decisions_part(servers: u64, balancers: u64, probe_price: f64) -> (Counts, DecisionsPart) {
     let fixed = Counts {
         servers,
         balancers,
@@ -94,20 +94,20 @@
 }
 
 fn measure(servers: u64, probe_price: f64) -> Figures {
-    let (counts, part) = module(servers, 4, probe_price);
+    let (counts, part) = decisions_part(servers, 4, probe_price);
     decisions::measure(&counts, &part, 7).unwrap()
 }
 
-/// Where health checks cost nothing each server is asked each 2 s. What is counted may miss that by
-/// so much.
-const PROBE_TOLERANCE: std::ops::RangeInclusive<f64> = 0.7..=1.3;
+/// If health checks cost nothing, each server is checked every 2 s. This is the range of the measured
+/// rate as a share of the expected one.
+const CHECK_RATE_TOLERANCE: std::ops::RangeInclusive<f64> = 0.7..=1.3;
 
-fn assert_all_are_probed(servers: u64, figures: &Figures) {
+fn assert_all_servers_are_checked(servers: u64, figures: &Figures) {
     let expected = servers as f64 / 2.0;
     let share = figures.probes_per_second.unwrap() / expected;
     assert!(
-        PROBE_TOLERANCE.contains(&share),
-        "{servers} servers, {expected} a second expected: {figures:?}"
+        CHECK_RATE_TOLERANCE.contains(&share),
+        "{servers} servers, expected {expected} health checks per second: {figures:?}"
     );
 }
 
@@ -115,7 +115,7 @@
 fn lists_up_to_whole_list_max_are_checked_in_full_and_scanned_in_full_for_each_placement() {
     for servers in [20, 60, 120, WHOLE_LIST_MAX as u64] {
         let figures = measure(servers, 0.0);
-        assert_all_are_probed(servers, &figures);
+        assert_all_servers_are_checked(servers, &figures);
         assert_eq!(figures.servers_per_placement, Some(servers as f64));
         assert_eq!(figures.placed_share, Some(1.0), "{servers} servers");
         assert_eq!(
@@ -126,13 +126,13 @@
     }
 }
 
-/// Flows and their rate on long lists: some seconds, so that what was saved up of a budget weighs
-/// little.
+/// Flows and their rate on long lists. The measurement takes 10 s, so that the unused budget from
+/// before it has little influence.
 const LONG_LIST_PLACEMENTS: u64 = 500;
 const LONG_LIST_PLACEMENTS_PER_SECOND: f64 = 50.0;
 
 fn measure_long_list(servers: u64, changes_per_second: f64) -> Figures {
-    let (counts, part) = module(servers, 4, 0.0);
+    let (counts, part) = decisions_part(servers, 4, 0.0);
     let counts = Counts {
         changes_per_second,
         ..counts
@@ -151,9 +151,9 @@
     .unwrap()
 }
 
-/// Within the budget, with what may have been saved up before, and not much under it, as servers
-/// and flows ask for more.
-fn assert_probes_use_their_budget(servers: u64, figures: &Figures) {
+/// Health checks may use the budget and what was left of it before, at most one second's worth. They
+/// must not stay far below the budget, because the servers and flows demand more than it allows.
+fn assert_checks_use_their_budget(servers: u64, figures: &Figures) {
     let (seconds, budget) = (
         LONG_LIST_PLACEMENTS as f64 / LONG_LIST_PLACEMENTS_PER_SECOND,
         HEALTH_CHECKS_PER_SECOND as f64,
@@ -164,7 +164,7 @@
         "{servers} servers: {figures:?}"
     );
     assert!(
-        probes >= PROBE_TOLERANCE.start() * budget,
+        probes >= CHECK_RATE_TOLERANCE.start() * budget,
         "{servers} servers: {figures:?}"
     );
 }
@@ -173,22 +173,22 @@
 fn above_whole_list_max_health_checks_keep_their_budget_and_placements_consider_only_candidates() {
     for servers in [WHOLE_LIST_MAX as u64 + 1, 240, 600, 3_000, 12_000] {
         let figures = measure_long_list(servers, 0.0);
-        assert_probes_use_their_budget(servers, &figures);
-        // Candidates and own holders; a walk over the endpoint list, or a key that isn't the
-        // policy's, would pass that.
-        let most = 2 * CANDIDATES_MAX.min(servers as usize / 2);
-        let looked_at = figures.servers_per_placement.unwrap();
+        assert_checks_use_their_budget(servers, &figures);
+        // The candidates and as many holders of own connections. A scan of the endpoint list would
+        // exceed this, and so would a measurement that uses another key than the policy.
+        let considered_max = 2 * CANDIDATES_MAX.min(servers as usize / 2);
+        let considered = figures.servers_per_placement.unwrap();
         assert!(
-            (1.0..=most as f64).contains(&looked_at),
+            (1.0..=considered_max as f64).contains(&considered),
             "{servers} servers: {figures:?}"
         );
         assert_eq!(figures.placed_share, Some(1.0), "{servers} servers");
     }
 }
 
-/// Past the sparse limit, at so many flows a second.
-fn measure_sparse(servers: u64, placements_per_second: f64) -> Figures {
-    let (counts, part) = module(servers, 4, 0.2);
+/// Measures with health checks that cost 0.2 flows each, so that load reports are sparse.
+fn measure_with_costly_checks(servers: u64, placements_per_second: f64) -> Figures {
+    let (counts, part) = decisions_part(servers, 4, 0.2);
     decisions::measure(
         &counts,
         &DecisionsPart {
@@ -200,46 +200,49 @@
     .unwrap()
 }
 
-/// Lists on both sides of the limit up to which all servers are looked at.
-const SPARSE_SERVERS: [u64; 2] = [WHOLE_LIST_MAX as u64, 240];
+/// List lengths at and above the limit up to which lists are scanned in full.
+const SERVERS_AROUND_LIMIT: [u64; 2] = [WHOLE_LIST_MAX as u64, 240];
 
-/// Guards against a driver that takes "not yet" for leaving: past the sparse limit hardly any flow
-/// was placed.
+/// Guards against a measurement that treats a flow which must wait for a load report as one whose
+/// client has left. With sparse load reports hardly any flow was placed then.
 #[test]
 fn with_costly_health_checks_waiting_flows_are_retried_and_placed() {
-    for servers in SPARSE_SERVERS {
-        let figures = measure_sparse(servers, 2.0);
+    for servers in SERVERS_AROUND_LIMIT {
+        let figures = measure_with_costly_checks(servers, 2.0);
         assert_eq!(figures.placed_share, Some(1.0), "{figures:?}");
         assert!(
             figures.place_calls_per_placement > Some(1.5),
-            "held until a figure has come: {figures:?}"
+            "flows wait for a load report: {figures:?}"
         );
     }
 }
 
-/// Guards against flows that are held for ever, since each new one asks for a figure of its own
-/// before those that have come are looked at.
+/// Guards against flows that wait forever because each new flow requests a load report of its own
+/// before the received ones are considered.
 #[test]
 fn with_costly_health_checks_flows_in_quick_succession_are_all_placed() {
-    for servers in SPARSE_SERVERS {
-        let (dense, sparse) = (measure(servers, 0.0), measure_sparse(servers, 50.0));
-        assert_eq!(sparse.placed_share, Some(1.0), "{sparse:?}");
-        // No more than what is due anyway and one for each flow.
-        let most = dense.probes_per_second.unwrap() + 50.0;
+    for servers in SERVERS_AROUND_LIMIT {
+        let (free, costly) = (
+            measure(servers, 0.0),
+            measure_with_costly_checks(servers, 50.0),
+        );
+        assert_eq!(costly.placed_share, Some(1.0), "{costly:?}");
+        // At most the regular health checks, and one more for each flow.
+        let checks_max = free.probes_per_second.unwrap() + 50.0;
         assert!(
-            sparse.probes_per_second.unwrap() <= most,
-            "{sparse:?}\n{dense:?}"
+            costly.probes_per_second.unwrap() <= checks_max,
+            "{costly:?}\n{free:?}"
         );
     }
 }
 
-/// Guards against health checks that are put off by each change of the endpoint list, and so for
-/// ever where changes come fast. Servers that have gone count to the endpoint list while they hold
-/// own connections, so few are listed where many change.
+/// Guards against health checks that each change of the endpoint list postpones, and that fast
+/// changes therefore postpone forever. Removed servers count toward the endpoint list while they hold
+/// own connections, so few servers are listed if many change.
 #[test]
 fn health_checks_continue_while_the_list_changes_many_times_per_second() {
     for (servers, changes_per_second) in [(190, 2.0), (60, 2.0), (60, 32.0)] {
-        let (counts, part) = module(servers, 4, 0.0);
+        let (counts, part) = decisions_part(servers, 4, 0.0);
         let counts = Counts {
             changes_per_second,
             ..counts
@@ -253,7 +256,7 @@
             7,
         )
         .unwrap();
-        assert_all_are_probed(servers, &figures);
+        assert_all_servers_are_checked(servers, &figures);
     }
 }
 
@@ -261,7 +264,7 @@
 fn health_checks_of_a_long_list_keep_their_budget_while_it_changes_many_times_per_second() {
     for servers in [240, 3_000] {
         for changes_per_second in [2.0, 32.0] {
-            assert_probes_use_their_budget(
+            assert_checks_use_their_budget(
                 servers,
                 &measure_long_list(servers, changes_per_second),
             );
@@ -306,7 +309,7 @@
 
 #[test]
 fn invalid_scale_scenario_is_rejected_with_its_key_and_file() {
-    for (good, bad, named) in [
+    for (valid, invalid, expected) in [
         (
             "hollow_limit = 20",
             "hollow_limt = 20",
@@ -356,43 +359,46 @@
         ("name = \"small\"", "name = ", "some.toml"),
     ] {
         let text = small();
-        assert!(text.contains(good), "{good}");
-        let told = parse(&text.replacen(good, bad, 1)).map(drop).unwrap_err();
+        assert!(text.contains(valid), "{valid}");
+        let error = parse(&text.replacen(valid, invalid, 1))
+            .map(drop)
+            .unwrap_err();
         assert!(
-            told.contains("some.toml") && told.contains(named),
-            "{bad}: {told}"
+            error.contains("some.toml") && error.contains(expected),
+            "{invalid}: {error}"
         );
     }
-    let nowhere = ScaleScenario::load(Path::new("/nowhere/scale.toml"))
+    let error = ScaleScenario::load(Path::new("/nowhere/scale.toml"))
         .map(drop)
         .unwrap_err()
         .to_string();
-    assert!(nowhere.contains("/nowhere/scale.toml"), "{nowhere}");
+    assert!(error.contains("/nowhere/scale.toml"), "{error}");
 }
 
 #[test]
 fn invalid_scale_scenario_fails_the_run_before_a_line_is_written() {
-    let (lines, output) = scale("faulty", &small().replacen("groups", "grups", 1));
+    let (lines, output) = run_scale("faulty", &small().replacen("groups", "grups", 1));
     assert_eq!((lines, output.status.code()), (Vec::new(), Some(2)));
     assert!(
-        report(&output).contains("key 'grups': unknown; is 'groups' meant?"),
+        stderr_of(&output).contains("key 'grups': unknown; is 'groups' meant?"),
         "{}",
-        report(&output)
+        stderr_of(&output)
     );
 }
 
-fn only(part: &str) -> String {
+/// Returns the small scenario with the tables of this part only.
+fn small_with_only(part: &str) -> String {
     let text = small();
     let (head, rest) = text.split_once("\n[").unwrap();
     let tables = format!("[{rest}");
-    let mine = tables.split_inclusive('\n').scan(false, |inside, line| {
+    let selected = tables.split_inclusive('\n').scan(false, |inside, line| {
         if line.starts_with('[') {
             *inside =
                 line.starts_with(&format!("[{part}]")) || line.starts_with(&format!("[{part}."));
         }
         Some(if *inside { line } else { "" })
     });
-    format!("{head}\n{}", mine.collect::<String>())
+    format!("{head}\n{}", selected.collect::<String>())
 }
 
 fn measured_sizes(lines: &[Line]) -> Vec<f64> {
@@ -405,49 +411,53 @@
 
 #[test]
 fn size_that_would_exceed_the_memory_limit_is_reported_and_not_started() {
-    let text = only("module").replacen("[20, 60, 120, 240]", "[20, 4_000, 60]", 1);
-    let (lines, output) = scale("memory", &format!("{text}\n[limits]\nmemory_mb = 70\n"));
-    assert_eq!(measured_sizes(&lines), [20.0], "the size before it stands");
+    let text = small_with_only("module").replacen("[20, 60, 120, 240]", "[20, 4_000, 60]", 1);
+    let (lines, output) = run_scale("memory", &format!("{text}\n[limits]\nmemory_mb = 70\n"));
+    assert_eq!(
+        measured_sizes(&lines),
+        [20.0],
+        "the line of the size before it is kept"
+    );
     assert_eq!(output.status.code(), Some(2));
-    let told = report(&output);
+    let stderr = stderr_of(&output);
     assert!(
-        told.contains("module with servers = 4000 would pass the limit of memory (MB)"),
-        "{told}"
+        stderr.contains("module with servers = 4000 would pass the limit of memory (MB)"),
+        "{stderr}"
     );
     assert!(
-        told.contains("needs 80, 70 allowed; stopped before it"),
-        "{told}"
+        stderr.contains("needs 80, 70 allowed; stopped before it"),
+        "{stderr}"
     );
 }
 
-/// There is no such balancer: had anything been started the error would name its file.
+/// The balancer program does not exist. If a process had been started, the error would name its file.
 #[test]
 fn sizes_that_would_exceed_the_descriptor_or_process_limit_are_not_started() {
-    let sockets = only("sockets") + "\n[limits]\ndescriptors = 90\n";
-    let (lines, output) = scale("descriptors", &sockets);
+    let sockets = small_with_only("sockets") + "\n[limits]\ndescriptors = 90\n";
+    let (lines, output) = run_scale("descriptors", &sockets);
     assert_eq!(
         (measured_sizes(&lines), output.status.code()),
         (vec![], Some(2))
     );
-    let told = report(&output);
+    let stderr = stderr_of(&output);
     assert!(
-        told.contains("sockets with servers = 20 would pass the limit of descriptors"),
-        "{told}"
+        stderr.contains("sockets with servers = 20 would pass the limit of descriptors"),
+        "{stderr}"
     );
-    let (lines, output) = scale(
+    let (lines, output) = run_scale(
         "processes",
-        &(only("storm") + "\n[limits]\nprocesses = 3\n"),
+        &(small_with_only("storm") + "\n[limits]\nprocesses = 3\n"),
     );
     assert_eq!(
         (measured_sizes(&lines), output.status.code()),
         (vec![], Some(2))
     );
-    let told = report(&output);
+    let stderr = stderr_of(&output);
     assert!(
-        told.contains(
+        stderr.contains(
             "storm with balancers = 10 would pass the limit of processes: needs 4, 3 allowed"
         ),
-        "{told}"
+        "{stderr}"
     );
 }
 
@@ -523,11 +533,11 @@
     );
 }
 
-/// Takes each write as the system would and notes where it ended.
+/// A writer that accepts each write in full and records the writes separately.
 #[derive(Default)]
-struct Pieces(Vec<Vec<u8>>);
+struct RecordedWrites(Vec<Vec<u8>>);
 
-impl Write for Pieces {
+impl Write for RecordedWrites {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.push(bytes.to_vec());
         Ok(bytes.len())
@@ -584,26 +594,26 @@
     lines
 }
 
-/// Guards against a run that is cut off between two pieces of one line.
+/// Guards against an incomplete line if a run is killed between two writes of the same line.
 #[test]
 fn each_line_is_written_in_one_call_and_can_be_read_back() {
-    let mut pieces = Pieces::default();
-    let mut writer = LineWriter::new(&mut pieces);
+    let mut writes = RecordedWrites::default();
+    let mut writer = LineWriter::new(&mut writes);
     lines()
         .into_iter()
         .for_each(|line| writer.write(line).unwrap());
-    assert_eq!(pieces.0.len(), lines().len());
-    for piece in &pieces.0 {
+    assert_eq!(writes.0.len(), lines().len());
+    for write in &writes.0 {
         assert_eq!(
-            piece.iter().position(|byte| *byte == b'\n'),
-            Some(piece.len() - 1)
+            write.iter().position(|byte| *byte == b'\n'),
+            Some(write.len() - 1)
         );
     }
-    let text = String::from_utf8(pieces.0.concat()).unwrap();
+    let text = String::from_utf8(writes.0.concat()).unwrap();
     assert_eq!(measurement::read(&text).unwrap(), lines());
-    let broken = text.replacen("\"part\":\"sockets\"", "\"part\":", 1);
+    let invalid = text.replacen("\"part\":\"sockets\"", "\"part\":", 1);
     assert!(
-        measurement::read(&broken)
+        measurement::read(&invalid)
             .unwrap_err()
             .to_string()
             .starts_with("line 2:")
@@ -639,7 +649,7 @@
 
 #[test]
 fn killed_run_leaves_only_complete_lines() {
-    let file = Temporary::new("cut-off");
+    let file = TemporaryFiles::new("cut-off");
     let (toml, path) = (
         file.0.with_extension("toml"),
         file.0.with_extension("jsonl"),
@@ -648,7 +658,7 @@
         "[20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 20, 400, 800, 1600]";
     std::fs::write(
         &toml,
-        only("module").replacen("[20, 60, 120, 240]", sizes, 1),
+        small_with_only("module").replacen("[20, 60, 120, 240]", sizes, 1),
     )
     .unwrap();
     for lines_before in [1, 3, 9] {
@@ -656,15 +666,15 @@
         command.arg("scale").arg("--out").arg(&path).arg(&toml);
         let _ = std::fs::remove_file(&path);
         let mut child = command.spawn().unwrap();
-        let until = Instant::now() + Duration::from_secs(60);
+        let deadline = Instant::now() + Duration::from_secs(60);
         let written = || std::fs::read_to_string(&path).unwrap_or_default();
         while written().lines().count() < lines_before {
-            assert!(Instant::now() < until, "{}", written());
+            assert!(Instant::now() < deadline, "{}", written());
             std::thread::sleep(Duration::from_millis(1));
         }
         child.kill().unwrap();
         let status = child.wait().unwrap();
-        assert!(!status.success(), "it was to be ended in the middle");
+        assert!(!status.success(), "the run ended before it was killed");
         let text = written();
         assert!(text.ends_with('\n'), "{text}");
         assert!(measurement::read(&text).unwrap().len() >= lines_before);
@@ -685,7 +695,7 @@
         residual,
     } = least_squares(&exact).unwrap();
     assert!((intercept - 5.0).abs() < 1e-6 && (slope - 0.5).abs() < 1e-9 && residual < 1e-6);
-    // Misses of 1 either way, whose root mean square is 1.
+    // Residuals of 1 or -1, whose root mean square is 1.
     let bent = [(0.0, 1.0), (1.0, -1.0), (2.0, -1.0), (3.0, 1.0)];
     let LinearFit {
         intercept,
@@ -697,12 +707,12 @@
     assert_eq!(
         least_squares(&[(1.0, 2.0), (1.0, 3.0)]),
         None,
-        "one size alone has no slope"
+        "a single size gives no slope"
     );
     assert_eq!(least_squares(&[]), None);
 }
 
-/// Guards against a stored run that nobody can read any more, or a table that isn't its own.
+/// Guards against a stored run that can no longer be read, and against a table of another run.
 #[test]
 fn stored_table_matches_the_stored_run() {
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale");
@@ -730,7 +740,7 @@
         svg.starts_with("<svg") && svg.contains("control_bytes_per_second"),
         "{svg}"
     );
-    // Nothing was measured, or one size, or nothing but zeros.
+    // No measurement, one size only, and zeros only.
     assert!(plot::svg(&[]).is_ok() && plot::svg(&lines()[..2]).is_ok());
     let zeros = Figures {
         probes_per_second: Some(0.0),
@@ -743,7 +753,7 @@
     assert!(plot::svg(&flat[..2]).is_ok());
 }
 
-/// The names that runs are stored under outlive the names in the code.
+/// The names in stored runs stay the same when names in the code change.
 #[test]
 fn stored_run_is_read_and_serialized_unchanged() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale/run.jsonl");
