--- a/crates/fleet-model/src/fault.rs
+++ b/crates/fleet-model/src/fault.rs
@@ -87,18 +87,19 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// The kind of fault.
-    pub what: FaultKind,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// When it starts, in seconds from the start of the run.
     pub at: f64,
     /// How long it lasts, in seconds.
     #[serde(default = "default_duration", rename = "for")]
-    pub lasts: f64,
+    pub duration: f64,
     /// The fraction of the servers or balancers that it acts on; 0 stands for all of them.
     #[serde(default)]
     pub share: f64,
     /// The servers or balancers that it acts on, by index. If not empty, it replaces `share`.
-    #[serde(default)]
-    pub who: Vec<usize>,
+    #[serde(default, rename = "who")]
+    pub target_indices: Vec<usize>,
     /// The zone that it acts on.
     #[serde(default, alias = "hall")]
     pub zone: usize,
@@ -142,14 +143,14 @@
 
     /// Returns when the fault ends, in nanoseconds from the start of the run.
     pub fn end(&self) -> Time {
-        seconds(self.at + self.lasts)
+        seconds(self.at + self.duration)
     }
 
     /// Returns the indices of the servers or balancers that the fault acts on, in the order in which
     /// it acts on them. `total` is the number of existing servers or balancers.
     pub fn targets(&self, total: usize, rng: &mut Rng) -> Vec<usize> {
-        if !self.who.is_empty() {
-            return self.who.clone();
+        if !self.target_indices.is_empty() {
+            return self.target_indices.clone();
         }
         let count = if self.share > 0.0 {
             ((total as f64 * self.share).round() as usize).max(1)
--- a/crates/fleet-model/src/model.rs
+++ b/crates/fleet-model/src/model.rs
@@ -163,7 +163,7 @@
 
     /// Chooses the server for a connection that is open when the run starts: the one with the lower
     /// utilization of two random servers in `zone`, or in all zones if `zone` has no servers.
-    pub fn stood_at(&self, zone: usize, rng: &mut Rng) -> usize {
+    pub fn server_of_standing_connection(&self, zone: usize, rng: &mut Rng) -> usize {
         let all_servers = 0..self.servers.len();
         let local: Vec<usize> = all_servers
             .clone()
@@ -186,7 +186,7 @@
 
     /// Returns the value per second of the messages that are answered within their latency objective
     /// now.
-    pub fn served(&self, now: Time) -> f64 {
+    pub fn served_value(&self, now: Time) -> f64 {
         self.servers
             .iter()
             .map(|server| self.server_served(server, now))
--- a/crates/fleet-model/src/model/degradation.rs
+++ b/crates/fleet-model/src/model/degradation.rs
@@ -22,7 +22,7 @@
         if !active.in_effect {
             return;
         }
-        let (lowest, lasts) = (active.fault.amount, active.fault.lasts);
+        let (lowest, lasts) = (active.fault.amount, active.fault.duration);
         // The factor applies to the capacity that the earlier steps have left.
         let factor = decayed_fraction(lowest, step) / decayed_fraction(lowest, step - 1);
         self.change_targets(fault, |server| server.speed *= factor);
--- a/crates/fleet-model/src/model/faults.rs
+++ b/crates/fleet-model/src/model/faults.rs
@@ -54,7 +54,7 @@
         self.faults[index].targets = self.choose_targets(now, &fault);
         self.faults[index].in_effect = true;
         let amount = fault.amount;
-        match fault.what {
+        match fault.kind {
             FaultKind::Crash => {
                 self.kill_targets(now, index, ServerStatus::Down, CRASH_DETECTION_DELAY)
             }
@@ -97,7 +97,7 @@
         let fault = self.faults[index].fault.clone();
         let was_in_effect = std::mem::take(&mut self.faults[index].in_effect);
         let amount = fault.amount;
-        match fault.what {
+        match fault.kind {
             FaultKind::Crash | FaultKind::Vanish => self.start_targets(now, index),
             FaultKind::Slow | FaultKind::Decay => {
                 self.change_targets(index, |server| {
@@ -139,7 +139,7 @@
     /// Chooses the servers or balancers that a fault acts on. For [`FaultKind::Grow`], adds the new
     /// servers and returns them.
     fn choose_targets(&mut self, now: Time, fault: &Fault) -> Vec<usize> {
-        let count = match fault.what {
+        let count = match fault.kind {
             FaultKind::Grow => return self.join(now, fault.share),
             FaultKind::RestartInTurn | FaultKind::BalancersDie => self.scenario.balancers.number,
             _ => self.servers.len(),
@@ -196,7 +196,7 @@
             DEFAULT_DRAIN_SECONDS
         });
         for (position, server) in targets.iter().copied().enumerate() {
-            let at = now + seconds(fault.lasts) * position as u64 / targets.len() as u64;
+            let at = now + seconds(fault.duration) * position as u64 / targets.len() as u64;
             let until = at + drain_time;
             self.schedule.add(
                 at,
@@ -206,7 +206,7 @@
                     until,
                 },
             );
-            if fault.what == FaultKind::Roll {
+            if fault.kind == FaultKind::Roll {
                 self.schedule
                     .add(until + ROLL_DOWNTIME, Task::Start { server });
             }
@@ -230,7 +230,7 @@
 
     fn kill_balancers(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
-        let away = seconds(fault.lasts);
+        let away = seconds(fault.duration);
         self.events
             .extend(targets.iter().map(|balancer| FleetEvent::BalancerKilled {
                 balancer: *balancer,
--- a/crates/fleet-model/src/model/listing.rs
+++ b/crates/fleet-model/src/model/listing.rs
@@ -14,7 +14,7 @@
 impl FleetModel {
     /// Draws the delivery delay of a change that is made now. Returns `None` while discovery does not
     /// answer.
-    pub fn discovery(&mut self) -> Option<Time> {
+    pub fn discovery_delay(&mut self) -> Option<Time> {
         if self.list.outages > 0 {
             return None;
         }
@@ -25,13 +25,13 @@
     }
 
     /// Returns the current version of the endpoint list.
-    pub fn version(&self) -> u64 {
+    pub fn list_version(&self) -> u64 {
         self.list.version()
     }
 
     /// Returns the current entries of the servers that changed after `version`. If `version` is 0,
     /// returns all entries except those of removed servers.
-    pub fn since(&self, version: u64) -> Vec<Endpoint> {
+    pub fn entries_since(&self, version: u64) -> Vec<Endpoint> {
         let mut entries = self.entries_between(version, self.list.version());
         if version == 0 {
             entries.retain(|entry| entry.state != EndpointState::Removed);
--- a/crates/fleet-model/src/model/network.rs
+++ b/crates/fleet-model/src/model/network.rs
@@ -10,12 +10,12 @@
 
 impl FleetModel {
     /// Returns whether messages from one zone reach the other.
-    pub fn reaches(&self, from: usize, to: usize) -> bool {
+    pub fn can_reach(&self, from: usize, to: usize) -> bool {
         from == to || self.cuts_by_zone[from] == 0 && self.cuts_by_zone[to] == 0
     }
 
     /// Returns the one-way delay of a message from one zone to another.
-    pub fn way(&self, from: usize, to: usize) -> Time {
+    pub fn one_way_latency(&self, from: usize, to: usize) -> Time {
         let zones = &self.scenario.zones;
         seconds(if from == to {
             zones.inside
@@ -27,16 +27,16 @@
     /// Delivers an attempt from a balancer in `zone` to a server. Returns the server's response and
     /// the events that have not been returned to the driver yet, which include a collapse that the
     /// attempt caused.
-    pub fn offer(
+    pub fn deliver_attempt(
         &mut self,
         now: Time,
         zone: usize,
         server: usize,
     ) -> (AttemptResponse, Vec<FleetEvent>) {
-        if !self.reaches(zone, self.servers[server].zone) {
+        if !self.can_reach(zone, self.servers[server].zone) {
             return (AttemptResponse::NoResponse, Vec::new());
         }
-        let (response, collapsed) = self.servers[server].offer(&self.scenario.fleet, now);
+        let (response, collapsed) = self.servers[server].receive_attempt(&self.scenario.fleet, now);
         if collapsed {
             self.collapse(now, server);
         }
--- a/crates/fleet-model/src/model/tests.rs
+++ b/crates/fleet-model/src/model/tests.rs
@@ -23,7 +23,7 @@
 fn restart_before_discovery_detects_the_crash_publishes_the_new_start_time() {
     let mut model = model(r#"[{"what": "crash", "at": 5, "for": 1, "who": [2]}]"#);
     run_until(&mut model, 10.0);
-    let changed = model.since(1);
+    let changed = model.entries_since(1);
     assert_eq!(
         (
             changed.len(),
@@ -39,13 +39,19 @@
 fn unresponsive_server_is_listed_as_removed_after_a_delay_and_as_ready_after_its_restart() {
     let mut model = model(r#"[{"what": "vanish", "at": 5, "for": 10, "who": [1]}]"#);
     run_until(&mut model, 8.0);
-    assert!(model.since(1).is_empty() && model.servers[1].status == ServerStatus::Unresponsive);
+    assert!(
+        model.entries_since(1).is_empty() && model.servers[1].status == ServerStatus::Unresponsive
+    );
     run_until(&mut model, 9.0);
-    assert_eq!(model.since(1)[0].state, EndpointState::Removed);
-    assert_eq!(model.since(0).len(), 3, "the full list omits the server");
+    assert_eq!(model.entries_since(1)[0].state, EndpointState::Removed);
+    assert_eq!(
+        model.entries_since(0).len(),
+        3,
+        "the full list omits the server"
+    );
     run_until(&mut model, 15.0);
     assert_eq!(
-        (model.since(1)[0].state, model.servers[1].status),
+        (model.entries_since(1)[0].state, model.servers[1].status),
         (EndpointState::Ready, ServerStatus::Up)
     );
 }
@@ -64,13 +70,13 @@
     );
     run_until(&mut model, 5.5);
     assert!((model.store.rate_factor - 0.05).abs() < 1e-9 && model.servers[0].speed < 0.5);
-    assert_eq!(model.since(1)[0].state, EndpointState::Removed);
-    assert_eq!(model.reaches(0, 1), model.cuts_by_zone[1] == 0);
+    assert_eq!(model.entries_since(1)[0].state, EndpointState::Removed);
+    assert_eq!(model.can_reach(0, 1), model.cuts_by_zone[1] == 0);
     run_until(&mut model, 20.0);
     assert!(
         (model.store.rate_factor - 1.0).abs() < 1e-9 && (model.servers[0].speed - 1.0).abs() < 1e-9
     );
-    assert!(model.reaches(0, 1) && model.since(1)[0].state == EndpointState::Ready);
+    assert!(model.can_reach(0, 1) && model.entries_since(1)[0].state == EndpointState::Ready);
 }
 
 #[test]
@@ -109,6 +115,6 @@
             (migrated_expected, reset_expected),
             "{drain_behavior}"
         );
-        assert_eq!(model.since(1)[0].state, EndpointState::Removed);
+        assert_eq!(model.entries_since(1)[0].state, EndpointState::Removed);
     }
 }
--- a/crates/fleet-model/src/observation.rs
+++ b/crates/fleet-model/src/observation.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The version of the record format. A reader rejects any other version.
-pub const VERSION: u32 = 1;
+pub const RECORD_FORMAT_VERSION: u32 = 1;
 
 /// Whether a flow may be repeated, as the scenario specifies for its traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/fleet-model/src/population.rs
+++ b/crates/fleet-model/src/population.rs
@@ -35,17 +35,17 @@
     /// The value of one second of good service to it.
     pub value: f64,
     /// When it plans to disconnect for good.
-    pub ends: Time,
+    pub planned_end: Time,
     /// The number of rejected and failed tries since it was last connected.
-    pub tries: usize,
+    pub unsuccessful_tries: usize,
     /// Whether its connection broke or was migrated.
     pub reconnecting: bool,
     /// Whether its next try follows a Retry-After that it was told.
-    pub told: bool,
+    pub follows_retry_after: bool,
     /// Since when it has been trying to connect.
-    pub since: Time,
+    pub connecting_since: Time,
     /// Whether it has given up for good.
-    pub gone: bool,
+    pub gave_up: bool,
 }
 
 impl Client {
@@ -67,7 +67,7 @@
     next_id: u64,
     rng: Rng,
     /// The value of one second of good service to all current clients, whether they are served or not.
-    pub wanted: f64,
+    pub demanded_value: f64,
 }
 
 impl ClientPopulation {
@@ -77,7 +77,7 @@
             clients: BTreeMap::new(),
             next_id: 1,
             rng: Rng::new(seed, 2),
-            wanted: 0.0,
+            demanded_value: 0.0,
         }
     }
 
@@ -137,14 +137,14 @@
                 } else {
                     1.0
                 },
-            ends: now + seconds(self.rng.exponential(scenario.clients.life)).max(50 * MS),
-            tries: 0,
+            planned_end: now + seconds(self.rng.exponential(scenario.clients.life)).max(50 * MS),
+            unsuccessful_tries: 0,
             reconnecting: false,
-            told: false,
-            since: now,
-            gone: false,
+            follows_retry_after: false,
+            connecting_since: now,
+            gave_up: false,
         };
-        self.wanted += client.value;
+        self.demanded_value += client.value;
         let id = self.next_id;
         self.next_id += 1;
         self.clients.insert(id, client);
@@ -154,10 +154,10 @@
     /// Removes a client that has ended or given up. Every client is removed here.
     pub fn remove(&mut self, id: u64) {
         if let Some(client) = self.clients.remove(&id) {
-            self.wanted = if self.clients.is_empty() {
+            self.demanded_value = if self.clients.is_empty() {
                 0.0
             } else {
-                (self.wanted - client.value).max(0.0)
+                (self.demanded_value - client.value).max(0.0)
             };
         }
     }
@@ -175,7 +175,7 @@
 
     /// Draws the time until the first change of a connection's load, or returns `None` if loads do not
     /// change.
-    pub fn first_change(&mut self, scenario: &Scenario) -> Option<Time> {
+    pub fn first_load_change(&mut self, scenario: &Scenario) -> Option<Time> {
         let interval = scenario.clients.load_change_interval;
         (interval > 0.0).then(|| seconds(self.rng.exponential(interval)).max(MS))
     }
@@ -190,9 +190,9 @@
     }
 
     /// Records that a client is connected.
-    pub fn connected(&mut self, id: u64) {
+    pub fn record_connected(&mut self, id: u64) {
         if let Some(client) = self.clients.get_mut(&id) {
-            (client.tries, client.told) = (0, false);
+            (client.unsuccessful_tries, client.follows_retry_after) = (0, false);
         }
     }
 
@@ -203,7 +203,7 @@
 
     /// Records that a client was rejected. Returns how long it waits before it retries, or `None` if
     /// it gives up.
-    pub fn rejected(
+    pub fn record_rejected(
         &mut self,
         id: u64,
         retry_after: Option<Time>,
@@ -211,21 +211,22 @@
     ) -> Option<Time> {
         let interval = seconds(scenario.clients.retry_interval);
         let interval = self.draw_between([interval, 2 * interval]);
-        let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
-        client.tries += 1;
-        client.gone = client.tries >= scenario.clients.tries;
-        client.told = retry_after.is_some();
-        (!client.gone).then(|| retry_after.unwrap_or(interval << client.tries.min(4)))
+        let client = self.clients.get_mut(&id).filter(|client| !client.gave_up)?;
+        client.unsuccessful_tries += 1;
+        client.gave_up = client.unsuccessful_tries >= scenario.clients.tries;
+        client.follows_retry_after = retry_after.is_some();
+        (!client.gave_up)
+            .then(|| retry_after.unwrap_or(interval << client.unsuccessful_tries.min(4)))
     }
 
     /// Records that a client's flow failed. Returns how long the client waits before it retries, or
     /// `None` if it gives up. It always gives up if the flow is non-idempotent.
-    pub fn failed(&mut self, id: u64, scenario: &Scenario) -> Option<Time> {
+    pub fn record_failed(&mut self, id: u64, scenario: &Scenario) -> Option<Time> {
         if self.idempotency(id, scenario) == Idempotency::NonIdempotent {
-            self.clients.get_mut(&id)?.gone = true;
+            self.clients.get_mut(&id)?.gave_up = true;
             return None;
         }
-        self.rejected(id, None, scenario)
+        self.record_rejected(id, None, scenario)
     }
 
     /// Records that a client was told to migrate (`migrated`) or that its connection broke. Returns how
@@ -236,13 +237,17 @@
         } else {
             BROKEN_RECONNECT_DELAY
         });
-        let client = self.clients.get_mut(&id).filter(|client| !client.gone)?;
-        (client.reconnecting, client.told, client.since) = (true, false, now);
+        let client = self.clients.get_mut(&id).filter(|client| !client.gave_up)?;
+        (
+            client.reconnecting,
+            client.follows_retry_after,
+            client.connecting_since,
+        ) = (true, false, now);
         Some(wait)
     }
 
     /// Draws how long a client waits before it retries if a balancer refused its connection.
-    pub fn refused(&mut self) -> Time {
+    pub fn refused_retry_delay(&mut self) -> Time {
         self.draw_between([REFUSED_RETRY_DELAY_MIN, 2 * REFUSED_RETRY_DELAY_MIN])
     }
 }
--- a/crates/fleet-model/src/rng.rs
+++ b/crates/fleet-model/src/rng.rs
@@ -37,7 +37,7 @@
     }
 
     /// Draws a 64-bit integer.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.random::<u64>()
     }
 
--- a/crates/fleet-model/src/scenario.rs
+++ b/crates/fleet-model/src/scenario.rs
@@ -43,7 +43,7 @@
     pub fleet: Fleet,
     /// The store that all servers share.
     #[serde(default)]
-    pub store: StoreKeys,
+    pub store: StoreSettings,
     /// The discovery service, which maintains the endpoint list.
     #[serde(default)]
     pub discovery: Discovery,
@@ -53,7 +53,7 @@
     /// The clients.
     pub clients: Clients,
     /// The traffic classes.
-    pub types: Vec<Type>,
+    pub types: Vec<TrafficClass>,
     /// The limits on what balancers may do.
     #[serde(default)]
     pub limits: Limits,
@@ -66,7 +66,7 @@
     pub faults: Vec<Fault>,
     /// The expected range of each figure, by the figure's name.
     #[serde(default)]
-    pub expect: BTreeMap<String, Expect>,
+    pub expect: BTreeMap<String, ExpectedRange>,
 }
 
 /// The balancers of a scenario.
@@ -130,7 +130,7 @@
 /// The store, which is called once for each attempt.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct StoreKeys {
+pub struct StoreSettings {
     /// The number of calls that it serves per second.
     pub rate: f64,
     /// The time of a call that does not wait for other calls.
@@ -138,9 +138,9 @@
     pub call_time: f64,
 }
 
-impl Default for StoreKeys {
+impl Default for StoreSettings {
     fn default() -> Self {
-        StoreKeys {
+        StoreSettings {
             rate: 1e6,
             call_time: 0.005,
         }
@@ -244,7 +244,7 @@
 /// A traffic class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Type {
+pub struct TrafficClass {
     /// The class's name.
     pub name: String,
     /// The class's share of the clients, relative to the shares of the other classes.
@@ -294,7 +294,7 @@
     NonIdempotent,
 }
 
-impl Type {
+impl TrafficClass {
     /// Returns whether a flow of this class may be repeated, with the deduplication window.
     pub fn idempotency(&self) -> Idempotency {
         let window = seconds(self.window);
@@ -352,7 +352,7 @@
 /// The expected range of a figure.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Expect {
+pub struct ExpectedRange {
     /// The lowest expected value; `None` for no lower bound.
     pub min: Option<f64>,
     /// The highest expected value; `None` for no upper bound.
--- a/crates/fleet-model/src/scenario/validate.rs
+++ b/crates/fleet-model/src/scenario/validate.rs
@@ -3,7 +3,7 @@
 use nettlemux_policy::MS;
 use thiserror::Error;
 
-use super::{Scenario, Type};
+use super::{Scenario, TrafficClass};
 use crate::fault::{Fault, FaultKind};
 use crate::time::seconds;
 
@@ -150,7 +150,7 @@
     }
 }
 
-impl Type {
+impl TrafficClass {
     fn check(&self, index: usize) -> Result<(), InvalidKey> {
         for (key, value) in [
             ("share", self.share),
@@ -179,14 +179,14 @@
     pub fn check(&self, scenario: &Scenario) -> Result<(), InvalidKey> {
         self.check_numbers(scenario)?;
         self.check_targets(scenario)?;
-        if self.what.needs_amount() && self.amount <= 0.0 {
+        if self.kind.needs_amount() && self.amount <= 0.0 {
             let reason = format!(
                 "expected a number above 0 for this kind of fault, found {}",
                 self.amount
             );
             return Err(InvalidKey::new("amount", reason));
         }
-        if self.what == FaultKind::TenantSurge && scenario.clients.tenants.is_empty() {
+        if self.kind == FaultKind::TenantSurge && scenario.clients.tenants.is_empty() {
             return Err(InvalidKey::new(
                 "what",
                 "tenant-surge requires 'clients.tenants', which is missing or empty",
@@ -198,7 +198,7 @@
     fn check_numbers(&self, scenario: &Scenario) -> Result<(), InvalidKey> {
         for (key, value) in [
             ("at", self.at),
-            ("for", self.lasts),
+            ("for", self.duration),
             ("share", self.share),
             ("amount", self.amount),
         ] {
@@ -211,7 +211,7 @@
             );
             return Err(InvalidKey::new("at", reason));
         }
-        if self.share > 1.0 && self.what != FaultKind::Grow {
+        if self.share > 1.0 && self.kind != FaultKind::Grow {
             let reason = format!("expected a number from 0 to 1, found {}", self.share);
             return Err(InvalidKey::new("share", reason));
         }
@@ -226,11 +226,11 @@
             );
             return Err(InvalidKey::new("zone", reason));
         }
-        let (total, kind) = match self.what.acts_on_balancers() {
+        let (total, kind) = match self.kind.acts_on_balancers() {
             true => (scenario.balancers.number, "balancers"),
             false => (scenario.fleet.servers, "servers"),
         };
-        match self.who.iter().find(|who| **who >= total) {
+        match self.target_indices.iter().find(|who| **who >= total) {
             Some(who) => {
                 let reason = format!("expected indices of {total} {kind}, found {who}");
                 Err(InvalidKey::new("who", reason))
--- a/crates/fleet-model/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -20,7 +20,7 @@
 const UTILIZATION_MAX: f64 = 0.98;
 /// The number of attempts above its budget that a server in slow start tolerates, as an allowance
 /// for random variation.
-pub const BUDGET_SLACK: f64 = 4.0;
+pub const BUDGET_TOLERANCE_ATTEMPTS: f64 = 4.0;
 
 /// The status of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     /// When it last started; 0 if it started before the run and is warm.
     pub started: Time,
     /// Whether it has collapsed in its slow start. It stays down after that.
-    pub fallen: bool,
+    pub collapsed: bool,
     /// Whether it is draining and rejects new connections.
     pub draining: bool,
     /// The fraction of its capacity that faults leave it.
@@ -128,7 +128,7 @@
             machine,
             status: ServerStatus::Up,
             started: 0,
-            fallen: false,
+            collapsed: false,
             draining: false,
             speed: 1.0,
             neighbour_share: 0.0,
@@ -181,7 +181,7 @@
     }
 
     /// Returns the mean response time of a message, in seconds.
-    pub fn message_seconds(&self, fleet: &Fleet, now: Time) -> f64 {
+    pub fn mean_message_seconds(&self, fleet: &Fleet, now: Time) -> f64 {
         fleet.message / (1.0 - self.utilization(fleet, now).min(UTILIZATION_MAX))
             + self.backlog_seconds
     }
@@ -228,13 +228,13 @@
             * slow_start_factor
             * fleet.connection_rate
             * fleet.collapse_window
-            + BUDGET_SLACK;
+            + BUDGET_TOLERANCE_ATTEMPTS;
         slow_start_factor < 1.0 && self.recent_attempts.len() as f64 > budget
     }
 
     /// Returns the response to an attempt that has arrived, without the time of the store's call, and
     /// whether the attempt made the server collapse.
-    pub fn offer(&mut self, fleet: &Fleet, now: Time) -> (AttemptResponse, bool) {
+    pub fn receive_attempt(&mut self, fleet: &Fleet, now: Time) -> (AttemptResponse, bool) {
         match self.status {
             ServerStatus::Down => return (AttemptResponse::Refused, false),
             ServerStatus::Unresponsive => return (AttemptResponse::NoResponse, false),
@@ -249,7 +249,7 @@
             self.recent_attempts.pop_front();
         }
         if self.exceeds_slow_start_budget(fleet, now) {
-            self.fallen = true;
+            self.collapsed = true;
             return (AttemptResponse::Refused, true);
         }
         if self.fast_errors {
@@ -361,7 +361,7 @@
     /// Restarts the server without connections and in slow start. Returns whether it has restarted: a
     /// server that has collapsed does not.
     pub fn start(&mut self, now: Time) -> bool {
-        if self.fallen {
+        if self.collapsed {
             return false;
         }
         (self.status, self.started, self.draining, self.updated_at) =
--- a/crates/fleet-model/src/server/tests.rs
+++ b/crates/fleet-model/src/server/tests.rs
@@ -45,7 +45,9 @@
     let (fleet, mut server, _) = server();
     (1..=40).for_each(|id| server.attach(id, connection(0.5 + id as f64 / 100.0, None)));
     assert!(server.fraction_answered_within(&fleet, 0, 0.2) < 0.5);
-    assert!(server.advance(&fleet, SEC).is_empty() && server.message_seconds(&fleet, SEC) > 1.0);
+    assert!(
+        server.advance(&fleet, SEC).is_empty() && server.mean_message_seconds(&fleet, SEC) > 1.0
+    );
     assert_eq!(server.advance(&fleet, 4 * SEC), [40, 39]);
     assert_eq!(server.fraction_answered_within(&fleet, 4 * SEC, 0.2), 0.0);
 }
@@ -53,7 +55,9 @@
 #[test]
 fn burst_of_attempts_collapses_a_server_in_slow_start_and_a_warm_server_rejects_it() {
     let (fleet, mut server, _) = server();
-    let responses: Vec<AttemptResponse> = (0..60).map(|_| server.offer(&fleet, SEC).0).collect();
+    let responses: Vec<AttemptResponse> = (0..60)
+        .map(|_| server.receive_attempt(&fleet, SEC).0)
+        .collect();
     assert_eq!(
         responses
             .iter()
@@ -62,10 +66,13 @@
         56
     );
     server.stop(ServerStatus::Down);
-    assert_eq!(server.offer(&fleet, 2 * SEC).0, AttemptResponse::Refused);
+    assert_eq!(
+        server.receive_attempt(&fleet, 2 * SEC).0,
+        AttemptResponse::Refused
+    );
     assert!(server.start(10 * SEC));
     // The budget is 3 times 0.35 of 4 attempts per second for 3 s, plus the slack: 16.6.
-    let collapsed_at = (0..20).position(|_| server.offer(&fleet, 10 * SEC).1);
+    let collapsed_at = (0..20).position(|_| server.receive_attempt(&fleet, 10 * SEC).1);
     assert_eq!(collapsed_at, Some(16));
     server.stop(ServerStatus::Down);
     assert!(!server.start(20 * SEC), "a collapsed server stays down");
--- a/crates/fleet-model/tests/keys.rs
+++ b/crates/fleet-model/tests/keys.rs
@@ -5,7 +5,7 @@
 use nettlemux_fleet_model::observation::{
     DeduplicationScope, FinalAnswer, Idempotency, Observation,
 };
-use nettlemux_fleet_model::scenario::{Fleet, IdempotencySetting, Limits, Scenario, Type};
+use nettlemux_fleet_model::scenario::{Fleet, IdempotencySetting, Limits, Scenario, TrafficClass};
 use nettlemux_settings::operator::AdmissionKey;
 use serde_json::json;
 
@@ -36,7 +36,7 @@
         let faults: Vec<_> = scenario
             .faults
             .iter()
-            .map(|fault| (fault.what, fault.zone))
+            .map(|fault| (fault.kind, fault.zone))
             .collect();
         assert_eq!(
             faults,
@@ -115,7 +115,7 @@
         }))
         .unwrap();
         assert_eq!(scenario.clients.tenants, [0.5, 0.5], "{tenants}");
-        assert_eq!(scenario.faults[0].what, FaultKind::TenantSurge, "{tenants}");
+        assert_eq!(scenario.faults[0].kind, FaultKind::TenantSurge, "{tenants}");
         let admission = scenario.admission.as_ref().unwrap();
         assert_eq!(admission.by, AdmissionKey::Tenant, "{tenants}");
     }
@@ -175,7 +175,8 @@
         ("once-only", "non-idempotent", NonIdempotent),
     ] {
         for (key, value) in [("repeat", earlier), ("idempotency", now)] {
-            let class: Type = serde_json::from_value(json!({"name": "chat", key: value})).unwrap();
+            let class: TrafficClass =
+                serde_json::from_value(json!({"name": "chat", key: value})).unwrap();
             assert_eq!(class.idempotency, want, "{key} = {value}");
         }
     }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -225,9 +225,9 @@
             candidate.faults.remove(i);
             candidates.push(candidate);
         }
-        if scenario.faults[i].lasts > 4.0 {
+        if scenario.faults[i].duration > 4.0 {
             let mut candidate = scenario.clone();
-            candidate.faults[i].lasts = (candidate.faults[i].lasts / 2.0).round();
+            candidate.faults[i].duration = (candidate.faults[i].duration / 2.0).round();
             candidates.push(candidate);
         }
     }
@@ -272,12 +272,12 @@
     let amount = draw_amount(what, rng);
     let latest = (scenario.seconds - scenario.settle) * 0.6;
     Fault {
-        what,
+        kind: what,
         at: round_to_half(scenario.settle + rng.uniform_between(1.0, latest.max(1.0)))
             .min(scenario.seconds - 0.5),
-        lasts: round_to_half(rng.uniform_between(4.0, 20.0)),
+        duration: round_to_half(rng.uniform_between(4.0, 20.0)),
         share: draw_share(what, rng),
-        who: Vec::new(),
+        target_indices: Vec::new(),
         zone: rng.index_below(scenario.zones.number),
         amount: (amount * 100.0).round() / 100.0,
         drain_behavior: [
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use nettlemux_fleet_model::observation::FinalAnswer;
 use nettlemux_fleet_model::population::Client;
-use nettlemux_fleet_model::scenario::{Expect, Scenario};
+use nettlemux_fleet_model::scenario::{ExpectedRange, Scenario};
 use nettlemux_policy::{SEC, Time};
 use serde_json::{Value, json};
 
@@ -257,7 +257,7 @@
             return;
         }
         let established = with == FinalAnswer::Connected;
-        if client.told {
+        if client.follows_retry_after {
             self.told_answers += 1;
             self.told_served += u64::from(established);
         }
@@ -266,7 +266,7 @@
             self.quiet_lost += u64::from(!established);
             if established {
                 self.quiet
-                    .saturating_record(now.saturating_sub(client.since) / 1000);
+                    .saturating_record(now.saturating_sub(client.connecting_since) / 1000);
             }
         }
     }
@@ -363,7 +363,7 @@
 
     /// What is not as the scenario expects; empty where all is.
     pub fn unmet(&self, scenario: &Scenario) -> Vec<String> {
-        let check = |(name, expect): (&String, &Expect)| {
+        let check = |(name, expect): (&String, &ExpectedRange)| {
             let value = self.get(name);
             let under = expect.min.is_some_and(|min| value.is_nan() || value < min);
             let over = expect.max.is_some_and(|max| value.is_nan() || value > max);
--- a/crates/testbed/src/file.rs
+++ b/crates/testbed/src/file.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 use nettlemux_admission::AdmissionConfig;
-use nettlemux_fleet_model::scenario::{Expect, IdempotencySetting, Scenario, Weights};
+use nettlemux_fleet_model::scenario::{ExpectedRange, IdempotencySetting, Scenario, Weights};
 use nettlemux_policy::Time;
 use nettlemux_settings::{nearest_name, operator};
 use serde::Deserialize;
@@ -52,7 +52,7 @@
 }
 
 /// Checks that an expectation names a figure and a bound.
-fn check_expectation(name: &str, expect: &Expect) -> Result<(), ScenarioProblem> {
+fn check_expectation(name: &str, expect: &ExpectedRange) -> Result<(), ScenarioProblem> {
     let names = crate::figures::NAMES.map(|(name, _)| name);
     if !names.contains(&name) {
         return Err(ScenarioProblem::UnknownFigure {
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-use nettlemux_fleet_model::observation::{Observation, VERSION};
+use nettlemux_fleet_model::observation::{Observation, RECORD_FORMAT_VERSION};
 
 /// Writes a record. The first observation must be the header.
 pub struct Writer(BufWriter<File>);
@@ -68,7 +68,7 @@
     #[error(transparent)]
     InvalidObservation(#[from] serde_json::Error),
     /// The record is of another version.
-    #[error("expected version {VERSION}, found version {version}")]
+    #[error("expected version {RECORD_FORMAT_VERSION}, found version {version}")]
     UnsupportedVersion {
         /// The record's version.
         version: u32,
--- a/crates/testbed/src/record/tests.rs
+++ b/crates/testbed/src/record/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_truncated_record_is_read_up_to_its_last_complete_line() {
     let header = Observation::Header {
-        version: VERSION,
+        version: RECORD_FORMAT_VERSION,
         scenario: "s".into(),
         seed: 1,
         program: "p".into(),
--- a/crates/testbed/src/rules/records.rs
+++ b/crates/testbed/src/rules/records.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use nettlemux_fleet_model::observation::{DeduplicationScope, FinalAnswer, Idempotency};
-use nettlemux_fleet_model::server::BUDGET_SLACK;
+use nettlemux_fleet_model::server::BUDGET_TOLERANCE_ATTEMPTS;
 use nettlemux_policy::{SEC, Time};
 
 /// The state of an attempt.
@@ -113,6 +113,6 @@
             * warmth
             * self.connection_rate
             * (self.collapse_window as f64 / SEC as f64)
-            + BUDGET_SLACK
+            + BUDGET_TOLERANCE_ATTEMPTS
     }
 }
--- a/crates/testbed/src/simulate/answers.rs
+++ b/crates/testbed/src/simulate/answers.rs
@@ -25,9 +25,9 @@
         let wait = match answer {
             FinalAnswer::Rejected => {
                 self.clients
-                    .rejected(client, retry_after, &self.model.scenario)
+                    .record_rejected(client, retry_after, &self.model.scenario)
             }
-            _ => self.clients.failed(client, &self.model.scenario),
+            _ => self.clients.record_failed(client, &self.model.scenario),
         };
         self.retry_after(client, wait);
         if !in_flight {
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -41,7 +41,7 @@
         }
         let (balancer, client) = (state.balancer, state.client);
         let zone = self.balancers[balancer].zone;
-        let (offer, events) = self.model.offer(self.now, zone, attempt.server);
+        let (offer, events) = self.model.deliver_attempt(self.now, zone, attempt.server);
         let Some(response) = immediate_response(offer) else {
             return self.schedule_connect_timeout(flow, number);
         };
@@ -134,7 +134,7 @@
     /// Whether messages from a flow's balancer reach a server.
     pub(super) fn is_reachable(&self, flow: FlowId, server: usize) -> bool {
         let zone = self.balancers[self.flows[&flow].balancer].zone;
-        self.model.reaches(zone, self.server_zone(server))
+        self.model.can_reach(zone, self.server_zone(server))
     }
 
     fn attempt_succeeded(&mut self, flow: FlowId, attempt: Attempt) {
@@ -153,7 +153,7 @@
             known_unexecuted: false,
         });
         self.observe_answer(flow, FinalAnswer::Connected);
-        self.clients.connected(client);
+        self.clients.record_connected(client);
         self.report_connected(flow);
         self.connection_opened(flow, client);
         if migrating {
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -31,7 +31,7 @@
             .clients
             .get(client)
             .expect("the client has just arrived")
-            .ends;
+            .planned_end;
         self.schedule(done, Event::ClientDone { client });
     }
 
@@ -40,14 +40,14 @@
         let Some(known) = self.clients.get(client).cloned() else {
             return;
         };
-        if self.flow_of_client.contains_key(&client) || known.gone {
+        if self.flow_of_client.contains_key(&client) || known.gave_up {
             return;
         }
         let picked = self.front_end.pick_balancer(self.now, known.zone);
         match picked.filter(|balancer| self.balancers[*balancer].is_running()) {
             Some(balancer) => self.accept(client, &known, balancer),
             None => {
-                let wait = self.clients.refused();
+                let wait = self.clients.refused_retry_delay();
                 self.schedule(self.now + wait, Event::ClientTries { client });
             }
         }
@@ -79,14 +79,14 @@
             deadline + CLIENT_GIVES_UP_AFTER_DEADLINE,
             Event::ClientGivesUp { flow: id },
         );
-        if known.told {
+        if known.follows_retry_after {
             self.figures.came_when_told(self.now);
         }
         let key = self.admission_key(client, known);
         let requester = Requester {
             key,
             client,
-            is_retry: known.tries > 0,
+            is_retry: known.unsuccessful_tries > 0,
             latency_deadline: target,
         };
         self.call_flow_table(balancer, |flow_table, now, actions| {
@@ -135,7 +135,7 @@
         };
         self.figures.unanswered += 1;
         self.client_leaves(flow);
-        let wait = self.clients.failed(client, &self.model.scenario);
+        let wait = self.clients.record_failed(client, &self.model.scenario);
         self.retry_after(client, wait);
     }
 
--- a/crates/testbed/src/simulate/connections.rs
+++ b/crates/testbed/src/simulate/connections.rs
@@ -35,11 +35,12 @@
     /// arrive.
     pub(super) fn connection_opened(&mut self, flow: FlowId, client: ClientId) {
         let known = self.clients.get(client);
-        let first_try = known.is_some_and(|client| !client.reconnecting && client.tries == 0);
+        let first_try =
+            known.is_some_and(|client| !client.reconnecting && client.unsuccessful_tries == 0);
         if first_try && self.now == 0 {
             self.schedule_client_done(client);
         }
-        if let Some(wait) = self.clients.first_change(&self.model.scenario) {
+        if let Some(wait) = self.clients.first_load_change(&self.model.scenario) {
             self.schedule(self.now + wait, Event::LoadChanges { flow });
         }
     }
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -12,7 +12,7 @@
     pub(super) fn schedule_list_delivery(&mut self) {
         for balancer in 0..self.balancers.len() {
             if self.balancers[balancer].is_running()
-                && let Some(delay) = self.model.discovery()
+                && let Some(delay) = self.model.discovery_delay()
             {
                 let balancer = self.incarnation(balancer);
                 self.schedule(self.now + delay, Event::ListArrives { balancer });
@@ -22,7 +22,7 @@
 
     /// Delivers a changed list, unless the balancer has restarted or discovery is down now.
     pub(super) fn list_arrives(&mut self, balancer: Incarnation) {
-        if self.is_current(balancer) && self.model.discovery().is_some() {
+        if self.is_current(balancer) && self.model.discovery_delay().is_some() {
             self.deliver_list(balancer.balancer);
         }
     }
@@ -31,12 +31,12 @@
     /// none.
     pub(super) fn deliver_list(&mut self, balancer: usize) {
         let known_version = self.balancers[balancer].list_version;
-        let entries = self.model.since(known_version);
+        let entries = self.model.entries_since(known_version);
         let nothing_new = known_version > 0 && entries.is_empty();
         if !self.balancers[balancer].is_running() || nothing_new {
             return;
         }
-        self.balancers[balancer].list_version = self.model.version();
+        self.balancers[balancer].list_version = self.model.list_version();
         for entry in &entries {
             let (server, ready) = (
                 entry.server_id as usize,
--- a/crates/testbed/src/simulate/probes.rs
+++ b/crates/testbed/src/simulate/probes.rs
@@ -18,7 +18,7 @@
     pub(super) fn start_health_check(&mut self, balancer: usize, server: usize) {
         let zone = self.balancers[balancer].zone;
         self.figures.probes += 1;
-        let latency = self.model.way(zone, self.server_zone(server));
+        let latency = self.model.one_way_latency(zone, self.server_zone(server));
         let balancer = self.incarnation(balancer);
         self.schedule(
             self.now + latency,
@@ -34,7 +34,7 @@
             return;
         }
         let zone = self.balancers[balancer].zone;
-        let reachable = self.model.reaches(zone, self.server_zone(server));
+        let reachable = self.model.can_reach(zone, self.server_zone(server));
         let report = if reachable {
             self.load_report(server)
         } else {
@@ -50,7 +50,7 @@
     fn load_report(&mut self, server: usize) -> Option<LoadReport> {
         let fleet = &self.model.scenario.fleet;
         let state = &mut self.model.servers[server];
-        let message_time = seconds(state.message_seconds(fleet, self.now));
+        let message_time = seconds(state.mean_message_seconds(fleet, self.now));
         if state.status == ServerStatus::Up && message_time > PASSING_MESSAGE_TIME_MAX {
             return None;
         }
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -170,8 +170,10 @@
     /// failed, since it may have been executed.
     fn retry_unanswered(&mut self, client: ClientId) {
         let wait = match self.clients.idempotency(client, &self.model.scenario) {
-            Idempotency::NonIdempotent => self.clients.failed(client, &self.model.scenario),
-            _ => self.clients.rejected(client, None, &self.model.scenario),
+            Idempotency::NonIdempotent => self.clients.record_failed(client, &self.model.scenario),
+            _ => self
+                .clients
+                .record_rejected(client, None, &self.model.scenario),
         };
         self.retry_after(client, wait);
     }
--- a/crates/testbed/src/simulate/sampling.rs
+++ b/crates/testbed/src/simulate/sampling.rs
@@ -17,8 +17,8 @@
     pub(super) fn tick_model(&mut self) {
         let events = self.model.tick(self.now);
         let seconds = TICK_INTERVAL as f64 / SEC as f64;
-        let wanted = self.clients.wanted * seconds;
-        let served = self.model.served(self.now) * seconds;
+        let wanted = self.clients.demanded_value * seconds;
+        let served = self.model.served_value(self.now) * seconds;
         self.figures.worth(self.now, (wanted, served), seconds);
         self.apply_fleet_events(events);
         self.schedule(self.now + TICK_INTERVAL, Event::ModelTick);
@@ -35,7 +35,7 @@
             .iter()
             .filter(|server| server.status == ServerStatus::Up)
         {
-            let seconds = server.message_seconds(fleet, self.now);
+            let seconds = server.mean_message_seconds(fleet, self.now);
             self.figures
                 .message(self.now, seconds, server.connections.len() as u64);
         }
--- a/crates/testbed/src/simulate/simulation.rs
+++ b/crates/testbed/src/simulate/simulation.rs
@@ -177,7 +177,7 @@
             .flows
             .get(&flow)
             .map_or(0, |state| self.balancers[state.balancer].zone);
-        self.model.way(zone, self.server_zone(server))
+        self.model.one_way_latency(zone, self.server_zone(server))
     }
 
     fn handle(&mut self, event: Event) {
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -1,7 +1,7 @@
 //! The state at time 0, and the start of a balancer's process.
 
 use nettlemux_admission::AdmissionController;
-use nettlemux_fleet_model::observation::{Observation, VERSION};
+use nettlemux_fleet_model::observation::{Observation, RECORD_FORMAT_VERSION};
 use nettlemux_fleet_model::time::seconds;
 use nettlemux_flow_table::{FlowTable, LoadBalancingPolicy, RetryAfterHint};
 use nettlemux_policy::Time;
@@ -42,7 +42,7 @@
         let scenario = self.model.scenario.name.clone();
         let program = format!("{} in virtual time", self.policy.name());
         self.observe(Observation::Header {
-            version: VERSION,
+            version: RECORD_FORMAT_VERSION,
             scenario,
             seed: self.seed,
             program,
@@ -120,7 +120,7 @@
         };
         let server = self
             .model
-            .stood_at(self.balancers[balancer].zone, &mut self.rng);
+            .server_of_standing_connection(self.balancers[balancer].zone, &mut self.rng);
         let flow = self.new_flow(client, Time::MAX);
         let id = flow.id;
         if let Some(flow_table) = &mut self.balancers[balancer].flow_table {
--- a/crates/testbed/src/sockets/client.rs
+++ b/crates/testbed/src/sockets/client.rs
@@ -49,7 +49,12 @@
         let inner = &mut *shared.lock();
         let id = inner.population.arrive(0, &inner.model);
         let zone = inner.population.get(id).map_or(0, |client| client.zone);
-        (id, inner.model.stood_at(zone, &mut inner.rng))
+        (
+            id,
+            inner
+                .model
+                .server_of_standing_connection(zone, &mut inner.rng),
+        )
     };
     tokio::spawn(run_client(shared.clone(), id, Some(server)));
 }
@@ -58,13 +63,13 @@
 async fn run_client(shared: Arc<SharedRun>, id: u64, mut standing: Option<usize>) {
     loop {
         let client = shared.lock().population.get(id).cloned();
-        let Some(client) = client.filter(|client| !client.gone) else {
+        let Some(client) = client.filter(|client| !client.gave_up) else {
             break;
         };
         match run_flow(&shared, id, &client, standing.take()).await {
             FlowOutcome::Done => break,
             FlowOutcome::Retry(Some(wait)) => {
-                let left = client.ends.saturating_sub(shared.now());
+                let left = client.planned_end.saturating_sub(shared.now());
                 tokio::time::sleep(to_duration(wait.min(left))).await;
                 if wait >= left {
                     break;
@@ -74,7 +79,8 @@
                 // The client has given up. It stays in the population until its end, so that the
                 // service that it still wanted counts as lost.
                 shared.lock().figures.clients_lost += 1;
-                tokio::time::sleep(to_duration(client.ends.saturating_sub(shared.now()))).await;
+                tokio::time::sleep(to_duration(client.planned_end.saturating_sub(shared.now())))
+                    .await;
                 break;
             }
         }
@@ -101,7 +107,7 @@
     client: &Client,
     standing: Option<usize>,
 ) -> FlowOutcome {
-    let refused = || FlowOutcome::Retry(Some(shared.lock().population.refused()));
+    let refused = || FlowOutcome::Retry(Some(shared.lock().population.refused_retry_delay()));
     let Some((balancer, stream)) = connect_to_balancer(shared, client).await else {
         return refused();
     };
@@ -201,7 +207,7 @@
         if client.reconnecting {
             state.figures.returned(accepted_at);
         }
-        if client.told {
+        if client.follows_retry_after {
             state.figures.came_when_told(accepted_at);
         }
         state.observe(Observation::Accepted {
@@ -248,7 +254,7 @@
     if client.reconnecting {
         line += ",again=1";
     }
-    if client.tries > 0 {
+    if client.unsuccessful_tries > 0 {
         line += ",r=1";
     }
     if let Some(server) = standing {
--- a/crates/testbed/src/sockets/client_flow.rs
+++ b/crates/testbed/src/sockets/client_flow.rs
@@ -68,7 +68,7 @@
         let answer_timeout = to_duration(self.wait + LATE_ANSWER_TIMEOUT);
         let ends = match standing {
             true => answer_timeout,
-            false => to_duration(client.ends.saturating_sub(shared.now())),
+            false => to_duration(client.planned_end.saturating_sub(shared.now())),
         };
         let answer = tokio::select! {
             answer = tokio::time::timeout(answer_timeout, lines.next_line()) => answer,
@@ -81,7 +81,7 @@
             // No answer, or closed without an answer. It counts unless the balancer has died.
             shared.lock().figures.unanswered += u64::from(!self.balancer_died().await);
             let inner = &mut *shared.lock();
-            return FlowOutcome::Retry(inner.population.failed(self.id, &shared.scenario));
+            return FlowOutcome::Retry(inner.population.record_failed(self.id, &shared.scenario));
         };
         let now = shared.now();
         let (word, rest) = answer.split_once(' ').unwrap_or((&answer, ""));
@@ -96,7 +96,7 @@
         if final_answer == FinalAnswer::Connected {
             {
                 let mut inner = shared.lock();
-                inner.population.connected(self.id);
+                inner.population.record_connected(self.id);
                 inner.standing += usize::from(standing);
             }
             return self.run_open(lines, out, client).await;
@@ -108,10 +108,10 @@
                 let retry_after = rest.trim().parse::<u64>().ok().map(|ms| ms * MS);
                 inner
                     .population
-                    .rejected(self.id, retry_after, &shared.scenario)
+                    .record_rejected(self.id, retry_after, &shared.scenario)
             }
             (_, Idempotency::NonIdempotent) if standing => None,
-            _ => inner.population.failed(self.id, &shared.scenario),
+            _ => inner.population.record_failed(self.id, &shared.scenario),
         })
     }
 
@@ -168,12 +168,12 @@
         let mut lines_sent = 0u64;
         loop {
             let now = shared.now();
-            if shared.has_started() && now >= client.ends {
+            if shared.has_started() && now >= client.planned_end {
                 self.observe_client_close(now);
                 return FlowOutcome::Done;
             }
             let wake = if shared.has_started() {
-                next.min(client.ends)
+                next.min(client.planned_end)
             } else {
                 next
             };
--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -64,7 +64,7 @@
             }
         };
         let _ = tokio::time::timeout(Duration::from_millis(hold), newer_version).await;
-        if shared.lock().model.discovery().is_none() {
+        if shared.lock().model.discovery_delay().is_none() {
             // Discovery is down: the request is never answered.
             std::future::pending::<()>().await;
         }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_fleet_model::observation::{Observation, VERSION};
+use nettlemux_fleet_model::observation::{Observation, RECORD_FORMAT_VERSION};
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_policy::{MS, SEC, Time};
 use tokio::time::Instant;
@@ -118,7 +118,7 @@
     let version = version(program);
     let name = scenario.name.clone();
     shared.observe(Observation::Header {
-        version: VERSION,
+        version: RECORD_FORMAT_VERSION,
         scenario: name,
         seed,
         program: version,
--- a/crates/testbed/src/sockets/run_state.rs
+++ b/crates/testbed/src/sockets/run_state.rs
@@ -122,7 +122,7 @@
         let zone = state.balancer % self.model.scenario.zones.number;
         let server_healthy = state.server.is_some_and(|server| {
             let server = &self.model.servers[server];
-            server.status == ServerStatus::Up && self.model.reaches(zone, server.zone)
+            server.status == ServerStatus::Up && self.model.can_reach(zone, server.zone)
         });
         let (by, client_notified) = match state.closed_by_server {
             Some(client_notified) => (ClosedBy::Server, client_notified),
--- a/crates/testbed/src/sockets/server.rs
+++ b/crates/testbed/src/sockets/server.rs
@@ -183,7 +183,7 @@
     let latency = {
         let inner = shared.lock();
         let to = inner.model.servers[server].zone;
-        inner.model.way(zone, to)
+        inner.model.one_way_latency(zone, to)
     };
     loop {
         let Some(line) = connection.read_line().await else {
@@ -196,7 +196,7 @@
             let inner = shared.lock();
             let server_model = &inner.model.servers[server];
             server_model.status != ServerStatus::Unresponsive
-                && inner.model.reaches(zone, server_model.zone)
+                && inner.model.can_reach(zone, server_model.zone)
         };
         if !reaches {
             return connection.hold_silent(&shared, server).await;
@@ -280,7 +280,7 @@
                     server,
                 });
                 slot.attempt = Some(number);
-                let (response, caused) = inner.model.offer(now, zone, server);
+                let (response, caused) = inner.model.deliver_attempt(now, zone, server);
                 events = caused;
                 response
             }
@@ -377,8 +377,8 @@
                 let (answer_seconds, reaches) = {
                     let mut inner = shared.lock();
                     let server_model = &inner.model.servers[server];
-                    let mean = server_model.message_seconds(&shared.scenario.fleet, now);
-                    let reaches = inner.model.reaches(zone, server_model.zone) && server_model.status == ServerStatus::Up;
+                    let mean = server_model.mean_message_seconds(&shared.scenario.fleet, now);
+                    let reaches = inner.model.can_reach(zone, server_model.zone) && server_model.status == ServerStatus::Up;
                     (inner.rng.exponential(mean).min(10.0 * mean), reaches)
                 };
                 if !reaches {
@@ -418,7 +418,7 @@
     shared
         .lock()
         .population
-        .first_change(&shared.scenario)
+        .first_load_change(&shared.scenario)
         .unwrap_or(super::LONGER_THAN_ANY_RUN)
 }
 
--- a/crates/testbed/src/sockets/shared_run.rs
+++ b/crates/testbed/src/sockets/shared_run.rs
@@ -130,7 +130,7 @@
         let events = inner.model.tick(now);
         let seconds = super::TICK_INTERVAL as f64 / 1e9;
         let (wanted, served) = (
-            inner.population.wanted * seconds,
+            inner.population.demanded_value * seconds,
             std::mem::take(&mut inner.served),
         );
         inner.figures.worth(now, (wanted, served), seconds);
@@ -213,15 +213,15 @@
     fn schedule_list_updates(self: &Arc<Self>) {
         let mut inner = self.lock();
         for balancer in 0..inner.visible_versions.len() {
-            let Some(delay) = inner.model.discovery() else {
+            let Some(delay) = inner.model.discovery_delay() else {
                 continue;
             };
             let shared = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(super::to_duration(delay)).await;
                 let mut inner = shared.lock();
-                if inner.model.discovery().is_some() {
-                    inner.visible_versions[balancer] = inner.model.version();
+                if inner.model.discovery_delay().is_some() {
+                    inner.visible_versions[balancer] = inner.model.list_version();
                 }
                 drop(inner);
                 shared.list_updates.send_modify(|count| *count += 1);
@@ -241,7 +241,7 @@
                     .model
                     .entries_between(from, inner.visible_versions[balancer]),
             ),
-            None => (inner.model.version(), inner.model.since(0)),
+            None => (inner.model.list_version(), inner.model.entries_since(0)),
         };
         let at = self.now();
         let mut instances = Vec::new();
