--- a/crates/adapter/src/balancer.rs
+++ b/crates/adapter/src/balancer.rs
@@ -1,6 +1,6 @@
 //! A simulated balancer: its flow table and its timer.
 
-use nettlemux_flow_table::{ClientIdentity, EndedAttempt, FlowTable, PolicyCommand};
+use nettlemux_flow_table::{AdmissionAttributes, EndedAttempt, FlowTable, PolicyCommand};
 use nettlemux_policy::{Flow, FlowId, MS, SEC, Time};
 use nettlemux_settings::{DrainMigration, LoadReportFormat, Settings};
 
@@ -57,7 +57,7 @@
             }
             SimulatorEvent::Connected { flow, took } => {
                 let mut commands = Vec::new();
-                table.connected(now, flow, took, &mut commands);
+                table.attempt_connected(now, flow, took, &mut commands);
                 self.write_commands(commands, out);
             }
             SimulatorEvent::ConnectionLoad { flow, load } => {
@@ -93,13 +93,13 @@
         match update {
             EndpointUpdate::Delta(endpoints) => table.update_endpoints(now, endpoints, false),
             EndpointUpdate::Snapshot(endpoints) => table.update_endpoints(now, endpoints, true),
-            EndpointUpdate::PollFailed => table.endpoint_poll_failed(now),
+            EndpointUpdate::PollFailed => table.on_endpoint_poll_failed(now),
         }
     }
 
     fn accept(&mut self, now: Time, flow: Flow, out: &mut String) {
         let mut commands = Vec::new();
-        let identity = ClientIdentity::default();
+        let identity = AdmissionAttributes::default();
         self.flow_table.accept(now, flow, identity, &mut commands);
         self.write_commands(commands, out);
     }
--- a/crates/balancer/src/config_file.rs
+++ b/crates/balancer/src/config_file.rs
@@ -199,7 +199,7 @@
             .ok_or_else(|| ConfigError::MissingSettings {
                 unknown_keys: unknown_keys.to_vec(),
             })?;
-        let settings = Settings::within(value)?;
+        let settings = Settings::from_embedded(value)?;
         // Builds a policy and drops it, so that an invalid setting is reported before the balancer
         // starts.
         settings.policy(seed, 0, DrainMigration::Enabled)?;
--- a/crates/candidates/src/candidate_set.rs
+++ b/crates/candidates/src/candidate_set.rs
@@ -9,7 +9,7 @@
 /// The longest list that is scanned in full. It is twice the number of servers that the health
 /// check budget covers within the longest interval, because servers without own connections are
 /// checked only when a flow may go there.
-pub const WHOLE_LIST_MAX: usize =
+pub const FULL_SCAN_SERVERS_MAX: usize =
     (2 * HEALTH_CHECKS_PER_SECOND * CHECK_INTERVAL_MAX_SECONDS) as usize;
 /// The lowest number of candidates of a key.
 const CANDIDATES_MIN: usize = 16;
@@ -69,7 +69,7 @@
     /// `holders` yields each server that holds own connections of the key, with their number. The
     /// number of candidates grows with the number of these connections. Holders beyond
     /// [`CANDIDATES_MAX`] are left out.
-    pub fn scope<'a>(
+    pub fn servers_for_key<'a>(
         &self,
         key: u64,
         zone: ZoneId,
--- a/crates/candidates/src/lib.rs
+++ b/crates/candidates/src/lib.rs
@@ -34,7 +34,7 @@
 mod token_bucket;
 mod zones;
 
-pub use candidate_set::{CANDIDATES_MAX, CandidateSet, WHOLE_LIST_MAX, ZoneReach};
+pub use candidate_set::{CANDIDATES_MAX, CandidateSet, FULL_SCAN_SERVERS_MAX, ZoneReach};
 pub use hash::{hash, hash_name, usable_weight};
 pub use health_checks::{HEALTH_CHECKS_PER_SECOND, HealthCheckQueue};
 pub use token_bucket::TokenBucket;
--- a/crates/candidates/tests/candidate_set.rs
+++ b/crates/candidates/tests/candidate_set.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use nettlemux_candidates::{CandidateSet, HealthCheckQueue, ServerId, WHOLE_LIST_MAX, ZoneReach};
+use nettlemux_candidates::{
+    CandidateSet, FULL_SCAN_SERVERS_MAX, HealthCheckQueue, ServerId, ZoneReach,
+};
 
 const SEC: u64 = 1_000_000_000;
 const TICK: u64 = SEC / 4;
@@ -18,19 +20,19 @@
 /// on every server.
 #[test]
 fn scope_is_bounded_for_lists_of_any_length() {
-    for servers in [WHOLE_LIST_MAX as u64 + 1, 600, 3_000, 12_000, 50_000] {
+    for servers in [FULL_SCAN_SERVERS_MAX as u64 + 1, 600, 3_000, 12_000, 50_000] {
         let candidates = candidate_set(servers);
         for key in 0..200 {
             let zone = key % ZONES;
             assert!(
                 candidates
-                    .scope(key, zone, ZoneReach::OwnZone, [].into_iter())
+                    .servers_for_key(key, zone, ZoneReach::OwnZone, [].into_iter())
                     .len()
                     <= 12
             );
             assert_eq!(
                 candidates
-                    .scope(key, zone, ZoneReach::AllZones, [].into_iter())
+                    .servers_for_key(key, zone, ZoneReach::AllZones, [].into_iter())
                     .len(),
                 16,
                 "{servers} servers"
@@ -38,7 +40,7 @@
             // A group with ten connections on every server.
             let held: BTreeMap<ServerId, usize> = (0..servers).map(|id| (id, 10)).collect();
             let considered = candidates
-                .scope(key, zone, ZoneReach::AllZones, held.iter())
+                .servers_for_key(key, zone, ZoneReach::AllZones, held.iter())
                 .len();
             assert!(
                 considered <= 96,
@@ -58,7 +60,7 @@
     let candidates = candidate_set(6_000);
     let sizes = [0, 1, 40, 279, 100_000].map(|own| {
         let held = BTreeMap::from([(5_999, own)]);
-        let scope = candidates.scope(1, 3, ZoneReach::AllZones, held.iter());
+        let scope = candidates.servers_for_key(1, 3, ZoneReach::AllZones, held.iter());
         assert!(scope.contains(&5_999) && scope.is_sorted());
         scope.len()
     });
@@ -71,11 +73,11 @@
 #[test]
 fn removed_server_is_not_in_scope() {
     let mut candidates = candidate_set(600);
-    let first = candidates.scope(1, 3, ZoneReach::OwnZone, [].into_iter())[0];
+    let first = candidates.servers_for_key(1, 3, ZoneReach::OwnZone, [].into_iter())[0];
     candidates.remove(first);
     assert!(
         !candidates
-            .scope(1, 3, ZoneReach::AllZones, [].into_iter())
+            .servers_for_key(1, 3, ZoneReach::AllZones, [].into_iter())
             .contains(&first)
     );
 }
@@ -100,7 +102,7 @@
 
 #[test]
 fn longest_list_scanned_in_full_has_200_servers() {
-    assert_eq!(WHOLE_LIST_MAX, 200);
+    assert_eq!(FULL_SCAN_SERVERS_MAX, 200);
 }
 
 /// Runs the queue for this many seconds. `own` is the number of own connections of each server.
--- a/crates/dataplane/src/dispatcher.rs
+++ b/crates/dataplane/src/dispatcher.rs
@@ -13,7 +13,7 @@
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use nettlemux_flow_table::{ClientIdentity, EndedAttempt, FlowTable, PolicyCommand};
+use nettlemux_flow_table::{AdmissionAttributes, EndedAttempt, FlowTable, PolicyCommand};
 use nettlemux_policy::{Flow, FlowId, GroupPlacement, MS, SEC, Time};
 use nettlemux_settings::{DrainMigration, Settings};
 use tracing::{error, info};
@@ -186,7 +186,7 @@
                 entries,
                 is_complete,
             } => self.endpoints_discovered(now, entries, is_complete),
-            DispatcherMessage::EndpointPollFailed => self.flow_table.endpoint_poll_failed(now),
+            DispatcherMessage::EndpointPollFailed => self.flow_table.on_endpoint_poll_failed(now),
             DispatcherMessage::GossipReceived(message) => self.gossip_received(now, &message),
             DispatcherMessage::ApplySettings(settings) => self.apply_settings(*settings),
             DispatcherMessage::ApplyAdmission(config) => {
@@ -202,7 +202,7 @@
         &mut self,
         now: Time,
         flow: Flow,
-        client: ClientIdentity,
+        client: AdmissionAttributes,
         mailbox: Sender<CoroutineEvent>,
     ) {
         self.clients.insert(flow.id, mailbox, None);
@@ -239,7 +239,7 @@
         match client.adoption.take() {
             Some(Adoption { flow, server_id }) => self.flow_table.adopt_connection(flow, server_id),
             None => self.call_flow_table(now, |flow_table, commands| {
-                flow_table.connected(now, flow, elapsed, commands)
+                flow_table.attempt_connected(now, flow, elapsed, commands)
             }),
         }
     }
@@ -344,7 +344,7 @@
     fn time_out_unanswered(&mut self, now: Time) {
         let mut unanswered = Vec::new();
         self.call_flow_table(now, |flow_table, commands| {
-            unanswered = flow_table.shorten_deadlines(now, commands)
+            unanswered = flow_table.begin_shutdown(now, commands)
         });
         for flow in unanswered {
             self.clients.command(flow, FlowCommand::AttemptTimedOut);
--- a/crates/dataplane/src/messages.rs
+++ b/crates/dataplane/src/messages.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use nettlemux_admission::AdmissionConfig;
-use nettlemux_flow_table::{ClientIdentity, EndedAttempt};
+use nettlemux_flow_table::{AdmissionAttributes, EndedAttempt};
 use nettlemux_policy::{AttemptEnd, EndpointState, Flow, FlowId, LoadReport, ServerId, Time};
 use nettlemux_settings::Settings;
 
@@ -91,7 +91,7 @@
         /// The flow. It must be answered by its deadline.
         flow: Flow,
         /// Its client, for admission control.
-        client: ClientIdentity,
+        client: AdmissionAttributes,
         /// Receives the commands to its coroutine.
         mailbox: Sender<CoroutineEvent>,
     },
--- a/crates/dataplane/src/pipeline.rs
+++ b/crates/dataplane/src/pipeline.rs
@@ -5,7 +5,7 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-use nettlemux_flow_table::ClientIdentity;
+use nettlemux_flow_table::AdmissionAttributes;
 use nettlemux_policy::{AttemptEnd, Flow};
 
 use crate::attempt::{self, AttemptFailure, FlowOrigin, LineProgress};
@@ -22,7 +22,7 @@
     /// The flow.
     pub flow: Flow,
     /// The client as admission control knows it.
-    pub identity: ClientIdentity,
+    pub identity: AdmissionAttributes,
     /// The name of the server at which the connection was open before the balancer started; `None`
     /// for a new connection.
     pub previous_server: Option<String>,
--- a/crates/dataplane/src/route.rs
+++ b/crates/dataplane/src/route.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use nettlemux_flow_table::ClientIdentity;
+use nettlemux_flow_table::AdmissionAttributes;
 use nettlemux_policy::{Flow, MS, Time};
 use tracing::error;
 
@@ -33,7 +33,7 @@
     /// The flow.
     pub flow: Flow,
     /// The client as admission control knows it.
-    pub identity: ClientIdentity,
+    pub identity: AdmissionAttributes,
     /// The name of the server at which the connection was open before the balancer started; `None`
     /// for a new connection.
     pub previous_server: Option<String>,
--- a/crates/flow-table/src/identity.rs
+++ b/crates/flow-table/src/identity.rs
@@ -5,7 +5,7 @@
 /// The properties of a flow and its client that admission control uses. The default value is for
 /// callers without admission control.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClientIdentity {
+pub struct AdmissionAttributes {
     /// Identifies the tenant or client in whose fair queue the flow waits.
     pub key: u64,
     /// Identifies the client, so that it is recognized when it retries.
--- a/crates/flow-table/src/lib.rs
+++ b/crates/flow-table/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use crate::attempt::EndedAttempt;
 pub use crate::command::PolicyCommand;
-pub use crate::identity::ClientIdentity;
+pub use crate::identity::AdmissionAttributes;
 pub use crate::policy::LoadBalancingPolicy;
 pub use crate::retry_after_hint::RetryAfterHint;
 pub use crate::table::FlowTable;
--- a/crates/flow-table/src/policy.rs
+++ b/crates/flow-table/src/policy.rs
@@ -24,7 +24,7 @@
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool);
 
     /// Handles a failed poll of the endpoint list.
-    fn endpoint_poll_failed(&mut self, now: Time);
+    fn on_endpoint_poll_failed(&mut self, now: Time);
 
     /// Adds a connection that was open before the balancer started.
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId);
@@ -53,8 +53,8 @@
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         Policy::update_endpoints(self, now, entries, is_complete);
     }
-    fn endpoint_poll_failed(&mut self, now: Time) {
-        Policy::endpoint_poll_failed(self, now);
+    fn on_endpoint_poll_failed(&mut self, now: Time) {
+        Policy::on_endpoint_poll_failed(self, now);
     }
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         Policy::adopt_connection(self, flow, server_id);
@@ -83,8 +83,8 @@
     fn update_endpoints(&mut self, now: Time, entries: &[Endpoint], is_complete: bool) {
         (**self).update_endpoints(now, entries, is_complete);
     }
-    fn endpoint_poll_failed(&mut self, now: Time) {
-        (**self).endpoint_poll_failed(now);
+    fn on_endpoint_poll_failed(&mut self, now: Time) {
+        (**self).on_endpoint_poll_failed(now);
     }
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         (**self).adopt_connection(flow, server_id);
--- a/crates/flow-table/src/table.rs
+++ b/crates/flow-table/src/table.rs
@@ -15,7 +15,7 @@
 
 use crate::attempt::EndedAttempt;
 use crate::command::PolicyCommand;
-use crate::identity::ClientIdentity;
+use crate::identity::AdmissionAttributes;
 use crate::policy::LoadBalancingPolicy;
 use crate::retry_after_hint::RetryAfterHint;
 
@@ -70,7 +70,7 @@
         &mut self,
         now: Time,
         flow: Flow,
-        identity: ClientIdentity,
+        identity: AdmissionAttributes,
         commands: &mut Vec<PolicyCommand>,
     ) {
         let id = flow.id;
@@ -99,20 +99,23 @@
         self.flows.insert(entry.flow.id, entry);
     }
 
-    /// Handles an attempt that established a connection after `took` nanoseconds, which answers the
-    /// client.
-    pub fn connected(
+    /// Handles an attempt that established a connection after `connect_duration` nanoseconds, which
+    /// answers the client.
+    pub fn attempt_connected(
         &mut self,
         now: Time,
         flow: FlowId,
-        took: Time,
+        connect_duration: Time,
         commands: &mut Vec<PolicyCommand>,
     ) {
         self.mark_answered(flow);
         if let Some(admission) = &mut self.admission {
             admission.flow_connected(now);
         }
-        let event = PolicyEvent::Connected { flow, took };
+        let event = PolicyEvent::Connected {
+            flow,
+            connect_duration,
+        };
         let actions = self.policy.on_event(now, event);
         self.apply_actions(actions, commands);
         self.admit_queued(now, commands);
@@ -218,8 +221,8 @@
     }
 
     /// Handles a failed poll of the endpoint list.
-    pub fn endpoint_poll_failed(&mut self, now: Time) {
-        self.policy.endpoint_poll_failed(now);
+    pub fn on_endpoint_poll_failed(&mut self, now: Time) {
+        self.policy.on_endpoint_poll_failed(now);
     }
 
     /// Marks a flow as no longer waiting for an answer, without notifying the policy.
@@ -236,11 +239,7 @@
 
     /// Limits the deadline of each unanswered flow to `at` and returns these flows. Admission
     /// control rejects all flows that wait in it and all flows that arrive later.
-    pub fn shorten_deadlines(
-        &mut self,
-        at: Time,
-        commands: &mut Vec<PolicyCommand>,
-    ) -> Vec<FlowId> {
+    pub fn begin_shutdown(&mut self, at: Time, commands: &mut Vec<PolicyCommand>) -> Vec<FlowId> {
         if let Some(admission) = &mut self.admission {
             admission.shut_down();
             self.admit_queued(at, commands);
--- a/crates/flow-table/src/table/admission.rs
+++ b/crates/flow-table/src/table/admission.rs
@@ -7,7 +7,7 @@
 
 use super::FlowTable;
 use crate::command::PolicyCommand;
-use crate::identity::ClientIdentity;
+use crate::identity::AdmissionAttributes;
 use crate::policy::LoadBalancingPolicy;
 use crate::retry_after_hint::RetryAfterHint;
 
@@ -38,7 +38,7 @@
         &mut self,
         now: Time,
         flow: FlowId,
-        identity: ClientIdentity,
+        identity: AdmissionAttributes,
         commands: &mut Vec<PolicyCommand>,
     ) {
         let Some(admission) = &mut self.admission else {
--- a/crates/flow-table/src/table/commands.rs
+++ b/crates/flow-table/src/table/commands.rs
@@ -44,7 +44,7 @@
                 let number = entry.flow.attempts.len();
                 entry.flow.attempts.push(Attempt {
                     server_id,
-                    at: now,
+                    sent_at: now,
                     in_flight: true,
                     known_unexecuted: false,
                 });
--- a/crates/flow-table/src/table/tests.rs
+++ b/crates/flow-table/src/table/tests.rs
@@ -39,7 +39,7 @@
         None
     }
     fn update_endpoints(&mut self, _: Time, _: &[Endpoint], _: bool) {}
-    fn endpoint_poll_failed(&mut self, _: Time) {}
+    fn on_endpoint_poll_failed(&mut self, _: Time) {}
     fn adopt_connection(&mut self, _: &Flow, _: ServerId) {}
     fn update_connection_load(&mut self, _: FlowId, _: f64) {}
 }
@@ -62,7 +62,7 @@
         id,
         ..Flow::default()
     };
-    flow_table.accept(now, flow, ClientIdentity::default(), commands);
+    flow_table.accept(now, flow, AdmissionAttributes::default(), commands);
 }
 
 #[test]
@@ -222,7 +222,7 @@
             }
         ]
     );
-    assert_eq!(flow_table.shorten_deadlines(5, &mut commands), [2]);
+    assert_eq!(flow_table.begin_shutdown(5, &mut commands), [2]);
     assert_eq!(flow_table.flow(2).map(|f| f.deadline), Some(0));
 }
 
@@ -287,7 +287,7 @@
         .with_admission(AdmissionController::new(config, 1), RetryAfterHint::Sent);
     let mut commands = Vec::new();
     for id in 1..=5 {
-        let identity = ClientIdentity {
+        let identity = AdmissionAttributes {
             key: id,
             client: id,
             is_retry: false,
@@ -324,7 +324,7 @@
         "{commands:?}"
     );
     commands.clear();
-    let unanswered = flow_table.shorten_deadlines(4, &mut commands);
+    let unanswered = flow_table.begin_shutdown(4, &mut commands);
     assert!(
         unanswered.contains(&1) && unanswered.contains(&2) && !unanswered.contains(&5),
         "{unanswered:?}"
--- a/crates/line-protocol/src/admit.rs
+++ b/crates/line-protocol/src/admit.rs
@@ -6,7 +6,7 @@
 use nettlemux_dataplane::dataplane::Dataplane;
 use nettlemux_dataplane::pipeline::AdmittedFlow;
 use nettlemux_dataplane::wire::{REPLY_FAILED, REPLY_NO_LOAD_REPORT, REPLY_PONG, rejection_line};
-use nettlemux_flow_table::ClientIdentity;
+use nettlemux_flow_table::AdmissionAttributes;
 use nettlemux_policy::{Flow, MS, SEC, Time};
 use thiserror::Error;
 use tracing::{debug, warn};
@@ -51,7 +51,7 @@
 /// A valid flow that has no descriptors yet.
 struct NewFlow {
     flow: Flow,
-    identity: ClientIdentity,
+    identity: AdmissionAttributes,
     previous_server: Option<String>,
     client_id: ClientId,
 }
--- a/crates/line-protocol/src/settings.rs
+++ b/crates/line-protocol/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings for first lines: the traffic classes and tenants that a first line may name, and how
 //! admission control identifies clients. It must never decide whether a client is served.
 
-use nettlemux_flow_table::ClientIdentity;
+use nettlemux_flow_table::AdmissionAttributes;
 use nettlemux_policy::{MS, SEC, Time};
 use nettlemux_settings::operator::AdmissionKey;
 use nettlemux_settings::{Settings, SettingsError};
@@ -111,9 +111,9 @@
         request: &ConnectRequest,
         class: &TrafficClassSettings,
         accepted_at: Time,
-    ) -> ClientIdentity {
+    ) -> AdmissionAttributes {
         let Some(ClientKeys { by, seed }) = self.client_keys else {
-            return ClientIdentity::default();
+            return AdmissionAttributes::default();
         };
         // A client is identified by its group if it names one, or by the flow's key.
         let name = request.group.unwrap_or(request.key);
@@ -122,7 +122,7 @@
             AdmissionKey::Client => client,
             AdmissionKey::Tenant => self.tenant_key(request.tenant.unwrap_or_default(), seed),
         };
-        ClientIdentity {
+        AdmissionAttributes {
             key,
             client,
             is_retry: request.retry,
--- a/crates/policy/examples/long_lists/place.rs
+++ b/crates/policy/examples/long_lists/place.rs
@@ -112,7 +112,7 @@
                 self.per_flow.push(spent + took);
                 self.handle_event(PolicyEvent::Connected {
                     flow: flow.id,
-                    took: MS,
+                    connect_duration: MS,
                 });
                 self.connected.push_back((flow.id, server_id));
                 let (flow, server_id) = self.connected.pop_front().expect("no connection to end");
--- a/crates/policy/examples/long_lists/spread.rs
+++ b/crates/policy/examples/long_lists/spread.rs
@@ -69,7 +69,13 @@
         };
         match place_with_reports(policy, now, &flow, &spread.connections) {
             Some((at, server_id)) => {
-                policy.on_event(at, PolicyEvent::Connected { flow: id, took: MS });
+                policy.on_event(
+                    at,
+                    PolicyEvent::Connected {
+                        flow: id,
+                        connect_duration: MS,
+                    },
+                );
                 spread.connections[server_id as usize] += 1.0;
                 spread.holders.entry(group).or_default().insert(server_id);
             }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use nettlemux_candidates::{CandidateSet, WHOLE_LIST_MAX, hash, hash_name};
+use nettlemux_candidates::{CandidateSet, FULL_SCAN_SERVERS_MAX, hash, hash_name};
 
 use crate::connections::ConnectionTable;
 use crate::load_reports::ServerLoad;
@@ -24,7 +24,7 @@
     fn default() -> Self {
         EndpointConfig {
             is_polled: false,
-            full_scan_servers_max: WHOLE_LIST_MAX,
+            full_scan_servers_max: FULL_SCAN_SERVERS_MAX,
         }
     }
 }
@@ -79,7 +79,7 @@
     pub(crate) draining: BTreeSet<ServerId>,
     /// Candidates and budgets, if the list is too long to be considered as a whole.
     pub(crate) candidates: Option<CandidateSet>,
-    whole_list_max: usize,
+    full_scan_servers_max: usize,
     /// Makes the candidates of this balancer's flows without a group differ from those of other
     /// balancers.
     salt: u64,
@@ -93,7 +93,7 @@
             servers: BTreeMap::new(),
             draining: BTreeSet::new(),
             candidates: None,
-            whole_list_max: config.full_scan_servers_max,
+            full_scan_servers_max: config.full_scan_servers_max,
             salt: hash(seed),
             next_poll_at: config.is_polled.then_some(0),
         }
@@ -102,7 +102,7 @@
     /// Takes over the state of the policy that had the previous settings.
     pub(crate) fn take_state_from(&mut self, old: Endpoints) {
         *self = Endpoints {
-            whole_list_max: self.whole_list_max,
+            full_scan_servers_max: self.full_scan_servers_max,
             next_poll_at: self.next_poll_at,
             ..old
         };
@@ -155,7 +155,7 @@
     /// Updates the candidates of a long list; a short list has none.
     fn update_candidates(&mut self, entries: &[Endpoint], is_complete: bool) {
         let known = self.candidates.take();
-        if self.servers.len() <= self.whole_list_max {
+        if self.servers.len() <= self.full_scan_servers_max {
             return;
         }
         let updates_all = is_complete || known.is_none();
@@ -183,12 +183,12 @@
 
     /// Returns the number of servers that a scan of all servers visits at most.
     pub(crate) fn scan_size(&self) -> usize {
-        self.servers.len().min(self.whole_list_max)
+        self.servers.len().min(self.full_scan_servers_max)
     }
 
     /// Returns the first servers of the list, as many as a scan visits.
     pub(crate) fn first_servers(&self) -> impl Iterator<Item = &Server> {
-        self.servers.values().take(self.whole_list_max)
+        self.servers.values().take(self.full_scan_servers_max)
     }
 
     /// Returns the key that selects this flow's candidates on a long list.
--- a/crates/policy/src/health_checks.rs
+++ b/crates/policy/src/health_checks.rs
@@ -50,7 +50,7 @@
 /// Schedules the health checks.
 pub(crate) struct HealthChecks {
     enabled: bool,
-    cost: f64,
+    cost_per_check: f64,
     balancers: f64,
     interval: Time,
     is_on_demand: bool,
@@ -62,7 +62,7 @@
     pub(crate) fn new(config: &HealthCheckConfig, balancers: f64) -> Self {
         HealthChecks {
             enabled: config.enabled,
-            cost: config.cost_per_check.max(0.0),
+            cost_per_check: config.cost_per_check.max(0.0),
             balancers,
             interval: CHECK_INTERVAL_MIN,
             is_on_demand: false,
@@ -206,7 +206,7 @@
     /// Returns the interval at which checks of this many servers stay within their fraction of the
     /// flows' value.
     fn affordable_interval(&self, flows: usize, servers: usize) -> Time {
-        let checks = COST_FRACTION_MAX * flows as f64 / self.cost.max(f64::MIN_POSITIVE);
+        let checks = COST_FRACTION_MAX * flows as f64 / self.cost_per_check.max(f64::MIN_POSITIVE);
         (RATE_WINDOW as f64 * servers as f64 / checks) as Time
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -40,7 +40,7 @@
 //!     panic!("there is room")
 //! };
 //! assert_eq!((server_id, timeout), (51, 2 * SEC - 4 * MS));
-//! let actions = policy.on_event(MS, PolicyEvent::Connected { flow: 7, took: MS });
+//! let actions = policy.on_event(MS, PolicyEvent::Connected { flow: 7, connect_duration: MS });
 //! assert_eq!(actions, Actions::default());
 //! ```
 
--- a/crates/policy/src/migration.rs
+++ b/crates/policy/src/migration.rs
@@ -40,7 +40,7 @@
 
 /// Decides on migrations off draining servers.
 pub(crate) struct Migration {
-    off_draining: bool,
+    migrate_off_draining: bool,
     /// Time over which the migrations off a draining server are spread.
     drain_duration: Time,
     /// When the next migrations off draining servers are due.
@@ -50,7 +50,7 @@
 impl Migration {
     pub(crate) fn new(config: &MigrationConfig, warm_up: Time) -> Self {
         Migration {
-            off_draining: config.migrate_off_draining,
+            migrate_off_draining: config.migrate_off_draining,
             drain_duration: warm_up.max(2 * DRAIN_DELAY),
             next_drain_step_at: None,
         }
@@ -69,7 +69,7 @@
     /// Ends migrations off draining servers: a client left without being notified, so draining
     /// servers disconnect their clients themselves.
     pub(crate) fn stop_drain_migrations(&mut self) {
-        self.off_draining = false;
+        self.migrate_off_draining = false;
     }
 
     /// Schedules the first of these migrations after the endpoint list has changed.
@@ -105,7 +105,7 @@
     /// may have been delisted by mistake.
     pub(crate) fn drain_migrations(&self, view: &FleetView) -> Vec<DrainMigration> {
         let endpoints = view.endpoints;
-        if !self.off_draining || endpoints.draining.is_empty() {
+        if !self.migrate_off_draining || endpoints.draining.is_empty() {
             return Vec::new();
         }
         let has_room = endpoints.first_servers().any(|server| {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -121,7 +121,7 @@
     }
 
     /// Records that the endpoint list could not be fetched, and schedules the next poll.
-    pub fn endpoint_poll_failed(&mut self, now: Time) {
+    pub fn on_endpoint_poll_failed(&mut self, now: Time) {
         let jitter = self.rng.generate_range(0..POLL_RETRY_INTERVAL_MIN);
         self.endpoints
             .poll_at(now + POLL_RETRY_INTERVAL_MIN + jitter);
--- a/crates/policy/src/policy/placing.rs
+++ b/crates/policy/src/policy/placing.rs
@@ -76,7 +76,7 @@
         let candidates = self.endpoints.candidates.as_ref()?;
         let holders = self.connections.group_holders(flow).into_iter().flatten();
         let key = self.endpoints.candidate_key(flow);
-        Some(candidates.scope(key, self.zone, zones, holders))
+        Some(candidates.servers_for_key(key, self.zone, zones, holders))
     }
 
     /// Queues the flow until the servers that it may go to have reported, if their reports are too
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -119,7 +119,7 @@
         return Time::MAX;
     };
     possibly_executed(flow)
-        .map(|attempt| attempt.at.saturating_add(window))
+        .map(|attempt| attempt.sent_at.saturating_add(window))
         .min()
         .unwrap_or(Time::MAX)
 }
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -69,7 +69,7 @@
     /// Where it went.
     pub server_id: ServerId,
     /// When it was made.
-    pub at: Time,
+    pub sent_at: Time,
     /// Whether it is still in flight.
     pub in_flight: bool,
     /// Whether it is known that the server did not execute the attempt.
@@ -224,7 +224,7 @@
         /// The flow that is now connected.
         flow: FlowId,
         /// Nanoseconds from the attempt to the server's answer.
-        took: Time,
+        connect_duration: Time,
     },
     /// An attempt, or the connection that it became, has ended.
     AttemptEnded {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -99,7 +99,7 @@
 pub fn ended_attempt(server_id: ServerId, known_unexecuted: bool) -> Attempt {
     Attempt {
         server_id,
-        at: 0,
+        sent_at: 0,
         in_flight: false,
         known_unexecuted,
     }
--- a/crates/policy/tests/concurrency.rs
+++ b/crates/policy/tests/concurrency.rs
@@ -50,8 +50,15 @@
         "{before} attempts in flight before the time-outs, {congested} after them"
     );
     // Attempts that connect show that the servers have recovered.
-    (100..100 + congested as FlowId)
-        .for_each(|id| drop(policy.on_event(later, PolicyEvent::Connected { flow: id, took: MS })));
+    (100..100 + congested as FlowId).for_each(|id| {
+        drop(policy.on_event(
+            later,
+            PolicyEvent::Connected {
+                flow: id,
+                connect_duration: MS,
+            },
+        ))
+    });
     assert!(place_until_limit(&mut policy, later, 200) > congested);
 }
 
--- a/crates/policy/tests/fleet_slow_start.rs
+++ b/crates/policy/tests/fleet_slow_start.rs
@@ -178,7 +178,7 @@
                     now,
                     PolicyEvent::Connected {
                         flow: flow.id,
-                        took: MS,
+                        connect_duration: MS,
                     },
                 );
                 self.ends
@@ -187,7 +187,7 @@
             }
             flow.attempts.push(Attempt {
                 server_id,
-                at: now,
+                sent_at: now,
                 in_flight: false,
                 known_unexecuted: true,
             });
--- a/crates/policy/tests/gossip.rs
+++ b/crates/policy/tests/gossip.rs
@@ -46,7 +46,10 @@
                 announcer
                     .on_event(
                         new_flow.accepted_at,
-                        PolicyEvent::Connected { flow: id, took: MS },
+                        PolicyEvent::Connected {
+                            flow: id,
+                            connect_duration: MS,
+                        },
                     )
                     .gossip,
             );
@@ -104,7 +107,13 @@
             policy.place(now, &new_flow);
             messages += usize::from(
                 policy
-                    .on_event(now, PolicyEvent::Connected { flow: id, took: MS })
+                    .on_event(
+                        now,
+                        PolicyEvent::Connected {
+                            flow: id,
+                            connect_duration: MS,
+                        },
+                    )
                     .gossip
                     .is_some(),
             );
--- a/crates/policy/tests/health_checks.rs
+++ b/crates/policy/tests/health_checks.rs
@@ -25,7 +25,7 @@
             .poll_endpoints
     );
     assert_eq!(policy.time_to_next_timer(T0), None);
-    policy.endpoint_poll_failed(T0);
+    policy.on_endpoint_poll_failed(T0);
     let wait = policy
         .time_to_next_timer(T0)
         .expect("no further poll is scheduled after a failed one");
--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -143,7 +143,13 @@
             let Placement::Forward { server_id, .. } = placement else {
                 panic!("flow {id}: {placement:?}")
             };
-            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(
+                now,
+                PolicyEvent::Connected {
+                    flow: id,
+                    connect_duration: MS,
+                },
+            );
             *placed.entry(server_id).or_default() += 1;
         }
     }
@@ -205,7 +211,7 @@
     let key = |name: &String| nettlemux_candidates::hash_name(name);
     let has_full_candidates = |name: &String| {
         !candidates
-            .scope(key(name), 3, ZoneReach::AllZones, [].into_iter())
+            .servers_for_key(key(name), 3, ZoneReach::AllZones, [].into_iter())
             .iter()
             .any(has_room)
     };
@@ -219,7 +225,13 @@
     for (id, group) in groups.iter().enumerate() {
         let (id, now) = (id as FlowId, T0 + (1 + id as Time) * MS);
         if let Placement::Forward { server_id, .. } = policy.place(now, &of_group(now, id, group)) {
-            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(
+                now,
+                PolicyEvent::Connected {
+                    flow: id,
+                    connect_duration: MS,
+                },
+            );
             placed.push(server_id);
         }
     }
@@ -270,7 +282,7 @@
                     now,
                     PolicyEvent::Connected {
                         flow: step,
-                        took: MS,
+                        connect_duration: MS,
                     },
                 );
                 checks += checked.len();
@@ -378,7 +390,13 @@
                 matches!(placement, Placement::Forward { server_id, .. } if server_id != first),
                 "{state:?}: {placement:?}"
             );
-            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(
+                now,
+                PolicyEvent::Connected {
+                    flow: id,
+                    connect_duration: MS,
+                },
+            );
         }
     }
 }
@@ -409,7 +427,10 @@
             place(&mut always_scanned, now, &flow, utilization),
         );
         assert_eq!(placed_by_default, placed_always_scanned, "flow {id}");
-        let connected = PolicyEvent::Connected { flow: id, took: MS };
+        let connected = PolicyEvent::Connected {
+            flow: id,
+            connect_duration: MS,
+        };
         assert_eq!(
             by_default.on_event(now, connected),
             always_scanned.on_event(now, connected),
@@ -439,7 +460,13 @@
                 matches!(placement, Placement::Forward { server_id, .. } if server_id < count),
                 "{count} servers: {placement:?}"
             );
-            policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+            policy.on_event(
+                now,
+                PolicyEvent::Connected {
+                    flow: id,
+                    connect_duration: MS,
+                },
+            );
         }
     }
 }
@@ -456,7 +483,13 @@
         let Placement::Forward { server_id, .. } = placement else {
             panic!("flow {id}: {placement:?}")
         };
-        policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+        policy.on_event(
+            now,
+            PolicyEvent::Connected {
+                flow: id,
+                connect_duration: MS,
+            },
+        );
         *placed.entry(server_id).or_default() += 1;
     }
     assert!(
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -177,7 +177,13 @@
                 },
             ) {
                 placed[server_id as usize] += 1;
-                policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+                policy.on_event(
+                    now,
+                    PolicyEvent::Connected {
+                        flow: id,
+                        connect_duration: MS,
+                    },
+                );
             }
         }
         assert_eq!(
@@ -202,6 +208,12 @@
     for id in 1..20 {
         let now = T0 + id * 500 * MS;
         assert_ne!(place_one(&mut policy, now, id), silent);
-        policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+        policy.on_event(
+            now,
+            PolicyEvent::Connected {
+                flow: id,
+                connect_duration: MS,
+            },
+        );
     }
 }
--- a/crates/policy/tests/policy.rs
+++ b/crates/policy/tests/policy.rs
@@ -57,7 +57,13 @@
             },
         );
     }
-    policy.on_event(T0, PolicyEvent::Connected { flow: 999, took: 0 });
+    policy.on_event(
+        T0,
+        PolicyEvent::Connected {
+            flow: 999,
+            connect_duration: 0,
+        },
+    );
     assert!(
         policy
             .on_event(T0, PolicyEvent::ClientLeft { flow: 999 })
@@ -228,7 +234,7 @@
                     now,
                     PolicyEvent::Connected {
                         flow: new_flow.id,
-                        took: MS,
+                        connect_duration: MS,
                     },
                 );
                 placed += 1;
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -84,7 +84,7 @@
         let mut policy = balancer_with(idempotency, config);
         policy.update_endpoints(T0, &[ready(0), ready(1)], true);
         let earlier_attempt = |(known_unexecuted, age)| Attempt {
-            at: T0 - age * MS,
+            sent_at: T0 - age * MS,
             ..ended_attempt(0, known_unexecuted)
         };
         let attempts: Vec<Attempt> = earlier.iter().copied().map(earlier_attempt).collect();
@@ -201,7 +201,7 @@
         let mut policy = balancer(idempotency);
         policy.update_endpoints(T0, &list, true);
         let earlier = Attempt {
-            at: T0 - age,
+            sent_at: T0 - age,
             ..ended_attempt(0, known_unexecuted)
         };
         let new_flow = Flow {
--- a/crates/policy/tests/shedding.rs
+++ b/crates/policy/tests/shedding.rs
@@ -25,7 +25,7 @@
             window,
         });
         let earlier = Attempt {
-            at: T0 - age,
+            sent_at: T0 - age,
             ..ended_attempt(0, false)
         };
         // The flow is not queued, as its latency objective has passed.
@@ -39,7 +39,7 @@
                 retry_after: Some(retry_after),
             } => {
                 assert!(
-                    rejected && T0 + retry_after < earlier.at + window,
+                    rejected && T0 + retry_after < earlier.sent_at + window,
                     "attempt {age} ns old: rejected with Retry-After {retry_after} ns"
                 );
             }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -39,7 +39,7 @@
                 now,
                 PolicyEvent::Connected {
                     flow: 10 + tick,
-                    took: MS,
+                    connect_duration: MS,
                 },
             );
             sent.extend((server_id == 40).then_some(now));
@@ -75,7 +75,13 @@
             id += 1;
             let server_id = place_one(policy, now, id);
             if connects {
-                policy.on_event(now, PolicyEvent::Connected { flow: id, took: MS });
+                policy.on_event(
+                    now,
+                    PolicyEvent::Connected {
+                        flow: id,
+                        connect_duration: MS,
+                    },
+                );
             }
             policy.on_event(
                 now,
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// If the value is not a JSON object.
-    pub fn within(value: &Value) -> Result<Self, SettingsError> {
+    pub fn from_embedded(value: &Value) -> Result<Self, SettingsError> {
         Self::from_object(value.clone(), keys::EMBEDDED)
     }
 
--- a/crates/settings/tests/extreme_figures.rs
+++ b/crates/settings/tests/extreme_figures.rs
@@ -92,7 +92,7 @@
 fn run(seed: u64) {
     let mut draws = SeededRandom::new(seed);
     let settings = settings(&mut draws);
-    let parsed = Settings::within(&settings).unwrap();
+    let parsed = Settings::from_embedded(&settings).unwrap();
     let mut policy = match parsed.policy(seed, 15 * MS, DrainMigration::Enabled) {
         Ok(policy) => policy,
         Err(error) => return assert!(error.to_string().starts_with("field '"), "{error}"),
@@ -134,7 +134,10 @@
                 end: AttemptEnd::Overloaded,
                 unanswered: None,
             },
-            _ => PolicyEvent::Connected { flow: id, took },
+            _ => PolicyEvent::Connected {
+                flow: id,
+                connect_duration: took,
+            },
         };
         policy.on_event(now + took, event);
         policy.update_connection_load(id, draws.choose(&NUMBERS).parse().unwrap());
--- a/crates/settings/tests/platform_settings.rs
+++ b/crates/settings/tests/platform_settings.rs
@@ -10,7 +10,7 @@
 }
 
 fn policy_error(settings: &Value) -> String {
-    let settings = Settings::within(settings).unwrap();
+    let settings = Settings::from_embedded(settings).unwrap();
     let policy = settings.policy(1, 0, DrainMigration::Enabled);
     policy.err().map(|e| e.to_string()).unwrap_or_default()
 }
@@ -65,7 +65,9 @@
         Some("field 'conf': expected a JSON object")
     );
     assert!(error("{").is_some_and(|error| error.starts_with("field 'conf': not valid JSON: ")));
-    let embedded = Settings::within(&json!([])).err().map(|e| e.to_string());
+    let embedded = Settings::from_embedded(&json!([]))
+        .err()
+        .map(|e| e.to_string());
     assert_eq!(
         embedded.as_deref(),
         Some("field 'settings': expected a JSON object")
@@ -80,7 +82,7 @@
 
 #[test]
 fn omitted_settings_have_their_defaults() {
-    let settings = Settings::within(&settings()).unwrap();
+    let settings = Settings::from_embedded(&settings()).unwrap();
     assert_eq!(settings.attempts_max().unwrap(), 1);
     assert_eq!(settings.max_retry_after().unwrap(), None);
     assert_eq!(settings.endpoint_poll_interval_max().unwrap(), None);
@@ -92,10 +94,10 @@
 
 #[test]
 fn reloaded_settings_keep_the_numbers_of_traffic_classes() {
-    let previous = Settings::within(&settings()).unwrap();
+    let previous = Settings::from_embedded(&settings()).unwrap();
     let reload = |names: &[&str]| {
         let classes: Vec<Value> = names.iter().map(|name| json!({"name": name})).collect();
-        let new = Settings::within(&json!({"service-types": classes})).unwrap();
+        let new = Settings::from_embedded(&json!({"service-types": classes})).unwrap();
         let merged = new.merged_with_previous(&previous);
         merged
             .map(|merged| merged.traffic_class_names())
--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -140,7 +140,7 @@
                         first.is_some_and(|first| first.cell == server.cell)
                     }
                 };
-                same_scope && now + MARGIN < attempt.at + window
+                same_scope && now + MARGIN < attempt.sent_at + window
             }),
         }
     }
@@ -273,7 +273,7 @@
             .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
     }
 
-    fn endpoint_poll_failed(&mut self, _: Time) {}
+    fn on_endpoint_poll_failed(&mut self, _: Time) {}
 
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         self.assign(flow.id, server_id);
--- a/crates/testbed/src/mutants.rs
+++ b/crates/testbed/src/mutants.rs
@@ -82,7 +82,8 @@
     /// the correct one.
     pub fn policy(self, settings: &Value, seed: u64) -> Box<dyn LoadBalancingPolicy> {
         let correct = |settings: &Value| -> Box<dyn LoadBalancingPolicy> {
-            let settings = Settings::within(settings).expect("the testbed makes valid settings");
+            let settings =
+                Settings::from_embedded(settings).expect("the testbed makes valid settings");
             Box::new(crate::baselines::balancer_policy(&settings, seed))
         };
         match self {
@@ -182,8 +183,8 @@
         self.inner.update_endpoints(now, &entries, is_complete);
     }
 
-    fn endpoint_poll_failed(&mut self, now: Time) {
-        self.inner.endpoint_poll_failed(now);
+    fn on_endpoint_poll_failed(&mut self, now: Time) {
+        self.inner.on_endpoint_poll_failed(now);
     }
 
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
--- a/crates/testbed/src/scale/decisions.rs
+++ b/crates/testbed/src/scale/decisions.rs
@@ -10,7 +10,7 @@
 
 use hdrhistogram::Histogram;
 use nettlemux_fleet_model::rng::Rng;
-use nettlemux_flow_table::{ClientIdentity, FlowTable, LoadBalancingPolicy, PolicyCommand};
+use nettlemux_flow_table::{AdmissionAttributes, FlowTable, LoadBalancingPolicy, PolicyCommand};
 use nettlemux_policy::{
     Actions, Endpoint, EndpointState, Flow, FlowId, GroupPlacement, LoadReport, MS, Placement,
     Policy, PolicyEvent, SEC, ServerId, Time,
@@ -152,8 +152,8 @@
             .borrow_mut()
             .record(|| PolicyRecord::EndpointsUpdated(entries.to_vec()));
     }
-    fn endpoint_poll_failed(&mut self, now: Time) {
-        self.policy.endpoint_poll_failed(now);
+    fn on_endpoint_poll_failed(&mut self, now: Time) {
+        self.policy.on_endpoint_poll_failed(now);
     }
     fn adopt_connection(&mut self, flow: &Flow, server_id: ServerId) {
         let before = held_bytes();
@@ -211,7 +211,7 @@
             probe_price: part.probe_price,
             may_gossip: part.may_gossip,
         };
-        let settings = Settings::within(&settings(varying))?;
+        let settings = Settings::from_embedded(&settings(varying))?;
         let policy = settings.policy(seed, ANSWER_MARGIN, DrainMigration::Enabled)?;
         let calls = Rc::new(RefCell::new(Calls::new()));
         Ok(Driver {
@@ -354,7 +354,7 @@
             Event::Arrival => {
                 let flow = self.new_flow(now);
                 self.flow_table
-                    .accept(now, flow, ClientIdentity::default(), &mut commands);
+                    .accept(now, flow, AdmissionAttributes::default(), &mut commands);
             }
             Event::ProbeAnswered(server_id) => {
                 let load = self.rng.uniform_between(UTILIZATION_MIN, UTILIZATION_MAX);
@@ -382,9 +382,10 @@
                 self.flow_table
                     .update_endpoints(now, &[removed, ready], false);
             }
-            Event::Connected(id) => self
-                .flow_table
-                .connected(now, id, CONNECT_TIME, &mut commands),
+            Event::Connected(id) => {
+                self.flow_table
+                    .attempt_connected(now, id, CONNECT_TIME, &mut commands)
+            }
         }
         self.execute(commands);
     }
--- a/crates/testbed/src/scale/examined_servers.rs
+++ b/crates/testbed/src/scale/examined_servers.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use nettlemux_candidates::{CandidateSet, WHOLE_LIST_MAX, ZoneReach, hash_name};
+use nettlemux_candidates::{CandidateSet, FULL_SCAN_SERVERS_MAX, ZoneReach, hash_name};
 use nettlemux_policy::{Endpoint, EndpointState, ServerId};
 
 /// The zone of the measured balancer, as [`super::settings`] has it.
@@ -64,7 +64,7 @@
     fn update_endpoints(&mut self, entries: &[Endpoint]) {
         self.servers
             .extend(entries.iter().map(|entry| (entry.server_id, *entry)));
-        if self.servers.len() > WHOLE_LIST_MAX {
+        if self.servers.len() > FULL_SCAN_SERVERS_MAX {
             let had_candidates = self.candidates.is_some();
             let candidates = self.candidates.get_or_insert_default();
             let all = || self.servers.values().copied().collect();
@@ -115,7 +115,8 @@
         };
         for reach in [first_reach, ZoneReach::AllZones] {
             let group_connections = self.group_connections.get(group).into_iter().flatten();
-            let scope = candidates.scope(hash_name(group), OWN_ZONE, reach, group_connections);
+            let scope =
+                candidates.servers_for_key(hash_name(group), OWN_ZONE, reach, group_connections);
             considered += scope.len();
             if scope.contains(&placed_on) {
                 return considered;
--- a/crates/testbed/src/simulate/attempts.rs
+++ b/crates/testbed/src/simulate/attempts.rs
@@ -167,7 +167,7 @@
         let (balancer, accepted) = (state.balancer, state.accepted);
         let load = self.clients.get(state.client).map(|known| known.load);
         self.call_flow_table(balancer, |flow_table, now, actions| {
-            flow_table.connected(now, flow, now - accepted, actions);
+            flow_table.attempt_connected(now, flow, now - accepted, actions);
             if let Some(load) = load {
                 flow_table.update_connection_load(flow, load);
             }
--- a/crates/testbed/src/simulate/clients.rs
+++ b/crates/testbed/src/simulate/clients.rs
@@ -3,7 +3,7 @@
 use nettlemux_fleet_model::observation::{ClosedBy, Observation};
 use nettlemux_fleet_model::population::Client;
 use nettlemux_fleet_model::time::seconds;
-use nettlemux_flow_table::ClientIdentity as Requester;
+use nettlemux_flow_table::AdmissionAttributes as Requester;
 use nettlemux_policy::{AttemptEnd, Flow, FlowId, MS, Time};
 use nettlemux_settings::operator::AdmissionKey;
 
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -102,7 +102,7 @@
             return Vec::new();
         };
         let mut actions = Vec::new();
-        let mut waiting = flow_table.shorten_deadlines(self.now, &mut actions);
+        let mut waiting = flow_table.begin_shutdown(self.now, &mut actions);
         waiting.sort_unstable();
         waiting.dedup();
         self.execute_all(balancer, actions);
--- a/crates/testbed/src/simulate/startup.rs
+++ b/crates/testbed/src/simulate/startup.rs
@@ -94,7 +94,7 @@
         let settings = &self.settings[self.balancers[balancer].zone];
         match self.policy {
             PolicyChoice::Policy(kind) => kind.policy(
-                &Settings::within(settings).expect("the testbed makes valid settings"),
+                &Settings::from_embedded(settings).expect("the testbed makes valid settings"),
                 seed,
             ),
             PolicyChoice::Mutant(mutant) => mutant.policy(settings, seed),
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-use nettlemux_candidates::{CANDIDATES_MAX, HEALTH_CHECKS_PER_SECOND, WHOLE_LIST_MAX};
+use nettlemux_candidates::{CANDIDATES_MAX, FULL_SCAN_SERVERS_MAX, HEALTH_CHECKS_PER_SECOND};
 use nettlemux_testbed::scale::allocation::CountingAllocator;
 use nettlemux_testbed::scale::fit::{LinearFit, least_squares};
 use nettlemux_testbed::scale::limits::{self, Exceeded, Limits, Need, Resources};
@@ -113,7 +113,7 @@
 
 #[test]
 fn up_to_the_whole_list_probes_grow_with_it_and_one_placement_looks_at_it_all() {
-    for servers in [20, 60, 120, WHOLE_LIST_MAX as u64] {
+    for servers in [20, 60, 120, FULL_SCAN_SERVERS_MAX as u64] {
         let figures = measure(servers, 0.0);
         assert_all_are_probed(servers, &figures);
         assert_eq!(figures.servers_per_placement, Some(servers as f64));
@@ -171,7 +171,7 @@
 
 #[test]
 fn past_the_whole_list_probes_keep_to_their_budget_and_placements_to_their_candidates() {
-    for servers in [WHOLE_LIST_MAX as u64 + 1, 240, 600, 3_000, 12_000] {
+    for servers in [FULL_SCAN_SERVERS_MAX as u64 + 1, 240, 600, 3_000, 12_000] {
         let figures = measure_long_list(servers, 0.0);
         assert_probes_use_their_budget(servers, &figures);
         // Candidates and own holders; a walk over the endpoint list, or a key that isn't the
@@ -201,7 +201,7 @@
 }
 
 /// Lists on both sides of the limit up to which all servers are looked at.
-const SPARSE_SERVERS: [u64; 2] = [WHOLE_LIST_MAX as u64, 240];
+const SPARSE_SERVERS: [u64; 2] = [FULL_SCAN_SERVERS_MAX as u64, 240];
 
 /// Guards against a driver that takes "not yet" for leaving: past the sparse limit hardly any flow
 /// was placed.
