--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -16,14 +16,15 @@
 /// Runs the scenario and returns the lines that it wrote.
 fn run(scenario: &ScaleScenario, program: &str) -> Result<Vec<Line>, String> {
     let mut lines = LineWriter::new(Vec::new());
-    let limits = Limits::of(&scenario.limits);
+    let limits = Limits::from_scenario(&scenario.limits);
     let mut run = Run {
         scenario,
         program: PathBuf::from(program),
         limits,
         out: &mut lines,
     };
-    run.all("test").map_err(|failure| failure.to_string())?;
+    run.measure_all("test")
+        .map_err(|failure| failure.to_string())?;
     Ok(lines.lines)
 }
 
--- a/crates/balancer/tests/testbed.rs
+++ b/crates/balancer/tests/testbed.rs
@@ -40,9 +40,9 @@
             &["serve"],
         )
         .unwrap();
-        assert_eq!(outcome.died, Vec::<String>::new());
+        assert_eq!(outcome.unexpected_exits, Vec::<String>::new());
         if outcome.void.is_none() {
-            assert!(outcome.verdict.kept(), "{:?}", outcome.verdict);
+            assert!(outcome.verdict.has_no_violations(), "{:?}", outcome.verdict);
             assert_eq!(outcome.figures.get("unanswered"), 0.0);
             assert!(outcome.verdict.flows > 100, "{:?}", outcome.verdict);
             return outcome;
@@ -115,17 +115,21 @@
     );
     let script = format!("{balancer}; echo last words >&2; exit 3");
     let outcome = run_program(&scenario, "/bin/sh".into(), &["-c", &script]).unwrap();
-    assert!(!outcome.died.is_empty(), "{:?}", outcome.verdict);
+    assert!(
+        !outcome.unexpected_exits.is_empty(),
+        "{:?}",
+        outcome.verdict
+    );
     assert!(
         outcome
-            .died
+            .unexpected_exits
             .iter()
             .all(|reported| reported.contains("died") && reported.contains("last words")),
         "{:?}",
-        outcome.died
+        outcome.unexpected_exits
     );
     assert!(
-        outcome.verdict.kept(),
+        outcome.verdict.has_no_violations(),
         "clients of a dead balancer must not count as unanswered: {:?}",
         outcome.verdict
     );
--- a/crates/fleet-model/src/model.rs
+++ b/crates/fleet-model/src/model.rs
@@ -55,10 +55,10 @@
     DiscoveryRecovered,
     /// A zone has been partitioned from the others (`cut`), or is reachable again.
     ZoneConnectivityChanged { zone: usize, cut: bool },
-    /// A balancer must be shut down gracefully, and restarted `away` after it has ended.
-    BalancerRestartRequested { balancer: usize, away: Time },
-    /// A balancer must be killed, and restarted after `away`.
-    BalancerKilled { balancer: usize, away: Time },
+    /// A balancer must be shut down gracefully, and restarted `downtime` after it has ended.
+    BalancerRestartRequested { balancer: usize, downtime: Time },
+    /// A balancer must be killed, and restarted after `downtime`.
+    BalancerKilled { balancer: usize, downtime: Time },
 }
 
 /// The model of the fleet.
--- a/crates/fleet-model/src/model/faults.rs
+++ b/crates/fleet-model/src/model/faults.rs
@@ -217,24 +217,24 @@
     /// another, since only the driver knows when a balancer is running again.
     fn restart_targets(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
-        let away = seconds(fault.amount);
+        let downtime = seconds(fault.amount);
         self.events.extend(
             targets
                 .iter()
                 .map(|balancer| FleetEvent::BalancerRestartRequested {
                     balancer: *balancer,
-                    away,
+                    downtime,
                 }),
         );
     }
 
     fn kill_balancers(&mut self, index: usize) {
         let ActiveFault { fault, targets, .. } = &self.faults[index];
-        let away = seconds(fault.duration);
+        let downtime = seconds(fault.duration);
         self.events
             .extend(targets.iter().map(|balancer| FleetEvent::BalancerKilled {
                 balancer: *balancer,
-                away,
+                downtime,
             }));
     }
 }
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// Names the file, the line and the invalid key.
-pub fn check(files: &Files) -> Result<Vec<&'static str>, CapacityError> {
+pub fn stale_blocks(files: &Files) -> Result<Vec<&'static str>, CapacityError> {
     let blocks = load_blocks(files)?;
     page::stale_blocks(&files.page, &read(&files.page)?, &blocks)
 }
@@ -57,7 +57,7 @@
 ///
 /// # Errors
 /// Names the file, the line and the invalid key. The page is unchanged in that case.
-pub fn write(files: &Files) -> Result<(), CapacityError> {
+pub fn regenerate_page(files: &Files) -> Result<(), CapacityError> {
     let blocks = load_blocks(files)?;
     let text = page::write_blocks(&files.page, &read(&files.page)?, &blocks)?;
     let temporary = files.page.with_extension("md.new");
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// Names the file, and the line and key or the marker that is invalid.
-pub fn prose(files: &Files) -> Result<String, CapacityError> {
+pub fn hand_written_text(files: &Files) -> Result<String, CapacityError> {
     let blocks = load_blocks(files)?;
     page::without_blocks(&files.page, &read(&files.page)?, &blocks)
 }
--- a/crates/testbed/src/capacity_command.rs
+++ b/crates/testbed/src/capacity_command.rs
@@ -43,10 +43,10 @@
     };
     let page = files.page.display();
     if write {
-        capacity::write(&files)?;
+        capacity::regenerate_page(&files)?;
         return Ok((format!("{page}: written\n"), true));
     }
-    let stale = capacity::check(&files)?;
+    let stale = capacity::stale_blocks(&files)?;
     match stale.is_empty() {
         true => Ok((
             format!("{page}: matches the stored run and the assumptions\n"),
--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -46,19 +46,23 @@
             "rules kept over {} flows: {:?}",
             verdict.flows, verdict.violations
         );
-        self.say(name, verdict.kept() && verdict.flows > 0, &what);
+        self.say(
+            name,
+            verdict.has_no_violations() && verdict.flows > 0,
+            &what,
+        );
     }
 
     fn caught(&mut self, name: &str, mutant: Mutant, verdict: &Verdict) {
         let count = verdict
             .violations
-            .get(&mutant.breaks())
+            .get(&mutant.violated_rule())
             .copied()
             .unwrap_or(0);
         self.say(
             name,
             count > 0,
-            &format!("{:?} seen {count} times", mutant.breaks()),
+            &format!("{:?} seen {count} times", mutant.violated_rule()),
         );
     }
 
@@ -78,7 +82,7 @@
             let at_ms = example.at / MS;
             self.text += &format!("     {:?} at {at_ms} ms: {}\n", example.rule, example.what);
         }
-        for why in &outcome.died {
+        for why in &outcome.unexpected_exits {
             self.say(name, false, why);
         }
     }
@@ -196,7 +200,7 @@
     let real = real.map(|path| CheckedRun {
         name: "the balancer itself, on sockets".into(),
         mutant: None,
-        program: Program::serving(path.into()),
+        program: Program::serve_command(path.into()),
     });
     let mutants = Mutant::ALL.into_iter().map(|mutant| CheckedRun {
         name: format!("{}, on sockets", mutant.name()),
--- a/crates/testbed/src/commands/comparison.rs
+++ b/crates/testbed/src/commands/comparison.rs
@@ -101,8 +101,15 @@
 ) -> Result<(Vec<Row>, u64), CommandError> {
     let (mut first, mut second, mut void) = (Vec::new(), Vec::new(), 0);
     for seed in (0..seeds).map(|k| scenario.seed + k) {
-        let run =
-            |path: &Path| sockets::run(scenario, seed, &Program::serving(path.into()), None, None);
+        let run = |path: &Path| {
+            sockets::run(
+                scenario,
+                seed,
+                &Program::serve_command(path.into()),
+                None,
+                None,
+            )
+        };
         let (one, other) = (run(a)?, run(b)?);
         if one.void.is_some() || other.void.is_some() {
             void += 1;
--- a/crates/testbed/src/commands/simulated.rs
+++ b/crates/testbed/src/commands/simulated.rs
@@ -63,7 +63,7 @@
         std::fs::write(file, &text).map_err(FileError::at(file))?;
     }
     let (tried, lost) = (
-        found.tried,
+        found.scenarios_tried,
         show(found.badness - found.verdict.violations.len() as f64),
     );
     let summary = format!(
@@ -71,7 +71,7 @@
          than the policy, {}\n",
         rules(&found.verdict)
     );
-    Ok(Output::new(summary, found.verdict.kept()))
+    Ok(Output::new(summary, found.verdict.has_no_violations()))
 }
 
 /// Checks a record against the rules.
@@ -84,12 +84,14 @@
         source,
     })?;
     let mut checker = RuleChecker::new(&scenario, arguments.slack * MS);
-    read.seen.iter().for_each(|seen| checker.observe(seen));
-    let end = read.seen.iter().filter_map(|seen| seen.at()).max();
+    read.observations
+        .iter()
+        .for_each(|seen| checker.observe(seen));
+    let end = read.observations.iter().filter_map(|seen| seen.at()).max();
     let verdict: Verdict = checker.finish(end.unwrap_or(0));
-    let cut = read.cut.map_or(String::new(), |line| {
+    let cut = read.truncated_line.map_or(String::new(), |line| {
         format!("the record is truncated at line {line}\n")
     });
     let text = format!("{cut}{}{}\n", violations(&verdict), rules(&verdict));
-    Ok(Output::new(text, verdict.kept()))
+    Ok(Output::new(text, verdict.has_no_violations()))
 }
--- a/crates/testbed/src/commands/sockets.rs
+++ b/crates/testbed/src/commands/sockets.rs
@@ -27,7 +27,7 @@
     let scenario = load_scenario(&scenario)?;
     let seed = seed.unwrap_or(scenario.seed);
     let writer = create_record(record.as_ref())?;
-    let balancer = Program::serving(program);
+    let balancer = Program::serve_command(program);
     let outcome = sockets::run(&scenario, seed, &balancer, writer, logs.as_deref())?;
     let version = sockets::version(&balancer);
     let report = RunReport {
@@ -41,7 +41,7 @@
     };
     let run = report.output(json);
     let died: String = outcome
-        .died
+        .unexpected_exits
         .iter()
         .map(|report| format!("{report}\n"))
         .collect();
@@ -64,11 +64,11 @@
     let mut run = scale::Run {
         scenario: &scenario,
         program: arguments.program.clone(),
-        limits: Limits::of(&scenario.limits),
+        limits: Limits::from_scenario(&scenario.limits),
         out: &mut lines,
     };
-    let ended = run.all(&arguments.text);
-    let (table_file, plot_file) = scale::beside(out);
+    let ended = run.measure_all(&arguments.text);
+    let (table_file, plot_file) = scale::table_and_plot_paths(out);
     let table = table::markdown(&lines.lines);
     std::fs::write(&table_file, &table).map_err(FileError::at(&table_file))?;
     let plot = plot::svg(&lines.lines)?;
--- a/crates/testbed/src/commands/sweep.rs
+++ b/crates/testbed/src/commands/sweep.rs
@@ -48,7 +48,7 @@
     let runs: Vec<_> = (0..arguments.seeds.max(1))
         .map(|k| (scenario.clone(), scenario.seed + k, choice))
         .collect();
-    let outcomes = experiment::all(&runs, arguments.threads);
+    let outcomes = experiment::run_all(&runs, arguments.threads);
     let mean = |name: &str| {
         let values: Vec<f64> = outcomes.iter().map(|o| o.figures.get(name)).collect();
         experiment::estimate(&values)
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -17,7 +17,7 @@
 
 /// Runs all simulations without a record on up to this many threads. The outcomes are in the order
 /// of `runs`.
-pub fn all(runs: &[(Scenario, u64, PolicyChoice)], threads: usize) -> Vec<Outcome> {
+pub fn run_all(runs: &[(Scenario, u64, PolicyChoice)], threads: usize) -> Vec<Outcome> {
     let next = AtomicUsize::new(0);
     let done: Mutex<Vec<Option<Outcome>>> = Mutex::new(runs.iter().map(|_| None).collect());
     std::thread::scope(|scope| {
@@ -47,7 +47,7 @@
     /// The mean over the seeds.
     pub mean: f64,
     /// Half the width of the 95 % confidence interval; `None` for fewer than two seeds.
-    pub within: Option<f64>,
+    pub confidence_half_width: Option<f64>,
 }
 
 /// Estimates the mean of the values and its confidence interval.
@@ -55,7 +55,10 @@
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
     if values.len() < 2 {
-        return Estimate { mean, within: None };
+        return Estimate {
+            mean,
+            confidence_half_width: None,
+        };
     }
     let variance = values
         .iter()
@@ -67,7 +70,7 @@
         .inverse_cdf(0.975);
     Estimate {
         mean,
-        within: Some(t * (variance / count).sqrt()),
+        confidence_half_width: Some(t * (variance / count).sqrt()),
     }
 }
 
@@ -94,7 +97,7 @@
 ) -> Vec<Row> {
     let each = |policy| (0..seeds).map(move |k| (scenario.clone(), scenario.seed + k, policy));
     let runs: Vec<_> = each(a).chain(each(b)).collect();
-    let outcomes = all(&runs, threads);
+    let outcomes = run_all(&runs, threads);
     let (first, second) = outcomes.split_at(seeds as usize);
     rows(&figures(first), &figures(second))
 }
@@ -138,7 +141,7 @@
     /// The rule checker's verdict on the policy in this scenario.
     pub verdict: Verdict,
     /// The number of scenarios that were tried.
-    pub tried: usize,
+    pub scenarios_tried: usize,
 }
 
 /// Rates a scenario: the share of the worth that the best baseline serves beyond the policy's share,
@@ -160,7 +163,7 @@
             .collect::<Vec<_>>()
     };
     let runs: Vec<_> = scenarios.iter().flat_map(each).collect();
-    let mut outcomes = all(&runs, threads).into_iter();
+    let mut outcomes = run_all(&runs, threads).into_iter();
     let runs_per_scenario = 1 + baselines.len();
     let mut out = Vec::new();
     for _ in scenarios {
@@ -206,7 +209,7 @@
         scenario: found,
         badness: rating.0,
         verdict: rating.1,
-        tried,
+        scenarios_tried: tried,
     }
 }
 
--- a/crates/testbed/src/mutants.rs
+++ b/crates/testbed/src/mutants.rs
@@ -65,7 +65,7 @@
     }
 
     /// The rule that the mutant breaks.
-    pub fn breaks(self) -> Rule {
+    pub fn violated_rule(self) -> Rule {
         match self {
             Mutant::LosesAnswers => Rule::Lost,
             Mutant::AnswersTwice => Rule::AnsweredTwice,
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -40,11 +40,11 @@
 
 /// The content of a record file.
 #[derive(Debug, PartialEq)]
-pub struct Read {
+pub struct Record {
     /// The observations, the header first.
-    pub seen: Vec<Observation>,
+    pub observations: Vec<Observation>,
     /// The number of the last line if it is truncated.
-    pub cut: Option<usize>,
+    pub truncated_line: Option<usize>,
 }
 
 /// Why a record cannot be read, and in which line.
@@ -86,7 +86,7 @@
 /// # Errors
 /// The file can't be read, is empty, does not start with a header, is of another version, or has an
 /// invalid line other than a truncated last line. The error names the line.
-pub fn read(from: impl io::Read) -> Result<Read, RecordError> {
+pub fn read(from: impl io::Read) -> Result<Record, RecordError> {
     let mut reader = BufReader::new(from);
     let (mut seen, mut line, mut text) = (Vec::new(), 0, Vec::new());
     let cut = loop {
@@ -112,7 +112,10 @@
         let problem = RecordProblem::Empty;
         return Err(RecordError { line: 1, problem });
     }
-    Ok(Read { seen, cut })
+    Ok(Record {
+        observations: seen,
+        truncated_line: cut,
+    })
 }
 
 /// Checks that the first observation is a header of this version.
--- a/crates/testbed/src/record/tests.rs
+++ b/crates/testbed/src/record/tests.rs
@@ -18,23 +18,25 @@
     let complete = read(text.as_bytes()).unwrap();
     assert_eq!(
         complete,
-        Read {
-            seen: vec![header.clone(), client_left],
-            cut: None
+        Record {
+            observations: vec![header.clone(), client_left],
+            truncated_line: None
         }
     );
     // Truncated at any byte, reading must not panic or return more than the file holds.
     for at in 0..text.len() {
         match read(&text.as_bytes()[..at]) {
             Ok(truncated) => assert!(
-                truncated.seen[0] == header && truncated.seen.len() <= 2,
+                truncated.observations[0] == header && truncated.observations.len() <= 2,
                 "{at}"
             ),
             Err(error) => assert!(error.to_string().starts_with("line 1"), "{at}: {error}"),
         }
     }
     assert_eq!(
-        read(&text.as_bytes()[..text.len() - 4]).unwrap().cut,
+        read(&text.as_bytes()[..text.len() - 4])
+            .unwrap()
+            .truncated_line,
         Some(2)
     );
     assert!(
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -49,7 +49,7 @@
     /// Returns the run as text or as JSON, and whether the rules and all expectations were kept.
     pub fn output(&self, json: bool) -> Output {
         let unmet = self.figures.unmet(self.scenario);
-        let passed = unmet.is_empty() && self.verdict.kept();
+        let passed = unmet.is_empty() && self.verdict.has_no_violations();
         let text = match json {
             true => self.json(&unmet, passed),
             false => self.text(&unmet, passed),
@@ -98,7 +98,7 @@
 
 /// Says in a few words whether the rules were kept.
 pub fn rules(verdict: &Verdict) -> String {
-    if verdict.kept() {
+    if verdict.has_no_violations() {
         return format!(
             "rules kept over {} flows and {} attempts",
             verdict.flows, verdict.attempts
@@ -124,7 +124,7 @@
 
 /// Shows an estimate with its 95 % interval.
 pub fn interval(estimate: Estimate) -> String {
-    match estimate.within {
+    match estimate.confidence_half_width {
         Some(within) => format!("{} ± {}", show(estimate.mean), show(within)),
         None => show(estimate.mean),
     }
@@ -149,7 +149,7 @@
     }
 
     fn json(&self) -> String {
-        let estimate = |e: &Estimate| json!({"mean": e.mean, "within": e.within});
+        let estimate = |e: &Estimate| json!({"mean": e.mean, "within": e.confidence_half_width});
         let row = |row: &Row| {
             json!({"figure": row.name, "a": estimate(&row.a), "b": estimate(&row.b),
                 "difference": estimate(&row.difference)})
--- a/crates/testbed/src/rules/verdict.rs
+++ b/crates/testbed/src/rules/verdict.rs
@@ -56,7 +56,7 @@
 
 impl Verdict {
     /// Whether no rule was violated.
-    pub fn kept(&self) -> bool {
+    pub fn has_no_violations(&self) -> bool {
         self.violations.is_empty()
     }
 }
--- a/crates/testbed/src/scale/error.rs
+++ b/crates/testbed/src/scale/error.rs
@@ -69,16 +69,16 @@
     },
     /// Balancers exited unexpectedly.
     #[error(transparent)]
-    Died(#[from] BalancersDied),
+    BalancersExited(#[from] BalancersExited),
 }
 
 /// The balancers that exited unexpectedly, at least one.
 #[derive(Debug, thiserror::Error)]
-pub struct BalancersDied(pub Vec<DeadBalancer>);
+pub struct BalancersExited(pub Vec<ExitedBalancer>);
 
-impl fmt::Display for BalancersDied {
+impl fmt::Display for BalancersExited {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let texts: Vec<String> = self.0.iter().map(DeadBalancer::to_string).collect();
+        let texts: Vec<String> = self.0.iter().map(ExitedBalancer::to_string).collect();
         f.write_str(&texts.join("\n"))
     }
 }
@@ -86,7 +86,7 @@
 /// A balancer that exited unexpectedly.
 #[derive(Debug, thiserror::Error)]
 #[error("balancer {number} died:\n{log_end}")]
-pub struct DeadBalancer {
+pub struct ExitedBalancer {
     /// The balancer's number.
     pub number: usize,
     /// The end of its log.
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -8,7 +8,7 @@
 
 use super::clients::{Balancer, Clients};
 use super::discovery::{Change, Discovery, Lifecycle};
-use super::error::{BalancersDied, DeadBalancer, MeasurementError};
+use super::error::{BalancersExited, ExitedBalancer, MeasurementError};
 use super::processes::{LaunchConfig, RealBalancer, RunFolder};
 use super::scenario::Counts;
 use super::servers::Servers;
@@ -182,8 +182,8 @@
     ///
     /// # Errors
     /// The error names the balancers that have, with the end of their logs.
-    pub fn check_all_alive(&self) -> Result<(), BalancersDied> {
-        let died: Vec<DeadBalancer> = self
+    pub fn check_all_alive(&self) -> Result<(), BalancersExited> {
+        let died: Vec<ExitedBalancer> = self
             .real
             .iter()
             .filter_map(|balancer| balancer.died())
@@ -191,7 +191,7 @@
         if died.is_empty() {
             Ok(())
         } else {
-            Err(BalancersDied(died))
+            Err(BalancersExited(died))
         }
     }
 
--- a/crates/testbed/src/scale/limits.rs
+++ b/crates/testbed/src/scale/limits.rs
@@ -29,7 +29,7 @@
 
 /// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Resources {
+pub enum LimitedResource {
     /// Memory, in MB.
     Memory,
     /// Descriptors of one process.
@@ -38,12 +38,12 @@
     Processes,
 }
 
-impl fmt::Display for Resources {
+impl fmt::Display for LimitedResource {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Resources::Memory => "memory (MB)",
-            Resources::Descriptors => "descriptors of one process",
-            Resources::Processes => "processes",
+            LimitedResource::Memory => "memory (MB)",
+            LimitedResource::Descriptors => "descriptors of one process",
+            LimitedResource::Processes => "processes",
         })
     }
 }
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exceeded {
     /// The limited resource.
-    pub resource: Resources,
+    pub resource: LimitedResource,
     /// Amount that the size needs.
     pub needed: u64,
     /// Amount that is allowed.
@@ -83,7 +83,7 @@
 impl Limits {
     /// Returns for each resource the lower one of the scenario's and the system's limit. Raises the
     /// descriptor limit of this process to the maximum that the system allows.
-    pub fn of(keys: &LimitKeys) -> Self {
+    pub fn from_scenario(keys: &LimitKeys) -> Self {
         let system = rustix::process::getrlimit(Resource::Nofile);
         let all = Rlimit {
             current: system.maximum,
@@ -106,11 +106,15 @@
     ///
     /// # Errors
     /// The first limit that the need exceeds.
-    pub fn allow(&self, need: &Need) -> Result<(), Exceeded> {
+    pub fn check(&self, need: &Need) -> Result<(), Exceeded> {
         let resources = [
-            (Resources::Memory, need.memory_mb, self.memory_mb),
-            (Resources::Descriptors, need.descriptors, self.descriptors),
-            (Resources::Processes, need.processes, self.processes),
+            (LimitedResource::Memory, need.memory_mb, self.memory_mb),
+            (
+                LimitedResource::Descriptors,
+                need.descriptors,
+                self.descriptors,
+            ),
+            (LimitedResource::Processes, need.processes, self.processes),
         ];
         let exceeded = resources
             .into_iter()
@@ -160,7 +164,7 @@
 }
 
 /// Returns the need of a measurement of the policy alone at these counts.
-pub fn of_decisions(counts: &Counts, _part: &DecisionsPart) -> Need {
+pub fn decisions_need(counts: &Counts, _part: &DecisionsPart) -> Need {
     let bytes = counts.servers * SERVER_BYTES + counts.connections * OWN_CONNECTION_BYTES;
     Need {
         memory_mb: TESTBED_MB + (bytes >> 20),
@@ -170,7 +174,7 @@
 }
 
 /// Returns the need of a fleet on sockets at these counts.
-pub fn of_sockets(counts: &Counts, part: &SocketPart, descriptors_per_process: u64) -> Need {
+pub fn sockets_need(counts: &Counts, part: &SocketPart, descriptors_per_process: u64) -> Need {
     let simulated = counts
         .balancers
         .saturating_sub(part.real_balancers)
@@ -185,7 +189,7 @@
 }
 
 /// Returns the need of a storm.
-pub fn of_storm(part: &StormPart, descriptors_per_process: u64) -> Need {
+pub fn storm_need(part: &StormPart, descriptors_per_process: u64) -> Need {
     let simulated = part.fixed.balancers - part.real_balancers;
     of_fleet(
         &part.fixed,
--- a/crates/testbed/src/scale/measurement.rs
+++ b/crates/testbed/src/scale/measurement.rs
@@ -391,7 +391,7 @@
 ///
 /// # Errors
 /// The error names the first line that could not be parsed.
-pub fn read(text: &str) -> Result<Vec<Line>, LineError> {
+pub fn parse(text: &str) -> Result<Vec<Line>, LineError> {
     let lines = text.lines().enumerate();
     lines
         .map(|(index, line)| {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -29,7 +29,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-pub use error::{BalancersDied, DeadBalancer, MeasurementError, ScaleRunError};
+pub use error::{BalancersExited, ExitedBalancer, MeasurementError, ScaleRunError};
 
 use fit::{LinearFit, least_squares};
 use fleet::FleetPlan;
@@ -63,7 +63,7 @@
             part, varied, size, ..
         } = *self;
         limits
-            .allow(&need)
+            .check(&need)
             .map_err(|exceeded| ScaleRunError::Limit {
                 part,
                 varied,
@@ -112,7 +112,7 @@
     /// # Errors
     /// A size would exceed a limit or could not be measured, or a line could not be written. The
     /// measurements before the error are written.
-    pub fn all(&mut self, text: &str) -> Result<(), ScaleRunError> {
+    pub fn measure_all(&mut self, text: &str) -> Result<(), ScaleRunError> {
         let (run, machine) = (self.scenario.name.clone(), machine(&self.limits));
         self.write(Line::Start {
             run,
@@ -142,7 +142,7 @@
                     varied,
                     size: *size,
                 };
-                point.check_limits(&self.limits, limits::of_decisions(&counts, part))?;
+                point.check_limits(&self.limits, limits::decisions_need(&counts, part))?;
                 let figures = decisions::measure(&counts, part, self.scenario.seed);
                 let figures = figures.map_err(|e| point.measurement_failed(e))?;
                 let fixed = Fixed {
@@ -169,7 +169,7 @@
                 };
                 point.check_limits(
                     &self.limits,
-                    limits::of_sockets(&counts, part, self.limits.descriptors),
+                    limits::sockets_need(&counts, part, self.limits.descriptors),
                 )?;
                 let plan = self.socket_plan(&counts, part);
                 let figures = run_on_own_runtime(steady::measure(&plan, part))
@@ -223,7 +223,7 @@
             };
             point.check_limits(
                 &self.limits,
-                limits::of_storm(part, self.limits.descriptors),
+                limits::storm_need(part, self.limits.descriptors),
             )?;
             let figures = run_on_own_runtime(storms::measure(&plan, part, storm))
                 .map_err(|e| point.measurement_failed(e))?;
@@ -355,6 +355,6 @@
 }
 
 /// Paths of a run's table and plot: those of its lines with another extension.
-pub fn beside(lines: &Path) -> (PathBuf, PathBuf) {
+pub fn table_and_plot_paths(lines: &Path) -> (PathBuf, PathBuf) {
     (lines.with_extension("md"), lines.with_extension("svg"))
 }
--- a/crates/testbed/src/scale/processes.rs
+++ b/crates/testbed/src/scale/processes.rs
@@ -13,7 +13,7 @@
 
 use serde_json::{Value, json};
 
-use super::error::{DeadBalancer, MeasurementError};
+use super::error::{ExitedBalancer, MeasurementError};
 use crate::balancer_process::{ProcessUsage, answers_ping, log_end};
 use crate::file_error::FileError;
 
@@ -191,12 +191,12 @@
     }
 
     /// Returns the end of the log if the process has exited by itself.
-    pub fn died(&self) -> Option<DeadBalancer> {
+    pub fn died(&self) -> Option<ExitedBalancer> {
         let ended = self
             .child()
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
-        ended.then(|| DeadBalancer {
+        ended.then(|| ExitedBalancer {
             number: self.number,
             log_end: log_end(&self.log),
         })
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -1,11 +1,12 @@
 //! Discrete-event simulation of a scenario in virtual time.
 //!
-//! [`simulate`] plays a scenario's model (servers, discovery, clients and faults) against simulated
-//! balancers. Their decisions come from a [`PolicyChoice`]: the policy, a baseline, or a balancer
-//! that breaks a rule on purpose. The simulation itself decides nothing: it delivers events between
-//! clients, balancers and servers, shows every observable fact to the rule checker, and gathers the
-//! figures. Events take effect in order of time, and at the same time in the order in which they
-//! were scheduled, so the same scenario, seed and decisions always give the same record.
+//! [`simulate`] runs the model of a scenario (servers, discovery, clients and faults) against
+//! simulated balancers. Their decisions come from a [`PolicyChoice`]: the policy, a baseline, or a
+//! balancer that breaks a rule on purpose. The simulation itself decides nothing: it delivers
+//! events between clients, balancers and servers, passes every observable fact to the rule checker,
+//! and collects the figures. Events take effect in order of time, and at the same time in the order
+//! in which they were scheduled, so the same scenario, seed and decisions always give the same
+//! record.
 
 mod answers;
 mod attempts;
@@ -59,7 +60,7 @@
 pub struct Outcome {
     /// The figures, from the settling time on.
     pub figures: Figures,
-    /// What the rule checker of the rules says.
+    /// The verdict of the rule checker.
     pub verdict: Verdict,
 }
 
@@ -70,8 +71,8 @@
 pub fn simulate(
     scenario: &Scenario,
     seed: u64,
-    who: PolicyChoice,
+    policy: PolicyChoice,
     record: Option<&mut Writer>,
 ) -> io::Result<Outcome> {
-    Simulation::new(scenario.clone(), seed, who, record).run()
+    Simulation::new(scenario.clone(), seed, policy, record).run()
 }
--- a/crates/testbed/src/simulate/faults.rs
+++ b/crates/testbed/src/simulate/faults.rs
@@ -34,11 +34,13 @@
                 }
                 FleetEvent::ZoneConnectivityChanged { cut: false, .. } => {}
                 FleetEvent::ZoneConnectivityChanged { zone, .. } => self.zone_disconnected(zone),
-                FleetEvent::BalancerRestartRequested { balancer, away } => {
-                    self.schedule_restart(balancer, away, restarts);
+                FleetEvent::BalancerRestartRequested { balancer, downtime } => {
+                    self.schedule_restart(balancer, downtime, restarts);
                     restarts += 1;
                 }
-                FleetEvent::BalancerKilled { balancer, away } => self.schedule_kill(balancer, away),
+                FleetEvent::BalancerKilled { balancer, downtime } => {
+                    self.schedule_kill(balancer, downtime)
+                }
             }
         }
     }
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -25,7 +25,7 @@
     },
     /// The balancer program does not exist.
     #[error("{}: no such program", .path.display())]
-    NoProgram {
+    ProgramNotFound {
         /// The program's path.
         path: PathBuf,
     },
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -58,7 +58,7 @@
 
 impl Program {
     /// Returns the program at this path with the argument `serve`.
-    pub fn serving(path: PathBuf) -> Self {
+    pub fn serve_command(path: PathBuf) -> Self {
         Program {
             path,
             args: vec!["serve".into()],
@@ -83,7 +83,7 @@
     /// were established.
     pub void: Option<String>,
     /// One report for each balancer that exited unexpectedly, with the end of its log.
-    pub died: Vec<String>,
+    pub unexpected_exits: Vec<String>,
 }
 
 /// Runs a scenario in real time.
@@ -159,7 +159,7 @@
         verdict,
         balancers,
         void,
-        died,
+        unexpected_exits: died,
     })
 }
 
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -89,7 +89,7 @@
     ) -> Result<Self, SocketRunError> {
         if !program.path.is_file() {
             let path = program.path.clone();
-            return Err(SocketRunError::NoProgram { path });
+            return Err(SocketRunError::ProgramNotFound { path });
         }
         let (folder, owns_folder) = match logs {
             Some(folder) => (folder.to_path_buf(), false),
@@ -201,7 +201,7 @@
     /// Carries out an event that concerns the balancers' processes.
     pub fn handle_event(&mut self, event: FleetEvent, now: Time) {
         match event {
-            FleetEvent::BalancerRestartRequested { balancer, away } => {
+            FleetEvent::BalancerRestartRequested { balancer, downtime } => {
                 let pending = |planned: &&(Time, usize, Time)| planned.0 >= now;
                 let last = self
                     .planned
@@ -209,12 +209,12 @@
                     .filter(pending)
                     .map(|p| p.0 + KILL_DELAY + p.2 + ROLLING_RESTART_GAP)
                     .max();
-                self.planned.push((last.unwrap_or(now), balancer, away));
+                self.planned.push((last.unwrap_or(now), balancer, downtime));
             }
-            FleetEvent::BalancerKilled { balancer, away } => {
+            FleetEvent::BalancerKilled { balancer, downtime } => {
                 let _ = self.balancers[balancer].child.kill();
                 let _ = self.balancers[balancer].child.wait();
-                self.record_end(balancer, now, false, away);
+                self.record_end(balancer, now, false, downtime);
             }
             _ => {}
         }
@@ -225,14 +225,14 @@
         let is_due = |planned: &(Time, usize, Time)| planned.0 <= now;
         let (due, later): (Vec<_>, Vec<_>) = self.planned.drain(..).partition(is_due);
         self.planned = later;
-        for (_, b, away) in due {
+        for (_, b, downtime) in due {
             if let (State::Running, Some(pid)) = (
                 &self.balancers[b].state,
                 Pid::from_raw(self.balancers[b].child.id() as i32),
             ) {
                 self.record_usage(b);
                 let _ = rustix::process::kill_process(pid, Signal::TERM);
-                self.balancers[b].state = State::Terminating(now, away);
+                self.balancers[b].state = State::Terminating(now, downtime);
                 self.shared
                     .lock()
                     .front_end
@@ -244,11 +244,13 @@
                 State::Running | State::Terminating(..) => {
                     let ended = matches!(self.balancers[b].child.try_wait(), Ok(Some(_)));
                     match self.balancers[b].state {
-                        State::Terminating(_, away) if ended => self.record_end(b, now, true, away),
-                        State::Terminating(since, away) if now >= since + KILL_DELAY => {
+                        State::Terminating(_, downtime) if ended => {
+                            self.record_end(b, now, true, downtime)
+                        }
+                        State::Terminating(since, downtime) if now >= since + KILL_DELAY => {
                             let _ = self.balancers[b].child.kill();
                             let _ = self.balancers[b].child.wait();
-                            self.record_end(b, now, true, away);
+                            self.record_end(b, now, true, downtime);
                         }
                         _ if ended => {
                             self.died.push(format!(
@@ -277,9 +279,9 @@
         }
     }
 
-    /// Records that a balancer's process has ended and will be down for `away`.
-    fn record_end(&mut self, b: usize, now: Time, planned: bool, away: Time) {
-        self.balancers[b].state = State::Down(now + away);
+    /// Records that a balancer's process has ended and will be down for `downtime`.
+    fn record_end(&mut self, b: usize, now: Time, planned: bool, downtime: Time) {
+        self.balancers[b].state = State::Down(now + downtime);
         let mut inner = self.shared.lock();
         inner.alive[b] = false;
         if !planned {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -93,7 +93,7 @@
 
 #[test]
 fn the_committed_page_is_what_the_stored_run_and_the_assumptions_give() {
-    let stale = capacity::check(&committed()).unwrap();
+    let stale = capacity::stale_blocks(&committed()).unwrap();
     assert!(
         stale.is_empty(),
         "stale: {stale:?}; `nettlemux-testbed capacity --write` writes them anew"
@@ -103,7 +103,7 @@
 /// Guards against figures in the text that stay as they were when the run changes.
 #[test]
 fn text_by_hand_quotes_no_figures() {
-    let prose = capacity::prose(&committed()).unwrap();
+    let prose = capacity::hand_written_text(&committed()).unwrap();
     let quoting: Vec<&str> = prose
         .lines()
         .filter(|line| line.contains(|c: char| c.is_ascii_digit()))
@@ -135,20 +135,22 @@
 #[test]
 fn a_run_that_changes_makes_the_page_stale() {
     let scratch = Scratch::new("run-changes");
-    capacity::write(&scratch.files).unwrap();
-    assert!(capacity::check(&scratch.files).unwrap().is_empty());
+    capacity::regenerate_page(&scratch.files).unwrap();
+    assert!(capacity::stale_blocks(&scratch.files).unwrap().is_empty());
     let slope = r#""fit":"place_p50_us","varied":"servers","intercept":2,"slope":0.125"#;
     let changed = synthetic_run().replacen(slope, &slope.replace("0.125", "0.126"), 1);
     assert_ne!(changed, synthetic_run(), "the fixture has that slope");
     std::fs::write(&scratch.files.run, changed).unwrap();
-    let stale = capacity::check(&scratch.files).unwrap();
+    let stale = capacity::stale_blocks(&scratch.files).unwrap();
     assert!(
         stale.contains(&"balancer") && stale.contains(&"slopes"),
         "{stale:?}"
     );
     std::fs::remove_file(&scratch.files.run).unwrap();
     assert!(
-        capacity::check(&scratch.files).unwrap().contains(&"run"),
+        capacity::stale_blocks(&scratch.files)
+            .unwrap()
+            .contains(&"run"),
         "the run is gone"
     );
 }
@@ -156,7 +158,7 @@
 #[test]
 fn an_assumption_that_changes_makes_the_page_stale() {
     let scratch = Scratch::new("assumption-changes");
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     let text = std::fs::read_to_string(&scratch.files.assumptions).unwrap();
     let changed = text.replacen(
         "rack_machines = { value = 40",
@@ -165,7 +167,7 @@
     );
     assert_ne!(changed, text);
     std::fs::write(&scratch.files.assumptions, changed).unwrap();
-    let stale = capacity::check(&scratch.files).unwrap();
+    let stale = capacity::stale_blocks(&scratch.files).unwrap();
     assert_eq!(
         stale,
         ["storms at full size", "storms at a tenth", "assumptions"]
@@ -176,7 +178,7 @@
 fn without_a_run_no_measured_figure_is_made_up() {
     let scratch = Scratch::new("no-run");
     std::fs::remove_file(&scratch.files.run).unwrap();
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     assert!(scratch.page().contains("No run is stored yet"));
     let measured = [
         "one placement",
@@ -195,7 +197,7 @@
 #[test]
 fn figures_are_slope_times_count() {
     let scratch = Scratch::new("arithmetic");
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     let cases = [
         // 2 + 0.125 x 3,000, 6,000 and 12,000.
         ("one placement", "377 / 752 / 1,502"),
@@ -311,7 +313,7 @@
         run.replacen(fit, &fit.replace("0.25", "-0.25"), 1),
     )
     .unwrap();
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     // 30,000 / 1,510 of payload, half a way between the two sizes around 6,000 servers.
     assert!(
         scratch
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -9,7 +9,7 @@
 use nettlemux_candidates::{CANDIDATES_MAX, FULL_SCAN_SERVERS_MAX, HEALTH_CHECKS_PER_SECOND};
 use nettlemux_testbed::scale::allocation::CountingAllocator;
 use nettlemux_testbed::scale::fit::{LinearFit, least_squares};
-use nettlemux_testbed::scale::limits::{self, Exceeded, Limits, Need, Resources};
+use nettlemux_testbed::scale::limits::{self, Exceeded, LimitedResource, Limits, Need};
 use nettlemux_testbed::scale::measurement::{
     self, Figures, Fixed, Line, LineWriter, Machine, Part, Varied,
 };
@@ -66,7 +66,7 @@
         .arg(&toml);
     let output = command.output().unwrap();
     let written = std::fs::read_to_string(&lines).unwrap_or_default();
-    (measurement::read(&written).unwrap(), output)
+    (measurement::parse(&written).unwrap(), output)
 }
 
 fn report(output: &Output) -> String {
@@ -463,35 +463,35 @@
         descriptors: 20,
         processes: 30,
     };
-    assert_eq!(allowed.allow(&need), Ok(()));
+    assert_eq!(allowed.check(&need), Ok(()));
     for (need, resource) in [
         (
             Need {
                 memory_mb: 11,
                 ..need
             },
-            Resources::Memory,
+            LimitedResource::Memory,
         ),
         (
             Need {
                 descriptors: 31,
                 ..need
             },
-            Resources::Descriptors,
+            LimitedResource::Descriptors,
         ),
         (
             Need {
                 processes: 31,
                 ..need
             },
-            Resources::Processes,
+            LimitedResource::Processes,
         ),
     ] {
-        let exceeded = allowed.allow(&need).unwrap_err();
+        let exceeded = allowed.check(&need).unwrap_err();
         assert_eq!(exceeded.resource, resource);
     }
     let exceeded = Exceeded {
-        resource: Resources::Memory,
+        resource: LimitedResource::Memory,
         needed: 11,
         limit: 10,
     };
@@ -505,7 +505,7 @@
 fn what_is_needed_grows_with_each_count() {
     let scenario = ScaleScenario::load(&folder().join("full.toml")).unwrap();
     let part = scenario.sockets.unwrap();
-    let need = |varied, size| limits::of_sockets(&part.fixed.with(varied, size), &part, 20_000);
+    let need = |varied, size| limits::sockets_need(&part.fixed.with(varied, size), &part, 20_000);
     for (varied, few, many) in [
         (Varied::Balancers, 20.0, 1400.0),
         (Varied::Connections, 100.0, 4000.0),
@@ -600,10 +600,10 @@
         );
     }
     let text = String::from_utf8(pieces.0.concat()).unwrap();
-    assert_eq!(measurement::read(&text).unwrap(), lines());
+    assert_eq!(measurement::parse(&text).unwrap(), lines());
     let broken = text.replacen("\"part\":\"sockets\"", "\"part\":", 1);
     assert!(
-        measurement::read(&broken)
+        measurement::parse(&broken)
             .unwrap_err()
             .to_string()
             .starts_with("line 2:")
@@ -667,7 +667,7 @@
         assert!(!status.success(), "it was to be ended in the middle");
         let text = written();
         assert!(text.ends_with('\n'), "{text}");
-        assert!(measurement::read(&text).unwrap().len() >= lines_before);
+        assert!(measurement::parse(&text).unwrap().len() >= lines_before);
     }
 }
 
@@ -707,7 +707,7 @@
 fn the_stored_run_is_read_and_its_table_is_made_from_it() {
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale");
     let text = std::fs::read_to_string(stored.join("run.jsonl")).unwrap();
-    let lines = measurement::read(&text).unwrap();
+    let lines = measurement::parse(&text).unwrap();
     assert!(matches!(lines[0], Line::Start { .. }));
     let markdown = std::fs::read_to_string(stored.join("run.md")).unwrap();
     assert_eq!(table::markdown(&lines), markdown);
@@ -748,7 +748,7 @@
 fn stored_runs_are_read_and_written_as_they_were() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale/run.jsonl");
     let text = std::fs::read_to_string(file).unwrap();
-    let lines = measurement::read(&text).unwrap();
+    let lines = measurement::parse(&text).unwrap();
     assert_eq!(lines.len(), text.lines().count());
     for (line, stored) in lines.iter().zip(text.lines()) {
         let stored: serde_json::Value = serde_json::from_str(stored).unwrap();
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -85,10 +85,12 @@
     // The record alone leads the rule checker to the same verdict.
     let read = record::read(&first[..]).unwrap();
     let mut judge = RuleChecker::new(&scenario, SEC / 100);
-    read.seen.iter().for_each(|seen| judge.observe(seen));
+    read.observations
+        .iter()
+        .for_each(|seen| judge.observe(seen));
     let verdict = judge.finish(scenario.end());
     assert!(
-        verdict.kept()
+        verdict.has_no_violations()
             && verdict.flows == a.verdict.flows
             && verdict.attempts == a.verdict.attempts
     );
@@ -113,7 +115,7 @@
             scenario.name
         );
         assert!(
-            outcome.verdict.kept(),
+            outcome.verdict.has_no_violations(),
             "{}: {:?}",
             scenario.name,
             outcome.verdict
@@ -160,7 +162,11 @@
         day.faults.push(serde_json::from_str(&text).unwrap());
         day.check().unwrap();
         let outcome = module(&day, 1);
-        assert!(outcome.verdict.kept(), "{what:?}: {:?}", outcome.verdict);
+        assert!(
+            outcome.verdict.has_no_violations(),
+            "{what:?}: {:?}",
+            outcome.verdict
+        );
         assert_eq!(outcome.figures.get("unanswered"), 0.0, "{what:?}");
         assert_ne!(outcome.figures, calm, "{what:?} does nothing");
     }
@@ -176,7 +182,11 @@
         let with = module(&day, 1);
         day.faults.remove(0);
         assert_ne!(module(&day, 1).figures, with.figures, "{what} does nothing");
-        assert!(with.verdict.kept(), "{what}: {:?}", with.verdict);
+        assert!(
+            with.verdict.has_no_violations(),
+            "{what}: {:?}",
+            with.verdict
+        );
     }
 }
 
@@ -188,7 +198,11 @@
         day.faults = serde_json::from_str(faults).unwrap();
         day.check().unwrap();
         let outcome = module(&day, 2);
-        assert!(outcome.verdict.kept(), "{faults}: {:?}", outcome.verdict);
+        assert!(
+            outcome.verdict.has_no_violations(),
+            "{faults}: {:?}",
+            outcome.verdict
+        );
         outcome.figures
     };
     // The fleet turns over whole within one list's delay.
@@ -320,7 +334,7 @@
     let rows = experiment::compare(&scenario, a, b, 3, 3);
     let worth = rows.iter().find(|row| row.name == "worth").unwrap();
     assert!(
-        worth.difference.mean > worth.difference.within.unwrap(),
+        worth.difference.mean > worth.difference.confidence_half_width.unwrap(),
         "{worth:?}"
     );
     // Nothing differs from itself, however many threads there are.
@@ -354,6 +368,6 @@
     let unlike = lab(&["compare", "--a", "module", "--b", "./nettlemux", path]);
     assert!(unlike.status.code() == Some(2));
     let found = experiment::hunt(&scenario, 1, 6, 4);
-    assert!(!found.scenario.faults.is_empty() && found.tried >= 6);
+    assert!(!found.scenario.faults.is_empty() && found.scenarios_tried >= 6);
     found.scenario.check().unwrap();
 }
