--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -122,7 +122,8 @@
 fn check_header(first: &Observation) -> Result<(), RecordProblem> {
     match *first {
         Observation::Header {
-            version: VERSION, ..
+            version: RECORD_FORMAT_VERSION,
+            ..
         } => Ok(()),
         Observation::Header { version, .. } => Err(RecordProblem::UnsupportedVersion { version }),
         _ => Err(RecordProblem::MissingHeader),
