--- a/crates/testbed/src/check.rs
+++ b/crates/testbed/src/check.rs
@@ -47,19 +47,23 @@
             "rules kept over {} flows: {:?}",
             verdict.flows, verdict.violations
         );
-        self.add_result(name, verdict.kept() && verdict.flows > 0, &what);
+        self.add_result(
+            name,
+            verdict.has_no_violations() && verdict.flows > 0,
+            &what,
+        );
     }
 
     fn add_mutant(&mut self, name: &str, mutant: Mutant, verdict: &Verdict) {
         let count = verdict
             .violations
-            .get(&mutant.breaks())
+            .get(&mutant.violated_rule())
             .copied()
             .unwrap_or(0);
         self.add_result(
             name,
             count > 0,
-            &format!("{:?} detected {count} times", mutant.breaks()),
+            &format!("{:?} detected {count} times", mutant.violated_rule()),
         );
     }
 
@@ -79,7 +83,7 @@
             let at_ms = example.at / MS;
             self.text += &format!("     {:?} at {at_ms} ms: {}\n", example.rule, example.what);
         }
-        for death in &outcome.died {
+        for death in &outcome.unexpected_exits {
             self.add_result(name, false, death);
         }
     }
@@ -200,7 +204,7 @@
     let real = real.map(|path| CheckedRun {
         name: "the balancer itself, on sockets".into(),
         mutant: None,
-        program: Program::serving(path.into()),
+        program: Program::serve_command(path.into()),
     });
     let mutants = Mutant::ALL.into_iter().map(|mutant| CheckedRun {
         name: format!("{}, on sockets", mutant.name()),
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use nettlemux_fleet_model::observation::FinalAnswer;
 use nettlemux_fleet_model::population::Client;
-use nettlemux_fleet_model::scenario::{Expect, Scenario};
+use nettlemux_fleet_model::scenario::{ExpectedRange, Scenario};
 use nettlemux_policy::{SEC, Time};
 use serde_json::{Value, json};
 
@@ -266,7 +266,7 @@
             return;
         }
         let established = with == FinalAnswer::Connected;
-        if client.told {
+        if client.follows_retry_after {
             self.retries_answered += 1;
             self.retries_established += u64::from(established);
         }
@@ -275,7 +275,7 @@
             self.other_tenants_lost += u64::from(!established);
             if established {
                 self.other_tenants_setup
-                    .saturating_record(now.saturating_sub(client.since) / 1000);
+                    .saturating_record(now.saturating_sub(client.connecting_since) / 1000);
             }
         }
     }
@@ -381,7 +381,7 @@
 
     /// Returns a message for each figure that is outside the bounds that the scenario expects.
     pub fn unmet(&self, scenario: &Scenario) -> Vec<String> {
-        let check = |(name, expect): (&String, &Expect)| {
+        let check = |(name, expect): (&String, &ExpectedRange)| {
             let value = self.get(name);
             let below = expect.min.is_some_and(|min| value.is_nan() || value < min);
             let above = expect.max.is_some_and(|max| value.is_nan() || value > max);
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-use nettlemux_fleet_model::observation::{Observation, VERSION};
+use nettlemux_fleet_model::observation::{Observation, RECORD_FORMAT_VERSION};
 
 /// Writes a record. The first observation must be the header.
 pub struct Writer(BufWriter<File>);
@@ -40,11 +40,11 @@
 
 /// The content of a record file.
 #[derive(Debug, PartialEq)]
-pub struct Read {
+pub struct Record {
     /// The observations, the header first.
-    pub seen: Vec<Observation>,
+    pub observations: Vec<Observation>,
     /// The number of the last line if it is truncated.
-    pub cut: Option<usize>,
+    pub truncated_line: Option<usize>,
 }
 
 /// Why a record cannot be read, and in which line.
@@ -68,7 +68,7 @@
     #[error(transparent)]
     InvalidObservation(#[from] serde_json::Error),
     /// The record is of another version.
-    #[error("expected version {VERSION}, found version {version}")]
+    #[error("expected version {RECORD_FORMAT_VERSION}, found version {version}")]
     UnsupportedVersion {
         /// The record's version.
         version: u32,
@@ -86,7 +86,7 @@
 /// # Errors
 /// The file can't be read, is empty, does not start with a header, is of another version, or has an
 /// invalid line other than a truncated last line. The error names the line.
-pub fn read(from: impl io::Read) -> Result<Read, RecordError> {
+pub fn read(from: impl io::Read) -> Result<Record, RecordError> {
     let mut reader = BufReader::new(from);
     let (mut seen, mut line, mut text) = (Vec::new(), 0, Vec::new());
     let cut = loop {
@@ -112,14 +112,18 @@
         let problem = RecordProblem::Empty;
         return Err(RecordError { line: 1, problem });
     }
-    Ok(Read { seen, cut })
+    Ok(Record {
+        observations: seen,
+        truncated_line: cut,
+    })
 }
 
 /// Checks that the first observation is a header of this version.
 fn check_header(first: &Observation) -> Result<(), RecordProblem> {
     match *first {
         Observation::Header {
-            version: VERSION, ..
+            version: RECORD_FORMAT_VERSION,
+            ..
         } => Ok(()),
         Observation::Header { version, .. } => Err(RecordProblem::UnsupportedVersion { version }),
         _ => Err(RecordProblem::MissingHeader),
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -70,8 +70,8 @@
 pub fn simulate(
     scenario: &Scenario,
     seed: u64,
-    who: PolicyChoice,
+    policy: PolicyChoice,
     record: Option<&mut Writer>,
 ) -> io::Result<Outcome> {
-    Simulation::new(scenario.clone(), seed, who, record).run()
+    Simulation::new(scenario.clone(), seed, policy, record).run()
 }
--- a/crates/testbed/src/simulate/restarts.rs
+++ b/crates/testbed/src/simulate/restarts.rs
@@ -102,7 +102,7 @@
             return Vec::new();
         };
         let mut actions = Vec::new();
-        let mut waiting = flow_table.shorten_deadlines(self.now, &mut actions);
+        let mut waiting = flow_table.begin_shutdown(self.now, &mut actions);
         waiting.sort_unstable();
         waiting.dedup();
         self.execute_all(balancer, actions);
@@ -170,8 +170,10 @@
     /// failed, since it may have been executed.
     fn retry_unanswered(&mut self, client: ClientId) {
         let wait = match self.clients.idempotency(client, &self.model.scenario) {
-            Idempotency::NonIdempotent => self.clients.failed(client, &self.model.scenario),
-            _ => self.clients.rejected(client, None, &self.model.scenario),
+            Idempotency::NonIdempotent => self.clients.record_failed(client, &self.model.scenario),
+            _ => self
+                .clients
+                .record_rejected(client, None, &self.model.scenario),
         };
         self.retry_after(client, wait);
     }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nettlemux_fleet_model::observation::{Observation, VERSION};
+use nettlemux_fleet_model::observation::{Observation, RECORD_FORMAT_VERSION};
 use nettlemux_fleet_model::scenario::Scenario;
 use nettlemux_policy::{MS, SEC, Time};
 use tokio::time::Instant;
@@ -58,7 +58,7 @@
 
 impl Program {
     /// Returns the program at this path with the argument `serve`.
-    pub fn serving(path: PathBuf) -> Self {
+    pub fn serve_command(path: PathBuf) -> Self {
         Program {
             path,
             args: vec!["serve".into()],
@@ -83,7 +83,7 @@
     /// were established.
     pub void: Option<String>,
     /// One report for each balancer that exited unexpectedly, with the end of its log.
-    pub died: Vec<String>,
+    pub unexpected_exits: Vec<String>,
 }
 
 /// Runs a scenario in real time.
@@ -118,7 +118,7 @@
     let version = version(program);
     let name = scenario.name.clone();
     shared.observe(Observation::Header {
-        version: VERSION,
+        version: RECORD_FORMAT_VERSION,
         scenario: name,
         seed,
         program: version,
@@ -159,7 +159,7 @@
         verdict,
         balancers,
         void,
-        died,
+        unexpected_exits: died,
     })
 }
 
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -92,7 +92,7 @@
 
 #[test]
 fn committed_page_matches_the_stored_run_and_the_assumptions() {
-    let stale = capacity::check(&committed()).unwrap();
+    let stale = capacity::stale_blocks(&committed()).unwrap();
     assert!(
         stale.is_empty(),
         "stale: {stale:?}; `nettlemux-testbed capacity --write` regenerates them"
@@ -102,7 +102,7 @@
 /// Guards against figures in the handwritten text, which would not follow a new run.
 #[test]
 fn handwritten_text_contains_no_figures() {
-    let prose = capacity::prose(&committed()).unwrap();
+    let prose = capacity::hand_written_text(&committed()).unwrap();
     let quoting: Vec<&str> = prose
         .lines()
         .filter(|line| line.contains(|c: char| c.is_ascii_digit()))
@@ -134,20 +134,22 @@
 #[test]
 fn changed_or_missing_run_makes_the_page_stale() {
     let scratch = Scratch::new("run-changes");
-    capacity::write(&scratch.files).unwrap();
-    assert!(capacity::check(&scratch.files).unwrap().is_empty());
+    capacity::regenerate_page(&scratch.files).unwrap();
+    assert!(capacity::stale_blocks(&scratch.files).unwrap().is_empty());
     let slope = r#""fit":"place_p50_us","varied":"servers","intercept":2,"slope":0.125"#;
     let changed = synthetic_run().replacen(slope, &slope.replace("0.125", "0.126"), 1);
     assert_ne!(changed, synthetic_run(), "the fixture contains this slope");
     std::fs::write(&scratch.files.run, changed).unwrap();
-    let stale = capacity::check(&scratch.files).unwrap();
+    let stale = capacity::stale_blocks(&scratch.files).unwrap();
     assert!(
         stale.contains(&"balancer") && stale.contains(&"slopes"),
         "{stale:?}"
     );
     std::fs::remove_file(&scratch.files.run).unwrap();
     assert!(
-        capacity::check(&scratch.files).unwrap().contains(&"run"),
+        capacity::stale_blocks(&scratch.files)
+            .unwrap()
+            .contains(&"run"),
         "the run was deleted"
     );
 }
@@ -155,7 +157,7 @@
 #[test]
 fn changed_assumption_makes_the_page_stale() {
     let scratch = Scratch::new("assumption-changes");
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     let text = std::fs::read_to_string(&scratch.files.assumptions).unwrap();
     let changed = text.replacen(
         "rack_machines = { value = 40",
@@ -164,7 +166,7 @@
     );
     assert_ne!(changed, text);
     std::fs::write(&scratch.files.assumptions, changed).unwrap();
-    let stale = capacity::check(&scratch.files).unwrap();
+    let stale = capacity::stale_blocks(&scratch.files).unwrap();
     assert_eq!(
         stale,
         ["storms at full size", "storms at a tenth", "assumptions"]
@@ -175,7 +177,7 @@
 fn without_a_stored_run_measured_figures_are_shown_as_not_measured() {
     let scratch = Scratch::new("no-run");
     std::fs::remove_file(&scratch.files.run).unwrap();
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     assert!(scratch.page().contains("No run is stored yet"));
     let measured = [
         "one placement",
@@ -194,7 +196,7 @@
 #[test]
 fn figures_follow_from_fitted_lines_and_counts() {
     let scratch = Scratch::new("arithmetic");
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     let cases = [
         // 2 + 0.125 x 3,000, 6,000 and 12,000.
         ("one placement", "377 / 752 / 1,502"),
@@ -310,7 +312,7 @@
         run.replacen(fit, &fit.replace("0.25", "-0.25"), 1),
     )
     .unwrap();
-    capacity::write(&scratch.files).unwrap();
+    capacity::regenerate_page(&scratch.files).unwrap();
     // 30,000 / 1,510 bytes of payload, interpolated halfway between the two sizes around 6,000 servers.
     assert!(
         scratch
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -6,10 +6,10 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-use nettlemux_candidates::{CANDIDATES_MAX, HEALTH_CHECKS_PER_SECOND, WHOLE_LIST_MAX};
+use nettlemux_candidates::{CANDIDATES_MAX, FULL_SCAN_SERVERS_MAX, HEALTH_CHECKS_PER_SECOND};
 use nettlemux_testbed::scale::allocation::CountingAllocator;
 use nettlemux_testbed::scale::fit::{LinearFit, least_squares};
-use nettlemux_testbed::scale::limits::{self, Exceeded, Limits, Need, Resources};
+use nettlemux_testbed::scale::limits::{self, Exceeded, LimitedResource, Limits, Need};
 use nettlemux_testbed::scale::measurement::{
     self, Figures, Fixed, Line, LineWriter, Machine, Part, Varied,
 };
@@ -66,7 +66,7 @@
         .arg(&toml);
     let output = command.output().unwrap();
     let written = std::fs::read_to_string(&lines).unwrap_or_default();
-    (measurement::read(&written).unwrap(), output)
+    (measurement::parse(&written).unwrap(), output)
 }
 
 fn stderr_of(output: &Output) -> String {
@@ -113,7 +113,7 @@
 
 #[test]
 fn lists_up_to_whole_list_max_are_checked_in_full_and_scanned_in_full_for_each_placement() {
-    for servers in [20, 60, 120, WHOLE_LIST_MAX as u64] {
+    for servers in [20, 60, 120, FULL_SCAN_SERVERS_MAX as u64] {
         let figures = measure(servers, 0.0);
         assert_all_servers_are_checked(servers, &figures);
         assert_eq!(figures.servers_per_placement, Some(servers as f64));
@@ -171,7 +171,7 @@
 
 #[test]
 fn above_whole_list_max_health_checks_keep_their_budget_and_placements_consider_only_candidates() {
-    for servers in [WHOLE_LIST_MAX as u64 + 1, 240, 600, 3_000, 12_000] {
+    for servers in [FULL_SCAN_SERVERS_MAX as u64 + 1, 240, 600, 3_000, 12_000] {
         let figures = measure_long_list(servers, 0.0);
         assert_checks_use_their_budget(servers, &figures);
         // The candidates and as many holders of own connections. A scan of the endpoint list would
@@ -201,7 +201,7 @@
 }
 
 /// List lengths at and above the limit up to which lists are scanned in full.
-const SERVERS_AROUND_LIMIT: [u64; 2] = [WHOLE_LIST_MAX as u64, 240];
+const SERVERS_AROUND_LIMIT: [u64; 2] = [FULL_SCAN_SERVERS_MAX as u64, 240];
 
 /// Guards against a measurement that treats a flow which must wait for a load report as one whose
 /// client has left. With sparse load reports hardly any flow was placed then.
@@ -473,35 +473,35 @@
         descriptors: 20,
         processes: 30,
     };
-    assert_eq!(allowed.allow(&need), Ok(()));
+    assert_eq!(allowed.check(&need), Ok(()));
     for (need, resource) in [
         (
             Need {
                 memory_mb: 11,
                 ..need
             },
-            Resources::Memory,
+            LimitedResource::Memory,
         ),
         (
             Need {
                 descriptors: 31,
                 ..need
             },
-            Resources::Descriptors,
+            LimitedResource::Descriptors,
         ),
         (
             Need {
                 processes: 31,
                 ..need
             },
-            Resources::Processes,
+            LimitedResource::Processes,
         ),
     ] {
-        let exceeded = allowed.allow(&need).unwrap_err();
+        let exceeded = allowed.check(&need).unwrap_err();
         assert_eq!(exceeded.resource, resource);
     }
     let exceeded = Exceeded {
-        resource: Resources::Memory,
+        resource: LimitedResource::Memory,
         needed: 11,
         limit: 10,
     };
@@ -515,7 +515,7 @@
 fn needed_resources_grow_with_each_count() {
     let scenario = ScaleScenario::load(&folder().join("full.toml")).unwrap();
     let part = scenario.sockets.unwrap();
-    let need = |varied, size| limits::of_sockets(&part.fixed.with(varied, size), &part, 20_000);
+    let need = |varied, size| limits::sockets_need(&part.fixed.with(varied, size), &part, 20_000);
     for (varied, few, many) in [
         (Varied::Balancers, 20.0, 1400.0),
         (Varied::Connections, 100.0, 4000.0),
@@ -610,10 +610,10 @@
         );
     }
     let text = String::from_utf8(writes.0.concat()).unwrap();
-    assert_eq!(measurement::read(&text).unwrap(), lines());
+    assert_eq!(measurement::parse(&text).unwrap(), lines());
     let invalid = text.replacen("\"part\":\"sockets\"", "\"part\":", 1);
     assert!(
-        measurement::read(&invalid)
+        measurement::parse(&invalid)
             .unwrap_err()
             .to_string()
             .starts_with("line 2:")
@@ -677,7 +677,7 @@
         assert!(!status.success(), "the run ended before it was killed");
         let text = written();
         assert!(text.ends_with('\n'), "{text}");
-        assert!(measurement::read(&text).unwrap().len() >= lines_before);
+        assert!(measurement::parse(&text).unwrap().len() >= lines_before);
     }
 }
 
@@ -717,7 +717,7 @@
 fn stored_table_matches_the_stored_run() {
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale");
     let text = std::fs::read_to_string(stored.join("run.jsonl")).unwrap();
-    let lines = measurement::read(&text).unwrap();
+    let lines = measurement::parse(&text).unwrap();
     assert!(matches!(lines[0], Line::Start { .. }));
     let markdown = std::fs::read_to_string(stored.join("run.md")).unwrap();
     assert_eq!(table::markdown(&lines), markdown);
@@ -758,7 +758,7 @@
 fn stored_run_is_read_and_serialized_unchanged() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scale/run.jsonl");
     let text = std::fs::read_to_string(file).unwrap();
-    let lines = measurement::read(&text).unwrap();
+    let lines = measurement::parse(&text).unwrap();
     assert_eq!(lines.len(), text.lines().count());
     for (line, stored) in lines.iter().zip(text.lines()) {
         let stored: serde_json::Value = serde_json::from_str(stored).unwrap();
--- a/crates/testbed/tests/testbed.rs
+++ b/crates/testbed/tests/testbed.rs
@@ -85,12 +85,12 @@
     // The rule checker comes to the same verdict from the record alone.
     let read = record::read(&first[..]).unwrap();
     let mut checker = RuleChecker::new(&scenario, SEC / 100);
-    read.seen
+    read.observations
         .iter()
         .for_each(|observation| checker.observe(observation));
     let verdict = checker.finish(scenario.end());
     assert!(
-        verdict.kept()
+        verdict.has_no_violations()
             && verdict.flows == a.verdict.flows
             && verdict.attempts == a.verdict.attempts
     );
@@ -115,7 +115,7 @@
             scenario.name
         );
         assert!(
-            outcome.verdict.kept(),
+            outcome.verdict.has_no_violations(),
             "{}: {:?}",
             scenario.name,
             outcome.verdict
@@ -162,7 +162,11 @@
         faulted.faults.push(serde_json::from_str(&text).unwrap());
         faulted.check().unwrap();
         let outcome = simulate_policy(&faulted, 1);
-        assert!(outcome.verdict.kept(), "{what:?}: {:?}", outcome.verdict);
+        assert!(
+            outcome.verdict.has_no_violations(),
+            "{what:?}: {:?}",
+            outcome.verdict
+        );
         assert_eq!(outcome.figures.get("unanswered"), 0.0, "{what:?}");
         assert_ne!(outcome.figures, calm, "{what:?} changes nothing");
     }
@@ -183,7 +187,11 @@
             outcome.figures,
             "{what} changes nothing"
         );
-        assert!(outcome.verdict.kept(), "{what}: {:?}", outcome.verdict);
+        assert!(
+            outcome.verdict.has_no_violations(),
+            "{what}: {:?}",
+            outcome.verdict
+        );
     }
 }
 
@@ -195,7 +203,11 @@
         scenario.faults = serde_json::from_str(faults).unwrap();
         scenario.check().unwrap();
         let outcome = simulate_policy(&scenario, 2);
-        assert!(outcome.verdict.kept(), "{faults}: {:?}", outcome.verdict);
+        assert!(
+            outcome.verdict.has_no_violations(),
+            "{faults}: {:?}",
+            outcome.verdict
+        );
         outcome.figures
     };
     // All servers are replaced within the delay of one endpoint list.
@@ -330,7 +342,7 @@
     let rows = experiment::compare(&scenario, a, b, 3, 3);
     let worth = rows.iter().find(|row| row.name == "worth").unwrap();
     assert!(
-        worth.difference.mean > worth.difference.within.unwrap(),
+        worth.difference.mean > worth.difference.confidence_half_width.unwrap(),
         "{worth:?}"
     );
     // A policy compared with itself shows no differences on several threads either.
@@ -364,6 +376,6 @@
     let mixed = run_testbed(&["compare", "--a", "module", "--b", "./nettlemux", path]);
     assert!(mixed.status.code() == Some(2));
     let found = experiment::hunt(&scenario, 1, 6, 4);
-    assert!(!found.scenario.faults.is_empty() && found.tried >= 6);
+    assert!(!found.scenario.faults.is_empty() && found.scenarios_tried >= 6);
     found.scenario.check().unwrap();
 }
