--- a/crates/policy/tests/long_lists.rs
+++ b/crates/policy/tests/long_lists.rs
@@ -9,7 +9,7 @@
 use nettlemux_policy::*;
 
 /// Length of the longest list that is scanned in full.
-const WHOLE_LIST_MAX: u64 = 200;
+const FULL_SCAN_SERVERS_MAX: u64 = 200;
 /// Candidates of a flow without own connections of its group.
 const CANDIDATES_MIN: usize = 16;
 /// The highest number of servers that the flows of a group may go to: candidates and own holders.
@@ -118,7 +118,7 @@
 /// Guards against a group whose flows spread over more servers the longer the list is.
 #[test]
 fn group_goes_to_a_bounded_number_of_servers_on_lists_of_any_length() {
-    for count in [WHOLE_LIST_MAX + 1, 600, 12_000] {
+    for count in [FULL_SCAN_SERVERS_MAX + 1, 600, 12_000] {
         let list = servers(count);
         let used: BTreeSet<ServerId> = (0..15)
             .flat_map(|seed| homes(&list, seed, &group_names(1)))
@@ -405,7 +405,7 @@
 /// is scanned in full anyway.
 #[test]
 fn list_of_200_servers_gives_the_same_decisions_if_all_lists_are_scanned_in_full() {
-    let list = servers(WHOLE_LIST_MAX);
+    let list = servers(FULL_SCAN_SERVERS_MAX);
     let whole_list = EndpointConfig {
         full_scan_servers_max: usize::MAX,
         ..EndpointConfig::default()
--- a/crates/testbed/src/capacity/mechanism.rs
+++ b/crates/testbed/src/capacity/mechanism.rs
@@ -30,7 +30,7 @@
 /// Limits the cost of control work at a balancer.
 pub const CONTROL_BUDGET: Mechanism = Mechanism::Present(
     "CONTROL_BYTES_PER_SECOND in crates/candidates/src/health_checks.rs, at lists over \
-     WHOLE_LIST_MAX; by flows below, COST_FRACTION_MAX in crates/policy/src/health_checks.rs",
+     FULL_SCAN_SERVERS_MAX; by flows below, COST_FRACTION_MAX in crates/policy/src/health_checks.rs",
 );
 /// Limits the number of servers that a placement considers.
 pub const BOUNDED_CANDIDATES: Mechanism = Mechanism::Present(
